--- a/src/eldercart/core/cloudwork.py
+++ b/src/eldercart/core/cloudwork.py
@@ -8,7 +8,7 @@
 from eldercart.core.floor import Floor
 from eldercart.core.jobs import Phase
 from eldercart.core.rental import Hire
-from eldercart.units import JobId, MachineId, Steady
+from eldercart.units import NEVER, JobId, MachineId, Steady
 from eldercart.wire import Malformed, cloud
 from eldercart.wire.checks import load_answer
 from eldercart.wire.cloud import MachineType
@@ -59,7 +59,7 @@
         self._prefix = prefix  # of request names: no other start of any node has it
         self._busy: set[str] = set()
         self._renting = 0
-        self._pause = Steady(-1e9)
+        self._pause = NEVER
         self._hires: list[Hire] = []
         self._list_due = floor.began
         self._list_after: MachineId | None = None
--- a/src/eldercart/core/fleet.py
+++ b/src/eldercart/core/fleet.py
@@ -9,6 +9,7 @@
 
 from eldercart.core.jobs import Phase, Placement
 from eldercart.units import (
+    NEVER,
     NO_REPORT,
     MachineId,
     NodeId,
@@ -67,17 +68,17 @@
     failed_jobs: set[str] = field(default_factory=set)
     paces: list[tuple[str, float]] = field(default_factory=list)  # run time / the job's median
     good_since_fault: int = 0
-    refuse_until: Steady = Steady(-1e9)
+    refuse_until: Steady = NEVER
     # Whether it does what it is told; see `health.Obedience`.
     unheeded: int = 0
     told_since: Steady = Steady(0)
     old_epoch: int = 0  # reports that showed an older epoch although one was answered
     undelivered: bool = False  # the last answer surely came too late
     # Whether it was asked directly, because nothing was heard of it, and answered.
-    probed: Steady = Steady(-1e9)
-    shown: Steady = Steady(-1e9)
+    probed: Steady = NEVER
+    shown: Steady = NEVER
     # Direct commands: when the last one went out, and the session that the worker showed then.
-    ordered: Steady = Steady(-1e9)
+    ordered: Steady = NEVER
     session: Session = Session(0)
     wanted: bool = False
 
--- a/src/eldercart/core/machines.py
+++ b/src/eldercart/core/machines.py
@@ -10,7 +10,7 @@
 from eldercart.core.floor import Floor
 from eldercart.core.jobs import Phase, Placement
 from eldercart.core.planner import Planner
-from eldercart.units import NO_REPORT, MachineId, NodeId, ReportOrder, Session, Steady
+from eldercart.units import NEVER, NO_REPORT, MachineId, NodeId, ReportOrder, Session, Steady
 from eldercart.wire import workers
 
 log = logging.getLogger("eldercart.controller")
@@ -395,7 +395,7 @@
         if not executed:
             if rose:
                 # It was meant for an earlier session; once more for this one, at once.
-                m.ordered = Steady(-1e9)
+                m.ordered = NEVER
                 f.orders[m.id] = None
             return
         if r.epoch != f.epoch or r.order <= m.order:
--- a/src/eldercart/core/records.py
+++ b/src/eldercart/core/records.py
@@ -19,7 +19,7 @@
 )
 from eldercart.core.sheets import Sheet, Sheets
 from eldercart.election import LEAD_KEY
-from eldercart.units import ABSENT, JobId, Revision, Steady
+from eldercart.units import ABSENT, NEVER, JobId, Revision, Steady
 from eldercart.wire import users
 from eldercart.wire.state import Drop, Item, Put, Txn
 
@@ -63,7 +63,7 @@
         self.orphans: list[tuple[str, Revision]] = []
         self.sheets = Sheets(floor.settings.value_bytes, floor.epoch)
         self._txn: PendingTxn | None = None
-        self._pause = Steady(-1e9)
+        self._pause = NEVER
         self._most_ops: int = floor.settings.txn_ops
         self._most_units = ANY_UNITS  # in one transaction
         self._aside: dict[JobId, Steady] = {}
--- a/src/eldercart/core/relay.py
+++ b/src/eldercart/core/relay.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from eldercart.units import Epoch, MachineId, NodeId, ReportOrder, Steady
+from eldercart.units import NEVER, Epoch, MachineId, NodeId, ReportOrder, Steady
 
 SLACK_S = 1.0  # for answers under way when a leader stops granting
 SUPERSEDED_S = 2.0  # for which a grant outlives the word of a higher epoch
@@ -94,14 +94,14 @@
         self._superseded = Epoch(0)  # the highest epoch that a peer has told of
         self.leader: NodeId | None = None
         self._grant_s = grant_s * (1.0 - drift_margin)
-        self._until = Steady(-1e9)
-        self._linked = Steady(-1e9)  # when the leader was last heard on the connection to it
+        self._until = NEVER
+        self._linked = NEVER  # when the leader was last heard on the connection to it
         self._most: int | None = None
         self._spare: NodeId | None = None
         self._known: dict[MachineId, Known] = {}
         self._heard: dict[MachineId, ReportOrder] = {}
         self._sent_on: dict[MachineId, Steady] = {}
-        self._sweep_due = Steady(-1e9)
+        self._sweep_due = NEVER
 
     # -- the grant
 
@@ -138,7 +138,7 @@
             self._until = Steady(min(self._until, now + SUPERSEDED_S))
 
     def revoke(self) -> None:
-        self._until = Steady(-1e9)
+        self._until = NEVER
 
     def holds_grant(self, now: Steady) -> bool:
         return now < self._until
@@ -239,7 +239,7 @@
         self._heard.pop(machine, None)
 
     def _may_send_on(self, machine: MachineId, now: Steady) -> bool:
-        if now - self._sent_on.get(machine, -1e9) < BOUNCE_S:
+        if now - self._sent_on.get(machine, NEVER) < BOUNCE_S:
             return False
         self._sent_on[machine] = now
         return True
--- a/src/eldercart/election/__init__.py
+++ b/src/eldercart/election/__init__.py
@@ -8,7 +8,17 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from eldercart.units import ABSENT, ONLY_LIFE, Epoch, LeaseId, LifeId, NodeId, Revision, Steady
+from eldercart.units import (
+    ABSENT,
+    NEVER,
+    ONLY_LIFE,
+    Epoch,
+    LeaseId,
+    LifeId,
+    NodeId,
+    Revision,
+    Steady,
+)
 from eldercart.wire.state import Item, Put, Txn
 
 LEAD_KEY = "lead"
@@ -61,14 +71,14 @@
         self._life = hold_s
         self._usable = hold_s * (1 - drift_margin)
         self._hold: LeaseId | None = None
-        self._deadline = Steady(-1e9)
+        self._deadline = NEVER
         self._sent = Steady(0)
-        self._read_due = Steady(-1e9)
-        self._touch_due = Steady(-1e9)
+        self._read_due = NEVER
+        self._touch_due = NEVER
         self._absent = False  # the last read found no leader key
         self._stale_hold: LeaseId | None = None
         self._busy = False
-        self._back_at = Steady(-1e9)
+        self._back_at = NEVER
 
     # -- what others may ask
 
@@ -241,6 +251,6 @@
         self.role = Role.FOLLOWER
         self.leader = None
         self._hold = None
-        self._deadline = Steady(-1e9)
+        self._deadline = NEVER
         self._read_due = now
         self._absent = False
--- a/src/eldercart/net/fallen.py
+++ b/src/eldercart/net/fallen.py
@@ -7,7 +7,7 @@
 again; each time that this fails soon, the next try waits twice as long.
 """
 
-from eldercart.units import Steady
+from eldercart.units import NEVER, Steady
 
 FIRST_S, MOST_S = 20.0, 640.0  # for which the lower rates hold at least, and at most
 
@@ -19,7 +19,7 @@
     def __init__(self, foretold: bool) -> None:
         self._foretold = foretold
         self._patience = FIRST_S
-        self._own = self._told = Steady(-1e9)  # until when, by own refusals and by those of peers
+        self._own = self._told = NEVER  # until when, by own refusals and by those of peers
         self.falls = 0  # how often this node found it out by itself
 
     def refused(self, now: Steady, within: bool) -> None:
--- a/src/eldercart/net/links.py
+++ b/src/eldercart/net/links.py
@@ -10,7 +10,7 @@
 
 from eldercart.net.eager import EagerServer, flush
 from eldercart.settings.platform import Endpoint
-from eldercart.units import NodeId, Steady
+from eldercart.units import NEVER, NodeId, Steady
 from eldercart.wire import Malformed, peers
 
 reactor: Any = _reactor
@@ -79,11 +79,11 @@
         self._clock = clock
         self._channel: Channel | None = None
         self._trying = False
-        self._again = Steady(-1e9)
-        self._heard = Steady(-1e9)
-        self.greeted = Steady(-1e9)  # when the peer was greeted last
+        self._again = NEVER
+        self._heard = NEVER
+        self.greeted = NEVER  # when the peer was greeted last
         self.asked: dict[int, Steady] = {}  # greetings under way
-        self.answered = Steady(-1e9)  # when the greeting was sent that was answered last
+        self.answered = NEVER  # when the greeting was sent that was answered last
 
     @property
     def up(self) -> bool:
@@ -112,7 +112,7 @@
         self._channel = channel
         self._trying = False
         self._heard = self._clock()
-        self.greeted = Steady(-1e9)
+        self.greeted = NEVER
         self.asked.clear()
 
     def _failed(self, _: Any) -> None:
--- a/src/eldercart/net/node.py
+++ b/src/eldercart/net/node.py
@@ -18,7 +18,7 @@
 from eldercart.net.server import JsonFactory, listen
 from eldercart.net.store import Store
 from eldercart.settings import NodeSettings, Tuning
-from eldercart.units import Epoch, LifeId, Steady
+from eldercart.units import NEVER, Epoch, LifeId, Steady
 from eldercart.wire import Malformed, cloud
 from eldercart.wire.cloud import MachineType
 from eldercart.wire.state import Item
@@ -58,7 +58,7 @@
         self.relaying = Relaying(self)
         self.electing = Electing(self)
         self.lag = 0.0  # seconds by which the event loop is behind, recent ones weighing more
-        self._types_asked = Steady(-1e9)
+        self._types_asked = NEVER
         self._last_tick = steady()
         self._load_due = Steady(0)
         self._cpu = time.process_time()
--- a/src/eldercart/net/relaying.py
+++ b/src/eldercart/net/relaying.py
@@ -19,7 +19,7 @@
 from eldercart.net.links import Channel, Exchange, Link
 from eldercart.net.server import JsonRequest
 from eldercart.net.soon import Soon
-from eldercart.units import Epoch, JobId, MachineId, NodeId, ReportOrder, Session, Steady
+from eldercart.units import NEVER, Epoch, JobId, MachineId, NodeId, ReportOrder, Session, Steady
 from eldercart.wire import Malformed, peers, users, workers
 from eldercart.wire.checks import count, load_object, text
 
@@ -79,8 +79,8 @@
             for m in s.members
         }
         self.exchange = Exchange(self._asked, self._lost, 4 * s.nodes + 8)
-        self.peer_heard = Steady(-1e9)  # when any peer was heard last
-        self.peer_served = Steady(-1e9)  # when a peer last said that the store serves it
+        self.peer_heard = NEVER  # when any peer was heard last
+        self.peer_served = NEVER  # when a peer last said that the store serves it
         self.peer_counts: dict[NodeId, tuple[int, Steady]] = {}  # workers at each
         self._takes: dict[NodeId, tuple[str, ...]] = {}  # by what each peer said last
         self._falls_told = 0
@@ -399,7 +399,7 @@
         channel.peer = g.sender
         self._channels[g.sender] = channel
         if g.epoch > self.relay.epoch and g.sender in self.links:
-            self.links[g.sender].greeted = Steady(-1e9)  # it may lead: ask it for a grant at once
+            self.links[g.sender].greeted = NEVER  # it may lead: ask it for a grant at once
         self._heard_peer(g.sender, g, now)
         self.peer_counts[g.sender] = (g.machines, now)
         acts = node.leading.acts
--- a/src/eldercart/net/store.py
+++ b/src/eldercart/net/store.py
@@ -8,7 +8,7 @@
 from eldercart.net.client import Answer, HttpClient
 from eldercart.net.fallen import FallenRates
 from eldercart.settings import NodeSettings
-from eldercart.units import LeaseId, Revision, Steady
+from eldercart.units import NEVER, LeaseId, Revision, Steady
 from eldercart.wire import Malformed
 from eldercart.wire import state as wire
 from eldercart.wire.state import Item, Txn
@@ -33,7 +33,7 @@
         self.writes = Bucket(1, settings.state_write_rps, now)
         self.last_ok = now
         self.failing_since: Steady | None = None
-        self.refused_at = Steady(-1e9)  # when it last answered that it can't
+        self.refused_at = NEVER  # when it last answered that it can't
         s = settings
         self.fallen = FallenRates(
             s.state_rps_next < s.state_rps or s.state_write_rps_next < s.state_write_rps
