--- /dev/null
+++ b/src/eldercart/net/cloud_calls.py
@@ -0,0 +1,63 @@
+"""The leader's calls to the cloud, within its limit of calls a second."""
+
+from typing import TYPE_CHECKING
+
+from eldercart.core.controller import CloudCall, Controller, Delete, GetCatalog, ListPage, Rent
+from eldercart.net.buckets import Bucket
+from eldercart.net.client import HttpClient
+from eldercart.units import Steady
+from eldercart.wire import cloud
+
+if TYPE_CHECKING:
+    from eldercart.net.node import Node
+
+RATE_SHARE = 0.9  # of the cloud's limit that is used
+CONNECT_S = 2.0
+CONNECTIONS = 6
+ANSWER_S = 5.0  # for which an answer is waited for
+
+
+class CloudCalls:
+    """Sends rentals, deletions, lists and catalogue reads, and hands in their answers."""
+
+    def __init__(self, node: "Node") -> None:
+        settings = node.settings
+        rate = RATE_SHARE * settings.cloud_rps
+        self._node = node
+        self._client = HttpClient(settings.cloud, CONNECT_S, CONNECTIONS)
+        self._tokens = Bucket(rate, max(1.0, rate), node.clock())
+
+    def pump(self, controller: Controller, now: Steady) -> None:
+        """Sends what the controller asks for while this node may order anything at all."""
+        node = self._node
+        if not node.election.may_order(now, node.store.refused_at):
+            return
+        while self._tokens.available(now) >= 1:
+            call = controller.next_cloud(now)
+            if call is None:
+                break
+            self._tokens.take(now)
+            self._send(controller, call)
+
+    def _send(self, controller: Controller, call: CloudCall) -> None:
+        leading = self._node.leading
+
+        def done(status: int | None, data: bytes) -> None:
+            if leading.controller is controller:
+                controller.cloud_done(call, status, data, self._node.clock())
+                leading.pump_soon()
+
+        match call:
+            case Rent(hire):
+                offer = hire.offer
+                body = cloud.rent_body(
+                    hire.request, offer.type, offer.zone, offer.spot, hire.number
+                )
+                self._client.request(b"POST", "/machines", body, ANSWER_S, done)
+            case Delete(machines):
+                body = cloud.delete_body(list(machines))
+                self._client.request(b"POST", "/machines/delete", body, ANSWER_S, done)
+            case ListPage(after):
+                self._client.request(b"GET", cloud.list_path(after), None, ANSWER_S, done)
+            case GetCatalog():
+                self._client.request(b"GET", "/catalog", None, ANSWER_S, done)
--- a/src/eldercart/net/front.py
+++ b/src/eldercart/net/front.py
@@ -259,7 +259,7 @@
                 return
             if item is not None:
                 self.dependencies.accepted(job)
-                self.node.leading.learn(item)
+                self.node.leading.job_records.learn(item)
             store.get(END + job, lambda ok, end: got_end(ok, end, item))
 
         def got_end(ok: bool, end: Item | None, item: Item | None) -> None:
@@ -327,7 +327,7 @@
         if how is not None:
             found(peers.Told(0, how, 0, 0))
         elif self.node.leading.controller is not None:
-            answered(self.node.leading.tell(0, job))
+            answered(self.node.leading.user_answers.tell(0, job))
         elif not self.node.relaying.poll(job, answered):
             fresh()
 
@@ -360,6 +360,6 @@
         if how is not None:
             answered(how)
         elif self.node.leading.controller is not None:
-            self.node.leading.cancel(job, answered)
+            self.node.leading.user_answers.cancel(job, answered)
         elif not self.node.relaying.cancel(job, told):
             answered("none")
--- a/src/eldercart/net/node.py
+++ b/src/eldercart/net/node.py
@@ -10,9 +10,10 @@
 
 from eldercart.election import Election
 from eldercart.net import links
+from eldercart.net.catalog import CATALOG_KEY
 from eldercart.net.electing import Electing
 from eldercart.net.front import Front
-from eldercart.net.leading import CATALOG_KEY, Leading
+from eldercart.net.leading import Leading
 from eldercart.net.meters import Meters
 from eldercart.net.relaying import Relaying
 from eldercart.net.server import JsonFactory, listen
--- a/src/eldercart/net/relaying.py
+++ b/src/eldercart/net/relaying.py
@@ -383,11 +383,12 @@
                 channel.send(peers.answers(answers))
             leading.pump_soon()
         elif kind == peers.POLLS:
-            told = [leading.tell(number, JobId(job)) for number, job in peers.parse_asked(frame)]
+            asked = peers.parse_asked(frame)
+            told = [leading.user_answers.tell(number, JobId(job)) for number, job in asked]
             channel.send(peers.states(peers.STATES, told))
         elif kind == peers.CANCEL:
             for number, job in peers.parse_asked(frame):
-                leading.cancel(JobId(job), _told_to(channel, number))
+                leading.user_answers.cancel(JobId(job), _told_to(channel, number))
         elif kind == peers.DROPPED:
             for machine in peers.parse_machines(frame):
                 leading.undelivered(machine)
--- /dev/null
+++ b/src/eldercart/net/user_answers.py
@@ -0,0 +1,101 @@
+"""The leader's answers to users' polls and cancellations, whichever node took them."""
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
+
+from twisted.internet import reactor as _reactor
+
+from eldercart.core.controller import JobStatus, Verdict
+from eldercart.units import JobId
+from eldercart.wire import peers, users
+
+if TYPE_CHECKING:
+    from eldercart.net.node import Node
+
+reactor: Any = _reactor
+
+CANCEL_WAIT_S = 1.5  # for which a cancellation waits for its durable end
+
+
+class UserAnswers:
+    """Owns the answers that wait for a durable end."""
+
+    def __init__(self, node: "Node") -> None:
+        self._node = node
+        self._waiting: dict[JobId, list[AnswerOnce]] = {}
+
+    def reset(self) -> None:
+        """Leadership ended: who waits is answered by time-out."""
+        self._waiting.clear()
+
+    def finished(self, job: JobId, how: str) -> None:
+        """The job's end is durable: everyone who waits for it is told."""
+        for waiter in self._waiting.pop(job, ()):
+            waiter(how)
+
+    def tell(self, number: int, job: JobId) -> peers.Told:
+        """The leader's answer; only within its hold is a state that may change told."""
+        node = self._node
+        how = node.front.final_of(job)
+        if how is not None:
+            return peers.Told(number, how, 0, 0)
+        controller = node.leading.controller
+        if controller is None or not node.election.within_lease(node.clock()):
+            return peers.Told(number, peers.NOT_LEADER, 0, 0)
+        status = controller.status(job)
+        if isinstance(status, JobStatus):
+            waiting = status.waiting[: users.MAX_TOLD]
+            return peers.Told(number, status.state, status.done, status.running, waiting)
+        undecided = status is Verdict.UNDECIDED
+        return peers.Told(number, peers.UNDECIDED if undecided else peers.UNKNOWN, 0, 0)
+
+    def cancel(self, job: JobId, answer: Callable[[str], None]) -> None:
+        """Calls `answer` once: with the job's durable end, or with a verdict of `peers`."""
+        node = self._node
+        controller = node.leading.controller
+        how = node.front.final_of(job)
+        if how is not None or controller is None:
+            answer(how or peers.NOT_LEADER)
+            return
+        verdict = controller.cancel(job, node.clock())
+        if verdict is Verdict.UNKNOWN_JOB:
+            self._look_up_and_cancel(job, answer)
+        elif isinstance(verdict, str):
+            answer(verdict)
+        else:
+            self._wait_for_end(job, answer)
+
+    def _look_up_and_cancel(self, job: JobId, answer: Callable[[str], None]) -> None:
+        """The watch may lag behind another node's acceptance: the look-up teaches the job."""
+        leading = self._node.leading
+
+        def found(state: str) -> None:
+            if state in (users.DONE, users.CANCELLED):
+                answer(state)
+            elif leading.controller is not None and leading.controller.jobs.get(job) is not None:
+                self.cancel(job, answer)
+            else:
+                answer(peers.UNDECIDED)
+
+        self._node.front.look_up(
+            job, found, lambda: answer(peers.UNKNOWN), lambda: answer(peers.UNDECIDED)
+        )
+
+    def _wait_for_end(self, job: JobId, answer: Callable[[str], None]) -> None:
+        """The end must be durable before it is told; that takes one write."""
+        waiter = AnswerOnce(answer)
+        self._waiting.setdefault(job, []).append(waiter)
+        reactor.callLater(CANCEL_WAIT_S, waiter, peers.UNDECIDED)
+        self._node.leading.pump()
+
+
+class AnswerOnce:
+    """Passes on the first answer only: the end or the time-out, whichever comes first."""
+
+    def __init__(self, answer: Callable[[str], None]) -> None:
+        self._answer: Callable[[str], None] | None = answer
+
+    def __call__(self, verdict: str) -> None:
+        answer, self._answer = self._answer, None
+        if answer is not None:
+            answer(verdict)
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -21,9 +21,10 @@
     parse_job_record,
     resolve,
 )
-from eldercart.net import leading as net_leading
+from eldercart.net import job_records
 from eldercart.net.buckets import Bucket
 from eldercart.net.front import Front
+from eldercart.net.leading import Leading
 from eldercart.settings import load_tuning
 from eldercart.settings.platform import parse_platform
 from eldercart.units import JobId, Revision, Steady
@@ -215,7 +216,9 @@
         self.node = SimpleNamespace(
             settings=settings, tuning=load_tuning(), clock=lambda: Steady(self.now), lag=0.0,
             store=self.store, types=cloud.parse_catalog(CATALOG),
-            leading=SimpleNamespace(controller=None, learn=lambda item: None),
+            leading=SimpleNamespace(
+                controller=None, job_records=SimpleNamespace(learn=lambda _: None)
+            ),
             relaying=SimpleNamespace(poll=self._poll),
         )  # fmt: skip
         self.front = self.node.front = Front(cast(Any, self.node))
@@ -247,8 +250,8 @@
     def lead(self, told: dict[str, str]) -> None:
         """This node leads now, and knows these."""
         self.node.leading.controller = SimpleNamespace(jobs=told)
-        self.node.leading.tell = lambda number, job: peers.Told(
-            number, told.get(job, peers.UNKNOWN), 0, 0
+        self.node.leading.user_answers = SimpleNamespace(
+            tell=lambda number, job: peers.Told(number, told.get(job, peers.UNKNOWN), 0, 0)
         )
 
     def know(self, job: str, awaits: tuple[str, ...] = ()) -> None:
@@ -603,8 +606,8 @@
         reactor = SimpleNamespace(
             callLater=lambda _, call, *args: self.later.append(lambda: call(*args))
         )
-        monkeypatch.setattr(net_leading, "reactor", reactor)
-        self.leading = net_leading.Leading(cast(Any, self.place.node))
+        monkeypatch.setattr(job_records, "reactor", reactor)
+        self.leading = self.place.node.leading = Leading(cast(Any, self.place.node))
         self.leading.pump_soon = cast(Any, lambda: None)
         self.leading.controller = cast(
             Any, SimpleNamespace(jobs=self.learned, learn_job=self._learn)
@@ -679,7 +682,7 @@
     record, parts = listed(500)
     leader.place.store.put(*parts[:1])
     for _ in range(3):
-        leader.leading.learn(record)  # each poll's look-up hands it in
+        leader.leading.job_records.learn(record)  # each poll's look-up hands it in
         leader.place.settle()
         assert not leader.learned
     assert len(leader.later) == 1, "one reads for all"
@@ -690,7 +693,7 @@
     leader.place.store.put(*parts[1:])
     leader.again()
     assert leader.learned[JobId("wk-last")].dependencies == tuple(names(500))
-    leader.leading.learn(record)
+    leader.leading.job_records.learn(record)
     leader.place.settle()
     assert not leader.later
 
@@ -698,7 +701,7 @@
 def test_a_job_that_ended_meanwhile_is_not_learned(monkeypatch: pytest.MonkeyPatch) -> None:
     leader = Leader(monkeypatch)
     record, _ = listed(500)
-    leader.leading.learn(record)
+    leader.leading.job_records.learn(record)
     leader.place.settle()
     leader.place.front.final(JobId("wk-last"), users.CANCELLED)
     leader.again()
@@ -710,8 +713,8 @@
     plain = Item(JOB + "wk-1", job_record(spec_with([], "wk-1"), 10, 1.0), Revision(3))
     odd = Item(JOB + "wk-2", {"s": [1], "n": 10, "t": 1.0}, Revision(3))
     lists = [Item(put.key, put.value, Revision(2)) for put in parts]
-    whole, missing = net_leading._resolved([plain, record, odd], lists)
+    whole, missing = job_records.resolve_all([plain, record, odd], lists)
     assert [item.key for item in whole] == [plain.key, record.key, odd.key] and not missing
     assert parse_job_record(JobId("wk-last"), whole[1].value)[0].dependencies == tuple(names(500))
-    whole, missing = net_leading._resolved([plain, record, odd], lists[1:])
+    whole, missing = job_records.resolve_all([plain, record, odd], lists[1:])
     assert whole == [plain, odd] and missing == [record]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -663,7 +663,7 @@
     c.cloud.catalog_changed = True
     for _ in range(5):
         if c.cloud.catalog_changed:
-            node.leading._store_types(c)
+            node.leading.catalog.store(c)
     assert len(sent) == writes and node.types == (c.floor.types if writes == 1 else {})
 
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -468,7 +468,9 @@
         clock=lambda: Steady(0.0), lag=0.0, types=kinds, settings=World(0).settings,
         tuning=World(0).tuning, store=SimpleNamespace(
             txn=txn, get=get, writes=bucket, requests=bucket),
-        leading=SimpleNamespace(controller=None, learn=lambda _: None),
+        leading=SimpleNamespace(
+            controller=None, job_records=SimpleNamespace(learn=lambda _: None)
+        ),
     )  # fmt: skip
     front = Front(node)
     replies: list[tuple[int, Any]] = []
