--- a/src/eldercart/core/controller.py
+++ b/src/eldercart/core/controller.py
@@ -25,12 +25,15 @@
     Rent,
     unknown_type,
 )
+from eldercart.core.direct_orders import DirectOrders, Order
 from eldercart.core.fleet import Life
 from eldercart.core.floor import Floor
 from eldercart.core.jobs import GONE, JOB, Job, Phase, asked_at, end_of, parse_job_record
-from eldercart.core.machines import Machines, Order
+from eldercart.core.machines import MachineWatch
 from eldercart.core.planner import Planner
 from eldercart.core.records import Outcome, PendingTxn, Records
+from eldercart.core.reports import Reports
+from eldercart.core.silence import Probe, Silence
 from eldercart.election import LEAD_KEY
 from eldercart.settings import NodeSettings, Tuning
 from eldercart.units import (
@@ -92,7 +95,10 @@
         self.planner = Planner(self.floor)
         self.records = Records(self.floor)
         self.cloud = CloudWork(self.floor, f"{settings.label}-{life}-{epoch}")
-        self.machines = Machines(self.floor, self.planner)
+        self.reports = Reports(self.floor, self.planner)
+        self.silence = Silence(self.floor)
+        self.orders = DirectOrders(self.floor)
+        self.machine_watch = MachineWatch(self.floor, self.silence)
         self._rented = NEVER
         self._summary_due = now
         self._memo_due = Steady(now + tuning.memo_s)
@@ -223,48 +229,48 @@
         self, r: workers.Report, now: Steady, relay: NodeId | None = None
     ) -> list[workers.Command] | None:
         """The commands to answer with; None: the report is older than one already seen."""
-        return self.machines.on_report(r, now, relay)
+        return self.reports.on_report(r, now, relay)
 
     def wants_next(self, machine: MachineId) -> bool:
         """Whether the machine's next report is wanted even if it tells nothing new."""
-        return self.machines.wants_next(machine)
+        return self.reports.wants_next(machine)
 
     def heard(
         self, relay: NodeId, orders: Iterable[tuple[MachineId, ReportOrder]], now: Steady
     ) -> None:
         """A relay tells whom it answered by itself: nothing has changed there."""
-        self.machines.heard(relay, orders, now)
+        self.silence.heard(relay, orders, now)
 
     def take_wants(self) -> dict[NodeId, list[MachineId]]:
         return self.floor.take_wants()
 
     def relay_lost(self, relay: NodeId) -> None:
-        self.machines.relay_lost(relay)
+        self.reports.relay_lost(relay)
 
     def undelivered(self, machine: MachineId) -> None:
-        self.machines.undelivered(machine)
+        self.reports.undelivered(machine)
 
     def shown(self, machine: MachineId, now: Steady) -> None:
-        self.machines.shown(machine, now)
+        self.silence.shown(machine, now)
 
     def take_orders(self, now: Steady) -> list[Order]:
         """Kills that go straight to the workers."""
-        return self.machines.take_orders(now)
+        return self.orders.take(now)
 
     def ordered(self, r: workers.Report, executed: bool, sent: Steady, now: Steady) -> None:
-        self.machines.ordered(r, executed, sent, now)
+        self.orders.answered(r, executed, sent, now)
 
-    def take_probes(self) -> list[tuple[MachineId, str]]:
-        return self.machines.take_probes()
+    def take_probes(self) -> list[Probe]:
+        return self.silence.take_probes()
 
     # ------------------------------------------------------------------ time
 
     def stood_still(self, seconds: float) -> None:
         """This process did not run for so long: the silence meanwhile was its own."""
-        self.machines.stood_still(seconds)
+        self.silence.stood_still(seconds)
 
     def tick(self, now: Steady) -> None:
-        self.machines.watch(now)
+        self.machine_watch.watch(now)
         if now >= self.floor.rental_due and now - self._rented >= RENTAL_PACE_S:
             self._rented = now
             self.floor.rental_due = Steady(now + 1.0)
--- /dev/null
+++ b/src/eldercart/core/direct_orders.py
@@ -0,0 +1,101 @@
+"""Kills of cancelled tasks that go straight to the worker, besides going into its next answer."""
+
+from dataclasses import dataclass
+
+from eldercart.core.fleet import Life, Machine
+from eldercart.core.floor import Floor
+from eldercart.units import NEVER, MachineId, Session, Steady
+from eldercart.wire import workers
+
+ORDER_S = 2.0  # between two direct commands to a machine
+ORDERS_RATE = 120.0  # a second on a whole core: a connection each, which costs a millisecond
+CORE_SHARE_LEAST = 0.1  # of a core that is counted on
+# A worker drops an answer 4 s after it sent the report: by then a launch sent before the stop has
+# been carried out, or never will be.
+LAUNCH_LATE_S = 4.5
+
+
+@dataclass(frozen=True, slots=True)
+class Order:
+    """Kills that go straight to the worker."""
+
+    machine: MachineId
+    address: str
+    session: Session
+    commands: tuple[workers.Kill, ...]
+
+
+class DirectOrders:
+    """Hands direct commands out at a bounded rate and reads what the workers answer.
+
+    A worker may report to a node that still acts for the leader before, and that can't be told so
+    while the store is down: the order ends the task, and shows the worker the new epoch, after
+    which it obeys nobody else. It also comes before a task that is fetching its image starts. Only
+    kills go this way: a launch that the network holds back would run late."""
+
+    def __init__(self, floor: Floor) -> None:
+        self._floor = floor
+        self._ordered = floor.began  # when direct commands were handed out last
+
+    def take(self, now: Steady) -> list[Order]:
+        """The orders that may be sent now."""
+        orders: list[Order] = []
+        waiting = self._floor.orders
+        if not waiting:
+            return orders
+        allowed = self._allowed(now)
+        for machine in list(waiting):
+            if len(orders) >= allowed:
+                break
+            m = self._floor.fleet.get(machine)
+            if m is None or m.life not in (Life.UP, Life.LEAVING):
+                del waiting[machine]
+                continue
+            if not m.address or now - m.ordered < ORDER_S:
+                continue
+            del waiting[machine]
+            order = self._order(m)
+            if order is not None:
+                m.ordered = now
+                orders.append(order)
+        if orders:
+            self._ordered = now
+        return orders
+
+    def _allowed(self, now: Steady) -> int:
+        rate = ORDERS_RATE * max(CORE_SHARE_LEAST, self._floor.settings.core_share)
+        return int(min(1.0, now - self._ordered) * rate)
+
+    def _order(self, m: Machine) -> Order | None:
+        kills = tuple(workers.Kill(p.key, p.attempt, 0.0) for p in m.being_cancelled())
+        if not kills:
+            return None
+        session = max(m.session, m.order.session, Session(1))
+        return Order(m.id, m.address, session, kills[: workers.MAX_COMMANDS])
+
+    def answered(self, report: workers.Report, executed: bool, sent: Steady, now: Steady) -> None:
+        """The worker's report after a direct command, or instead of it (another session)."""
+        floor = self._floor
+        m = floor.fleet.get(report.machine)
+        if m is None:
+            return
+        m.shown = now
+        session_rose = report.order.session > max(m.session, m.order.session, Session(1))
+        m.session = max(m.session, report.order.session)
+        if executed:
+            self._void_absent(m, report, sent, now)
+        elif session_rose:
+            # It was meant for an earlier session; once more for this one, at once.
+            m.ordered = NEVER
+            floor.orders[m.id] = None
+
+    def _void_absent(self, m: Machine, report: workers.Report, sent: Steady, now: Steady) -> None:
+        """It has obeyed under this epoch, so nothing that an earlier leader sent can start a task
+        any more, and what this one sent has run or was dropped."""
+        if report.epoch != self._floor.epoch or report.order <= m.order:
+            return
+        there = {(t.key, t.attempt) for t in report.tasks if t.state != workers.EXITED}
+        for p in m.being_cancelled():
+            launches_over = sent - p.job.cancelled_at >= LAUNCH_LATE_S
+            if launches_over and (p.key, p.attempt) not in there:
+                self._floor.void(p, now)
--- a/src/eldercart/core/fleet.py
+++ b/src/eldercart/core/fleet.py
@@ -84,8 +84,18 @@
 
     @property
     def usable(self) -> bool:
+        """Whether new tasks may start here."""
         return self.life is Life.UP and self.confirmed and not self.draining and not self.foreign
 
+    def being_cancelled(self) -> list[Placement]:
+        """What may still run here of cancelled jobs."""
+        return [p for p in self.placed.values() if is_being_cancelled(p)]
+
+
+def is_being_cancelled(p: Placement) -> bool:
+    """Whether the task was told to stop because of a cancellation and is not over yet."""
+    return p.stopping and p.job.cancelled and p.phase is not Phase.ENDED
+
 
 class Fleet:
     """Owns the machines. Room counts everything that may still run."""
