--- a/src/eldercart/net/dependencies.py
+++ b/src/eldercart/net/dependencies.py
@@ -222,7 +222,7 @@
         asked, self._open = self._left, 1
         for job in asked:
             self._open += 1
-            if not self._node.relaying.poll(job, partial(self._told, job)):
+            if not self._node.relaying.questions.poll(job, partial(self._told, job)):
                 self._open -= 1
                 break
         self._answered()
--- /dev/null
+++ b/src/eldercart/net/forwarding.py
@@ -0,0 +1,178 @@
+"""Workers' reports at this node: answered here, sent elsewhere, or forwarded to the leader."""
+
+import logging
+from collections import OrderedDict
+from collections.abc import Iterator, Mapping
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any
+
+from eldercart.core.relay import Answer, Forward, Redirect, Relay
+from eldercart.net.links import Link, link_up
+from eldercart.net.server import JsonRequest
+from eldercart.net.soon import Soon
+from eldercart.units import Epoch, MachineId, NodeId, Steady
+from eldercart.wire import Malformed, peers, users, workers
+from eldercart.wire.checks import load_object
+
+if TYPE_CHECKING:
+    from eldercart.net.node import Node
+
+log = logging.getLogger("eldercart.node")
+
+FLUSH_S = 0.015  # in which reports gather to a batch
+REPORT_S = 3.0  # a worker drops answers after 4 s
+GIVEN_UP_KEPT = 500  # reports given up whose late answers are still recognized
+
+
+@dataclass(slots=True)
+class Held:
+    """A report handed to the leader, and its worker's connection."""
+
+    request: JsonRequest
+    head: workers.ReportHead
+    until: Steady
+
+
+class ReportForwarding:
+    """Owns the reports that wait for the leader's answer."""
+
+    def __init__(
+        self, node: "Node", relay: Relay, links: Mapping[NodeId, Link], numbers: Iterator[int]
+    ) -> None:
+        """`numbers`: of frames' items, never the same twice."""
+        self._node = node
+        self._relay = relay
+        self._links = links
+        self._numbers = numbers
+        self._held: dict[int, Held] = {}
+        self._given_up: OrderedDict[int, MachineId] = OrderedDict()
+        self._batch: list[tuple[int, bytes]] = []
+        self._flush_soon = Soon(FLUSH_S, self._flush)
+
+    # -- from workers
+
+    def report(self, request: JsonRequest) -> None:
+        """Answers a worker's report, at once or when the leader has answered."""
+        now = self._node.clock()
+        body = request.body()
+        try:
+            obj = load_object(body)
+            head = workers.parse_head(obj)
+        except Malformed as err:
+            _refuse(request, err)
+            return
+        link = link_up(self._links, self._relay.leader)
+        reachable = self._node.leading.acts or link is not None
+        machine, order, epoch, notice, tasks = head
+        match self._relay.report(machine, order, epoch, notice, tasks, now, reachable):
+            case Answer(current):
+                request.reply(200, workers.calls_body(current, []))
+            case Redirect(to):
+                self._redirect(request, epoch, to, now)
+            case Forward():
+                self._forward(Held(request, head, Steady(now + REPORT_S)), body, obj, now)
+            case _:
+                request.reply(503, users.error_body("overtaken"), 1)
+
+    def _redirect(self, request: JsonRequest, epoch: Epoch, to: NodeId | None, now: Steady) -> None:
+        node = self._node
+        if epoch > self._relay.epoch:
+            node.saw_epoch(epoch, "a worker has seen a higher epoch")
+        if to is None and not self._relay.holds_grant(now):
+            to = node.election.leader
+        to = None if to == node.settings.label else to
+        request.reply(421, workers.redirect_body(to))
+
+    def _forward(self, held: Held, body: bytes, obj: dict[str, Any], now: Steady) -> None:
+        if self._node.leading.acts:
+            self._hand_in(held, obj, now)
+            return
+        # It goes on as it came: the leader reads it, and takes a malformed one for none.
+        number = next(self._numbers)
+        self._held[number] = held
+        self._batch.append((number, body))
+        self._flush_soon()
+
+    def _hand_in(self, held: Held, obj: dict[str, Any], now: Steady) -> None:
+        """This node leads: the report needs no connection."""
+        leading = self._node.leading
+        try:
+            report = workers.parse_report(obj)
+        except Malformed as err:
+            _refuse(held.request, err)
+            return
+        calls, again = leading.take_report(report, self._node.settings.label, now)
+        self._reply(held, calls, again)
+        leading.pump_soon()
+
+    def _reply(self, held: Held, calls: list[dict[str, Any]] | None, again: bool) -> None:
+        head = held.head
+        if calls is None:
+            self._relay.overtaken(head.machine, head.order)
+            held.request.reply(503, users.error_body("overtaken"), 1)
+            return
+        again = again or bool(calls) or held.request.gone
+        self._relay.answered(head.machine, head.order, head.notice, head.tasks, again)
+        held.request.reply(200, workers.calls_body(self._relay.epoch, calls))
+
+    # -- towards the leader
+
+    def _flush(self) -> None:
+        """Sends what has gathered to the leader under whose grant this node acts."""
+        gathered, self._batch = self._batch, []
+        link = link_up(self._links, self._relay.leader)
+        now = self._node.clock()
+        for batch in peers.batches(gathered):
+            if link is None or not link.send(peers.reports(self._relay.epoch, batch)):
+                self._give_up_batch(batch, now)
+
+    def _give_up_batch(self, batch: list[tuple[int, bytes]], now: Steady) -> None:
+        for number, _ in batch:
+            held = self._held.pop(number, None)
+            if held is not None:
+                self._give_up(held, now)
+
+    def answered(self, link: Link, answers: list[peers.Answer]) -> None:
+        """The leader's answers; it is told which of them came too late to be passed on."""
+        dropped: list[MachineId] = []
+        for answer in answers:
+            held = self._held.pop(answer.number, None)
+            if held is not None:
+                late = held.request.gone and answer.calls
+                self._reply(held, answer.calls, answer.again)
+                if late:
+                    dropped.append(held.head.machine)
+            elif answer.number in self._given_up:
+                dropped.append(self._given_up.pop(answer.number))
+        if dropped:
+            link.send(peers.machines(peers.DROPPED, dropped))
+
+    def link_lost(self, link: Link, now: Steady) -> None:
+        """No answer comes any more to what was forwarded on this connection."""
+        if link.label != self._relay.leader:
+            return
+        self._relay.unlinked()
+        for number in list(self._held):
+            self._give_up(self._held.pop(number), now)
+
+    def time_out(self, now: Steady) -> None:
+        """Gives up the reports whose workers won't wait any longer."""
+        for number in [n for n, held in self._held.items() if held.until <= now]:
+            held = self._held.pop(number)
+            self._given_up[number] = held.head.machine
+            while len(self._given_up) > GIVEN_UP_KEPT:
+                self._given_up.popitem(last=False)
+            self._give_up(held, now)
+
+    def _give_up(self, held: Held, now: Steady) -> None:
+        """No answer from the leader: under a grant the worker's lease lives on all the same."""
+        self._relay.want(held.head.machine)
+        if self._relay.holds_grant(now):
+            held.request.reply(200, workers.calls_body(self._relay.epoch, []))
+        else:
+            held.request.reply(503, users.error_body("no leader now"), 1)
+
+
+def _refuse(request: JsonRequest, err: Malformed) -> None:
+    log.error("report malformed: %s", err)
+    request.reply(400, users.error_body(str(err)))
--- a/src/eldercart/net/front.py
+++ b/src/eldercart/net/front.py
@@ -40,7 +40,7 @@
             if method != b"POST":
                 request.reply(405, users.error_body("method"))
                 return
-            self.node.relaying.report(request)
+            self.node.relaying.forwarding.report(request)
         elif path == b"/healthz":
             healthy = self.node.healthy()
             request.reply(200 if healthy else 503, b"{}", None if healthy else RETRY_S)
@@ -328,7 +328,7 @@
             found(peers.Told(0, how, 0, 0))
         elif self.node.leading.controller is not None:
             answered(self.node.leading.user_answers.tell(0, job))
-        elif not self.node.relaying.poll(job, answered):
+        elif not self.node.relaying.questions.poll(job, answered):
             fresh()
 
     def _poll(self, request: JsonRequest, job: JobId) -> None:
@@ -361,5 +361,5 @@
             answered(how)
         elif self.node.leading.controller is not None:
             self.node.leading.user_answers.cancel(job, answered)
-        elif not self.node.relaying.cancel(job, told):
+        elif not self.node.relaying.questions.cancel(job, told):
             answered("none")
--- a/src/eldercart/net/leading.py
+++ b/src/eldercart/net/leading.py
@@ -118,7 +118,7 @@
             self.node.election.resign(now)
             self.end("hears nobody")
             return
-        controller.records.may_recut = self.node.relaying.all_take(peers.RECUT)
+        controller.records.may_recut = self.node.relaying.greetings.all_take(peers.RECUT)
         controller.tick(now)
         if controller.plan_due(now):
             self._plan(controller, now)
@@ -141,7 +141,7 @@
         """Whether the store alone can be reached: another node would then lead better."""
         if not self.node.relaying.links or not controller.fleet.machines:
             return False
-        since = max(self.heard_at, self._began, self.node.relaying.peer_heard)
+        since = max(self.heard_at, self._began, self.node.relaying.greetings.peer_heard)
         return now - since > UNHEARD_S
 
     # -- what follows from events
--- a/src/eldercart/net/links.py
+++ b/src/eldercart/net/links.py
@@ -1,7 +1,7 @@
 """Connections between the controller nodes: frames of one message each, kept open."""
 
 import logging
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from typing import Any
 
 from twisted.internet import protocol
@@ -139,6 +139,12 @@
         return True
 
 
+def link_up(links: Mapping[NodeId, Link], label: NodeId | None) -> Link | None:
+    """The connection to that node, if there is such a node and the connection stands."""
+    link = None if label is None else links.get(label)
+    return link if link is not None and link.up else None
+
+
 class Exchange(protocol.Factory):
     """The side that is connected to."""
 
--- a/src/eldercart/net/node.py
+++ b/src/eldercart/net/node.py
@@ -123,7 +123,7 @@
         return could_serve(
             self.electing.ready,
             0.0 if failing is None else now - failing,
-            now - self.relaying.peer_served,
+            now - self.relaying.greetings.peer_served,
         )
 
     # -- machine types
--- a/src/eldercart/wire/workers.py
+++ b/src/eldercart/wire/workers.py
@@ -56,6 +56,27 @@
 Command = Launch | Kill | Clear
 
 
+class ReportHead(NamedTuple):
+    """What a relay must know of a report to answer it or pass it on."""
+
+    machine: MachineId
+    order: ReportOrder
+    epoch: Epoch  # the highest the worker has seen
+    notice: bool  # whether the cloud has told that it takes the machine back
+    tasks: Any  # the list as it came, only compared
+
+
+def parse_head(obj: dict[str, Any]) -> ReportHead:
+    """Called for each report; the tasks are not checked."""
+    return ReportHead(
+        MachineId(text(obj, "wagon")),
+        ReportOrder(Session(count(obj, "stint")), count(obj, "tally")),
+        Epoch(count(obj, "whip")),
+        obj.get("recallS") is not None,
+        obj.get("parcels"),
+    )
+
+
 def parse_report(obj: dict[str, Any]) -> Report:
     """Called hundreds of times a second, so the tasks are checked in place."""
     tasks: list[TaskReport] = []
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -219,7 +219,7 @@
             leading=SimpleNamespace(
                 controller=None, job_records=SimpleNamespace(learn=lambda _: None)
             ),
-            relaying=SimpleNamespace(poll=self._poll),
+            relaying=SimpleNamespace(questions=SimpleNamespace(poll=self._poll)),
         )  # fmt: skip
         self.front = self.node.front = Front(cast(Any, self.node))
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -337,23 +337,25 @@
     now = Steady(50)
 
     def says(node: str, takes: tuple[str, ...]) -> bool:
-        relaying._heard_peer(NodeId(node), peers.Greet(
+        relaying.greetings.heard_peer(NodeId(node), peers.Greet(
             NodeId(node), 1, Epoch(0), True, 0, 0, (), takes), now)  # fmt: skip
-        return relaying.all_take(peers.RECUT)
+        return relaying.greetings.all_take(peers.RECUT)
 
-    assert not relaying.all_take(peers.RECUT)
+    assert not relaying.greetings.all_take(peers.RECUT)
     assert not says("drover-1", peers.TAKES)
     assert not says("drover-2", ())
     assert not says("drover-9", peers.TAKES), "not a member"
     assert says("drover-2", peers.TAKES)
     assert not says("drover-1", ()), "it came back as the version before"
-    assert Node(settings_of(NEXT), load_tuning()).relaying.all_take(peers.RECUT), "it is alone"
+    assert Node(settings_of(NEXT), load_tuning()).relaying.greetings.all_take(peers.RECUT), (
+        "it is alone"
+    )
 
 
 def test_peer_that_met_the_fall_is_believed() -> None:
     node = Node(settings_of(NEXT, 3), load_tuning())
     rate = node.store.writes.rate
-    node.relaying._heard_peer(NodeId("drover-1"), GREETED, node.clock())
+    node.relaying.greetings.heard_peer(NodeId("drover-1"), GREETED, node.clock())
     assert node.store.writes.rate < rate and node.store.fallen.left_s(node.clock()) == 0
 
 
