--- a/src/eldercart/core/direct_orders.py
+++ b/src/eldercart/core/direct_orders.py
@@ -94,7 +94,7 @@
         any more, and what this one sent has run or was dropped."""
         if report.epoch != self._floor.epoch or report.order <= m.order:
             return
-        there = {(t.key, t.attempt) for t in report.tasks if t.state != workers.EXITED}
+        there = {(t.key, t.attempt) for t in report.tasks if t.state != workers.TaskState.EXITED}
         for p in m.being_cancelled():
             launches_over = sent - p.job.cancelled_at >= LAUNCH_LATE_S
             if launches_over and (p.key, p.attempt) not in there:
--- a/src/eldercart/core/fleet.py
+++ b/src/eldercart/core/fleet.py
@@ -6,11 +6,13 @@
 
 from dataclasses import dataclass, field
 from enum import IntEnum
+from typing import NamedTuple
 
 from eldercart.core.jobs import Phase, Placement
 from eldercart.units import (
     NEVER,
     NO_REPORT,
+    JobId,
     MachineId,
     NodeId,
     ReportOrder,
@@ -22,17 +24,29 @@
 from eldercart.wire.users import JobSpec
 
 EPS = 1e-6
+GONE_KEPT = 5000  # deleted machines that are remembered
 
 
 class Life(IntEnum):
+    """Where a machine is between its rental and its deletion."""
+
     BOOTING = 0
     UP = 1
     LEAVING = 2  # a deletion has been asked for, or must be
     GONE = 3
 
 
+class Pace(NamedTuple):
+    """How long a task ran on a machine, compared with the others of its job."""
+
+    job: JobId
+    ratio: float  # run time / the median of the job's run times
+
+
 @dataclass(slots=True, eq=False)
 class Machine:
+    """One machine. Only `Fleet` changes its sums of room; CPUs and GPUs in units, memory in GB."""
+
     id: MachineId
     type: MachineType
     zone: str
@@ -65,8 +79,8 @@
     quarantined_at: Steady = Steady(0)
     taken_at: Steady | None = None  # when the cloud takes it back, by its notice
     images: dict[str, float] = field(default_factory=dict)  # name -> GB, least recent first
-    failed_jobs: set[str] = field(default_factory=set)
-    paces: list[tuple[str, float]] = field(default_factory=list)  # run time / the job's median
+    failed_jobs: set[JobId] = field(default_factory=set)
+    paces: list[Pace] = field(default_factory=list)  # of the last tasks done here
     good_since_fault: int = 0
     refuse_until: Steady = NEVER
     # Whether it does what it is told; see `health.Obedience`.
@@ -101,6 +115,7 @@
     """Owns the machines. Room counts everything that may still run."""
 
     def __init__(self) -> None:
+        """No machines yet."""
         self.machines: dict[MachineId, Machine] = {}
         self._gone: dict[MachineId, None] = {}  # a late list or report may still name them
         self.team_cpus: dict[str, float] = {}
@@ -112,15 +127,18 @@
         self._recalled: dict[MachineId, dict[str, float]] = {}  # images, by an earlier leader
 
     def get(self, machine: MachineId) -> Machine | None:
+        """The machine, unless it is gone or was never heard of."""
         return self.machines.get(machine)
 
     def is_gone(self, machine: MachineId) -> bool:
+        """Whether the machine was deleted, as far back as is remembered."""
         return machine in self._gone
 
     def add(
         self, id_: MachineId, type_: MachineType, zone: str, spot: bool, life: Life,
         hired: Steady, now: Steady,
     ) -> Machine:  # fmt: skip
+        """A machine that was rented, listed or reported; its room is that of its type."""
         m = Machine(id_, type_, zone, spot, life, hired, now, idle_since=now)
         m.free_cpus, m.free_gpus, m.free_memory = type_.cpus, type_.gpus, type_.memory_gb
         m.images = self._recalled.pop(id_, {})
@@ -146,6 +164,7 @@
         m.type, m.zone, m.spot = type_, zone, spot
 
     def occupy(self, m: Machine, p: Placement) -> None:
+        """The task takes room on the machine from now on."""
         spec = p.job.spec
         p.priority = p.job.priority  # which may change meanwhile; the sums must not
         m.placed[p.key] = p
@@ -203,6 +222,7 @@
         self.queues[m.id] = m
 
     def dequeue(self, m: Machine, p: Placement) -> None:
+        """The task does not wait on the machine any more; nothing happens if it did not."""
         if m.queue.pop(p.key, None) is None:
             return
         m.queued_cpus -= p.job.spec.cpus
@@ -211,11 +231,13 @@
             self.queues.pop(m.id, None)
 
     def clear_holds(self) -> None:
+        """Gives all held room back; see `hold`."""
         for m in self._held:
             m.held_cpus = m.held_gpus = m.held_memory = 0.0
         self._held.clear()
 
     def hold(self, m: Machine, spec: JobSpec, number: int) -> None:
+        """Keeps room for so many tasks of the job until `clear_holds`."""
         if not m.held_cpus and not m.held_memory and not m.held_gpus:
             self._held.append(m)
         m.held_cpus += spec.cpus * number
@@ -223,6 +245,7 @@
         m.held_memory += spec.memory_gb * number
 
     def forget(self, m: Machine, p: Placement) -> None:
+        """The machine lists the task no more."""
         if m.placed.get(p.key) is p:
             del m.placed[p.key]
 
@@ -232,10 +255,11 @@
         self.machines.pop(m.id, None)
         self.queues.pop(m.id, None)
         self._gone[m.id] = None
-        while len(self._gone) > 5000:
+        while len(self._gone) > GONE_KEPT:
             del self._gone[next(iter(self._gone))]
 
     def note_image(self, m: Machine, image: str, size_gb: float) -> None:
+        """The machine uses the image; those that its cache can't hold any more are forgotten."""
         m.images.pop(image, None)
         m.images[image] = size_gb
         total = sum(m.images.values())
--- a/src/eldercart/core/health.py
+++ b/src/eldercart/core/health.py
@@ -7,7 +7,7 @@
 
 from statistics import median
 
-from eldercart.core.fleet import Machine
+from eldercart.core.fleet import Machine, Pace
 from eldercart.core.jobs import Job, Placement
 from eldercart.units import Steady
 
@@ -15,6 +15,9 @@
 SLOW_TASKS, SLOW_JOBS = 5, 2  # tasks of one job differ by a factor of three: one proves nothing
 STRAGGLER_FACTOR = 3.0
 MAX_BACKOFF_S = 30.0
+GOOD_TASKS = 3  # in a row, after which earlier failures count no more
+PACES_KEPT = 12  # of the last tasks on a machine
+RUNS_KNOWN = 3  # run times of a job before one more is compared with them
 
 
 class Obedience:
@@ -24,6 +27,7 @@
     signs must follow each other, over some time, with nothing obeyed in between."""
 
     def __init__(self, answers: int, least_s: float) -> None:
+        """So many answers without effect condemn, if they span `least_s` seconds."""
         self._answers = answers
         self._least = least_s
 
@@ -35,11 +39,16 @@
         return m.unheeded >= self._answers and now - m.told_since >= self._least
 
     def obeyed(self, m: Machine) -> None:
+        """Something that the machine was told has had its effect."""
         m.unheeded = 0
 
 
 class Health:
+    """Judges machines by how tasks fare on them. Its sums are kept with machines and jobs."""
+
     def __init__(self, quarantine_jobs: int, error_backoff_s: float) -> None:
+        """Failed tasks of `quarantine_jobs` jobs condemn a machine; a failing job waits for
+        `error_backoff_s` seconds, and longer with each failure."""
         self._jobs = quarantine_jobs
         self._backoff = error_backoff_s
 
@@ -60,27 +69,27 @@
     def task_done(self, m: Machine, job: Job, ran_s: float) -> bool:
         """Returns whether the machine has proven slow over several jobs."""
         m.good_since_fault += 1
-        if m.good_since_fault >= 3:
+        if m.good_since_fault >= GOOD_TASKS:
             m.failed_jobs.clear()
         if ran_s <= 0:
             return False
-        slow = len(job.ran) >= 3 and self._paced(m, job, ran_s / max(0.1, median(job.ran)))
+        slow = len(job.ran) >= RUNS_KNOWN and self._paced(m, job, ran_s / max(0.1, median(job.ran)))
         job.note_run(ran_s)
         return slow
 
     def straggles(self, p: Placement, now: Steady) -> bool:
         """Whether a running task has taken far longer than any other of its job did."""
         job = p.job
-        return len(job.ran) >= 3 and now - p.since > STRAGGLER_FACTOR * job.longest + 5.0
+        return len(job.ran) >= RUNS_KNOWN and now - p.since > STRAGGLER_FACTOR * job.longest + 5.0
 
     def straggled(self, m: Machine, job: Job) -> bool:
         """A task was stopped as a straggler; returns whether the machine is to be taken out."""
         return self._paced(m, job, STRAGGLER_FACTOR)
 
-    def _paced(self, m: Machine, job: Job, pace: float) -> bool:
-        m.paces.append((job.id, pace))
-        if len(m.paces) > 12:
+    def _paced(self, m: Machine, job: Job, ratio: float) -> bool:
+        m.paces.append(Pace(job.id, ratio))
+        if len(m.paces) > PACES_KEPT:
             del m.paces[0]
-        jobs = {j for j, _ in m.paces}
-        mean = sum(pace for _, pace in m.paces) / len(m.paces)
+        jobs = {pace.job for pace in m.paces}
+        mean = sum(pace.ratio for pace in m.paces) / len(m.paces)
         return len(m.paces) >= SLOW_TASKS and len(jobs) >= SLOW_JOBS and mean > SLOW_FACTOR
--- a/src/eldercart/core/reconciliation.py
+++ b/src/eldercart/core/reconciliation.py
@@ -10,9 +10,12 @@
 from eldercart.core.planner import Planner
 from eldercart.units import Steady
 from eldercart.wire import workers
+from eldercart.wire.workers import ExitCause, TaskState
 
 log = logging.getLogger("eldercart.controller")
 
+# Looked up once, as they are compared with each task of each report.
+RUNNING, SAVING, EXITED = TaskState.RUNNING, TaskState.SAVING, TaskState.EXITED
 REFUSED_REPORTS = 2  # report intervals for which a machine that refused a start gets no other
 
 
@@ -56,32 +59,34 @@
         mark = self._mark
         placed = m.placed
         for task in report.tasks:
-            p = placed.get(task.key)
-            if p is None or p.attempt != task.attempt:
+            key, attempt, state, why = task
+            p = placed.get(key)
+            if p is None or p.attempt != attempt:
                 self._not_placed(m, p, task, found)
                 continue
             p.mark = mark
             p.maybe_there = True
             if p.phase is Phase.ENDED:
                 continue  # done, not yet durable: no clear yet
-            if task.state == workers.EXITED:
+            if state == EXITED:
                 found.obeyed = True
-                self._exited(m, p, task.why, now)
-                if task.key not in placed:
+                self._exited(m, p, why, now)
+                if key not in placed:
                     # Not of a done one: until it is durable, this is the record.
-                    found.commands.append(workers.Clear(task.key, task.attempt))
+                    found.commands.append(workers.Clear(key, attempt))
                 continue
             if not p.reported:
                 self._first_listed(m, p, found)
-            self._note_state(p, task.state, now)
+            if p.phase is not Phase.RUNNING or state != RUNNING:
+                self._note_state(p, state, now)  # of most tasks there is nothing new to note
             if p.stopping:
-                self._repeat_kill(p, task.state, found)
+                self._repeat_kill(p, state, found)
 
     def _not_placed(
         self, m: Machine, p: Placement | None, task: workers.TaskReport, found: Findings
     ) -> None:
         """Not ours any more, or another attempt (`p`: the one that is ours): out with it."""
-        if task.state == workers.EXITED:
+        if task.state == EXITED:
             found.commands.append(workers.Clear(task.key, task.attempt))
         else:
             found.commands.append(workers.Kill(task.key, task.attempt, 0.0))
@@ -100,19 +105,19 @@
             p.told = 0
 
     def _note_state(self, p: Placement, state: str, now: Steady) -> None:
+        """The task is listed in another state than running on."""
         floor = self._floor
-        if state == workers.TASK_RUNNING:
-            if p.phase is not Phase.RUNNING:
-                floor.start_waits.append(now - p.job.ready_at)
-                floor.jobs.set_phase(p, Phase.RUNNING, now)
-        elif state == workers.SAVING:
+        if state == RUNNING:
+            floor.start_waits.append(now - p.job.ready_at)
+            floor.jobs.set_phase(p, Phase.RUNNING, now)
+        elif state == SAVING:
             floor.jobs.set_phase(p, Phase.SAVING, now)
         elif p.phase is not Phase.FETCHING:
             floor.jobs.set_phase(p, Phase.FETCHING, now)
 
     def _repeat_kill(self, p: Placement, state: str, found: Findings) -> None:
         """Told in every answer until a newer report lacks the task."""
-        if state == workers.SAVING:
+        if state == SAVING:
             found.obeyed = True
         elif p.told:
             found.ignored = True
@@ -125,7 +130,7 @@
 
     def _exited(self, m: Machine, p: Placement, why: str | None, now: Steady) -> None:
         job = p.job
-        if job.open and why == workers.WHY_DONE:
+        if job.open and why == ExitCause.DONE:
             self._done(m, p, now)
             return
         # If its job isn't open, its end is decided or even durable (a new leader may load such a
@@ -154,11 +159,11 @@
     def _failed(self, m: Machine, p: Placement, why: str | None, now: Steady) -> None:
         """Stopped, failed or refused: evidence against the machine or the job, if any."""
         floor = self._floor
-        if why == workers.WHY_ERROR and not p.stopping:
+        if why == ExitCause.ERROR and not p.stopping:
             log.info("task failed machine=%s task=%s attempt=%d", m.id, p.key, p.attempt)
             if floor.health.task_failed(m, p.job, now):
                 floor.quarantine(m, "failing", now)
-        elif why in (workers.WHY_NO_ROOM, workers.WHY_BUSY, workers.WHY_UNKNOWN):
+        elif why in (ExitCause.NO_ROOM, ExitCause.BUSY, ExitCause.UNKNOWN_TASK):
             self._start_refused(m, p.job, p, why, now)
 
     def _start_refused(
@@ -167,7 +172,7 @@
         floor = self._floor
         log.info("start refused machine=%s task=%s why=%s", m.id, p.key, why)
         m.refuse_until = Steady(now + REFUSED_REPORTS * floor.settings.report_s)
-        if why == workers.WHY_UNKNOWN:
+        if why == ExitCause.UNKNOWN_TASK:
             job.hold_until = Steady(now + floor.tuning.error_backoff_s)
 
     # -- what the report lacks
--- a/src/eldercart/wire/workers.py
+++ b/src/eldercart/wire/workers.py
@@ -2,6 +2,7 @@
 
 from collections.abc import Iterable
 from dataclasses import dataclass
+from enum import StrEnum
 from typing import Any, NamedTuple
 
 import orjson
@@ -9,20 +10,43 @@
 from eldercart.units import Attempt, Epoch, MachineId, NodeId, ReportOrder, Session, TaskKey
 from eldercart.wire.checks import MAX_COUNT, Malformed, amount, count, flag, text
 
-FETCHING, TASK_RUNNING, SAVING, EXITED = "pulling", "running", "saving", "ended"
-WHY_DONE, WHY_STOPPED, WHY_ERROR = "done", "stopped", "error"
-WHY_NO_ROOM, WHY_BUSY, WHY_UNKNOWN = "full", "busy", "no_such"
+
+class TaskState(StrEnum):
+    """The states of a task that a worker reports. A report may hold others, which are kept."""
+
+    FETCHING = "pulling"
+    RUNNING = "running"
+    SAVING = "saving"
+    EXITED = "ended"
+
+
+class ExitCause(StrEnum):
+    """Why a task has exited, or was not started."""
+
+    DONE = "done"
+    STOPPED = "stopped"
+    ERROR = "error"
+    NO_ROOM = "full"
+    BUSY = "busy"
+    UNKNOWN_TASK = "no_such"
+
+
+_EXITED = TaskState.EXITED  # looked up once
 
 
 class TaskReport(NamedTuple):
+    """One task as a worker lists it."""
+
     key: TaskKey
     attempt: Attempt
-    state: str
-    why: str | None
+    state: str  # one of `TaskState`, or one that this version does not know
+    why: str | None  # of an exited task: one of `ExitCause`, or an unknown one
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
+    """A worker's periodic report: its machine, and all tasks that it holds."""
+
     machine: MachineId
     address: str
     type: str
@@ -30,18 +54,22 @@
     spot: bool
     order: ReportOrder
     epoch: Epoch  # the highest the worker has seen
-    notice_s: float | None
+    notice_s: float | None  # seconds until the cloud takes the machine back, if it has said so
     tasks: tuple[TaskReport, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Launch:
+    """Starts a task."""
+
     key: TaskKey
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
 class Kill:
+    """Stops a task; it has `grace_s` seconds to save its work."""
+
     key: TaskKey
     attempt: Attempt
     grace_s: float
@@ -49,6 +77,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Clear:
+    """Forgets a task that has exited."""
+
     key: TaskKey
     attempt: Attempt
 
@@ -93,7 +123,7 @@
             raise Malformed("try")
         if not isinstance(state, str):
             raise Malformed("standing")
-        why = item.get("cause") if state == EXITED else None
+        why = item.get("cause") if state == _EXITED else None
         tasks.append(
             TaskReport(TaskKey(key), Attempt(attempt), state, why if isinstance(why, str) else None)
         )
@@ -111,6 +141,7 @@
 
 
 def command_object(command: Command) -> dict[str, Any]:
+    """One command as workers read it."""
     match command:
         case Launch(key, attempt):
             return {"call": "launch", "parcel": key, "try": attempt}
@@ -125,14 +156,17 @@
 
 
 def command_objects(commands: list[Command]) -> list[dict[str, Any]]:
+    """The commands of one response, as many as fit into it."""
     return [command_object(c) for c in commands[:MAX_COMMANDS]]
 
 
 def calls_body(epoch: Epoch, calls: list[dict[str, Any]]) -> bytes:
+    """The response to a report; `calls` as of `command_objects`."""
     return orjson.dumps({"whip": epoch, "calls": calls})
 
 
 def commands_body(epoch: Epoch, commands: list[Command]) -> bytes:
+    """The response to a report with these commands."""
     return calls_body(epoch, command_objects(commands))
 
 
@@ -143,4 +177,5 @@
 
 
 def redirect_body(leader: NodeId | None) -> bytes:
+    """Where the worker should report instead, if that is known."""
     return orjson.dumps({"droverBoss": leader} if leader else {})
