--- a/src/eldercart/core/direct_orders.py
+++ b/src/eldercart/core/direct_orders.py
@@ -34,6 +34,7 @@
     kills go this way: a launch that the network holds back would run late."""
 
     def __init__(self, floor: Floor) -> None:
+        """Nothing was handed out yet."""
         self._floor = floor
         self._ordered = floor.began  # when direct commands were handed out last
 
--- a/src/eldercart/core/floor.py
+++ b/src/eldercart/core/floor.py
@@ -23,10 +23,13 @@
 
 
 class Floor:
+    """The leader's shared state: the books, what is due next, and steps that several parts take."""
+
     def __init__(
         self, settings: NodeSettings, tuning: Tuning, epoch: Epoch, types: dict[str, MachineType],
         now: Steady,
     ) -> None:  # fmt: skip
+        """Empty books of a leadership that begins at `now`, with the machine types known so far."""
         self.settings = settings
         self.tuning = tuning
         self.epoch = epoch
@@ -70,6 +73,7 @@
         self.take(self.graph.ended(job, how, now), now)
 
     def take(self, effect: Effect, now: Steady) -> None:
+        """Carries out what an end or a new job brings about in the graph."""
         for job in effect.ready:
             self.predictor.arrived(job, now)
             self.rental.arrived(now)
@@ -109,6 +113,7 @@
         self.plan_wanted = True
 
     def stop(self, p: Placement, now: Steady) -> None:
+        """The task is to end where it is; one that was never launched is void at once."""
         m = self.fleet.get(p.machine)
         self.fleet.stopping(m, p)
         if not p.maybe_there:
@@ -120,6 +125,7 @@
                 self.orders[m.id] = None  # it would start before its machine reports
 
     def stop_all(self, job: Job, now: Steady) -> None:
+        """All tasks of the job are to end where they are."""
         for p in list(job.placements()):
             if p.phase is not Phase.ENDED:
                 self.stop(p, now)
@@ -154,12 +160,14 @@
         return out
 
     def doom(self, m: Machine, now: Steady) -> None:
+        """The machine is to be deleted, and nothing new starts there."""
         m.life = Life.LEAVING
         m.draining = True
         self.doomed[m.id] = None
         self.rental_due = now
 
     def quarantine(self, m: Machine, why: str, now: Steady) -> None:
+        """Nothing new starts on the machine, unless too many others are set aside as well."""
         if m.quarantined:
             return
         out = sum(1 for other in self.fleet.machines.values() if other.quarantined)
--- a/src/eldercart/core/machines.py
+++ b/src/eldercart/core/machines.py
@@ -22,6 +22,7 @@
     """Finds what no report tells, and gives up machines that can't be used any more."""
 
     def __init__(self, floor: Floor, silence: Silence) -> None:
+        """The first look is due at once."""
         self._floor = floor
         self._silence = silence
         self._watch_due = floor.began
--- a/src/eldercart/core/reconciliation.py
+++ b/src/eldercart/core/reconciliation.py
@@ -33,6 +33,7 @@
     """Brings the books into line with reports of the current epoch, each newer than the last."""
 
     def __init__(self, floor: Floor, planner: Planner) -> None:
+        """Shares the books with the planner, whose waiting jobs keep their room."""
         self._floor = floor
         self._planner = planner
         self._mark = 0  # of the report being read: what it lists carries the same
--- a/src/eldercart/core/relay.py
+++ b/src/eldercart/core/relay.py
@@ -63,6 +63,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Redirect:
+    """The worker should report to that node instead; None: to any other."""
+
     to: NodeId | None
 
 
@@ -89,6 +91,7 @@
     """Owns the grant and what is known per machine."""
 
     def __init__(self, label: NodeId, grant_s: float, drift_margin: float) -> None:
+        """Without a grant. `grant_s` is shortened by the drift that the clocks may have."""
         self.label = label
         self.epoch = Epoch(0)
         self._superseded = Epoch(0)  # the highest epoch that a peer has told of
@@ -138,13 +141,16 @@
             self._until = Steady(min(self._until, now + SUPERSEDED_S))
 
     def revoke(self) -> None:
+        """This node may not answer for the leader any more."""
         self._until = NEVER
 
     def holds_grant(self, now: Steady) -> bool:
+        """Whether this node may answer workers now."""
         return now < self._until
 
     @property
     def machines(self) -> int:
+        """How many machines report here."""
         return len(self._known)
 
     # -- reports
@@ -252,6 +258,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
+    """How many workers a node should have at most, and where those beyond go."""
+
     most: int
     spare: NodeId | None
 
--- a/src/eldercart/core/reports.py
+++ b/src/eldercart/core/reports.py
@@ -17,6 +17,7 @@
     """Takes reports in their order and answers them with commands."""
 
     def __init__(self, floor: Floor, planner: Planner) -> None:
+        """Reads and changes the books of `floor`."""
         self._floor = floor
         self._reconciler = Reconciler(floor, planner)
 
--- a/src/eldercart/core/silence.py
+++ b/src/eldercart/core/silence.py
@@ -28,6 +28,7 @@
     """Owns when each relay was heard, and the machines that are to be asked directly."""
 
     def __init__(self, floor: Floor) -> None:
+        """No relay was heard yet: each counts as heard now until it is."""
         self._floor = floor
         self._relays: dict[NodeId, Steady] = {}  # when each was heard last
         self._probes: dict[MachineId, None] = {}
--- a/src/eldercart/election/__init__.py
+++ b/src/eldercart/election/__init__.py
@@ -25,32 +25,42 @@
 
 
 class Role(Enum):
+    """What this node is, as far as it knows."""
+
     FOLLOWER = "follower"
     LEADER = "leader"
 
 
 @dataclass(frozen=True, slots=True)
 class ReadLead:
-    pass
+    """Read the leader key."""
 
 
 @dataclass(frozen=True, slots=True)
 class OpenHold:
+    """Open a lease of that many seconds in the state service."""
+
     life_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class TouchHold:
+    """Renew the lease."""
+
     hold: LeaseId
 
 
 @dataclass(frozen=True, slots=True)
 class DropHold:
+    """End the lease, and with it the leader key on it."""
+
     hold: LeaseId
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
+    """Create the leader key, if it is absent."""
+
     txn: Txn
 
 
@@ -63,6 +73,8 @@
     def __init__(
         self, label: NodeId, hold_s: float, drift_margin: float, life: LifeId = ONLY_LIFE
     ) -> None:
+        """A follower. The hold lives for `hold_s` seconds; the share `drift_margin` of them is not
+        counted on, for the clocks' sake."""
         self.label = label
         self.life = life  # of this start: a claim of an earlier one may still be carried out
         self.role = Role.FOLLOWER
@@ -142,6 +154,7 @@
         self._back_at = Steady(now + 3 * self._life)
 
     def next_action(self, now: Steady) -> Action | None:
+        """What is to be carried out now; its outcome must be handed in before the next."""
         if self._busy:
             return None
         action = self._choose(now)
@@ -189,6 +202,7 @@
             self._read_due = Steady(now + pause)
 
     def read(self, item: Item | None, now: Steady) -> None:
+        """The leader key as a read found it; None: it is absent."""
         self._busy = False
         self._absent = item is None
         # The watch on the key is the usual alarm; this is the backstop if it hangs.
@@ -210,6 +224,7 @@
         self.epoch = max(self.epoch, Epoch(item.version))
 
     def opened(self, hold: LeaseId, now: Steady) -> None:
+        """The lease was opened; it counts from before the request was sent."""
         self._busy = False
         self._hold = hold
         self._deadline = Steady(self._sent + self._usable)
@@ -225,6 +240,7 @@
         return True
 
     def dropped(self, now: Steady) -> None:
+        """The lease that was left over has ended."""
         self._busy = False
         self._stale_hold = None
         self._read_due = now
--- a/src/eldercart/net/catalog.py
+++ b/src/eldercart/net/catalog.py
@@ -37,6 +37,7 @@
     """Writes the leader's catalogue to the state service when its shape has changed."""
 
     def __init__(self, node: "Node") -> None:
+        """Compares with, and changes, the types that the node knows."""
         self._node = node
 
     def store(self, controller: Controller) -> None:
--- a/src/eldercart/net/cloud_calls.py
+++ b/src/eldercart/net/cloud_calls.py
@@ -21,6 +21,7 @@
     """Sends rentals, deletions, lists and catalogue reads, and hands in their answers."""
 
     def __init__(self, node: "Node") -> None:
+        """Connects to the cloud of the node's settings when it is first called."""
         settings = node.settings
         rate = RATE_SHARE * settings.cloud_rps
         self._node = node
--- a/src/eldercart/net/electing.py
+++ b/src/eldercart/net/electing.py
@@ -15,7 +15,7 @@
     Role,
     TouchHold,
 )
-from eldercart.units import Revision, Steady
+from eldercart.units import LeaseId, Revision, Steady
 from eldercart.wire.state import Item
 
 if TYPE_CHECKING:
@@ -29,58 +29,59 @@
     """Owns the watch on the leader key."""
 
     def __init__(self, node: "Node") -> None:
+        """Nothing has been read yet."""
         self.node = node
         self.ready = False  # whether the leader key has been read once
         self._seen = Revision(0)
         self._watching = False
 
     def tick(self, now: Steady) -> None:
+        """Carries out what the election wants now, and keeps the watch on the leader key."""
         self._act(now)
         if not self._watching and self.ready:
             self._watch()
 
     def _act(self, now: Steady) -> None:
-        node = self.node
-        e = node.election
-        action = e.next_action(now)
-        if action is None:
-            return
+        action = self.node.election.next_action(now)
+        store = self.node.store
         match action:
+            case None:
+                return
             case ReadLead():
-                node.store.get(LEAD_KEY, lambda ok, item: self._read(action, ok, item))
-            case OpenHold(life):
-
-                def opened(hold: Any) -> None:
-                    if hold is None:
-                        e.failed(action, node.clock())
-                    else:
-                        e.opened(hold, node.clock())
-                        self._act(node.clock())
-
-                node.store.open_hold(int(life * 1000), opened)
+                store.get(LEAD_KEY, lambda ok, item: self._read(action, ok, item))
+            case OpenHold(life_s):
+                store.open_hold(int(life_s * 1000), lambda hold: self._opened(action, hold))
             case TouchHold(hold):
-
-                def touched(alive: bool | None) -> None:
-                    if alive is None:
-                        e.failed(action, node.clock())
-                    elif e.touched(alive, node.clock()):
-                        node.leading.end("hold ended")
-
-                node.store.touch_hold(hold, touched)
+                store.touch_hold(hold, lambda alive: self._touched(action, alive))
             case DropHold(hold):
-
-                def dropped(ok: bool) -> None:
-                    if ok:
-                        e.dropped(node.clock())
-                        self._act(node.clock())
-                    else:
-                        e.failed(action, node.clock())
-
-                node.store.drop_hold(hold, dropped)
+                store.drop_hold(hold, lambda ok: self._dropped(action, ok))
             case Claim(txn):
-                node.store.requests.force(now)
-                node.store.writes.force(now)
-                node.store.txn(txn, lambda s, rev, failed: self._claimed(action, s, rev))
+                store.requests.force(now)
+                store.writes.force(now)
+                store.txn(txn, lambda status, rev, failed: self._claimed(action, status, rev))
+
+    def _opened(self, action: Action, hold: LeaseId | None) -> None:
+        election, clock = self.node.election, self.node.clock
+        if hold is None:
+            election.failed(action, clock())
+        else:
+            election.opened(hold, clock())
+            self._act(clock())
+
+    def _touched(self, action: Action, alive: bool | None) -> None:
+        election, clock = self.node.election, self.node.clock
+        if alive is None:
+            election.failed(action, clock())
+        elif election.touched(alive, clock()):
+            self.node.leading.end("hold ended")
+
+    def _dropped(self, action: Action, ok: bool) -> None:
+        election, clock = self.node.election, self.node.clock
+        if ok:
+            election.dropped(clock())
+            self._act(clock())
+        else:
+            election.failed(action, clock())
 
     def _read(self, action: Action, ok: bool, item: Item | None) -> None:
         e = self.node.election
--- a/src/eldercart/net/job_records.py
+++ b/src/eldercart/net/job_records.py
@@ -30,6 +30,7 @@
     or none, is in its place."""
 
     def __init__(self, node: "Node") -> None:
+        """Teaches whatever controller the node's `leading` has."""
         self._node = node
         self._resolving: set[JobId] = set()  # jobs whose list of dependencies is being read
 
--- a/src/eldercart/net/leading.py
+++ b/src/eldercart/net/leading.py
@@ -39,6 +39,7 @@
     """Owns the controller, which is there while this node leads and has read the records."""
 
     def __init__(self, node: "Node") -> None:
+        """Not leading yet; `begin` and `end` follow the election."""
         self.node = node
         self.controller: Controller | None = None
         self.job_records = JobRecords(node)
--- a/src/eldercart/net/links.py
+++ b/src/eldercart/net/links.py
@@ -31,23 +31,27 @@
         made: Callable[["Channel"], None] | None = None,
         lost: Callable[["Channel"], None] | None = None,
     ) -> None:  # fmt: skip
+        """`frame` gets each message; `made` and `lost` are told of the connection's life."""
         self._frame = frame
         self._made = made
         self._lost = lost
         self.open = False
 
     def connectionMade(self) -> None:
+        """Called by twisted when the connection stands."""
         self.transport.setTcpNoDelay(True)
         self.open = True
         if self._made is not None:
             self._made(self)
 
     def connectionLost(self, reason: Any = None) -> None:
+        """Called by twisted when the connection has ended."""
         self.open = False
         if self._lost is not None:
             self._lost(self)
 
     def stringReceived(self, data: bytes) -> None:
+        """Called by twisted with each whole frame."""
         try:
             self._frame(self, peers.parse(data))
         except Malformed as err:
@@ -57,10 +61,12 @@
             log.exception("peer frame failed peer=%s", self.peer)
 
     def lengthLimitExceeded(self, length: int) -> None:
+        """Called by twisted for a frame that is too long: ends the connection."""
         log.error("peer frame too long peer=%s bytes=%d", self.peer, length)
         self.transport.abortConnection()
 
     def send(self, data: bytes) -> None:
+        """Sends one frame, or drops it if the connection has ended."""
         if self.open:
             self.sendString(data)
 
@@ -72,6 +78,7 @@
         self, label: NodeId, endpoint: Endpoint, frame: Callable[["Link", dict[str, Any]], None],
         down: Callable[["Link"], None], clock: Callable[[], Steady],
     ) -> None:  # fmt: skip
+        """Not connected; `frame` gets each message, `down` is called when a connection is lost."""
         self.label = label
         self._endpoint = endpoint
         self._frame = frame
@@ -87,6 +94,7 @@
 
     @property
     def up(self) -> bool:
+        """Whether the connection stands."""
         return self._channel is not None
 
     def check(self, silent_s: float, now: Steady) -> None:
@@ -132,6 +140,7 @@
             self._frame(self, frame)
 
     def send(self, data: bytes) -> bool:
+        """Sends one frame at once; False: there is no connection."""
         if self._channel is None:
             return False
         self._channel.send(data)
@@ -154,12 +163,14 @@
         self, frame: Callable[[Channel, dict[str, Any]], None], lost: Callable[[Channel], None],
         most: int,
     ) -> None:  # fmt: skip
+        """Accepts `most` connections at once; `frame` and `lost` as of `Channel`."""
         self._frame = frame
         self._lost = lost
         self._most = most
         self.channels: set[Channel] = set()
 
     def buildProtocol(self, addr: Any) -> Any:
+        """Called by twisted for a new connection; None closes it."""
         if len(self.channels) >= self._most:
             return None
         return Channel(self._frame, self.channels.add, self._closed)
@@ -170,5 +181,6 @@
 
 
 def listen(endpoint: Endpoint, exchange: Exchange) -> None:
+    """Accepts connections of peers at the endpoint."""
     port = reactor.listenTCP(endpoint.port, exchange, backlog=32, interface=endpoint.host)
     port.transport = EagerServer
--- a/src/eldercart/net/node.py
+++ b/src/eldercart/net/node.py
@@ -41,11 +41,15 @@
 
 
 def steady() -> Steady:
+    """Seconds of this process's steady clock."""
     return Steady(time.monotonic())
 
 
 class Node:
+    """One process of the service: owns its parts and the clock that drives them."""
+
     def __init__(self, settings: NodeSettings, tuning: Tuning) -> None:
+        """Makes the parts; nothing is listened on or sent before `start`."""
         self.settings = settings
         self.tuning = tuning
         self.clock = steady
@@ -65,6 +69,7 @@
         self._cpu = time.process_time()
 
     def start(self) -> None:
+        """Listens for users, workers and peers, and begins to tick."""
         front = JsonFactory(self.front.route, max(16, int(self.settings.sockets * 0.75)))
         listen(self.settings.front, front)
         links.listen(self.settings.mesh, self.relaying.exchange)
@@ -110,14 +115,17 @@
     # -- what a part learns and the others must know
 
     def saw_epoch(self, epoch: Epoch, how: str) -> None:
+        """A higher epoch than known, if it is one: a leader steps down."""
         if self.election.saw_epoch(epoch, steady()):
             self.leading.end(how)
 
     def deposed(self, why: str) -> None:
+        """A guarded write has shown that another node leads."""
         self.election.deposed(steady())
         self.leading.end(why)
 
     def healthy(self) -> bool:
+        """Whether users and workers should come here, see `could_serve`."""
         now = steady()
         failing = self.store.failing_since
         return could_serve(
@@ -129,6 +137,7 @@
     # -- machine types
 
     def take_types(self, item: Item) -> None:
+        """Takes the machine types over from the stored catalogue, if it can be read."""
         try:
             self.types = cloud.parse_catalog(item.value)
         except (Malformed, AttributeError) as err:
@@ -144,6 +153,7 @@
         self.store.get(CATALOG_KEY, got)
 
     def status_page(self) -> bytes:
+        """The page for operators, as JSON."""
         page: dict[str, Any] = {
             "label": self.settings.label,
             "role": self.election.role.value,
--- a/src/eldercart/net/relaying.py
+++ b/src/eldercart/net/relaying.py
@@ -27,6 +27,7 @@
     """Owns the relay, the connections to and from the peers, and the parts that use them."""
 
     def __init__(self, node: "Node") -> None:
+        """The links connect, and the exchange is listened on, once the node starts."""
         self.node = node
         settings, tuning = node.settings, node.tuning
         grant_s = tuning.grant_share * settings.lease_s
--- a/src/eldercart/net/store_work.py
+++ b/src/eldercart/net/store_work.py
@@ -30,6 +30,7 @@
     """Carries out the controller's work on the state service as far as tokens allow."""
 
     def __init__(self, node: "Node") -> None:
+        """Uses the node's client of the state service and its tokens."""
         self._node = node
 
     def pump(self, controller: Controller, now: Steady) -> None:
--- a/src/eldercart/net/user_answers.py
+++ b/src/eldercart/net/user_answers.py
@@ -21,6 +21,7 @@
     """Owns the answers that wait for a durable end."""
 
     def __init__(self, node: "Node") -> None:
+        """Nobody waits yet."""
         self._node = node
         self._waiting: dict[JobId, list[AnswerOnce]] = {}
 
@@ -93,9 +94,11 @@
     """Passes on the first answer only: the end or the time-out, whichever comes first."""
 
     def __init__(self, answer: Callable[[str], None]) -> None:
+        """`answer` is called once at most."""
         self._answer: Callable[[str], None] | None = answer
 
     def __call__(self, verdict: str) -> None:
+        """Answers, unless it has been done before."""
         answer, self._answer = self._answer, None
         if answer is not None:
             answer(verdict)
--- a/src/eldercart/net/worker_calls.py
+++ b/src/eldercart/net/worker_calls.py
@@ -23,6 +23,7 @@
     """Asks workers directly; an answer is handed to the controller that asked for it."""
 
     def __init__(self, node: "Node") -> None:
+        """So many connections at most as the node's sockets allow."""
         self._node = node
         connections = max(CONNECTIONS_LEAST, node.settings.sockets // SOCKETS_SHARE)
         self._client = WorkerClient(connections)
--- a/src/eldercart/units.py
+++ b/src/eldercart/units.py
@@ -37,4 +37,5 @@
 
 
 def task_key(job: JobId, index: int) -> TaskKey:
+    """The key by which workers know the task."""
     return TaskKey(f"{job}/{index}")
--- a/src/eldercart/wire/cloud.py
+++ b/src/eldercart/wire/cloud.py
@@ -25,6 +25,8 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineType:
+    """A type of machine as the cloud offers it: prices an hour, sizes in GB, times in seconds."""
+
     name: str
     cpus: float
     gpus: float
@@ -39,6 +41,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedMachine:
+    """A machine as the cloud lists it."""
+
     id: MachineId
     address: str
     type: str
@@ -49,6 +53,7 @@
 
 
 def parse_catalog(obj: dict[str, Any]) -> dict[str, MachineType]:
+    """The machine types by name, of the cloud's catalogue or of the stored one."""
     types = {}
     for item in objects(obj, "breeds"):
         kind = MachineType(
@@ -72,6 +77,7 @@
 
 
 def catalog_record(types: dict[str, MachineType]) -> dict[str, Any]:
+    """The catalogue as it is stored, readable by `parse_catalog`."""
     return {
         "breeds": [
             {
@@ -85,23 +91,28 @@
 
 
 def rent_body(request: str, type_: str, zone: str, spot: bool, number: int) -> bytes:
+    """Asks for machines. `request` names the rental: repeated under it, the call rents no more."""
     body = {"hire": request, "breed": type_, "yard": zone, "loaners": spot, "number": number}
     return orjson.dumps(body)
 
 
 def parse_rented(body: bytes) -> list[MachineId]:
+    """The machines of a rental."""
     return [MachineId(m) for m in texts(load_answer(body), "wagons")]
 
 
 def delete_body(machines: list[MachineId]) -> bytes:
+    """Asks for the deletion of machines."""
     return orjson.dumps({"wagons": machines})
 
 
 def list_path(after: str | None) -> str:
+    """One page of the list of machines, after that one or from the beginning."""
     return f"/machines?most={LIST_PAGE}" + (f"&from={after}" if after else "")
 
 
 def parse_list(body: bytes) -> tuple[list[ListedMachine], bool]:
+    """The machines of one page, and whether there are more."""
     obj = load_answer(body)
     machines = []
     for item in objects(obj, "wagons"):
--- a/src/eldercart/wire/peers.py
+++ b/src/eldercart/wire/peers.py
@@ -31,11 +31,14 @@
 RECUT = "recut"  # reads parts of placements that were cut anew
 TAKES = (RECUT,)  # what this version reads that an earlier one does not
 
+# Verdicts on jobs whose state is not told.
 UNKNOWN, UNDECIDED, NOT_LEADER = "unknown", "undecided", "not_leader"
 
 
 @dataclass(frozen=True, slots=True)
 class Greet:
+    """Sent by each node to each other one all the time."""
+
     sender: NodeId
     number: int  # comes back in the answer, which counts from when this was sent
     epoch: Epoch
@@ -50,6 +53,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Greeted:
+    """The answer to a greeting."""
+
     number: int
     epoch: Epoch
     leads: bool  # a grant to answer workers under `epoch`
@@ -75,10 +80,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    """A job's state, or RECUT = "recut"  # reads parts of placements that were cut anew
-    TAKES = (RECUT,)  # what this version reads that an earlier one does not
+    """The leader's answer about one job.
 
-    UNKNOWN, UNDECIDED, NOT_LEADER."""
+    `verdict` is the job's state, or UNKNOWN, UNDECIDED or NOT_LEADER."""
 
     number: int
     verdict: str
@@ -88,10 +92,12 @@
 
 
 def kind_of(frame: dict[str, Any]) -> str:
+    """The kind of a frame, one of the constants above."""
     return text(frame, "k")
 
 
 def parse(data: bytes) -> dict[str, Any]:
+    """A frame as it came over the connection."""
     return load_answer(data)
 
 
@@ -106,6 +112,7 @@
 
 
 def greet(g: Greet) -> bytes:
+    """The frame of a greeting."""
     heard = [[m, o.session, o.sequence] for m, o in g.heard]
     return orjson.dumps(
         {"k": GREET, "from": g.sender, "n": g.number, "epoch": g.epoch, "store": g.store_ok,
@@ -115,6 +122,7 @@
 
 
 def parse_greet(frame: dict[str, Any]) -> Greet:
+    """A greeting, also of an earlier version."""
     heard = frame.get("heard")
     if not isinstance(heard, list):
         raise Malformed("heard")
@@ -130,6 +138,7 @@
 
 
 def greeted(g: Greeted) -> bytes:
+    """The frame of an answer to a greeting."""
     return orjson.dumps(
         {"k": GREETED, "n": g.number, "epoch": g.epoch, "leads": g.leads, "store": g.store_ok,
          "most": g.most, "spare": g.spare, "lent": g.lent, "takes": g.takes, "low": g.low_ms,
@@ -138,6 +147,7 @@
 
 
 def parse_greeted(frame: dict[str, Any]) -> Greeted:
+    """An answer to a greeting, also of an earlier version."""
     spare = frame.get("spare")
     return Greeted(
         count(frame, "n"), Epoch(count(frame, "epoch")), frame.get("leads") is True,
@@ -168,6 +178,7 @@
 
 
 def parse_reports(frame: dict[str, Any]) -> tuple[Epoch, list[tuple[int, dict[str, Any]]]]:
+    """The epoch under which reports were forwarded, and the reports by number."""
     return Epoch(count(frame, "epoch")), [
         (number, body) for number, body in _pairs(frame) if isinstance(body, dict)
     ]
@@ -184,10 +195,12 @@
 
 
 def answers(items: list[Answer]) -> bytes:
+    """The frame of answers to forwarded reports."""
     return orjson.dumps({"k": ANSWERS, "i": [[a.number, a.calls, a.again] for a in items]})
 
 
 def parse_answers(frame: dict[str, Any]) -> list[Answer]:
+    """The answers to forwarded reports."""
     items = frame.get("i")
     if not isinstance(items, list):
         raise Malformed("i")
@@ -203,10 +216,12 @@
 
 
 def machines(kind: str, names: list[MachineId]) -> bytes:
+    """A frame of the kind that only names machines."""
     return orjson.dumps({"k": kind, "m": names})
 
 
 def parse_machines(frame: dict[str, Any]) -> list[MachineId]:
+    """The machines that such a frame names."""
     names = frame.get("m")
     if not isinstance(names, list):
         raise Malformed("m")
@@ -214,18 +229,22 @@
 
 
 def polls(items: list[tuple[int, str]]) -> bytes:
+    """The frame that asks for the states of jobs, by number of the question."""
     return orjson.dumps({"k": POLLS, "i": items})
 
 
 def cancel(number: int, job: str) -> bytes:
+    """The frame that asks for a job's cancellation."""
     return orjson.dumps({"k": CANCEL, "i": [[number, job]]})
 
 
 def parse_asked(frame: dict[str, Any]) -> list[tuple[int, str]]:
+    """The jobs that polls or a cancellation ask about, by number."""
     return [(number, job) for number, job in _pairs(frame) if isinstance(job, str)]
 
 
 def states(kind: str, items: list[Told]) -> bytes:
+    """The frame of answers to polls, or to a cancellation."""
     return orjson.dumps({"k": kind, "i": [_told(t) for t in items]})
 
 
@@ -238,6 +257,7 @@
 
 
 def parse_states(frame: dict[str, Any]) -> list[Told]:
+    """The answers to polls, or to a cancellation."""
     return [
         Told(
             count(i, "n"), text(i, "v"), count(i, "d"), count(i, "r"),
