--- a/src/eldercart/core/controller.py
+++ b/src/eldercart/core/controller.py
@@ -27,7 +27,7 @@
 )
 from eldercart.core.direct_orders import DirectOrders, Order
 from eldercart.core.fleet import Life
-from eldercart.core.floor import Floor
+from eldercart.core.floor import FinishedJob, Floor
 from eldercart.core.jobs import GONE, JOB, Job, Phase, asked_at, end_of, parse_job_record
 from eldercart.core.machines import MachineWatch
 from eldercart.core.planner import Planner
@@ -377,7 +377,7 @@
         else:
             self.floor.ended(job, how, now)
 
-    def take_finished(self) -> list[tuple[JobId, str]]:
+    def take_finished(self) -> list[FinishedJob]:
         out, self.floor.finished = self.floor.finished, []
         return out
 
--- a/src/eldercart/core/floor.py
+++ b/src/eldercart/core/floor.py
@@ -4,6 +4,7 @@
 """
 
 import logging
+from typing import NamedTuple
 
 from eldercart.core.fleet import Fleet, Life, Machine
 from eldercart.core.graph import DependencyGraph, Effect
@@ -22,6 +23,13 @@
 KILL_SHARE, KILL_LAST = 0.6, 0.8  # of `cancel_s`: the rest is left for the deletion
 
 
+class FinishedJob(NamedTuple):
+    """A job whose end has become durable, or follows from a durable one."""
+
+    job: JobId
+    how: str  # `users.DONE` or `users.CANCELLED`
+
+
 class Floor:
     """The leader's shared state: the books, what is due next, and steps that several parts take."""
 
@@ -51,7 +59,7 @@
         self.orphaned: dict[JobId, Job] = {}  # cancelled with a job before them, end not written
         self.doomed: dict[MachineId, None] = {}
         self.orders: dict[MachineId, None] = {}  # machines to be told directly what to kill
-        self.finished: list[tuple[JobId, str]] = []  # newly durable ends, for waiting answers
+        self.finished: list[FinishedJob] = []  # newly durable ends, for waiting answers
         self.graph = DependencyGraph(self.jobs, self._rest_s, self._due)
         self.work_done = self.work_lost = 0.0  # CPU seconds, as seen here
         self.start_waits: list[float] = []  # seconds from submission, of tasks that began
@@ -91,7 +99,7 @@
                 if job.id not in self.ending:
                     self.orphaned[job.id] = job
                 self.stop_all(job, now)
-                self.finished.append((job.id, CANCELLED))
+                self.finished.append(FinishedJob(job.id, CANCELLED))
 
     # -- tasks
 
--- a/src/eldercart/core/records.py
+++ b/src/eldercart/core/records.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from eldercart.core.floor import Floor
+from eldercart.core.floor import FinishedJob, Floor
 from eldercart.core.jobs import (
     END,
     GONE,
@@ -397,7 +397,7 @@
         if how == users.CANCELLED and not job.cancelled:
             f.cancelled(job, now, now)
         f.stop_all(job, now)
-        f.finished.append((job.id, how))
+        f.finished.append(FinishedJob(job.id, how))
         f.ended(job.id, how, now)
         f.plan_wanted = True
         log.info("job ended job=%s how=%s seconds=%.1f", job.id, how, now - job.arrived)
--- a/src/eldercart/core/relay.py
+++ b/src/eldercart/core/relay.py
@@ -11,11 +11,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from eldercart.units import NEVER, Epoch, MachineId, NodeId, ReportOrder, Steady
+from eldercart.units import NEVER, Epoch, HeardReports, MachineId, NodeId, ReportOrder, Steady
 
 SLACK_S = 1.0  # for answers under way when a leader stops granting
 SUPERSEDED_S = 2.0  # for which a grant outlives the word of a higher epoch
 FORGET_S = 90.0  # after which a machine that reports elsewhere, or nowhere, is forgotten
+UNLINKED_PARTS = 3  # of a grant: after one without the leader, workers are sent to it
 BOUNCE_S = 8.0  # a worker that was sent on and is back within this is kept
 SPARE_ROOM = 1.25  # times the fair share of workers before new ones are sent on
 
@@ -159,16 +160,13 @@
         self, machine: MachineId, order: ReportOrder, epoch: Epoch, notice: bool, tasks: Any,
         now: Steady, reachable: bool,
     ) -> Decision:  # fmt: skip
-        """`reachable`: whether a report can be handed to the leader now."""
+        """What becomes of a report. `notice`: whether the machine will be taken back; `tasks`: its
+        list as it came; `reachable`: whether a report can be handed to the leader now."""
         known = self._known.get(machine)
         if known is not None and order <= known.order:
             return Overtaken()
         if not self.holds_grant(now) or epoch > self.epoch:
-            # Not entitled to act. A 200 under an old epoch would hold the worker here while its
-            # lease runs out.
-            self._drop(machine)
-            leads = self.leader if epoch <= self.epoch else None
-            return Redirect(None if leads == self.label else leads)
+            return self._not_entitled(machine, epoch)
         if known is None:
             if self._crowded(machine, now):
                 return Redirect(self._spare)
@@ -194,15 +192,26 @@
             self._heard[machine] = order
             return Answer(self.epoch)
         if not reachable:
-            if now - self._linked > self._grant_s / 3 and self.leader != self.label:
-                # It has something to tell, and the leader may well be there for it.
-                self._drop(machine)
-                return Redirect(self.leader)
-            known.base = None
-            return Answer(self.epoch)
+            return self._without_leader(machine, known, now)
         known.base = None  # until the leader has answered, nobody knows what it took
         return Forward()
 
+    def _not_entitled(self, machine: MachineId, epoch: Epoch) -> Redirect:
+        """This node may not act. A 200 under an old epoch would hold the worker here while its
+        lease runs out."""
+        self._drop(machine)
+        leads = self.leader if epoch <= self.epoch else None
+        return Redirect(None if leads == self.label else leads)
+
+    def _without_leader(self, machine: MachineId, known: Known, now: Steady) -> Decision:
+        """The worker has something to tell, and the leader can't be told it from here."""
+        if now - self._linked > self._grant_s / UNLINKED_PARTS and self.leader != self.label:
+            # The leader may well be there for it.
+            self._drop(machine)
+            return Redirect(self.leader)
+        known.base = None
+        return Answer(self.epoch)
+
     def answered(
         self, machine: MachineId, order: ReportOrder, notice: bool, tasks: Any, again: bool
     ) -> None:
@@ -230,7 +239,7 @@
         if known is not None:
             known.base = None
 
-    def take_heard(self, now: Steady) -> tuple[tuple[MachineId, ReportOrder], ...]:
+    def take_heard(self, now: Steady) -> HeardReports:
         """Whom this node has answered by itself since it was asked last."""
         if now >= self._sweep_due:
             self._sweep_due = Steady(now + 5.0)
--- a/src/eldercart/net/job_records.py
+++ b/src/eldercart/net/job_records.py
@@ -2,7 +2,7 @@
 dependencies that some of them refer to."""
 
 import logging
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from twisted.internet import reactor as _reactor
 
@@ -138,8 +138,15 @@
         return False  # unreadable in any case; whoever reads it says so
 
 
-def resolve_all(records: list[Item], lists: list[Item]) -> tuple[list[Item], list[Item]]:
-    """The job records with their lists in them, and those whose lists are not all there."""
+class ResolvedRecords(NamedTuple):
+    """Job records by whether their lists of dependencies were found."""
+
+    whole: list[Item]  # with their lists in them
+    missing: list[Item]  # as they are; their lists are not all there
+
+
+def resolve_all(records: list[Item], lists: list[Item]) -> ResolvedRecords:
+    """Puts the lists of dependencies into the job records that refer to them."""
     of_job: dict[str, list[Item]] = {}
     for item in lists:
         of_job.setdefault(item.key[len(NEEDS) :].partition("/")[0], []).append(item)
@@ -152,4 +159,4 @@
             missing.append(item)
         else:
             whole.append(found)
-    return whole, missing
+    return ResolvedRecords(whole, missing)
--- a/src/eldercart/net/leading.py
+++ b/src/eldercart/net/leading.py
@@ -16,7 +16,7 @@
 from eldercart.net.takeover import StoredRecords, TakeOver
 from eldercart.net.user_answers import UserAnswers
 from eldercart.net.worker_calls import WorkerCalls
-from eldercart.units import Epoch, MachineId, NodeId, ReportOrder, Steady, WallTime
+from eldercart.units import Epoch, HeardReports, MachineId, NodeId, Steady, WallTime
 from eldercart.wire import Malformed, peers, workers
 
 if TYPE_CHECKING:
@@ -88,14 +88,14 @@
             node.settings, node.tuning, epoch, dict(node.types), now, WallTime(time.time()),
             node.life,
         )  # fmt: skip
-        jobs, unresolved = resolve_all(records.jobs, records.dependency_lists)
-        controller.load(jobs, records.placements, records.gone, now, records.memos)
+        resolved = resolve_all(records.jobs, records.dependency_lists)
+        controller.load(resolved.whole, records.placements, records.gone, now, records.memos)
         gc.collect()
         gc.freeze()
         self.controller = controller
         self._began = now
         self.job_records.watch(controller, records.jobs_revision)
-        for item in unresolved:
+        for item in resolved.missing:
             self.job_records.learn(item)
         self.pump()
 
@@ -200,9 +200,7 @@
         calls = workers.command_objects(commands)
         return ReportAnswer(calls, controller.wants_next(report.machine))
 
-    def heard(
-        self, relay: NodeId, orders: tuple[tuple[MachineId, ReportOrder], ...], now: Steady
-    ) -> None:
+    def heard(self, relay: NodeId, orders: HeardReports, now: Steady) -> None:
         """The machines that a relay answered by itself, and the reports it answered."""
         if self.controller is not None:
             self.controller.heard(relay, orders, now)
--- a/src/eldercart/units.py
+++ b/src/eldercart/units.py
@@ -33,6 +33,9 @@
     sequence: int
 
 
+# Reports that a relay has answered by itself: for each machine the last one.
+HeardReports = tuple[tuple[MachineId, ReportOrder], ...]
+
 NO_REPORT = ReportOrder(Session(0), -1)
 
 
--- a/src/eldercart/wire/cloud.py
+++ b/src/eldercart/wire/cloud.py
@@ -1,7 +1,7 @@
 """The cloud's interface."""
 
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 import orjson
 
@@ -111,8 +111,15 @@
     return f"/machines?most={LIST_PAGE}" + (f"&from={after}" if after else "")
 
 
-def parse_list(body: bytes) -> tuple[list[ListedMachine], bool]:
-    """The machines of one page, and whether there are more."""
+class MachinePage(NamedTuple):
+    """One page of the cloud's list."""
+
+    machines: list[ListedMachine]
+    more: bool  # whether another page follows
+
+
+def parse_list(body: bytes) -> MachinePage:
+    """One page of the list of machines."""
     obj = load_answer(body)
     machines = []
     for item in objects(obj, "wagons"):
@@ -127,4 +134,4 @@
                 age_s=amount(item, "ageS"),
             )
         )
-    return machines, obj.get("more") is True
+    return MachinePage(machines, obj.get("more") is True)
--- a/src/eldercart/wire/peers.py
+++ b/src/eldercart/wire/peers.py
@@ -8,11 +8,11 @@
 
 from collections.abc import Iterator
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 import orjson
 
-from eldercart.units import Epoch, MachineId, NodeId, ReportOrder, Session
+from eldercart.units import Epoch, HeardReports, MachineId, NodeId, ReportOrder, Session
 from eldercart.wire.checks import Malformed, count, load_answer, objects, text, texts
 
 MAX_FRAME = 4 * 1024 * 1024
@@ -45,7 +45,7 @@
     store_ok: bool
     machines: int  # workers that report to the sender
     short: int  # tokens for submissions that it lacks
-    heard: tuple[tuple[MachineId, ReportOrder], ...]  # answered by the sender itself
+    heard: HeardReports  # answered by the sender itself
     # Earlier versions know neither: a frame without them means this.
     takes: tuple[str, ...] = ()
     low_ms: int = 0  # for which the sender keeps to the store's lower rates, by refusals it met
@@ -69,6 +69,20 @@
     ready: bool = True
 
 
+class ForwardedReport(NamedTuple):
+    """A worker's report on its way to the leader."""
+
+    number: int  # comes back with the answer
+    body: dict[str, Any]
+
+
+class ForwardedReports(NamedTuple):
+    """The reports of one frame."""
+
+    epoch: Epoch  # of the grant that the sender holds
+    items: list[ForwardedReport]
+
+
 @dataclass(frozen=True, slots=True)
 class Answer:
     """The leader's answer to one forwarded report; `calls` None: the report is overtaken."""
@@ -177,11 +191,13 @@
     return b'{"k":"%b","epoch":%d,"i":[%b]}' % (REPORTS.encode(), epoch, inner)
 
 
-def parse_reports(frame: dict[str, Any]) -> tuple[Epoch, list[tuple[int, dict[str, Any]]]]:
-    """The epoch under which reports were forwarded, and the reports by number."""
-    return Epoch(count(frame, "epoch")), [
-        (number, body) for number, body in _pairs(frame) if isinstance(body, dict)
-    ]
+def parse_reports(frame: dict[str, Any]) -> ForwardedReports:
+    """The reports of a frame; items that can't be reports are dropped."""
+    epoch = Epoch(count(frame, "epoch"))
+    pairs = _pairs(frame)
+    return ForwardedReports(
+        epoch, [ForwardedReport(n, body) for n, body in pairs if isinstance(body, dict)]
+    )
 
 
 def _pairs(frame: dict[str, Any]) -> list[tuple[int, Any]]:
