--- /dev/null
+++ b/tests/test_leading.py
@@ -0,0 +1,264 @@
+"""A leader's calls under way when its leadership ends: what they bring must not reach the next.
+
+A node may lead, lose the leadership and be elected again within a second; the controller of the new
+leadership has read the records anew and knows nothing of the old one's calls."""
+
+from collections.abc import Callable
+from types import SimpleNamespace
+from typing import Any, cast
+from unittest.mock import Mock
+
+import pytest
+
+from eldercart.core.controller import GetCatalog, Outcome
+from eldercart.core.direct_orders import Order
+from eldercart.core.jobs import GONE, JOB, NEEDS, PLACE
+from eldercart.core.memory import MEMO
+from eldercart.net import job_records, takeover
+from eldercart.net.catalog import CATALOG_KEY, CatalogRecord
+from eldercart.net.cloud_calls import CloudCalls
+from eldercart.net.job_records import JobRecords
+from eldercart.net.store_work import StoreWork
+from eldercart.net.takeover import StoredRecords, TakeOver
+from eldercart.net.worker_calls import WorkerCalls
+from eldercart.units import Epoch, JobId, MachineId, Revision, Session, Steady
+from eldercart.wire import users
+from eldercart.wire.state import Item, Txn
+
+NOW = Steady(5.0)
+REPORT = (
+    b'{"wagon":"n-1","address":"a:1","breed":"b","yard":"z","loaners":false,"stint":1,"tally":2,'
+    b'"whip":7,"parcels":[]}'
+)
+
+
+class Place:
+    """A node without sockets that keeps the callbacks of what is asked."""
+
+    def __init__(self) -> None:
+        self.answers: list[Callable[..., Any]] = []
+        tokens = SimpleNamespace(
+            available=lambda now, reserve=0.0: 10.0, take=lambda now: True,
+            force=lambda now, number=1: None,
+        )  # fmt: skip
+        keep = self.answers.append
+        self.store = SimpleNamespace(
+            requests=tokens, writes=tokens, refused_at=Steady(0.0),
+            get=lambda key, done: keep(done),
+            range=lambda prefix, done: keep(done),
+            txn=lambda txn, done: keep(done),
+            watch=lambda key, after, wait_s, done: keep(done),
+        )  # fmt: skip
+        self.leading = SimpleNamespace(controller=None, pump=Mock(), pump_soon=Mock())
+        self.node = cast(
+            Any,
+            SimpleNamespace(
+                store=self.store, leading=self.leading, clock=lambda: NOW, meters=Mock(),
+                settings=SimpleNamespace(cloud=Mock(), cloud_rps=5.0, sockets=100), types={},
+                front=SimpleNamespace(final_of=lambda job: None), deposed=Mock(), saw_epoch=Mock(),
+                election=SimpleNamespace(may_order=lambda now, refused_at: True),
+            ),
+        )  # fmt: skip
+
+    def controller(self) -> Any:
+        """One that asks for nothing yet."""
+        controller = Mock(reread=set(), reread_under_way=set(), epoch=Epoch(7), jobs={})
+        controller.take_unread.return_value = []
+        controller.next_txn.return_value = controller.next_memo.return_value = None
+        controller.next_cloud.return_value = None
+        controller.take_probes.return_value = controller.take_orders.return_value = []
+        controller.txn_done.return_value = False
+        return controller
+
+
+def reread(place: Place, controller: Any) -> tuple[Any, tuple[Any, ...]]:
+    controller.reread.add("place/1-1")
+    StoreWork(place.node).pump(controller, NOW)
+    return controller.reread_done, (True, None)
+
+
+def end(place: Place, controller: Any) -> tuple[Any, tuple[Any, ...]]:
+    controller.take_unread.return_value = [JobId("wk-1")]
+    StoreWork(place.node).pump(controller, NOW)
+    return controller.end_read, (True, None)
+
+
+def write(place: Place, controller: Any) -> tuple[Any, tuple[Any, ...]]:
+    controller.next_txn.return_value = SimpleNamespace(txn=Txn({}))
+    StoreWork(place.node).pump(controller, NOW)
+    return controller.txn_done, (200, Revision(3), ())
+
+
+def cloud_call(place: Place, controller: Any) -> tuple[Any, tuple[Any, ...]]:
+    controller.next_cloud.side_effect = [GetCatalog(), None]
+    calls = CloudCalls(place.node)
+    calls._client = Mock(request=lambda *args: place.answers.append(args[-1]))
+    calls.pump(controller, NOW)
+    return controller.cloud_done, (200, b"{}")
+
+
+def probe(place: Place, controller: Any) -> tuple[Any, tuple[Any, ...]]:
+    controller.take_probes.return_value = [(MachineId("n-1"), "a:1")]
+    calls = WorkerCalls(place.node)
+    calls._client = Mock(request=lambda *args: place.answers.append(args[-1]))
+    calls.pump(controller, NOW)
+    return controller.shown, (200, REPORT)
+
+
+def order(place: Place, controller: Any) -> tuple[Any, tuple[Any, ...]]:
+    controller.take_orders.return_value = [Order(MachineId("n-1"), "a:1", Session(1), ())]
+    calls = WorkerCalls(place.node)
+    calls._client = Mock(request=lambda *args: place.answers.append(args[-1]))
+    calls.pump(controller, NOW)
+    return controller.ordered, (200, REPORT)
+
+
+def watch(place: Place, controller: Any) -> tuple[Any, tuple[Any, ...]]:
+    JobRecords(place.node).watch(controller, Revision(4))
+    item = Item(JOB + "wk-1", {"s": []}, Revision(5))
+    learners = Mock()
+    controller.learn_job = learners
+    if place.leading.controller is not None:
+        place.leading.controller.learn_job = learners
+    return learners, (200, Revision(5), [item])
+
+
+CALLS = [reread, end, write, cloud_call, probe, order, watch]
+
+
+@pytest.mark.parametrize("start", CALLS, ids=lambda start: start.__name__)
+@pytest.mark.parametrize("later", ["it leads on", "it leads anew", "it leads no more"])
+def test_answers_reach_only_the_controller_that_asked(start: Any, later: str) -> None:
+    place = Place()
+    asked = place.leading.controller = place.controller()
+    taken, answer = start(place, asked)
+    assert len(place.answers) == 1
+    if later != "it leads on":
+        place.leading.controller = place.controller() if later == "it leads anew" else None
+    if place.leading.controller is not None:
+        place.leading.controller.learn_job = asked.learn_job
+    place.answers.pop()(*answer)
+    assert taken.called is (later == "it leads on")
+    if later != "it leads on":
+        assert not place.answers, "nothing more is asked in its name"
+        assert not place.leading.pump.called and not place.leading.pump_soon.called
+
+
+@pytest.mark.parametrize(
+    ("status", "outcome"),
+    [
+        (None, Outcome.UNKNOWN), (200, Outcome.OK), (400, Outcome.MALFORMED),
+        (409, Outcome.CONFLICT), (413, Outcome.MALFORMED), (429, Outcome.REFUSED),
+        (500, Outcome.UNKNOWN), (503, Outcome.REFUSED),
+    ],
+)  # fmt: skip
+def test_what_a_status_says_of_a_write(status: int | None, outcome: Outcome) -> None:
+    """Taken for refused, a write that may have been applied would be repeated under its old
+    versions; taken for unknown, a refused one would be looked for."""
+    place = Place()
+    controller = place.leading.controller = place.controller()
+    write(place, controller)
+    place.answers.pop()(status, Revision(3), ())
+    assert controller.txn_done.call_args.args[1] is outcome
+
+
+@pytest.mark.parametrize("leads", [True, False])
+def test_refused_catalogue_concerns_only_its_own_leadership(leads: bool) -> None:
+    place = Place()
+    kind = SimpleNamespace(
+        name="b", cpus=1.0, gpus=0.0, memory_gb=1.0, cache_gb=1.0, fetch_gb_per_s=1.0, price=1.0,
+        spot_price=0.0, boot_s=1.0, zones=("z",),
+    )  # fmt: skip
+    controller = place.controller()
+    controller.floor.types = {"b": kind}
+    place.leading.controller = controller
+    CatalogRecord(place.node).store(controller)
+    if not leads:
+        place.leading.controller = place.controller()
+    place.answers.pop()(503, Revision(0), ())
+    assert controller.cloud.catalog_changed is leads
+    assert bool(place.node.types) is not leads
+
+
+# -- the take-over
+
+
+class Reading:
+    """A take-over whose reads are answered by hand."""
+
+    def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        self.asked: list[tuple[str, Callable[..., Any]]] = []
+        self.later: list[Callable[[], Any]] = []
+        self.done: list[StoredRecords] = []
+        reactor = SimpleNamespace(callLater=lambda _, call: self.later.append(call))
+        monkeypatch.setattr(takeover, "reactor", reactor)
+        store = SimpleNamespace(range=lambda prefix, got: self.asked.append((prefix, got)))
+        self.takeover = TakeOver(cast(Any, store), self.done.append)
+        self.takeover.read_next()
+
+    def answer(self, items: list[Item] | None, revision: int = 1) -> str:
+        prefix, got = self.asked.pop()
+        got(items, Revision(revision))
+        return prefix
+
+
+def job_item() -> Item:
+    return Item(JOB + "wk-1", {}, Revision(3))
+
+
+@pytest.mark.parametrize("listed", [False, True])
+def test_take_over_reads_all_records_once(listed: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The watch goes on from the revision at which the jobs were read: from a later one a job
+    that was accepted between two reads would never be heard of."""
+    monkeypatch.setattr(takeover, "refers_to_list", lambda item: listed)
+    reading = Reading(monkeypatch)
+    wanted = [CATALOG_KEY, JOB, PLACE, GONE, MEMO] + ([NEEDS] if listed else [])
+    for number, prefix in enumerate(wanted):
+        assert not reading.done
+        items = [job_item()] if prefix == JOB else []
+        assert reading.answer(None) == prefix, "not read"
+        reading.later.pop()()
+        assert reading.answer(items, 10 + number) == prefix
+    (records,) = reading.done
+    assert records.jobs == [job_item()] and records.jobs_revision == 11
+    assert not reading.asked and not reading.later
+
+
+@pytest.mark.parametrize("answered", [0, 1, 4])
+@pytest.mark.parametrize("last", ["read", "not read", "to be read again"])
+def test_abandoned_take_over_is_never_finished(
+    answered: int, last: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Its records may be older than what another leader has written since."""
+    reading = Reading(monkeypatch)
+    for _ in range(answered):
+        reading.answer([])
+    if last == "to be read again":
+        reading.answer(None)
+        reading.takeover.abandon()
+        reading.later.pop()()
+    else:
+        reading.takeover.abandon()
+        reading.answer([] if last == "read" else None)
+    assert not reading.done and not reading.asked and not reading.later
+
+
+def test_lists_are_read_only_for_the_leadership_that_began_it(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A job learned by an old leadership's read would be learned without the new one's own."""
+    monkeypatch.setattr(job_records, "refers_to_list", lambda item: True)
+    reference = users.ListReference("abc", 2)
+    monkeypatch.setattr(job_records, "list_reference", lambda value: reference)
+    monkeypatch.setattr(job_records, "resolve", lambda job, item, lists: item)
+    place = Place()
+    records = JobRecords(place.node)
+    old = place.leading.controller = place.controller()
+    records.learn(job_item())
+    new = place.leading.controller = place.controller()
+    place.answers.pop()([], Revision(4))
+    assert not old.learn_job.called and not new.learn_job.called
+    records.reset()
+    records.learn(job_item())
+    place.answers.pop()([], Revision(5))
+    assert new.learn_job.called and not old.learn_job.called
