--- a/src/eldercart/core/floor.py
+++ b/src/eldercart/core/floor.py
@@ -20,6 +20,7 @@
 
 log = logging.getLogger("eldercart.controller")
 
+TAKEOVER_REPORTS = 3  # report intervals for machines to show that tasks are gone
 KILL_SHARE, KILL_LAST = 0.6, 0.8  # of `cancel_s`: the rest is left for the deletion
 
 
@@ -145,7 +146,7 @@
         s = self.settings
         job.cancelled = True
         job.cancelled_at = at
-        patience = now + 3 * s.report_s
+        patience = now + TAKEOVER_REPORTS * s.report_s
         if now < at + s.cancel_s:
             patience = min(patience, at + KILL_LAST * s.cancel_s)
         job.kill_due = Steady(max(at + KILL_SHARE * s.cancel_s, patience))
--- a/src/eldercart/core/relay.py
+++ b/src/eldercart/core/relay.py
@@ -15,10 +15,12 @@
 
 SLACK_S = 1.0  # for answers under way when a leader stops granting
 SUPERSEDED_S = 2.0  # for which a grant outlives the word of a higher epoch
+SWEEP_S = 5.0  # between two looks for machines to forget
 FORGET_S = 90.0  # after which a machine that reports elsewhere, or nowhere, is forgotten
 UNLINKED_PARTS = 3  # of a grant: after one without the leader, workers are sent to it
 BOUNCE_S = 8.0  # a worker that was sent on and is back within this is kept
 SPARE_ROOM = 1.25  # times the fair share of workers before new ones are sent on
+SPARE_MORE = 4  # workers beyond that
 
 
 def spare_s(cancel_s: float, lease_s: float, grant_s: float, drift_margin: float) -> float:
@@ -242,7 +244,7 @@
     def take_heard(self, now: Steady) -> HeardReports:
         """Whom this node has answered by itself since it was asked last."""
         if now >= self._sweep_due:
-            self._sweep_due = Steady(now + 5.0)
+            self._sweep_due = Steady(now + SWEEP_S)
             for machine in [m for m, k in self._known.items() if now - k.seen > FORGET_S]:
                 self._drop(machine)
             self._sent_on = {m: t for m, t in self._sent_on.items() if now - t < BOUNCE_S}
@@ -280,7 +282,7 @@
     if not others:
         return {leader: Share(sockets, None)}
     fair = sum(counts.values()) / len(others)
-    most = min(sockets, int(fair * SPARE_ROOM) + 4)
+    most = min(sockets, int(fair * SPARE_ROOM) + SPARE_MORE)
     spare = min(others, key=lambda n: (others[n], n))
     out = {leader: Share(0, spare)}
     for node in others:
--- a/src/eldercart/election/__init__.py
+++ b/src/eldercart/election/__init__.py
@@ -23,6 +23,12 @@
 
 LEAD_KEY = "lead"
 
+# Parts of the hold's life.
+FAILED_PARTS = 16  # one is the pause after an action that was not carried out
+RENEWAL_PARTS = 5  # one is the time from a renewal to the next
+READ_PARTS = 2  # one is the time between two reads of the leader key, besides the watch on it
+RESIGNED_HOLDS = 3  # for which a node that has resigned does not claim the leadership
+
 
 class Role(Enum):
     """What this node is, as far as it knows."""
@@ -151,7 +157,7 @@
         hold = self._hold
         self._step_down(now)
         self._stale_hold = hold
-        self._back_at = Steady(now + 3 * self._life)
+        self._back_at = Steady(now + RESIGNED_HOLDS * self._life)
 
     def next_action(self, now: Steady) -> Action | None:
         """What is to be carried out now; its outcome must be handed in before the next."""
@@ -187,7 +193,7 @@
     def failed(self, action: Action, now: Steady) -> None:
         """No answer, 429 or 503: not carried out, or nobody knows."""
         self._busy = False
-        pause = self._life / 16
+        pause = self._life / FAILED_PARTS
         if isinstance(action, TouchHold):
             self._touch_due = Steady(now + pause)
         elif isinstance(action, Claim):
@@ -206,7 +212,7 @@
         self._busy = False
         self._absent = item is None
         # The watch on the key is the usual alarm; this is the backstop if it hangs.
-        self._read_due = Steady(now + self._life / 2)
+        self._read_due = Steady(now + self._life / READ_PARTS)
         if item is None:
             self.leader = None
             return
@@ -234,7 +240,7 @@
         self._busy = False
         if alive:
             self._deadline = Steady(self._sent + self._usable)
-            self._touch_due = Steady(self._sent + self._life / 5)
+            self._touch_due = Steady(self._sent + self._life / RENEWAL_PARTS)
             return False
         self._step_down(now)
         return True
--- a/src/eldercart/net/node.py
+++ b/src/eldercart/net/node.py
@@ -30,13 +30,18 @@
 TICK_S = 0.1
 STANDSTILL_S = 0.5  # by which a turn of the loop is late when the process did not run
 ALONE_S = 3.0  # of refusals by the store before a node counts as refused alone
+SERVED_S = 3.0  # for which a peer's word counts that the store serves it
+TYPES_AGAIN_S = 1.0  # before the stored machine types are asked for again
+LOAD_LOG_S = 10.0  # between two lines of the log about the node's load
+LAG_WEIGHT = 0.2  # of the last turn of the loop in the smoothed lag
+FRONT_SOCKETS, FRONT_SOCKETS_LEAST = 0.75, 16  # of a node's sockets, for users and workers
 
 
 def could_serve(ready: bool, failing_s: float, peer_served_ago_s: float) -> bool:
     """Whether users should come here. In an outage of the store every node is as good as the
     next, and turning all away would only shut the door for longer afterwards; a node that the
     store refuses while its peers are served should be left out."""
-    alone = failing_s >= ALONE_S and peer_served_ago_s < 3.0
+    alone = failing_s >= ALONE_S and peer_served_ago_s < SERVED_S
     return ready and not alone
 
 
@@ -70,7 +75,8 @@
 
     def start(self) -> None:
         """Listens for users, workers and peers, and begins to tick."""
-        front = JsonFactory(self.front.route, max(16, int(self.settings.sockets * 0.75)))
+        sockets = max(FRONT_SOCKETS_LEAST, int(self.settings.sockets * FRONT_SOCKETS))
+        front = JsonFactory(self.front.route, sockets)
         listen(self.settings.front, front)
         links.listen(self.settings.mesh, self.relaying.exchange)
         log.info(
@@ -82,7 +88,7 @@
         reactor.callLater(TICK_S, self._tick)
         now = steady()
         behind = max(0.0, now - self._last_tick - TICK_S)
-        self.lag = 0.8 * self.lag + 0.2 * behind
+        self.lag = (1.0 - LAG_WEIGHT) * self.lag + LAG_WEIGHT * behind
         self.meters.add("loop_lag", behind)
         self._last_tick = now
         if behind > STANDSTILL_S:
@@ -90,7 +96,7 @@
         self.electing.tick(now)
         self.relaying.tick(now)
         self.leading.tick(now)
-        if not self.types and self.electing.ready and now - self._types_asked > 1.0:
+        if not self.types and self.electing.ready and now - self._types_asked > TYPES_AGAIN_S:
             self._read_types()
         if now >= self._load_due:
             self._log_load(now)
@@ -104,7 +110,7 @@
 
     def _log_load(self, now: Steady) -> None:
         cpu = time.process_time()
-        self._load_due = Steady(now + 10.0)
+        self._load_due = Steady(now + LOAD_LOG_S)
         log.info(
             "load role=%s cpu=%.2f lag_ms=%.0f workers=%d %s",
             self.election.role.value, cpu - self._cpu, self.lag * 1000,
