--- a/src/eldercart/core/direct_orders.py
+++ b/src/eldercart/core/direct_orders.py
@@ -45,19 +45,19 @@
         if not waiting:
             return orders
         allowed = self._allowed(now)
-        for machine in list(waiting):
+        for machine_id in list(waiting):
             if len(orders) >= allowed:
                 break
-            m = self._floor.fleet.get(machine)
-            if m is None or m.life not in (Life.UP, Life.LEAVING):
-                del waiting[machine]
+            machine = self._floor.fleet.get(machine_id)
+            if machine is None or machine.life not in (Life.UP, Life.LEAVING):
+                del waiting[machine_id]
                 continue
-            if not m.address or now - m.ordered < ORDER_S:
+            if not machine.address or now - machine.ordered < ORDER_S:
                 continue
-            del waiting[machine]
-            order = self._order(m)
+            del waiting[machine_id]
+            order = self._order(machine)
             if order is not None:
-                m.ordered = now
+                machine.ordered = now
                 orders.append(order)
         if orders:
             self._ordered = now
@@ -67,36 +67,43 @@
         rate = ORDERS_RATE * max(CORE_SHARE_LEAST, self._floor.settings.core_share)
         return int(min(1.0, now - self._ordered) * rate)
 
-    def _order(self, m: Machine) -> Order | None:
-        kills = tuple(workers.Kill(p.key, p.attempt, 0.0) for p in m.being_cancelled())
+    def _order(self, machine: Machine) -> Order | None:
+        kills = tuple(
+            workers.Kill(placement.key, placement.attempt, 0.0)
+            for placement in machine.being_cancelled()
+        )
         if not kills:
             return None
-        session = max(m.session, m.order.session, Session(1))
-        return Order(m.id, m.address, session, kills[: workers.MAX_COMMANDS])
+        session = max(machine.session, machine.order.session, Session(1))
+        return Order(machine.id, machine.address, session, kills[: workers.MAX_COMMANDS])
 
     def answered(self, report: workers.Report, executed: bool, sent: Steady, now: Steady) -> None:
         """The worker's report after a direct command, or instead of it (another session)."""
         floor = self._floor
-        m = floor.fleet.get(report.machine)
-        if m is None:
+        machine = floor.fleet.get(report.machine)
+        if machine is None:
             return
-        m.shown = now
-        session_rose = report.order.session > max(m.session, m.order.session, Session(1))
-        m.session = max(m.session, report.order.session)
+        machine.shown = now
+        session_rose = report.order.session > max(
+            machine.session, machine.order.session, Session(1)
+        )
+        machine.session = max(machine.session, report.order.session)
         if executed:
-            self._void_absent(m, report, sent, now)
+            self._void_absent(machine, report, sent, now)
         elif session_rose:
             # It was meant for an earlier session; once more for this one, at once.
-            m.ordered = NEVER
-            floor.orders[m.id] = None
+            machine.ordered = NEVER
+            floor.orders[machine.id] = None
 
-    def _void_absent(self, m: Machine, report: workers.Report, sent: Steady, now: Steady) -> None:
+    def _void_absent(
+        self, machine: Machine, report: workers.Report, sent: Steady, now: Steady
+    ) -> None:
         """It has obeyed under this epoch, so nothing that an earlier leader sent can start a task
         any more, and what this one sent has run or was dropped."""
-        if report.epoch != self._floor.epoch or report.order <= m.order:
+        if report.epoch != self._floor.epoch or report.order <= machine.order:
             return
         there = {(t.key, t.attempt) for t in report.tasks if t.state != workers.TaskState.EXITED}
-        for p in m.being_cancelled():
-            launches_over = sent - p.job.cancelled_at >= LAUNCH_LATE_S
-            if launches_over and (p.key, p.attempt) not in there:
-                self._floor.void(p, now)
+        for placement in machine.being_cancelled():
+            launches_over = sent - placement.job.cancelled_at >= LAUNCH_LATE_S
+            if launches_over and (placement.key, placement.attempt) not in there:
+                self._floor.void(placement, now)
--- a/src/eldercart/core/silence.py
+++ b/src/eldercart/core/silence.py
@@ -42,39 +42,39 @@
         """The relay has answered these reports by itself: nothing has changed there."""
         self._relays[relay] = now
         get = self._floor.fleet.machines.get
-        for machine, order in orders:
-            m = get(machine)
+        for machine_id, order in orders:
+            machine = get(machine_id)
             # An older one is a copy that came late, or has been overtaken by a forwarded report.
-            if m is not None and order > m.order:
-                m.order = order
+            if machine is not None and order > machine.order:
+                machine.order = order
                 # It may have been answered for the leader before: that shortens no grace.
-                m.last_heard = max(m.last_heard, now)
-                m.relay = relay
+                machine.last_heard = max(machine.last_heard, now)
+                machine.relay = relay
 
-    def shown(self, machine: MachineId, now: Steady) -> None:
+    def shown(self, machine_id: MachineId, now: Steady) -> None:
         """Asked directly, the machine answered: it lives, wherever its reports go."""
-        m = self._floor.fleet.get(machine)
-        if m is not None:
-            m.shown = now
+        machine = self._floor.fleet.get(machine_id)
+        if machine is not None:
+            machine.shown = now
 
     def take_probes(self) -> list[Probe]:
         """Machines to be asked directly before their silence is taken for death."""
         probes: list[Probe] = []
         while self._probes and len(probes) < PROBES:
-            machine = next(iter(self._probes))
-            del self._probes[machine]
-            m = self._floor.fleet.get(machine)
-            if m is not None and m.address:
-                probes.append(Probe(machine, m.address))
+            machine_id = next(iter(self._probes))
+            del self._probes[machine_id]
+            machine = self._floor.fleet.get(machine_id)
+            if machine is not None and machine.address:
+                probes.append(Probe(machine_id, machine.address))
         return probes
 
     def stood_still(self, seconds: float) -> None:
         """Whatever was due in that time is judged as late as if it had not been: what has waited
         is read first, and everyone has time to report anew."""
-        for m in self._floor.fleet.machines.values():
-            m.last_heard = Steady(m.last_heard + seconds)
-            m.hired = Steady(m.hired + seconds)
-            m.undelivered = True  # the last answer may not have left in time
+        for machine in self._floor.fleet.machines.values():
+            machine.last_heard = Steady(machine.last_heard + seconds)
+            machine.hired = Steady(machine.hired + seconds)
+            machine.undelivered = True  # the last answer may not have left in time
         for relay, heard in self._relays.items():
             self._relays[relay] = Steady(heard + seconds)
 
@@ -94,47 +94,49 @@
         late = LATE_REPORTS * self._floor.settings.report_s
         machines: dict[NodeId, int] = {}
         silent: dict[NodeId, int] = {}
-        for m in self._floor.fleet.machines.values():
-            if m.life is Life.UP and m.relay is not None:
-                machines[m.relay] = machines.get(m.relay, 0) + 1
-                if now - m.last_heard > late:
-                    silent[m.relay] = silent.get(m.relay, 0) + 1
+        for machine in self._floor.fleet.machines.values():
+            if machine.life is Life.UP and machine.relay is not None:
+                machines[machine.relay] = machines.get(machine.relay, 0) + 1
+                if now - machine.last_heard > late:
+                    silent[machine.relay] = silent.get(machine.relay, 0) + 1
         self._mute = {
             node
             for node, number in silent.items()
             if number >= max(MUTE_LEAST, MUTE_SHARE * machines[node])
         }
 
-    def is_boot_late(self, m: Machine, now: Steady) -> bool:
+    def is_boot_late(self, machine: Machine, now: Steady) -> bool:
         """Whether a machine should have reported long ago, had it booted."""
         floor = self._floor
-        boot: float = max(floor.tuning.boot_patience * m.type.boot_s, BOOT_LEAST_S)
-        return now - m.hired > boot + floor.settings.list_lag_s
+        boot: float = max(floor.tuning.boot_patience * machine.type.boot_s, BOOT_LEAST_S)
+        return now - machine.hired > boot + floor.settings.list_lag_s
 
-    def is_dead(self, m: Machine, patience: float, now: Steady) -> bool:
+    def is_dead(self, machine: Machine, patience: float, now: Steady) -> bool:
         """Whether a machine's silence is taken for its death; asks it directly before that."""
-        if now - m.last_heard <= PROBE_FROM * patience:
+        if now - machine.last_heard <= PROBE_FROM * patience:
             return False
-        if m.order == NO_REPORT and not m.live and not self.is_boot_late(m, now):
+        if machine.order == NO_REPORT and not machine.live and not self.is_boot_late(machine, now):
             # Listed as up and never heard, as a machine that booted in a zone that is cut off:
             # nothing waits for it there, and it is worth more than another one that boots anew.
             return False
-        if m.address and now - m.probed >= PROBE_S:
-            m.probed = now
-            self._probes[m.id] = None
-        return now - m.last_heard > self._limit(m, patience, now)
+        if machine.address and now - machine.probed >= PROBE_S:
+            machine.probed = now
+            self._probes[machine.id] = None
+        return now - machine.last_heard > self._limit(machine, patience, now)
 
-    def _limit(self, m: Machine, patience: float, now: Steady) -> float:
+    def _limit(self, machine: Machine, patience: float, now: Steady) -> float:
         settings = self._floor.settings
-        if m.taken_at is not None and now > m.taken_at:
+        if machine.taken_at is not None and now > machine.taken_at:
             return LATE_REPORTS * settings.report_s  # it was told to us that it would go
-        unheard = m.relay is not None and now - self._relays.get(m.relay, now) > UNHEARD_S
-        if m.shown > m.last_heard:
+        unheard = (
+            machine.relay is not None and now - self._relays.get(machine.relay, now) > UNHEARD_S
+        )
+        if machine.shown > machine.last_heard:
             # It lives, and reports where this leader hears nothing. A node that is cut off
             # lets go of it within its grant; one that can't reach this node, but the store,
             # goes on answering what is unchanged.
             return patience + settings.lease_s * (CUT_LEASES if unheard else 1.0)
-        if unheard or m.relay in self._mute:
+        if unheard or machine.relay in self._mute:
             # Its node is silent, or hears no worker: it needs time to find another.
             return patience + settings.lease_s / 2
         return patience
