--- a/src/eldercart/core/fleet.py
+++ b/src/eldercart/core/fleet.py
@@ -6,10 +6,13 @@
 
 from dataclasses import dataclass, field
 from enum import IntEnum
+from typing import NamedTuple
 
 from eldercart.core.jobs import Phase, Placement
 from eldercart.units import (
+    NEVER,
     NO_REPORT,
+    JobId,
     MachineId,
     NodeId,
     ReportOrder,
@@ -21,17 +24,29 @@
 from eldercart.wire.users import JobSpec
 
 EPS = 1e-6
+GONE_KEPT = 5000  # deleted machines that are remembered
 
 
 class Life(IntEnum):
+    """Where a machine is between its rental and its deletion."""
+
     BOOTING = 0
     UP = 1
     LEAVING = 2  # a deletion has been asked for, or must be
     GONE = 3
 
 
+class Pace(NamedTuple):
+    """How long a task ran on a machine, compared with the others of its job."""
+
+    job: JobId
+    ratio: float  # run time / the median of the job's run times
+
+
 @dataclass(slots=True, eq=False)
 class Machine:
+    """One machine. Only `Fleet` changes its sums of room; CPUs and GPUs in units, memory in GB."""
+
     id: MachineId
     type: MachineType
     zone: str
@@ -64,32 +79,43 @@
     quarantined_at: Steady = Steady(0)
     taken_at: Steady | None = None  # when the cloud takes it back, by its notice
     images: dict[str, float] = field(default_factory=dict)  # name -> GB, least recent first
-    failed_jobs: set[str] = field(default_factory=set)
-    paces: list[tuple[str, float]] = field(default_factory=list)  # run time / the job's median
+    failed_jobs: set[JobId] = field(default_factory=set)
+    paces: list[Pace] = field(default_factory=list)  # of the last tasks done here
     good_since_fault: int = 0
-    refuse_until: Steady = Steady(-1e9)
+    refuse_until: Steady = NEVER
     # Whether it does what it is told; see `health.Obedience`.
     unheeded: int = 0
     told_since: Steady = Steady(0)
     old_epoch: int = 0  # reports that showed an older epoch although one was answered
     undelivered: bool = False  # the last answer surely came too late
     # Whether it was asked directly, because nothing was heard of it, and answered.
-    probed: Steady = Steady(-1e9)
-    shown: Steady = Steady(-1e9)
+    probed: Steady = NEVER
+    shown: Steady = NEVER
     # Direct commands: when the last one went out, and the session that the worker showed then.
-    ordered: Steady = Steady(-1e9)
+    ordered: Steady = NEVER
     session: Session = Session(0)
     wanted: bool = False
 
     @property
     def usable(self) -> bool:
+        """Whether new tasks may start here."""
         return self.life is Life.UP and self.confirmed and not self.draining and not self.foreign
 
+    def being_cancelled(self) -> list[Placement]:
+        """What may still run here of cancelled jobs."""
+        return [p for p in self.placed.values() if is_being_cancelled(p)]
+
+
+def is_being_cancelled(p: Placement) -> bool:
+    """Whether the task was told to stop because of a cancellation and is not over yet."""
+    return p.stopping and p.job.cancelled and p.phase is not Phase.ENDED
+
 
 class Fleet:
     """Owns the machines. Room counts everything that may still run."""
 
     def __init__(self) -> None:
+        """No machines yet."""
         self.machines: dict[MachineId, Machine] = {}
         self._gone: dict[MachineId, None] = {}  # a late list or report may still name them
         self.team_cpus: dict[str, float] = {}
@@ -101,15 +127,18 @@
         self._recalled: dict[MachineId, dict[str, float]] = {}  # images, by an earlier leader
 
     def get(self, machine: MachineId) -> Machine | None:
+        """The machine, unless it is gone or was never heard of."""
         return self.machines.get(machine)
 
     def is_gone(self, machine: MachineId) -> bool:
+        """Whether the machine was deleted, as far back as is remembered."""
         return machine in self._gone
 
     def add(
         self, id_: MachineId, type_: MachineType, zone: str, spot: bool, life: Life,
         hired: Steady, now: Steady,
     ) -> Machine:  # fmt: skip
+        """A machine that was rented, listed or reported; its room is that of its type."""
         m = Machine(id_, type_, zone, spot, life, hired, now, idle_since=now)
         m.free_cpus, m.free_gpus, m.free_memory = type_.cpus, type_.gpus, type_.memory_gb
         m.images = self._recalled.pop(id_, {})
@@ -135,6 +164,7 @@
         m.type, m.zone, m.spot = type_, zone, spot
 
     def occupy(self, m: Machine, p: Placement) -> None:
+        """The task takes room on the machine from now on."""
         spec = p.job.spec
         p.priority = p.job.priority  # which may change meanwhile; the sums must not
         m.placed[p.key] = p
@@ -192,6 +222,7 @@
         self.queues[m.id] = m
 
     def dequeue(self, m: Machine, p: Placement) -> None:
+        """The task does not wait on the machine any more; nothing happens if it did not."""
         if m.queue.pop(p.key, None) is None:
             return
         m.queued_cpus -= p.job.spec.cpus
@@ -200,11 +231,13 @@
             self.queues.pop(m.id, None)
 
     def clear_holds(self) -> None:
+        """Gives all held room back; see `hold`."""
         for m in self._held:
             m.held_cpus = m.held_gpus = m.held_memory = 0.0
         self._held.clear()
 
     def hold(self, m: Machine, spec: JobSpec, number: int) -> None:
+        """Keeps room for so many tasks of the job until `clear_holds`."""
         if not m.held_cpus and not m.held_memory and not m.held_gpus:
             self._held.append(m)
         m.held_cpus += spec.cpus * number
@@ -212,6 +245,7 @@
         m.held_memory += spec.memory_gb * number
 
     def forget(self, m: Machine, p: Placement) -> None:
+        """The machine lists the task no more."""
         if m.placed.get(p.key) is p:
             del m.placed[p.key]
 
@@ -221,10 +255,11 @@
         self.machines.pop(m.id, None)
         self.queues.pop(m.id, None)
         self._gone[m.id] = None
-        while len(self._gone) > 5000:
+        while len(self._gone) > GONE_KEPT:
             del self._gone[next(iter(self._gone))]
 
     def note_image(self, m: Machine, image: str, size_gb: float) -> None:
+        """The machine uses the image; those that its cache can't hold any more are forgotten."""
         m.images.pop(image, None)
         m.images[image] = size_gb
         total = sum(m.images.values())
--- a/src/eldercart/core/floor.py
+++ b/src/eldercart/core/floor.py
@@ -4,6 +4,7 @@
 """
 
 import logging
+from typing import NamedTuple
 
 from eldercart.core.fleet import Fleet, Life, Machine
 from eldercart.core.graph import DependencyGraph, Effect
@@ -19,14 +20,25 @@
 
 log = logging.getLogger("eldercart.controller")
 
+TAKEOVER_REPORTS = 3  # report intervals for machines to show that tasks are gone
 KILL_SHARE, KILL_LAST = 0.6, 0.8  # of `cancel_s`: the rest is left for the deletion
 
 
+class FinishedJob(NamedTuple):
+    """A job whose end has become durable, or follows from a durable one."""
+
+    job: JobId
+    how: str  # `users.DONE` or `users.CANCELLED`
+
+
 class Floor:
+    """The leader's shared state: the books, what is due next, and steps that several parts take."""
+
     def __init__(
         self, settings: NodeSettings, tuning: Tuning, epoch: Epoch, types: dict[str, MachineType],
         now: Steady,
     ) -> None:  # fmt: skip
+        """Empty books of a leadership that begins at `now`, with the machine types known so far."""
         self.settings = settings
         self.tuning = tuning
         self.epoch = epoch
@@ -48,7 +60,7 @@
         self.orphaned: dict[JobId, Job] = {}  # cancelled with a job before them, end not written
         self.doomed: dict[MachineId, None] = {}
         self.orders: dict[MachineId, None] = {}  # machines to be told directly what to kill
-        self.finished: list[tuple[JobId, str]] = []  # newly durable ends, for waiting answers
+        self.finished: list[FinishedJob] = []  # newly durable ends, for waiting answers
         self.graph = DependencyGraph(self.jobs, self._rest_s, self._due)
         self.work_done = self.work_lost = 0.0  # CPU seconds, as seen here
         self.start_waits: list[float] = []  # seconds from submission, of tasks that began
@@ -70,6 +82,7 @@
         self.take(self.graph.ended(job, how, now), now)
 
     def take(self, effect: Effect, now: Steady) -> None:
+        """Carries out what an end or a new job brings about in the graph."""
         for job in effect.ready:
             self.predictor.arrived(job, now)
             self.rental.arrived(now)
@@ -87,7 +100,7 @@
                 if job.id not in self.ending:
                     self.orphaned[job.id] = job
                 self.stop_all(job, now)
-                self.finished.append((job.id, CANCELLED))
+                self.finished.append(FinishedJob(job.id, CANCELLED))
 
     # -- tasks
 
@@ -109,6 +122,7 @@
         self.plan_wanted = True
 
     def stop(self, p: Placement, now: Steady) -> None:
+        """The task is to end where it is; one that was never launched is void at once."""
         m = self.fleet.get(p.machine)
         self.fleet.stopping(m, p)
         if not p.maybe_there:
@@ -120,6 +134,7 @@
                 self.orders[m.id] = None  # it would start before its machine reports
 
     def stop_all(self, job: Job, now: Steady) -> None:
+        """All tasks of the job are to end where they are."""
         for p in list(job.placements()):
             if p.phase is not Phase.ENDED:
                 self.stop(p, now)
@@ -131,7 +146,7 @@
         s = self.settings
         job.cancelled = True
         job.cancelled_at = at
-        patience = now + 3 * s.report_s
+        patience = now + TAKEOVER_REPORTS * s.report_s
         if now < at + s.cancel_s:
             patience = min(patience, at + KILL_LAST * s.cancel_s)
         job.kill_due = Steady(max(at + KILL_SHARE * s.cancel_s, patience))
@@ -154,12 +169,14 @@
         return out
 
     def doom(self, m: Machine, now: Steady) -> None:
+        """The machine is to be deleted, and nothing new starts there."""
         m.life = Life.LEAVING
         m.draining = True
         self.doomed[m.id] = None
         self.rental_due = now
 
     def quarantine(self, m: Machine, why: str, now: Steady) -> None:
+        """Nothing new starts on the machine, unless too many others are set aside as well."""
         if m.quarantined:
             return
         out = sum(1 for other in self.fleet.machines.values() if other.quarantined)
--- a/src/eldercart/core/relay.py
+++ b/src/eldercart/core/relay.py
@@ -11,13 +11,16 @@
 from dataclasses import dataclass
 from typing import Any
 
-from eldercart.units import Epoch, MachineId, NodeId, ReportOrder, Steady
+from eldercart.units import NEVER, Epoch, HeardReports, MachineId, NodeId, ReportOrder, Steady
 
 SLACK_S = 1.0  # for answers under way when a leader stops granting
 SUPERSEDED_S = 2.0  # for which a grant outlives the word of a higher epoch
+SWEEP_S = 5.0  # between two looks for machines to forget
 FORGET_S = 90.0  # after which a machine that reports elsewhere, or nowhere, is forgotten
+UNLINKED_PARTS = 3  # of a grant: after one without the leader, workers are sent to it
 BOUNCE_S = 8.0  # a worker that was sent on and is back within this is kept
 SPARE_ROOM = 1.25  # times the fair share of workers before new ones are sent on
+SPARE_MORE = 4  # workers beyond that
 
 
 def spare_s(cancel_s: float, lease_s: float, grant_s: float, drift_margin: float) -> float:
@@ -63,6 +66,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Redirect:
+    """The worker should report to that node instead; None: to any other."""
+
     to: NodeId | None
 
 
@@ -89,19 +94,20 @@
     """Owns the grant and what is known per machine."""
 
     def __init__(self, label: NodeId, grant_s: float, drift_margin: float) -> None:
+        """Without a grant. `grant_s` is shortened by the drift that the clocks may have."""
         self.label = label
         self.epoch = Epoch(0)
         self._superseded = Epoch(0)  # the highest epoch that a peer has told of
         self.leader: NodeId | None = None
         self._grant_s = grant_s * (1.0 - drift_margin)
-        self._until = Steady(-1e9)
-        self._linked = Steady(-1e9)  # when the leader was last heard on the connection to it
+        self._until = NEVER
+        self._linked = NEVER  # when the leader was last heard on the connection to it
         self._most: int | None = None
         self._spare: NodeId | None = None
         self._known: dict[MachineId, Known] = {}
         self._heard: dict[MachineId, ReportOrder] = {}
         self._sent_on: dict[MachineId, Steady] = {}
-        self._sweep_due = Steady(-1e9)
+        self._sweep_due = NEVER
 
     # -- the grant
 
@@ -138,13 +144,16 @@
             self._until = Steady(min(self._until, now + SUPERSEDED_S))
 
     def revoke(self) -> None:
-        self._until = Steady(-1e9)
+        """This node may not answer for the leader any more."""
+        self._until = NEVER
 
     def holds_grant(self, now: Steady) -> bool:
+        """Whether this node may answer workers now."""
         return now < self._until
 
     @property
     def machines(self) -> int:
+        """How many machines report here."""
         return len(self._known)
 
     # -- reports
@@ -153,16 +162,13 @@
         self, machine: MachineId, order: ReportOrder, epoch: Epoch, notice: bool, tasks: Any,
         now: Steady, reachable: bool,
     ) -> Decision:  # fmt: skip
-        """`reachable`: whether a report can be handed to the leader now."""
+        """What becomes of a report. `notice`: whether the machine will be taken back; `tasks`: its
+        list as it came; `reachable`: whether a report can be handed to the leader now."""
         known = self._known.get(machine)
         if known is not None and order <= known.order:
             return Overtaken()
         if not self.holds_grant(now) or epoch > self.epoch:
-            # Not entitled to act. A 200 under an old epoch would hold the worker here while its
-            # lease runs out.
-            self._drop(machine)
-            leads = self.leader if epoch <= self.epoch else None
-            return Redirect(None if leads == self.label else leads)
+            return self._not_entitled(machine, epoch)
         if known is None:
             if self._crowded(machine, now):
                 return Redirect(self._spare)
@@ -188,15 +194,26 @@
             self._heard[machine] = order
             return Answer(self.epoch)
         if not reachable:
-            if now - self._linked > self._grant_s / 3 and self.leader != self.label:
-                # It has something to tell, and the leader may well be there for it.
-                self._drop(machine)
-                return Redirect(self.leader)
-            known.base = None
-            return Answer(self.epoch)
+            return self._without_leader(machine, known, now)
         known.base = None  # until the leader has answered, nobody knows what it took
         return Forward()
 
+    def _not_entitled(self, machine: MachineId, epoch: Epoch) -> Redirect:
+        """This node may not act. A 200 under an old epoch would hold the worker here while its
+        lease runs out."""
+        self._drop(machine)
+        leads = self.leader if epoch <= self.epoch else None
+        return Redirect(None if leads == self.label else leads)
+
+    def _without_leader(self, machine: MachineId, known: Known, now: Steady) -> Decision:
+        """The worker has something to tell, and the leader can't be told it from here."""
+        if now - self._linked > self._grant_s / UNLINKED_PARTS and self.leader != self.label:
+            # The leader may well be there for it.
+            self._drop(machine)
+            return Redirect(self.leader)
+        known.base = None
+        return Answer(self.epoch)
+
     def answered(
         self, machine: MachineId, order: ReportOrder, notice: bool, tasks: Any, again: bool
     ) -> None:
@@ -224,10 +241,10 @@
         if known is not None:
             known.base = None
 
-    def take_heard(self, now: Steady) -> tuple[tuple[MachineId, ReportOrder], ...]:
+    def take_heard(self, now: Steady) -> HeardReports:
         """Whom this node has answered by itself since it was asked last."""
         if now >= self._sweep_due:
-            self._sweep_due = Steady(now + 5.0)
+            self._sweep_due = Steady(now + SWEEP_S)
             for machine in [m for m, k in self._known.items() if now - k.seen > FORGET_S]:
                 self._drop(machine)
             self._sent_on = {m: t for m, t in self._sent_on.items() if now - t < BOUNCE_S}
@@ -239,7 +256,7 @@
         self._heard.pop(machine, None)
 
     def _may_send_on(self, machine: MachineId, now: Steady) -> bool:
-        if now - self._sent_on.get(machine, -1e9) < BOUNCE_S:
+        if now - self._sent_on.get(machine, NEVER) < BOUNCE_S:
             return False
         self._sent_on[machine] = now
         return True
@@ -252,6 +269,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
+    """How many workers a node should have at most, and where those beyond go."""
+
     most: int
     spare: NodeId | None
 
@@ -263,7 +282,7 @@
     if not others:
         return {leader: Share(sockets, None)}
     fair = sum(counts.values()) / len(others)
-    most = min(sockets, int(fair * SPARE_ROOM) + 4)
+    most = min(sockets, int(fair * SPARE_ROOM) + SPARE_MORE)
     spare = min(others, key=lambda n: (others[n], n))
     out = {leader: Share(0, spare)}
     for node in others:
--- a/src/eldercart/election/__init__.py
+++ b/src/eldercart/election/__init__.py
@@ -8,39 +8,65 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from eldercart.units import ABSENT, ONLY_LIFE, Epoch, LeaseId, LifeId, NodeId, Revision, Steady
+from eldercart.units import (
+    ABSENT,
+    NEVER,
+    ONLY_LIFE,
+    Epoch,
+    LeaseId,
+    LifeId,
+    NodeId,
+    Revision,
+    Steady,
+)
 from eldercart.wire.state import Item, Put, Txn
 
 LEAD_KEY = "lead"
 
+# Parts of the hold's life.
+FAILED_PARTS = 16  # one is the pause after an action that was not carried out
+RENEWAL_PARTS = 5  # one is the time from a renewal to the next
+READ_PARTS = 2  # one is the time between two reads of the leader key, besides the watch on it
+RESIGNED_HOLDS = 3  # for which a node that has resigned does not claim the leadership
+
 
 class Role(Enum):
+    """What this node is, as far as it knows."""
+
     FOLLOWER = "follower"
     LEADER = "leader"
 
 
 @dataclass(frozen=True, slots=True)
 class ReadLead:
-    pass
+    """Read the leader key."""
 
 
 @dataclass(frozen=True, slots=True)
 class OpenHold:
+    """Open a lease of that many seconds in the state service."""
+
     life_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class TouchHold:
+    """Renew the lease."""
+
     hold: LeaseId
 
 
 @dataclass(frozen=True, slots=True)
 class DropHold:
+    """End the lease, and with it the leader key on it."""
+
     hold: LeaseId
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
+    """Create the leader key, if it is absent."""
+
     txn: Txn
 
 
@@ -53,6 +79,8 @@
     def __init__(
         self, label: NodeId, hold_s: float, drift_margin: float, life: LifeId = ONLY_LIFE
     ) -> None:
+        """A follower. The hold lives for `hold_s` seconds; the share `drift_margin` of them is not
+        counted on, for the clocks' sake."""
         self.label = label
         self.life = life  # of this start: a claim of an earlier one may still be carried out
         self.role = Role.FOLLOWER
@@ -61,14 +89,14 @@
         self._life = hold_s
         self._usable = hold_s * (1 - drift_margin)
         self._hold: LeaseId | None = None
-        self._deadline = Steady(-1e9)
+        self._deadline = NEVER
         self._sent = Steady(0)
-        self._read_due = Steady(-1e9)
-        self._touch_due = Steady(-1e9)
+        self._read_due = NEVER
+        self._touch_due = NEVER
         self._absent = False  # the last read found no leader key
         self._stale_hold: LeaseId | None = None
         self._busy = False
-        self._back_at = Steady(-1e9)
+        self._back_at = NEVER
 
     # -- what others may ask
 
@@ -129,9 +157,10 @@
         hold = self._hold
         self._step_down(now)
         self._stale_hold = hold
-        self._back_at = Steady(now + 3 * self._life)
+        self._back_at = Steady(now + RESIGNED_HOLDS * self._life)
 
     def next_action(self, now: Steady) -> Action | None:
+        """What is to be carried out now; its outcome must be handed in before the next."""
         if self._busy:
             return None
         action = self._choose(now)
@@ -164,7 +193,7 @@
     def failed(self, action: Action, now: Steady) -> None:
         """No answer, 429 or 503: not carried out, or nobody knows."""
         self._busy = False
-        pause = self._life / 16
+        pause = self._life / FAILED_PARTS
         if isinstance(action, TouchHold):
             self._touch_due = Steady(now + pause)
         elif isinstance(action, Claim):
@@ -179,10 +208,11 @@
             self._read_due = Steady(now + pause)
 
     def read(self, item: Item | None, now: Steady) -> None:
+        """The leader key as a read found it; None: it is absent."""
         self._busy = False
         self._absent = item is None
         # The watch on the key is the usual alarm; this is the backstop if it hangs.
-        self._read_due = Steady(now + self._life / 2)
+        self._read_due = Steady(now + self._life / READ_PARTS)
         if item is None:
             self.leader = None
             return
@@ -200,6 +230,7 @@
         self.epoch = max(self.epoch, Epoch(item.version))
 
     def opened(self, hold: LeaseId, now: Steady) -> None:
+        """The lease was opened; it counts from before the request was sent."""
         self._busy = False
         self._hold = hold
         self._deadline = Steady(self._sent + self._usable)
@@ -209,12 +240,13 @@
         self._busy = False
         if alive:
             self._deadline = Steady(self._sent + self._usable)
-            self._touch_due = Steady(self._sent + self._life / 5)
+            self._touch_due = Steady(self._sent + self._life / RENEWAL_PARTS)
             return False
         self._step_down(now)
         return True
 
     def dropped(self, now: Steady) -> None:
+        """The lease that was left over has ended."""
         self._busy = False
         self._stale_hold = None
         self._read_due = now
@@ -241,6 +273,6 @@
         self.role = Role.FOLLOWER
         self.leader = None
         self._hold = None
-        self._deadline = Steady(-1e9)
+        self._deadline = NEVER
         self._read_due = now
         self._absent = False
--- a/src/eldercart/net/front.py
+++ b/src/eldercart/net/front.py
@@ -40,7 +40,7 @@
             if method != b"POST":
                 request.reply(405, users.error_body("method"))
                 return
-            self.node.relaying.report(request)
+            self.node.relaying.forwarding.report(request)
         elif path == b"/healthz":
             healthy = self.node.healthy()
             request.reply(200 if healthy else 503, b"{}", None if healthy else RETRY_S)
@@ -259,7 +259,7 @@
                 return
             if item is not None:
                 self.dependencies.accepted(job)
-                self.node.leading.learn(item)
+                self.node.leading.job_records.learn(item)
             store.get(END + job, lambda ok, end: got_end(ok, end, item))
 
         def got_end(ok: bool, end: Item | None, item: Item | None) -> None:
@@ -327,8 +327,8 @@
         if how is not None:
             found(peers.Told(0, how, 0, 0))
         elif self.node.leading.controller is not None:
-            answered(self.node.leading.tell(0, job))
-        elif not self.node.relaying.poll(job, answered):
+            answered(self.node.leading.user_answers.tell(0, job))
+        elif not self.node.relaying.questions.poll(job, answered):
             fresh()
 
     def _poll(self, request: JsonRequest, job: JobId) -> None:
@@ -360,6 +360,6 @@
         if how is not None:
             answered(how)
         elif self.node.leading.controller is not None:
-            self.node.leading.cancel(job, answered)
-        elif not self.node.relaying.cancel(job, told):
+            self.node.leading.user_answers.cancel(job, answered)
+        elif not self.node.relaying.questions.cancel(job, told):
             answered("none")
--- a/src/eldercart/net/node.py
+++ b/src/eldercart/net/node.py
@@ -10,15 +10,16 @@
 
 from eldercart.election import Election
 from eldercart.net import links
+from eldercart.net.catalog import CATALOG_KEY
 from eldercart.net.electing import Electing
 from eldercart.net.front import Front
-from eldercart.net.leading import CATALOG_KEY, Leading
+from eldercart.net.leading import Leading
 from eldercart.net.meters import Meters
 from eldercart.net.relaying import Relaying
 from eldercart.net.server import JsonFactory, listen
 from eldercart.net.store import Store
 from eldercart.settings import NodeSettings, Tuning
-from eldercart.units import Epoch, LifeId, Steady
+from eldercart.units import NEVER, Epoch, LifeId, Steady
 from eldercart.wire import Malformed, cloud
 from eldercart.wire.cloud import MachineType
 from eldercart.wire.state import Item
@@ -29,22 +30,31 @@
 TICK_S = 0.1
 STANDSTILL_S = 0.5  # by which a turn of the loop is late when the process did not run
 ALONE_S = 3.0  # of refusals by the store before a node counts as refused alone
+SERVED_S = 3.0  # for which a peer's word counts that the store serves it
+TYPES_AGAIN_S = 1.0  # before the stored machine types are asked for again
+LOAD_LOG_S = 10.0  # between two lines of the log about the node's load
+LAG_WEIGHT = 0.2  # of the last turn of the loop in the smoothed lag
+FRONT_SOCKETS, FRONT_SOCKETS_LEAST = 0.75, 16  # of a node's sockets, for users and workers
 
 
 def could_serve(ready: bool, failing_s: float, peer_served_ago_s: float) -> bool:
     """Whether users should come here. In an outage of the store every node is as good as the
     next, and turning all away would only shut the door for longer afterwards; a node that the
     store refuses while its peers are served should be left out."""
-    alone = failing_s >= ALONE_S and peer_served_ago_s < 3.0
+    alone = failing_s >= ALONE_S and peer_served_ago_s < SERVED_S
     return ready and not alone
 
 
 def steady() -> Steady:
+    """Seconds of this process's steady clock."""
     return Steady(time.monotonic())
 
 
 class Node:
+    """One process of the service: owns its parts and the clock that drives them."""
+
     def __init__(self, settings: NodeSettings, tuning: Tuning) -> None:
+        """Makes the parts; nothing is listened on or sent before `start`."""
         self.settings = settings
         self.tuning = tuning
         self.clock = steady
@@ -58,13 +68,15 @@
         self.relaying = Relaying(self)
         self.electing = Electing(self)
         self.lag = 0.0  # seconds by which the event loop is behind, recent ones weighing more
-        self._types_asked = Steady(-1e9)
+        self._types_asked = NEVER
         self._last_tick = steady()
         self._load_due = Steady(0)
         self._cpu = time.process_time()
 
     def start(self) -> None:
-        front = JsonFactory(self.front.route, max(16, int(self.settings.sockets * 0.75)))
+        """Listens for users, workers and peers, and begins to tick."""
+        sockets = max(FRONT_SOCKETS_LEAST, int(self.settings.sockets * FRONT_SOCKETS))
+        front = JsonFactory(self.front.route, sockets)
         listen(self.settings.front, front)
         links.listen(self.settings.mesh, self.relaying.exchange)
         log.info(
@@ -76,7 +88,7 @@
         reactor.callLater(TICK_S, self._tick)
         now = steady()
         behind = max(0.0, now - self._last_tick - TICK_S)
-        self.lag = 0.8 * self.lag + 0.2 * behind
+        self.lag = (1.0 - LAG_WEIGHT) * self.lag + LAG_WEIGHT * behind
         self.meters.add("loop_lag", behind)
         self._last_tick = now
         if behind > STANDSTILL_S:
@@ -84,7 +96,7 @@
         self.electing.tick(now)
         self.relaying.tick(now)
         self.leading.tick(now)
-        if not self.types and self.electing.ready and now - self._types_asked > 1.0:
+        if not self.types and self.electing.ready and now - self._types_asked > TYPES_AGAIN_S:
             self._read_types()
         if now >= self._load_due:
             self._log_load(now)
@@ -98,7 +110,7 @@
 
     def _log_load(self, now: Steady) -> None:
         cpu = time.process_time()
-        self._load_due = Steady(now + 10.0)
+        self._load_due = Steady(now + LOAD_LOG_S)
         log.info(
             "load role=%s cpu=%.2f lag_ms=%.0f workers=%d %s",
             self.election.role.value, cpu - self._cpu, self.lag * 1000,
@@ -109,25 +121,29 @@
     # -- what a part learns and the others must know
 
     def saw_epoch(self, epoch: Epoch, how: str) -> None:
+        """A higher epoch than known, if it is one: a leader steps down."""
         if self.election.saw_epoch(epoch, steady()):
             self.leading.end(how)
 
     def deposed(self, why: str) -> None:
+        """A guarded write has shown that another node leads."""
         self.election.deposed(steady())
         self.leading.end(why)
 
     def healthy(self) -> bool:
+        """Whether users and workers should come here, see `could_serve`."""
         now = steady()
         failing = self.store.failing_since
         return could_serve(
             self.electing.ready,
             0.0 if failing is None else now - failing,
-            now - self.relaying.peer_served,
+            now - self.relaying.greetings.peer_served,
         )
 
     # -- machine types
 
     def take_types(self, item: Item) -> None:
+        """Takes the machine types over from the stored catalogue, if it can be read."""
         try:
             self.types = cloud.parse_catalog(item.value)
         except (Malformed, AttributeError) as err:
@@ -143,6 +159,7 @@
         self.store.get(CATALOG_KEY, got)
 
     def status_page(self) -> bytes:
+        """The page for operators, as JSON."""
         page: dict[str, Any] = {
             "label": self.settings.label,
             "role": self.election.role.value,
--- a/src/eldercart/units.py
+++ b/src/eldercart/units.py
@@ -23,6 +23,7 @@
 ONLY_LIFE = LifeId("0")  # for what is never started twice, as in tests
 ABSENT = Revision(0)
 FOREVER = Steady(float("inf"))
+NEVER = Steady(-1e9)  # longer ago than any pause or lease: "has not happened yet"
 
 
 class ReportOrder(NamedTuple):
@@ -32,8 +33,12 @@
     sequence: int
 
 
+# Reports that a relay has answered by itself: for each machine the last one.
+HeardReports = tuple[tuple[MachineId, ReportOrder], ...]
+
 NO_REPORT = ReportOrder(Session(0), -1)
 
 
 def task_key(job: JobId, index: int) -> TaskKey:
+    """The key by which workers know the task."""
     return TaskKey(f"{job}/{index}")
