--- a/src/eldercart/core/controller.py
+++ b/src/eldercart/core/controller.py
@@ -27,7 +27,16 @@
 )
 from eldercart.core.fleet import Life
 from eldercart.core.floor import Floor
-from eldercart.core.jobs import GONE, JOB, Job, Phase, asked_at, end_of, parse_job_record
+from eldercart.core.jobs import (
+    GONE,
+    JOB,
+    Job,
+    Phase,
+    asked_at,
+    end_of,
+    list_read_at,
+    parse_job_record,
+)
 from eldercart.core.machines import Machines, Order
 from eldercart.core.planner import Planner
 from eldercart.core.records import Outcome, PendingTxn, Records
@@ -48,7 +57,7 @@
 from eldercart.wire import Malformed, users, workers
 from eldercart.wire.cloud import MachineType
 from eldercart.wire.state import Item, Put, Txn
-from eldercart.wire.users import JobSpec
+from eldercart.wire.users import JobSpec, ListReference
 
 log = logging.getLogger("eldercart.controller")
 
@@ -161,14 +170,19 @@
         except (Malformed, KeyError, TypeError, ValueError) as err:
             log.error("job record unreadable job=%s: %s", job_id, err)
             return
-        self.add_job(spec, size, WallTime(at), now)
+        self.add_job(spec, size, WallTime(at), now, list_read_at(item.value))
 
-    def add_job(self, spec: JobSpec, size: int, at: WallTime, now: Steady) -> None:
+    def add_job(
+        self, spec: JobSpec, size: int, at: WallTime, now: Steady,
+        elsewhere: ListReference | None = None,
+    ) -> None:  # fmt: skip
+        """A job that was accepted; `elsewhere`: its list of dependencies, if not in its record."""
         if spec.id in self.jobs:
             return
         f = self.floor
         arrived = Steady(min(now, at - self._zero_wall))
-        f.take(f.graph.add(self.jobs.add(spec, size, arrived), now), now)
+        job = self.jobs.add(spec, size, arrived, elsewhere)
+        f.take(f.graph.add(job, now), now)
         log.info(
             "job accepted job=%s class=%s team=%s tasks=%d cpus=%g image=%s",
             spec.id, spec.klass, spec.team, spec.tasks, spec.cpus, spec.image,
--- a/src/eldercart/core/jobs.py
+++ b/src/eldercart/core/jobs.py
@@ -41,6 +41,7 @@
 
 JOB, END, PLACE, GONE = "job/", "end/", "place/", "gone/"
 NEEDS = "needs/"  # lists of dependencies that are too long for their job's record
+_LIST = "l"  # in a resolved record, never in a stored one: where its list was read
 ENTRY_BYTES = 48  # the most that one placement takes in a record
 AVOID_S = 40.0  # for which a job keeps off a machine where its tasks failed or were slow
 
@@ -105,11 +106,14 @@
 class Job:
     """One job. Only the job book changes it."""
 
-    def __init__(self, spec: JobSpec, size: int, arrived: Steady) -> None:
+    def __init__(
+        self, spec: JobSpec, size: int, arrived: Steady, elsewhere: ListReference | None = None
+    ) -> None:
         self.spec = spec
         self.id = spec.id
         self.size = size
         self.arrived = arrived
+        self.elsewhere = elsewhere  # its list of dependencies, if its record does not hold it
         # What the dependency graph says of it, see `graph`.
         self.awaited: set[JobId] = set()  # jobs before it that are not known to be done
         self.ready = not spec.dependencies  # all of them are done, durably
@@ -232,8 +236,10 @@
     def get(self, job: JobId) -> Job | None:
         return self.jobs.get(job)
 
-    def add(self, spec: JobSpec, size: int, arrived: Steady) -> Job:
-        job = Job(spec, size, arrived)
+    def add(
+        self, spec: JobSpec, size: int, arrived: Steady, elsewhere: ListReference | None = None
+    ) -> Job:
+        job = Job(spec, size, arrived, elsewhere)
         self.jobs[spec.id] = job
         return job
 
@@ -390,10 +396,22 @@
     return reference_in(value.get("s")) if isinstance(value, dict) else None
 
 
+def list_read_at(value: Any) -> ListReference | None:
+    """Where the list was that `resolve` put into this record; None: the record held its own."""
+    found = value.get(_LIST) if isinstance(value, dict) else None
+    return found if isinstance(found, ListReference) else None
+
+
 def needs_prefix(job: JobId, reference: ListReference) -> str:
     return f"{NEEDS}{job}/{reference.nonce}/"
 
 
+def needs_keys(job: JobId, reference: ListReference) -> list[str]:
+    """The keys of the job's list, as the node that accepted it wrote them."""
+    prefix = needs_prefix(job, reference)
+    return [f"{prefix}{number}" for number in range(reference.parts)]
+
+
 def needs_parts(dependencies: tuple[JobId, ...], value_bytes: int) -> list[list[JobId]]:
     """The lists to write before the record of a job that has these; none if its record takes
     them: a quarter of the value limit is left to them there."""
@@ -418,16 +436,15 @@
     reference = list_reference(item.value)
     if reference is None:
         return item
-    prefix = needs_prefix(job, reference)
     values = {found.key: found.value for found in lists}
     dependencies: list[JobId] = []
-    for number in range(reference.parts):
-        part = values.get(f"{prefix}{number}")
+    for key in needs_keys(job, reference):
+        part = values.get(key)
         if not isinstance(part, list):
             return None
         dependencies += part
     record = with_dependencies(item.value["s"], tuple(dependencies))
-    return replace(item, value={**item.value, "s": record})
+    return replace(item, value={**item.value, "s": record, _LIST: reference})
 
 
 def end_of(value: Any) -> str:
--- a/src/eldercart/core/records.py
+++ b/src/eldercart/core/records.py
@@ -16,6 +16,7 @@
     Placement,
     chunk_size,
     end_of,
+    needs_keys,
 )
 from eldercart.core.sheets import Sheet, Sheets
 from eldercart.election import LEAD_KEY
@@ -48,6 +49,7 @@
     dropped: list[Sheet] = field(default_factory=list)
     cleanups: list[Job] = field(default_factory=list)
     orphans: list[tuple[str, Revision]] = field(default_factory=list)
+    lists: list[str] = field(default_factory=list)  # lists of dependencies that go
     size: int = 0
     units: set[str] = field(default_factory=set)  # jobs that end, and sheets: see `Records._split`
 
@@ -61,6 +63,9 @@
         self.reread_under_way: set[str] = set()
         self.cleaning: dict[JobId, Job] = {}
         self.orphans: list[tuple[str, Revision]] = []
+        # Lists of dependencies of which the job's record is gone already. They are lost with the
+        # leader; what then stays in the store is read by nobody.
+        self.lists: dict[str, None] = {}
         self.sheets = Sheets(floor.settings.value_bytes, floor.epoch)
         self._txn: PendingTxn | None = None
         self._pause = Steady(-1e9)
@@ -95,6 +100,7 @@
             or f.dirty
             or self.cleaning
             or self.orphans
+            or self.lists
             or self.sheets.empties()
         ):
             # The last write had no answer and yet nothing is left of it: only a new one can tell
@@ -111,6 +117,7 @@
             # fan-out would hold back all placements for as long as its ends take to write.
             self._add_ends(pending, f.orphaned, ops)
             self._add_cleanups(pending, ops)
+            self._add_lists(pending, ops)
         if not pending.txn.writes:
             return None
         self._txn = pending
@@ -264,6 +271,20 @@
             pending.dropped.append(sheet)
             pending.units.add(sheet.key)
 
+    def _add_lists(self, pending: PendingTxn, ops: int) -> None:
+        """Lists of dependencies go with their job's record, or after it, never before: a record
+        whose list is missing could not be read by the next leader. With the record's end there, no
+        late copy of the acceptance can be carried out any more, so nothing refers to them again.
+
+        Lists that no record refers to are left alone: they were written for an acceptance that may
+        still be under way, and neither its node nor its nonce is known here. So are those of
+        which an earlier leader deleted the record only.
+        """
+        txn = pending.txn
+        keys = [*self.lists, *(key for job in pending.cleanups for key in _list_keys(job))]
+        pending.lists = keys[: max(0, ops - len(txn.writes))]
+        txn.writes += [Drop(key) for key in pending.lists]
+
     # -- outcomes
 
     def txn_done(
@@ -331,6 +352,7 @@
                 return
         if not units:
             self.orphans.clear()  # nobody misses them; a later leader may try again
+            self.lists.clear()
         for sheet in pending.dropped:
             self.sheets.forget(sheet)
         at_fault = [*(j for j, *_ in pending.chunks), *(j for j, _ in pending.ends)]
@@ -378,6 +400,10 @@
                 if m is not None:
                     f.fleet.forget(m, p)
                     f.want(m)  # what is recorded as done may be cleared there
+        for job in pending.cleanups:
+            self.lists |= dict.fromkeys(_list_keys(job))
+        for key in pending.lists:
+            self.lists.pop(key, None)
         for job in pending.cleanups:
             self.cleaning.pop(job.id, None)
             self.sheets.drop(job)
@@ -407,3 +433,7 @@
                 job.id, job.spec.klass, job.spec.estimate_s, len(job.ran),
                 " ".join(f"{r:.1f}" for r in sorted(job.ran)[:: max(1, len(job.ran) // 8)]),
             )  # fmt: skip
+
+
+def _list_keys(job: Job) -> list[str]:
+    return [] if job.elsewhere is None else needs_keys(job.id, job.elsewhere)
--- a/src/eldercart/net/front.py
+++ b/src/eldercart/net/front.py
@@ -209,7 +209,7 @@
                 request.reply(201, users.state_body(job, users.PENDING))
                 c = node.leading.controller
                 if c is not None:
-                    c.add_job(spec, size, at, node.clock())
+                    c.add_job(spec, size, at, node.clock(), where)
                     node.leading.pump_soon()
             elif status == 409 and END + job not in failed and not awaits():
                 # The job is there and had not ended, as of this very transaction. It may have
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -5,10 +5,12 @@
 
 import pytest
 
+from eldercart.core.controller import Outcome
 from eldercart.core.graph import DependencyGraph
 from eldercart.core.jobs import Job, JobBook
-from eldercart.units import FOREVER, JobId, Steady
+from eldercart.units import FOREVER, JobId, Revision, Steady
 from eldercart.wire import users
+from eldercart.wire.state import Drop
 from test_core import finish
 from world import World, submission
 
@@ -432,3 +434,85 @@
     assert c is not None and c.floor.orphaned, "not all of their ends are written yet"
     w.poll_all()
     finish(w)
+
+
+# ---------------------------------------------------------------- lists beside their job's record
+
+
+def needs(w: World, job: str = "") -> list[str]:
+    return [key for key in w.store.keys if key.startswith(f"needs/{job}")]
+
+
+@pytest.mark.parametrize("how", [users.DONE, users.CANCELLED])
+@pytest.mark.parametrize("faults", [{}, ROUGH], ids=["quiet", "rough"])
+@pytest.mark.parametrize("seed", range(3))
+def test_lists_of_dependencies_go_with_their_jobs_record(
+    faults: dict[str, Any], seed: int, how: str
+) -> None:
+    """`Records._add_lists`. Under every change of leader a record is there only with its list (the
+    stand-in world asserts it when it elects), and what no record referred to stays."""
+    w = World(seed, **faults)
+    w.submit("wk-a", parcels=2, run_s=3.0)
+    w.submit("wk-b", parcels=2, run_s=3.0)
+    w.submit("wk-c", parcels=3, awaits=["wk-a", "wk-b"], run_s=3.0, parts=2)
+    w.submit("wk-d", parcels=3, awaits=["wk-c"], run_s=3.0, parts=1)
+    w.store.keys["needs/wk-e/other/0"] = (["wk-a"], 1, None)  # its acceptance may be under way
+    for turn in range(12):
+        w.run(1.5)
+        w.poll_all()
+        if faults and turn % 3 == 1:
+            w.elect()
+        if turn == 5 and how == users.CANCELLED:
+            w.cancel("wk-c")
+    finish(w)
+    for _ in range(40):
+        if not [key for key in w.store.keys if key.startswith("job/")]:
+            break
+        w.run(1.0)
+    w.run(2.0)
+    assert w.end_in_store("wk-d") == w.end_in_store("wk-c")
+    assert needs(w) == ["needs/wk-e/other/0"]
+
+
+def test_a_list_longer_than_a_transaction_goes_in_several() -> None:
+    """`Records.lists` keeps what did not fit into the transaction that dropped the record."""
+    w = World(0)
+    names = [f"wk-{i}" for i in range(50)]
+    for name in names:
+        w.store.keys[f"end/{name}"] = ({"e": users.DONE, "n": 1}, 1, None)
+        w.jobs[name] = submission(name)
+    w.submit("wk-last", parcels=1, awaits=names, run_s=1.0, parts=50)
+    c = w.controller
+    assert c is not None
+    for _ in range(400):
+        w.step(0.1)
+        if not needs(w):
+            break
+        if "job/wk-last" in w.store.keys:
+            assert len(needs(w)) == 50, "never before the record that refers to it"
+    assert not needs(w) and not c.records.lists
+
+
+@pytest.mark.parametrize(
+    ("outcome", "failed"),
+    [(Outcome.REFUSED, ()), (Outcome.UNKNOWN, ()), (Outcome.CONFLICT, ("end/wk-c",))],
+)
+def test_lists_are_dropped_again_after_a_write_that_failed(
+    outcome: Outcome, failed: tuple[str, ...]
+) -> None:
+    """Only a transaction that was carried out takes a list off the books."""
+    w = World(0)
+    w.store.keys["end/wk-a"] = ({"e": users.CANCELLED, "n": 1}, 1, None)
+    w.jobs["wk-a"] = submission("wk-a")
+    w.submit("wk-c", parcels=1, awaits=["wk-a"], parts=1)
+    c = w.controller
+    assert c is not None
+    now = Steady(w.now)
+    for job in c.take_unread(now, 20):
+        c.end_read(job, users.CANCELLED, now)
+    pending = c.next_txn(now, 20)
+    assert pending is not None and Drop(needs(w)[0]) in pending.txn.writes
+    assert not c.txn_done(pending, outcome, Revision(0), failed, now)
+    w.run(3.0)
+    assert not needs(w) and "job/wk-c" not in w.store.keys
+    assert w.end_in_store("wk-c") == users.CANCELLED
--- a/tests/world.py
+++ b/tests/world.py
@@ -17,7 +17,7 @@
     Outcome,
     Rent,
 )
-from eldercart.core.jobs import Phase, chunk_size, end_of, job_record
+from eldercart.core.jobs import Phase, chunk_size, end_of, job_record, needs_keys, resolve
 from eldercart.election import LEAD_KEY
 from eldercart.settings import load_tuning
 from eldercart.settings.platform import parse_platform
@@ -100,7 +100,9 @@
         def items(prefix: str) -> list[state.Item]:
             return [state.parse_item(orjson.dumps(i)) for i in self.store.range(prefix)]
 
-        c.load(items("job/"), items("place/"), items("gone/"), now, items("memo/"))
+        jobs = [resolve(users.JobId(i.key[4:]), i, items("needs/")) for i in items("job/")]
+        assert None not in jobs, "a record whose list of dependencies is gone"
+        c.load([i for i in jobs if i], items("place/"), items("gone/"), now, items("memo/"))
         self.controller = c
 
     def new_controller(self, epoch: Epoch) -> Any:
@@ -109,18 +111,24 @@
             WallTime(self.now), self.life,
         )  # fmt: skip
 
-    def submit(self, job: str, run_s: float = 6.0, **changes: Any) -> None:
+    def submit(self, job: str, run_s: float = 6.0, parts: int = 0, **changes: Any) -> None:
+        """`parts`: into how many the list of dependencies is cut that is not in the record."""
         body = submission(job, **changes)
         spec = users.parse_submission(body)
         size = chunk_size(self.settings.value_bytes)
-        record = job_record(spec, size, self.now)
+        where = users.ListReference("abc", parts) if parts else None
+        record = job_record(spec, size, self.now, where)
+        for number, key in enumerate(needs_keys(spec.id, where) if where else ()):
+            part = list(spec.dependencies[number::parts])
+            assert self.store.txn(state.Txn({key: ABSENT}, [state.Put(key, part)]).body())[0] == 200
         txn = state.Txn(
             {f"job/{job}": ABSENT, f"end/{job}": ABSENT}, [state.Put(f"job/{job}", record)]
         )
         assert self.store.txn(txn.body())[0] == 200
         self.jobs[job] = body | {"runS": run_s}
         assert self.controller is not None
-        self.controller.add_job(spec, size, WallTime(self.now), Steady(self.now))
+        extra = () if where is None else (where,)  # earlier versions are told of none
+        self.controller.add_job(spec, size, WallTime(self.now), Steady(self.now), *extra)
 
     def cancel(self, job: str) -> None:
         assert self.controller is not None
