--- a/src/eldercart/core/graph.py
+++ b/src/eldercart/core/graph.py
@@ -49,6 +49,7 @@
         self._unread: dict[JobId, _Unread] = {}  # awaited, but not in the book: ended, most likely
 
     def dependents(self, job: JobId) -> Iterable[Job]:
+        """The jobs that wait for the end of this one."""
         return self._dependents.get(job, {}).values()
 
     # -- inputs
@@ -130,6 +131,7 @@
 
     @property
     def reading(self) -> bool:
+        """Whether the end of an awaited job is not known yet."""
         return bool(self._unread)
 
     def take_unread(self, now: Steady, most: int) -> list[JobId]:
@@ -163,7 +165,10 @@
                 self._unread.pop(name, None)
 
     def _orphan(self, jobs: Iterable[Job], effect: Effect) -> None:
+        """These are cancelled, and all that need them; whoever they waited for beside the cancelled
+        job is needed by the others only."""
         todo = list(jobs)
+        left: set[JobId] = set()
         while todo:
             job = todo.pop()
             if job.orphaned:
@@ -171,43 +176,67 @@
             job.orphaned = True
             effect.orphaned.append(job)
             todo += self._dependents.pop(job.id, {}).values()
+            left |= job.awaited
             for name in list(job.awaited):
                 self._cut(name, job)
+        self._lower(left)
 
     # -- what those upstream inherit
 
     def _raise(self, job: Job) -> None:
         """A job has come: those before it have at least its priority, and are due early enough."""
+        # In rounds, each job at most once in one: of two paths to the same job the longer one counts,
+        # and depth first each meeting of paths could double the work before it.
         todo = [job]
         while todo:
-            after = todo.pop()
-            if not after.awaited:
+            raised: dict[JobId, Job] = {}
+            for after in todo:
+                self._raise_before(after, raised)
+            todo = list(raised.values())
+
+    def _raise_before(self, after: Job, raised: dict[JobId, Job]) -> None:
+        """Those that this job awaits; whoever changes is added to `raised`."""
+        if not after.awaited:
+            return
+        due = self._due_before(after)
+        for name in after.awaited:
+            before = self._jobs.get(name)
+            if before is None or (before.priority >= after.priority and before.due <= due):
                 continue
-            due = self._due_before(after)
-            for name in after.awaited:
-                before = self._jobs.get(name)
-                if before is None or (before.priority >= after.priority and before.due <= due):
-                    continue
-                before.priority = max(before.priority, after.priority)
-                before.due = min(before.due, due)
-                todo.append(before)
+            before.priority = max(before.priority, after.priority)
+            before.due = min(before.due, due)
+            raised[name] = before
 
     def _due_before(self, after: Job) -> Steady:
         return Steady(min(after.due, self._due(after)) - self._rest_s(after))
 
     def _leave(self, job: Job) -> None:
         """A job that waited has ended: those before it are needed by the others only."""
-        todo = [self._jobs.get(name) for name in job.awaited]
-        for name in list(job.awaited):
+        names = list(job.awaited)
+        for name in names:
             self._cut(name, job)
+        self._lower(names)
+
+    def _lower(self, names: Iterable[JobId]) -> None:
+        """Jobs that fewer others need: what they inherit is found anew, and for those before them
+        as long as it changes; in rounds as in `_raise`, for the same reason."""
+        todo = set(names)
         while todo:
-            before = todo.pop()
-            if before is None or before.ended is not None:
-                continue
-            priority, due = before.spec.priority, FOREVER
-            for after in self.dependents(before.id):
-                priority = max(priority, after.priority)
-                due = min(due, self._due_before(after))
-            if priority != before.priority or due != before.due:
-                before.priority, before.due = priority, due
-                todo += [self._jobs.get(name) for name in before.awaited]
+            lowered: set[JobId] = set()
+            for name in todo:
+                before = self._jobs.get(name)
+                if before is None or before.ended is not None or before.orphaned:
+                    continue
+                if self._inherit(before):
+                    lowered |= before.awaited
+            todo = lowered
+
+    def _inherit(self, before: Job) -> bool:
+        """Finds anew what the job inherits; returns whether it has changed."""
+        priority, due = before.spec.priority, FOREVER
+        for after in self.dependents(before.id):
+            priority = max(priority, after.priority)
+            due = min(due, self._due_before(after))
+        changed = priority != before.priority or due != before.due
+        before.priority, before.due = priority, due
+        return changed
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -141,6 +141,52 @@
     assert (a.priority, a.due) == (0, FOREVER)
 
 
+def test_what_was_inherited_goes_with_a_job_that_is_cancelled_with_another() -> None:
+    """`DependencyGraph._orphan`: c is cancelled with a, so b, and x before it, are needed by
+    nobody any more; else they would go ahead of all others for good."""
+    g = Graph()
+    x = g.add("x", urgency="idle", haulS=5.0)
+    g.add("a", urgency="idle")
+    b = g.add("b", "x", urgency="idle", haulS=5.0)
+    g.add("c", "a", "b", urgency="urgent", haulS=5.0, dueS=100.0)
+    g.add("d", "c", urgency="urgent", haulS=5.0, dueS=100.0)
+    assert (x.priority, b.priority) == (2, 2) and (x.due, b.due) == (85.0, 90.0)
+    g.end("a", users.CANCELLED)
+    assert g.orphaned == ["c", "d"]
+    assert (x.priority, b.priority) == (0, 0) and (x.due, b.due) == (FOREVER, FOREVER)
+
+
+@pytest.mark.parametrize("leaves", [False, True], ids=["comes", "leaves"])
+def test_inheritance_costs_little_where_paths_are_many(leaves: bool) -> None:
+    """`_raise` and `_lower`: 3 to the power of 40 paths lead up through these layers, and of any
+    two the later one looked at may be the longer. The guard is the order in which jobs are
+    taken; from the last in on, this would not end."""
+    g = Graph()
+    layers, wide = 40, 3
+    before: list[str] = []
+    for layer in range(layers):
+        names = [f"{layer}-{i}" for i in range(wide)]
+        for name in names:
+            g.add(name, *before, urgency="idle")
+        before = names
+    looks = 0
+
+    def rest_s(job: Job) -> float:
+        nonlocal looks
+        looks += 1
+        assert looks < 50 * layers * wide
+        layer, _, number = job.id[3:].partition("-")
+        return float(number) * 2.0 ** (int(layer) - 30) if number else 1.0
+
+    g.graph._rest_s = rest_s
+    g.add("last", *before, urgency="urgent", dueS=10_000.0)
+    first = g.book.jobs[JobId("wk-0-0")]
+    assert first.priority == 2 and first.due == 10_000 - 1 - 2 * (2.0 ** (layers - 30) - 2.0**-29)
+    if leaves:
+        g.end("last", users.CANCELLED)
+        assert first.priority == 0 and first.due == FOREVER
+
+
 def test_inherited_also_if_those_after_it_were_read_first() -> None:
     g = Graph()
     g.add("c", "b", urgency="urgent", dueS=50.0, haulS=5.0)
