--- a/src/eldercart/core/controller.py
+++ b/src/eldercart/core/controller.py
@@ -32,6 +32,7 @@
     JOB,
     Job,
     Phase,
+    Placement,
     asked_at,
     end_of,
     list_read_at,
@@ -119,29 +120,50 @@
         """Takes over the records. Every recorded placement may be on its machine."""
         for item in memo_items:
             memory.recall(self.floor, item.key, item.value)
+        job_items = list(job_items)
         for item in job_items:
             self.learn_job(item, now)
-        orphans: list[tuple[str, Revision]] = []
         loaded = self.records.sheets.load(place_items, self.jobs, now)
-        for item in gone_items:
-            job = self.jobs.get(JobId(item.key[len(GONE) :]))
-            if job is None:
-                orphans.append((item.key, item.version))
-                continue
-            job.ended = end_of(item.value)
-            if job.ended == users.CANCELLED:
-                at = asked_at(item.value)
-                asked = now if at is None else Steady(min(now, at - self._zero_wall))
-                self.floor.cancelled(job, asked, now)
-            self.records.cleaning[job.id] = job
-            self.floor.ended(job.id, job.ended, now)
-        self.records.orphans = orphans
+        self._load_markers(gone_items, {item.key[len(JOB) :] for item in job_items}, now)
         for job in self.jobs.jobs.values():
-            self.jobs.finish_load(job)
-            if job.chunks:
-                self.floor.take(self.floor.graph.begun(job, now), now)
-            if job.complete and job.ended is None:
-                self.floor.ending[job.id] = job
+            self._finish_load(job, now)
+        self._load_placements(loaded, now)
+        log.info(
+            "took over epoch=%d jobs=%d placements=%d orphans=%d",
+            self.epoch, len(self.jobs.jobs), len(loaded), len(self.records.orphans),
+        )  # fmt: skip
+
+    def _load_markers(self, markers: Iterable[Item], recorded: set[str], now: Steady) -> None:
+        """Jobs that have ended and wait to be cleaned up. A marker without a job record is a
+        leftover; one whose record can't be read stays, or a leader that can read the record would
+        take the job for open."""
+        for item in markers:
+            job_id = JobId(item.key[len(GONE) :])
+            job = self.jobs.get(job_id)
+            if job is not None:
+                self._load_ended(job, item, now)
+            elif job_id not in recorded:
+                self.records.orphans.append((item.key, item.version))
+
+    def _load_ended(self, job: Job, marker: Item, now: Steady) -> None:
+        job.ended = end_of(marker.value)
+        if job.ended == users.CANCELLED:
+            at = asked_at(marker.value)
+            asked = now if at is None else Steady(min(now, at - self._zero_wall))
+            self.floor.cancelled(job, asked, now)
+        self.records.cleaning[job.id] = job
+        self.floor.ended(job.id, job.ended, now)
+
+    def _finish_load(self, job: Job, now: Steady) -> None:
+        """Once all that the records tell of the job is known."""
+        self.jobs.finish_load(job)
+        if job.chunks:
+            self.floor.take(self.floor.graph.begun(job, now), now)
+        if job.complete and job.ended is None:
+            self.floor.ending[job.id] = job
+
+    def _load_placements(self, loaded: list[Placement], now: Steady) -> None:
+        """Whatever is recorded may be on its machine, until that is heard or given up."""
         heard = Steady(now + self.tuning.takeover_grace_s)
         for p in loaded:
             m = self.fleet.get(p.machine)
@@ -155,10 +177,6 @@
             # Its run time will be seen only in part. Taken for a whole one it would make all
             # later tasks of its job look slow, and healthy machines with them.
             p.since_known = False
-        log.info(
-            "took over epoch=%d jobs=%d placements=%d orphans=%d",
-            self.epoch, len(self.jobs.jobs), len(loaded), len(orphans),
-        )  # fmt: skip
 
     def learn_job(self, item: Item, now: Steady) -> None:
         """A job record, from a read or a watch."""
--- a/src/eldercart/core/graph.py
+++ b/src/eldercart/core/graph.py
@@ -185,8 +185,8 @@
 
     def _raise(self, job: Job) -> None:
         """A job has come: those before it have at least its priority, and are due early enough."""
-        # In rounds, each job at most once in one: of two paths to the same job the longer one counts,
-        # and depth first each meeting of paths could double the work before it.
+        # In rounds, each job at most once in one: of two paths to the same job the longer one
+        # counts, and depth first each meeting of paths could double the work before it.
         todo = [job]
         while todo:
             raised: dict[JobId, Job] = {}
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -562,3 +562,27 @@
     w.run(3.0)
     assert not needs(w) and "job/wk-c" not in w.store.keys
     assert w.end_in_store("wk-c") == users.CANCELLED
+
+
+def test_a_marker_whose_record_can_not_be_read_stays() -> None:
+    """`Controller._load_markers`: without it the next leader that can read the record takes the
+    job for open, calls it pending after its end was told, and starts its tasks again."""
+    w = World(1)
+    w.submit("wk-a", parcels=2, run_s=60.0)
+    w.run(12.0)
+    w.cancel("wk-a")
+    while w.end_in_store("wk-a") is None:
+        w.step(0.1)
+    record = w.store.keys["job/wk-a"]
+    assert "gone/wk-a" in w.store.keys
+    w.store.keys["job/wk-a"] = ({"s": "of a later version"}, *record[1:])
+    w.store.keys["gone/wk-z"] = ({"e": users.DONE}, 1, None)
+    w.elect()
+    w.run(2.0)
+    assert "gone/wk-a" in w.store.keys and "gone/wk-z" not in w.store.keys
+    w.store.keys["job/wk-a"] = record
+    w.elect()
+    w.poll_all()
+    finish(w)
+    w.run(30.0)
+    assert "job/wk-a" not in w.store.keys and "gone/wk-a" not in w.store.keys
