--- a/src/eldercart/core/controller.py
+++ b/src/eldercart/core/controller.py
@@ -44,6 +44,7 @@
 from eldercart.election import LEAD_KEY
 from eldercart.settings import NodeSettings, Tuning
 from eldercart.units import (
+    NEVER,
     ONLY_LIFE,
     Epoch,
     JobId,
@@ -102,7 +103,7 @@
         self.records = Records(self.floor)
         self.cloud = CloudWork(self.floor, f"{settings.label}-{life}-{epoch}")
         self.machines = Machines(self.floor, self.planner)
-        self._rented = Steady(-1e9)
+        self._rented = NEVER
         self._summary_due = now
         self._memo_due = Steady(now + tuning.memo_s)
         self._memo_next = 0  # of the records of memory, the one whose turn it is
--- a/src/eldercart/core/jobs.py
+++ b/src/eldercart/core/jobs.py
@@ -19,6 +19,7 @@
 
 from eldercart.units import (
     FOREVER,
+    NEVER,
     Attempt,
     JobId,
     MachineId,
@@ -142,9 +143,9 @@
         self.unreadable = False  # a record of it can't be read: nothing of it may start
         self.ended: str | None = None
         self.errors = 0
-        self.hold_until = Steady(-1e9)
+        self.hold_until = NEVER
         self.bad_machines: dict[MachineId, Steady] = {}  # where it fared badly: avoided until
-        self.served = Steady(-1e9)  # when it was last given room
+        self.served = NEVER  # when it was last given room
         self.ran: list[float] = []  # run times seen, for comparison
         self.longest = 0.0  # of these, kept
 
@@ -167,7 +168,7 @@
 
     def avoids(self, machine: MachineId, now: Steady) -> bool:
         """Not for ever: the others may be full, or gone."""
-        return bool(self.bad_machines) and self.bad_machines.get(machine, -1e9) > now
+        return bool(self.bad_machines) and self.bad_machines.get(machine, NEVER) > now
 
     def note_run(self, seconds: float) -> None:
         self.ran.append(seconds)
--- a/src/eldercart/core/records.py
+++ b/src/eldercart/core/records.py
@@ -20,7 +20,7 @@
 )
 from eldercart.core.sheets import Sheet, Sheets
 from eldercart.election import LEAD_KEY
-from eldercart.units import ABSENT, JobId, Revision, Steady
+from eldercart.units import ABSENT, NEVER, JobId, Revision, Steady
 from eldercart.wire import users
 from eldercart.wire.state import Drop, Item, Put, Txn
 
@@ -68,7 +68,7 @@
         self.lists: dict[str, None] = {}
         self.sheets = Sheets(floor.settings.value_bytes, floor.epoch)
         self._txn: PendingTxn | None = None
-        self._pause = Steady(-1e9)
+        self._pause = NEVER
         self._most_ops: int = floor.settings.txn_ops
         self._most_units = ANY_UNITS  # in one transaction
         self._aside: dict[JobId, Steady] = {}
@@ -158,16 +158,25 @@
 
     def _add_chunks(self, pending: PendingTxn, ops: int, now: Steady) -> None:
         """Placements first, in the order of the last pass; completed tasks in batches, later."""
-        f = self.f
+        changed = self._changed_chunks(now)
+        if len(pending.txn.writes) >= ops:
+            return
+        # All of them find their sheets first, so that what is new is on few.
+        keys = list(dict.fromkeys(self.sheets.of(job, c).key for job, c in changed))
+        for key in keys:  # it grows
+            sheet = self.sheets.sheets[key]
+            if not sheet.closed and not self._add_sheet(pending, sheet, ops, keys):
+                return
+
+    def _changed_chunks(self, now: Steady) -> list[tuple[Job, Chunk]]:
+        """Those to be written, the most urgent first."""
         urgent: list[tuple[bool, int, int, int, Job, Chunk]] = []
         idle: list[tuple[Steady, Job, Chunk]] = []
-        for job in list(f.dirty.values()):
-            if job.ended is not None or job.cancelled or job.id in f.ending:
+        for job in list(self.f.dirty.values()):
+            if job.ended is not None or job.cancelled or job.id in self.f.ending:
                 # The end covers the record; what it still lists is checked against reports.
                 for c in job.chunks.values():
                     c.dirty = c.urgent = False
-                del f.dirty[job.id]
-                continue
             left = False
             for c in job.chunks.values():
                 if not c.dirty:
@@ -176,22 +185,13 @@
                 if c.urgent:
                     rank = (not job.aged, -job.priority, job.rank, c.low)
                     urgent.append((*rank, job, c))
-                elif now - c.dirty_since >= f.tuning.flush_done_s:
+                elif now - c.dirty_since >= self.f.tuning.flush_done_s:
                     idle.append((c.dirty_since, job, c))
             if not left:
-                del f.dirty[job.id]
-        if len(pending.txn.writes) >= ops:
-            return
+                del self.f.dirty[job.id]
         urgent.sort(key=lambda u: u[:4])
         idle.sort(key=lambda i: i[0])
-        # All of them find their sheets first, so that what is new is on few.
-        sheets = {self.sheets.of(job, c).key: None for *_, job, c in urgent}
-        sheets |= {self.sheets.of(job, c).key: None for _, job, c in idle}
-        keys = list(sheets)
-        for key in keys:  # it grows
-            sheet = self.sheets.sheets[key]
-            if not sheet.closed and not self._add_sheet(pending, sheet, ops, keys):
-                return
+        return [u[4:] for u in urgent] + [i[1:] for i in idle]
 
     def _add_sheet(self, pending: PendingTxn, sheet: Sheet, ops: int, keys: list[str]) -> bool:
         """Returns whether the transaction may take more. What has outgrown the sheet goes to
@@ -376,7 +376,6 @@
             sheet.version = ABSENT if item is None else item.version
 
     def _committed(self, pending: PendingTxn, revision: Revision, now: Steady) -> None:
-        f = self.f
         for job, how in pending.ends:
             self._ended(job, how, now)
             self.cleaning[job.id] = job
@@ -386,33 +385,46 @@
             if sheet.empty:
                 self.sheets.forget(sheet)
             sheet.version = ABSENT
-        for _, c, planned, ended in pending.chunks:
-            for p in planned:
-                if p.phase is Phase.PLANNED:
-                    p.phase = Phase.WANTED
-                    m = f.fleet.get(p.machine)
-                    if m is not None:
-                        f.want(m)
-            for p in ended:
-                if c.placements.get(p.index) is p:
-                    del c.placements[p.index]
-                m = f.fleet.get(p.machine)
-                if m is not None:
-                    f.fleet.forget(m, p)
-                    f.want(m)  # what is recorded as done may be cleared there
+        for _, chunk, planned, ended in pending.chunks:
+            self._chunk_durable(chunk, planned, ended)
         for job in pending.cleanups:
-            self.lists |= dict.fromkeys(_list_keys(job))
+            self._cleaned_up(job)
         for key in pending.lists:
             self.lists.pop(key, None)
-        for job in pending.cleanups:
-            self.cleaning.pop(job.id, None)
-            self.sheets.drop(job)
-            f.jobs.remove(job)
-            for p in job.placements():
-                m = f.fleet.get(p.machine)
-                if m is not None:
-                    f.fleet.forget(m, p)
-                    f.want(m)
+
+    def _chunk_durable(
+        self, chunk: Chunk, planned: list[Placement], ended: list[Placement]
+    ) -> None:
+        """What was planned may be launched, and what has ended is done with."""
+        for p in planned:
+            if p.phase is Phase.PLANNED:
+                p.phase = Phase.WANTED
+                self._want(p)
+        for p in ended:
+            if chunk.placements.get(p.index) is p:
+                del chunk.placements[p.index]
+            self._forget(p)
+
+    def _cleaned_up(self, job: Job) -> None:
+        """The job's record is gone, and so is what other records say of it."""
+        self.lists |= dict.fromkeys(_list_keys(job))
+        self.cleaning.pop(job.id, None)
+        self.sheets.drop(job)
+        self.f.jobs.remove(job)
+        for p in job.placements():
+            self._forget(p)
+
+    def _want(self, p: Placement) -> None:
+        machine = self.f.fleet.get(p.machine)
+        if machine is not None:
+            self.f.want(machine)
+
+    def _forget(self, p: Placement) -> None:
+        """What is recorded as done, or over, may be cleared on its machine."""
+        machine = self.f.fleet.get(p.machine)
+        if machine is not None:
+            self.f.fleet.forget(machine, p)
+            self.f.want(machine)
 
     def _ended(self, job: Job, how: str, now: Steady) -> None:
         f = self.f
--- a/src/eldercart/core/sheets.py
+++ b/src/eldercart/core/sheets.py
@@ -51,6 +51,10 @@
         return not self.parts and not self.unread and not self.tells_of
 
 
+Copies = dict[tuple[int, int], tuple[Sheet, Any]]  # a job's parts, by the tasks that they cover
+PartsFound = dict[JobId, Copies]
+
+
 def part_bytes(job: Job, chunk: Chunk) -> int:
     """What the part will come to take, about: if that was too little, it moves, and what it was
     measured to take counts."""
@@ -64,6 +68,11 @@
     return attempt if type(attempt) is int else float("inf")
 
 
+def _mark_unreadable(jobs: JobBook) -> None:
+    for job in jobs.jobs.values():
+        job.unreadable = True
+
+
 class Sheets:
     """Owns the sheets and which part is on which."""
 
@@ -194,38 +203,9 @@
         late, and makes it again.) Of parts cut differently the finest that covers a task counts,
         see `jobs`, whatever the versions are: a late copy of a write of the coarse one may come
         after the finer ones were written, and knows less than they."""
-        found: dict[JobId, dict[tuple[int, int], tuple[Sheet, Any]]] = {}
+        found: PartsFound = {}
         for item in sorted(items, key=lambda i: i.version):
-            sheet = Sheet(item.key, self._bytes, item.version)
-            parts = item.value.get("p") if isinstance(item.value, dict) else None
-            of_job = item.key[len(PLACE) :].rpartition("/")
-            if of_job[0]:
-                # Until 0.2 each job had records of its own.
-                parts, sheet.alone = [[of_job[0], of_job[2], item.value]], True
-            if not isinstance(parts, list):
-                # Whose parts were here nobody knows; none may start anything until it is mended.
-                log.error("place record unreadable key=%s: no parts", item.key)
-                for job in jobs.jobs.values():
-                    job.unreadable = True
-                continue
-            self.sheets[item.key] = sheet
-            if len(orjson.dumps(item.value)) > self.most:
-                self.close(sheet)  # of the time when values might be larger
-            for part in parts:
-                try:
-                    name, number, value = part
-                    known = jobs.get(JobId(str(name)))
-                    if known is None:
-                        continue
-                    span = self._span(known, int(number), value)
-                    copies = found.setdefault(known.id, {})
-                    if span not in copies or _attempt(value) >= _attempt(copies[span][1]):
-                        copies[span] = (sheet, value)
-                except (TypeError, ValueError) as err:
-                    log.error("place record unreadable key=%s: %s", item.key, err)
-                    sheet.unread.append(part)
-                    for job in jobs.jobs.values():
-                        job.unreadable = True
+            self._load_sheet(item, jobs, found)
         loaded: list[Placement] = []
         for job_id, copies in found.items():
             loaded += self._load_job(jobs, jobs.jobs[job_id], copies, now)
@@ -234,6 +214,40 @@
                 self._open[sheet.key] = sheet
         return loaded
 
+    def _load_sheet(self, item: Item, jobs: JobBook, found: PartsFound) -> None:
+        sheet = Sheet(item.key, self._bytes, item.version)
+        parts = item.value.get("p") if isinstance(item.value, dict) else None
+        of_job = item.key[len(PLACE) :].rpartition("/")
+        if of_job[0]:
+            # Until 0.2 each job had records of its own.
+            parts, sheet.alone = [[of_job[0], of_job[2], item.value]], True
+        if not isinstance(parts, list):
+            # Whose parts were here nobody knows; none may start anything until it is mended.
+            log.error("place record unreadable key=%s: no parts", item.key)
+            _mark_unreadable(jobs)
+            return
+        self.sheets[item.key] = sheet
+        if len(orjson.dumps(item.value)) > self.most:
+            self.close(sheet)  # of the time when values might be larger
+        for part in parts:
+            try:
+                self._find_part(sheet, part, jobs, found)
+            except (TypeError, ValueError) as err:
+                log.error("place record unreadable key=%s: %s", item.key, err)
+                sheet.unread.append(part)
+                _mark_unreadable(jobs)
+
+    def _find_part(self, sheet: Sheet, part: Any, jobs: JobBook, found: PartsFound) -> None:
+        """Keeps the part if it counts more than the copy of it that was found before."""
+        name, number, value = part
+        known = jobs.get(JobId(str(name)))
+        if known is None:
+            return
+        span = self._span(known, int(number), value)
+        copies = found.setdefault(known.id, {})
+        if span not in copies or _attempt(value) >= _attempt(copies[span][1]):
+            copies[span] = (sheet, value)
+
     def _span(self, job: Job, number: int, value: Any) -> tuple[int, int]:
         """The tasks that a part covers."""
         tasks = value.get("n") if isinstance(value, dict) else None
@@ -244,9 +258,7 @@
         self.cuts_found = True
         return number, number + tasks
 
-    def _load_job(
-        self, jobs: JobBook, job: Job, copies: dict[tuple[int, int], tuple[Sheet, Any]], now: Steady
-    ) -> list[Placement]:
+    def _load_job(self, jobs: JobBook, job: Job, copies: Copies, now: Steady) -> list[Placement]:
         loaded: list[Placement] = []
         told: dict[int, tuple[int, int]] = {}  # of finer parts, by first task
         for span in sorted(copies, key=lambda s: (s[1] - s[0], s)):
--- a/src/eldercart/units.py
+++ b/src/eldercart/units.py
@@ -23,6 +23,7 @@
 ONLY_LIFE = LifeId("0")  # for what is never started twice, as in tests
 ABSENT = Revision(0)
 FOREVER = Steady(float("inf"))
+NEVER = Steady(float("-inf"))  # of what has not happened yet
 
 
 class ReportOrder(NamedTuple):
