--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -8,6 +8,7 @@
 from eldercart.core.controller import Outcome
 from eldercart.core.graph import DependencyGraph
 from eldercart.core.jobs import Job, JobBook
+from eldercart.core.placement import Promises
 from eldercart.units import FOREVER, JobId, Revision, Steady
 from eldercart.wire import users
 from eldercart.wire.state import Drop
@@ -586,3 +587,110 @@
     finish(w)
     w.run(30.0)
     assert "job/wk-a" not in w.store.keys and "gone/wk-a" not in w.store.keys
+
+
+# ---------------------------------------------------------------- far downstream, and order
+
+
+@pytest.mark.parametrize("trouble", ["", "leader", "store", "leader and late answers"])
+@pytest.mark.parametrize("shape", ["deep", "wide"])
+def test_all_downstream_is_told_in_time_however_far(shape: str, trouble: str) -> None:
+    """From the confirmation on `DependencyGraph._orphan` makes hundreds of jobs `aborted` at once,
+    whatever becomes of their own ends; the next leader finds them by `_Unread` and by the ends."""
+    w = World(13, **({"txn_lost": 0.3} if "late" in trouble else {}))
+    number = 250
+    w.submit("wk-root", parcels=2, run_s=60.0)
+    for i in range(number):
+        before = "wk-root" if shape == "wide" or i == 0 else f"wk-{i - 1}"
+        w.submit(f"wk-{i}", parcels=1, awaits=[before], run_s=1.0)
+    w.run(8.0)
+    w.cancel("wk-root")
+    while "wk-root" not in w.told:
+        w.step(0.1)
+    if "leader" in trouble:
+        w.elect()
+    if "store" in trouble:
+        w.outage_until = w.now + w.settings.cancel_s
+    for _ in range(3):
+        w.poll_all()
+        w.step(0.1)
+    until = w.now + w.settings.cancel_s
+    c = w.controller
+    assert c is not None
+    while w.now < until:
+        w.run(3.0)
+        w.poll_all()
+    told = [w.controller.status(JobId(f"wk-{i}")) for i in range(number)]  # type: ignore[union-attr]
+    for i, status in enumerate(told):
+        gone = w.end_in_store(f"wk-{i}") == users.CANCELLED
+        assert gone or status.state == users.CANCELLED, i  # type: ignore[union-attr]
+    finish(w)
+
+
+@pytest.mark.parametrize("how", [users.DONE, users.CANCELLED])
+def test_a_new_leader_finds_out_from_the_store_alone_what_may_start(how: str) -> None:
+    """`DependencyGraph.add` and `take_unread`: the job before it has ended under an earlier leader,
+    and all that is left of it is its end."""
+    w = World(14)
+    w.submit("wk-a", parcels=1, run_s=2.0)
+    w.submit("wk-b", parcels=2, awaits=["wk-a"], run_s=40.0)
+    w.submit("wk-c", parcels=2, awaits=["wk-b"], run_s=1.0)
+    if how == users.CANCELLED:
+        w.cancel("wk-a")
+    while w.end_in_store("wk-a") is None or "job/wk-a" in w.store.keys:
+        w.step(0.1)
+    w.elect()
+    w.poll_all()
+    w.run(12.0)
+    c = w.controller
+    assert c is not None
+    job = c.jobs.get(JobId("wk-b"))
+    if how == users.DONE:
+        assert job is not None and job.running == 2
+        w.elect()  # its tasks run: it was ready, and remains so without any read
+        c = w.controller
+        assert c.jobs.jobs[JobId("wk-b")].ready
+    else:
+        assert w.end_in_store("wk-c") == users.CANCELLED
+    finish(w)
+
+
+def test_the_deadline_counts_from_the_submission_all_else_from_readiness() -> None:
+    """`Promises.start_dues` and `preempts_from`, `Floor._due`."""
+    g = Graph()
+    g.add("a")
+    b = g.add("b", "a", lot="slow", dueS=100.0)
+    g.now = 40.0
+    g.end("a")
+    assert b.ready and (b.arrived, b.ready_at) == (0.0, 40.0)
+    promises = Promises({"slow": (8.0,)}, {"slow": (60.0,)}, {"slow": (1.0, 1.5)})
+    assert promises.start_dues(b, 5.0) == [40 + 8.0, 40 + 60.0 - 5, 100.0 - 5, 150.0 - 5]
+    assert promises.preempts_from(b, 3.0, 5.0) == 40 + 0.55 * 8.0
+    w = World(0)
+    w.submit("wk-a", parcels=1, run_s=5.0)
+    w.submit("wk-b", parcels=1, awaits=["wk-a"], dueS=100.0)
+    submitted = w.now
+    c = w.controller
+    assert c is not None
+    b = c.jobs.jobs[JobId("wk-b")]
+    while not b.ready:
+        w.step(0.1)
+    assert b.ready_at > submitted + 5 and c.floor._due(b) == submitted + 100
+
+
+@pytest.mark.parametrize("needed", [True, False])
+def test_an_idle_job_that_an_urgent_one_needs_goes_first(needed: bool) -> None:
+    """`DependencyGraph._raise`, and `order_jobs` by the job's priority, not its submission's."""
+    w = World(15, capacity=1)
+    w.submit("wk-fill", parcels=8, run_s=8.0)
+    w.run(10.0)
+    for i in range(4):
+        w.submit(f"wk-other{i}", parcels=8, run_s=8.0)
+    w.submit("wk-a", parcels=4, urgency="idle", run_s=2.0)
+    w.submit("wk-b", parcels=1, urgency="urgent", awaits=["wk-a"] if needed else [], run_s=1.0)
+    others = [f"wk-other{i}" for i in range(4)]
+    while w.end_in_store("wk-a") is None:
+        w.step(0.1)
+    still = [job for job in others if w.end_in_store(job) is None]
+    assert (len(still) >= 3) is needed
+    finish(w)
