--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -11,8 +11,9 @@
 from eldercart.core.jobs import Job, JobBook
 from eldercart.core.placement import Promises, order_jobs
 from eldercart.units import FOREVER, JobId, Revision, Steady
-from eldercart.wire import users
+from eldercart.wire import peers, users
 from eldercart.wire.state import Drop
+from test_acceptance import Place, names
 from test_core import finish
 from world import World, submission
 
@@ -829,3 +830,35 @@
     assert (b.ready, b.orphaned) == (how == users.DONE, how == users.CANCELLED)
     w.poll_all()
     finish(w)
+
+
+def test_the_leader_deletes_the_lists_that_it_accepted_itself() -> None:
+    """`Front._accept` tells the controller where the list is, as a record that is read does. After
+    the deletion a repeated submission and a look-up are answered by the end that is left."""
+    place = Place()
+    before = names(1000)
+    for name in before:
+        place.ended(name, users.CANCELLED)
+    w = World(22)
+    c = w.controller
+    assert c is not None
+    place.node.leading.controller = c
+    place.node.leading.pump_soon = lambda: None
+    place.node.leading.tell = lambda number, job: peers.Told(number, peers.UNKNOWN, 0, 0)
+    body = submission("wk-last", awaits=before)
+    assert place.submit(body).status == 201
+    assert place.store.sim.range("needs/wk-last/")
+    now = Steady(w.now)
+    for name in c.take_unread(now, 2000):
+        c.end_read(name, users.CANCELLED, now)
+    while place.store.sim.range("needs/wk-last/"):
+        pending = c.next_txn(now, 20)
+        assert pending is not None
+        pending.txn.guards.pop("lead")  # the leader's key is in another store here
+        assert place.store.sim.txn(pending.txn.body())[0] == 200
+        c.txn_done(pending, Outcome.OK, Revision(place.store.sim.revision), (), now)
+    assert not place.store.sim.range("job/wk-last")
+    place.node.leading.controller = None
+    for asking in (place.submit(body), place.poll("wk-last")):
+        assert (asking.status, asking.answer["standing"]) == (200, users.CANCELLED)
+    assert not place.store.sim.range("needs/"), "the repeat wrote no other list"
