--- a/src/eldercart/core/controller.py
+++ b/src/eldercart/core/controller.py
@@ -68,12 +68,16 @@
 
 
 class Verdict(Enum):
+    """Why the leader tells no state of a job."""
+
     UNKNOWN_JOB = "unknown"
     UNDECIDED = "undecided"
 
 
 @dataclass(frozen=True, slots=True)
 class JobStatus:
+    """What a poll of a job is told."""
+
     state: str
     done: int
     running: int
@@ -81,6 +85,8 @@
 
 
 class Controller:
+    """The leader: takes events with their times, hands out the work that follows."""
+
     def __init__(
         self,
         settings: NodeSettings,
@@ -91,6 +97,7 @@
         wall: WallTime,
         life: LifeId = ONLY_LIFE,
     ) -> None:
+        """`types`: the machine types known so far; `wall`: the time of day at `now`."""
         self.settings = settings
         self.tuning = tuning
         self.epoch = epoch
@@ -210,6 +217,7 @@
     # ------------------------------------------------------------------ users
 
     def status(self, job_id: JobId) -> JobStatus | Verdict:
+        """The job's state as this leader may tell it; a Verdict where it may not."""
         job = self.jobs.get(job_id)
         if job is None:
             return Verdict.UNKNOWN_JOB
@@ -268,15 +276,19 @@
         self.machines.heard(relay, orders, now)
 
     def take_wants(self) -> dict[NodeId, list[MachineId]]:
+        """By relay, the machines whose next reports are wanted here."""
         return self.floor.take_wants()
 
     def relay_lost(self, relay: NodeId) -> None:
+        """The connection to the relay is gone, and with it what was sent on it."""
         self.machines.relay_lost(relay)
 
     def undelivered(self, machine: MachineId) -> None:
+        """The commands of the last answer surely did not reach the machine in time."""
         self.machines.undelivered(machine)
 
     def shown(self, machine: MachineId, now: Steady) -> None:
+        """The machine has answered when it was asked directly."""
         self.machines.shown(machine, now)
 
     def take_orders(self, now: Steady) -> list[Order]:
@@ -284,9 +296,11 @@
         return self.machines.take_orders(now)
 
     def ordered(self, r: workers.Report, executed: bool, sent: Steady, now: Steady) -> None:
+        """The report that answers a direct command sent at `sent`."""
         self.machines.ordered(r, executed, sent, now)
 
     def take_probes(self) -> list[tuple[MachineId, str]]:
+        """Silent machines to be asked directly, with their addresses."""
         return self.machines.take_probes()
 
     # ------------------------------------------------------------------ time
@@ -296,6 +310,7 @@
         self.machines.stood_still(seconds)
 
     def tick(self, now: Steady) -> None:
+        """What is due by the clock alone; called several times a second."""
         self.machines.watch(now)
         if now >= self.floor.rental_due and now - self._rented >= RENTAL_PACE_S:
             self._rented = now
@@ -306,11 +321,13 @@
             self._summary(now)
 
     def plan_due(self, now: Steady) -> bool:
+        """Whether a pass of placing is worth its cost now."""
         # While nothing can be written, nothing new can be placed, and what was written ahead is
         # all that can start: to plan anew would only take it back.
         return not self.floor.outage and self.planner.due(now, self.records.unwritten())
 
     def plan(self, now: Steady) -> None:
+        """One pass of placing."""
         self.planner.plan(now)
 
     def _summary(self, now: Steady) -> None:
@@ -350,6 +367,7 @@
     # ------------------------------------------------------------------ state service
 
     def next_txn(self, now: Steady, ops: int) -> PendingTxn | None:
+        """The next transaction of at most `ops` changes, if none is under way; see `txn_done`."""
         return self.records.next_txn(now, ops)
 
     def next_memo(self, now: Steady) -> Txn | None:
@@ -368,14 +386,17 @@
 
     @property
     def ends_waiting(self) -> bool:
+        """Whether a job has ended and its end is not durable yet."""
         return bool(self.floor.ending)
 
     @property
     def reread(self) -> set[str]:
+        """Keys whose version only a read can tell."""
         return self.records.reread
 
     @property
     def reread_under_way(self) -> set[str]:
+        """Of these, the keys that are being read."""
         return self.records.reread_under_way
 
     def txn_done(
@@ -390,6 +411,7 @@
         return self.records.txn_done(pending, outcome, revision, failed, now)
 
     def reread_done(self, key: str, item: Item | None, now: Steady) -> None:
+        """A key that was to be read again; None: it is absent."""
         self.records.reread_done(key, item, now)
 
     def take_unread(self, now: Steady, most: int) -> list[JobId]:
@@ -404,19 +426,23 @@
             self.floor.ended(job, how, now)
 
     def take_finished(self) -> list[tuple[JobId, str]]:
+        """Ends that became durable since the last call."""
         out, self.floor.finished = self.floor.finished, []
         return out
 
     def take_start_waits(self) -> list[float]:
+        """Seconds from readiness to the start, of the tasks that began since the last call."""
         out, self.floor.start_waits = self.floor.start_waits, []
         return out
 
     # ------------------------------------------------------------------ cloud
 
     def next_cloud(self, now: Steady) -> CloudCall | None:
+        """The next call to the cloud, if one is due; see `cloud_done`."""
         return self.cloud.next_call(now)
 
     def cloud_done(self, call: CloudCall, status: int | None, body: bytes, now: Steady) -> None:
+        """The answer to a call; None: there was none."""
         self.cloud.done(call, status, body, now)
 
 
--- a/src/eldercart/core/jobs.py
+++ b/src/eldercart/core/jobs.py
@@ -48,10 +48,13 @@
 
 
 def chunk_size(value_bytes: int) -> int:
+    """How many tasks a part covers so that it fits a value, with a placement for each."""
     return max(8, min(500, int(value_bytes * 0.8) // ENTRY_BYTES))
 
 
 class Phase(IntEnum):
+    """How far a placement is."""
+
     PLANNED = 0  # not yet durable: nothing may be sent
     WANTED = 1  # durable; launched or to be launched
     FETCHING = 2
@@ -62,6 +65,8 @@
 
 @dataclass(slots=True, eq=False)
 class Placement:
+    """One attempt of a task on one machine."""
+
     key: TaskKey
     job: "Job"
     index: int
@@ -87,6 +92,8 @@
 
 @dataclass(slots=True, eq=False)
 class Chunk:
+    """A run of a job's tasks that share one part of a sheet."""
+
     low: int  # its first task
     high: int  # the task after its last
     cut: bool = False  # finer than the job's record says
@@ -101,6 +108,7 @@
 
     @property
     def tasks(self) -> int:
+        """How many tasks it covers."""
         return self.high - self.low
 
 
@@ -110,6 +118,7 @@
     def __init__(
         self, spec: JobSpec, size: int, arrived: Steady, elsewhere: ListReference | None = None
     ) -> None:
+        """`size`: tasks of a chunk, as the job's record tells."""
         self.spec = spec
         self.id = spec.id
         self.size = size
@@ -151,6 +160,7 @@
 
     @property
     def pending(self) -> int:
+        """Tasks that are neither done nor placed."""
         return self.spec.tasks - self.fresh + len(self.again)
 
     @property
@@ -161,9 +171,11 @@
 
     @property
     def complete(self) -> bool:
+        """Whether all tasks are done, as far as reports tell: not yet durable."""
         return self.done_count == self.spec.tasks
 
     def avoid(self, machine: MachineId, now: Steady) -> None:
+        """The job fared badly on this machine and keeps off it for a while."""
         self.bad_machines[machine] = Steady(now + AVOID_S)
 
     def avoids(self, machine: MachineId, now: Steady) -> bool:
@@ -171,6 +183,7 @@
         return bool(self.bad_machines) and self.bad_machines.get(machine, NEVER) > now
 
     def note_run(self, seconds: float) -> None:
+        """A task took so long to run."""
         self.ran.append(seconds)
         if len(self.ran) > 60:
             del self.ran[:30]
@@ -178,6 +191,7 @@
         self.longest = max(self.longest, seconds)
 
     def placements(self) -> Iterator[Placement]:
+        """Of all its chunks."""
         for chunk in self.chunks.values():
             yield from chunk.placements.values()
 
@@ -186,6 +200,7 @@
         return number * self.size, min((number + 1) * self.size, self.spec.tasks)
 
     def chunk_of(self, index: int) -> Chunk:
+        """The chunk that covers the task; made if there is none yet."""
         number = index // self.size
         lows = self.cuts.get(number)
         low, high = self.span(number)
@@ -209,6 +224,7 @@
         return [self.id, chunk.low // self.size, self.record(chunk)]
 
     def record(self, chunk: Chunk) -> dict[str, Any]:
+        """The content of a part: highest attempt, done tasks as ranges, placements."""
         ranges: list[list[int]] = []
         for i in range(chunk.low, chunk.high):
             if self.done[i]:
@@ -228,23 +244,28 @@
     """Owns the jobs."""
 
     def __init__(self, size: int) -> None:
+        """`size`: tasks of a chunk."""
         self._size = size
         self.jobs: dict[JobId, Job] = {}
 
     def __contains__(self, job: JobId) -> bool:
+        """Whether the job is in the book."""
         return job in self.jobs
 
     def get(self, job: JobId) -> Job | None:
+        """The job, if it is in the book."""
         return self.jobs.get(job)
 
     def add(
         self, spec: JobSpec, size: int, arrived: Steady, elsewhere: ListReference | None = None
     ) -> Job:
+        """A job that was accepted, here or by another node."""
         job = Job(spec, size, arrived, elsewhere)
         self.jobs[spec.id] = job
         return job
 
     def remove(self, job: Job) -> None:
+        """Its record is gone."""
         self.jobs.pop(job.id, None)
 
     def load_chunk(
@@ -316,6 +337,7 @@
         return finer
 
     def next_tasks(self, job: Job, number: int) -> list[int]:
+        """Takes up to so many tasks that wait, those to be repeated first."""
         taken = []
         while number > 0 and job.again:
             taken.append(job.again.pop())
@@ -326,6 +348,7 @@
         return taken
 
     def place(self, job: Job, index: int, machine: MachineId, now: Steady) -> Placement:
+        """A new placement of the task, to be written before anything is sent."""
         chunk = job.chunk_of(index)
         chunk.attempt = Attempt(chunk.attempt + 1)
         p = Placement(task_key(job.id, index), job, index, chunk.attempt, machine)
@@ -334,21 +357,25 @@
         return p
 
     def mark_queued(self, p: Placement, now: Steady) -> None:
+        """It waits on its machine for room."""
         p.queued = True
         p.queued_at = now
         p.job.queued += 1
 
     def unmark_queued(self, p: Placement) -> None:
+        """It waits no longer."""
         p.queued = False
         p.job.queued -= 1
 
     def touch(self, job: Job, chunk: Chunk, now: Steady, urgent: bool = False) -> None:
+        """The chunk must be written."""
         if not chunk.dirty:
             chunk.dirty = True
             chunk.dirty_since = now
         chunk.urgent = chunk.urgent or urgent
 
     def set_phase(self, p: Placement, phase: Phase, now: Steady) -> None:
+        """Keeps the number of running tasks with the phase."""
         if phase is p.phase:
             return
         if phase is Phase.RUNNING:
@@ -383,10 +410,12 @@
 def job_record(
     spec: JobSpec, size: int, at: float, elsewhere: ListReference | None = None
 ) -> dict[str, Any]:
+    """The stored record of a job accepted at the time of day `at`."""
     return {"s": spec_to_record(spec, elsewhere), "n": size, "t": at}
 
 
 def parse_job_record(job: JobId, value: Any) -> tuple[JobSpec, int, float]:
+    """The submission, the tasks of a chunk, and the time of acceptance."""
     if not isinstance(value, dict):
         raise Malformed("job record")
     return spec_from_record(job, value.get("s")), int(value["n"]), float(value["t"])
@@ -404,6 +433,7 @@
 
 
 def needs_prefix(job: JobId, reference: ListReference) -> str:
+    """What the keys of the job's list begin with."""
     return f"{NEEDS}{job}/{reference.nonce}/"
 
 
--- a/src/eldercart/core/records.py
+++ b/src/eldercart/core/records.py
@@ -33,6 +33,8 @@
 
 
 class Outcome(Enum):
+    """What became of a transaction."""
+
     OK = "ok"
     CONFLICT = "conflict"
     REFUSED = "refused"  # surely not carried out
@@ -42,6 +44,8 @@
 
 @dataclass(slots=True)
 class PendingTxn:
+    """A transaction on its way, and what is true once it is carried out."""
+
     txn: Txn
     ends: list[tuple[Job, str]] = field(default_factory=list)
     chunks: list[tuple[Job, Chunk, list[Placement], list[Placement]]] = field(default_factory=list)
@@ -58,6 +62,7 @@
     """Owns what waits to be written and the transaction under way."""
 
     def __init__(self, floor: Floor) -> None:
+        """The parts that all others work on are in `floor`."""
         self.f = floor
         self.reread: set[str] = set()
         self.reread_under_way: set[str] = set()
@@ -361,6 +366,7 @@
             self._aside[job.id] = Steady(now + ASIDE_S)
 
     def reread_done(self, key: str, item: Item | None, now: Steady) -> None:
+        """The key as a fresh read has it; None: it is absent."""
         self.reread.discard(key)
         self._unsure.discard(key)
         if key.startswith(END):
--- a/src/eldercart/core/sheets.py
+++ b/src/eldercart/core/sheets.py
@@ -37,6 +37,8 @@
 
 @dataclass(slots=True, eq=False)
 class Sheet:
+    """One record of placements."""
+
     key: str
     room: int  # bytes that are left for parts not yet there
     version: Revision = ABSENT
@@ -48,6 +50,7 @@
 
     @property
     def empty(self) -> bool:
+        """Whether it tells of no open job."""
         return not self.parts and not self.unread and not self.tells_of
 
 
@@ -77,6 +80,7 @@
     """Owns the sheets and which part is on which."""
 
     def __init__(self, value_bytes: int, epoch: Epoch) -> None:
+        """`value_bytes`: the most that a value may take."""
         self._bytes = min(int(value_bytes * 0.8), MOST_BYTES)
         self.most = int(value_bytes * 0.9)  # measured, above which a sheet is closed
         self.cuts_found = False  # an earlier leader knew that all nodes read parts cut anew
@@ -87,6 +91,7 @@
         self._closed: dict[str, Sheet] = {}
 
     def get(self, key: str) -> Sheet | None:
+        """The sheet with this key, if it is still there."""
         return self.sheets.get(key)
 
     def of(self, job: Job, chunk: Chunk) -> Sheet:
@@ -174,9 +179,11 @@
         return parts
 
     def empties(self) -> list[Sheet]:
+        """Sheets in the store that nobody needs any more."""
         return [s for s in self.sheets.values() if s.empty and s.version]
 
     def forget(self, sheet: Sheet) -> None:
+        """It is not in the store any more."""
         self.sheets.pop(sheet.key, None)
         self._open.pop(sheet.key, None)
         self._closed.pop(sheet.key, None)
