--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -10,6 +10,7 @@
 from eldercart.core.graph import DependencyGraph
 from eldercart.core.jobs import Job, JobBook
 from eldercart.core.placement import Promises, order_jobs
+from eldercart.core.planner import _Pass
 from eldercart.units import FOREVER, JobId, Revision, Steady
 from eldercart.wire import peers, users
 from eldercart.wire.state import Drop
@@ -862,3 +863,14 @@
     for asking in (place.submit(body), place.poll("wk-last")):
         assert (asking.status, asking.answer["standing"]) == (200, users.CANCELLED)
     assert not place.store.sim.range("needs/"), "the repeat wrote no other list"
+
+
+def test_no_ordinary_machines_are_kept_for_a_job_that_waits() -> None:
+    """`_Pass._ordinary_kept`: up to the priority of jobs that may start, not of those that wait."""
+    w = World(23)
+    w.submit("wk-a", parcels=50, urgency="idle", loaners=False, run_s=60.0)
+    w.submit("wk-b", parcels=50, urgency="urgent", loaners=False, awaits=["wk-c"], run_s=5.0)
+    w.jobs["wk-c"] = submission("wk-c")
+    c = w.controller
+    assert c is not None
+    assert _Pass(c.planner, [], [], Steady(w.now))._ordinary_kept() == 0
