--- a/src/eldercart/core/placement.py
+++ b/src/eldercart/core/placement.py
@@ -321,7 +321,8 @@
     candidates = [
         (lost_work(p, now), p.key, p)
         for p in m.placed.values()
-        if p.priority < job.priority and not (p.stopping or p.kept) and p.phase is not Phase.ENDED
+        if max(p.priority, p.job.priority) < job.priority  # it may be needed more since
+        if not (p.stopping or p.kept) and p.phase is not Phase.ENDED
     ]
     candidates.sort(key=lambda c: c[:2])
     cpus = m.free_cpus - m.held_cpus + m.leaving_cpus
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -9,7 +9,7 @@
 from eldercart.core.fleet import Fleet
 from eldercart.core.graph import DependencyGraph
 from eldercart.core.jobs import Job, JobBook
-from eldercart.core.placement import Promises, order_jobs
+from eldercart.core.placement import Promises, cheapest_victims, order_jobs
 from eldercart.core.planner import _Pass
 from eldercart.units import FOREVER, JobId, Revision, Steady
 from eldercart.wire import peers, users
@@ -874,3 +874,23 @@
     c = w.controller
     assert c is not None
     assert _Pass(c.planner, [], [], Steady(w.now))._ordinary_kept() == 0
+
+
+@pytest.mark.parametrize("needed", [True, False])
+def test_running_tasks_that_an_urgent_job_has_come_to_need_are_not_stopped(needed: bool) -> None:
+    """`cheapest_victims`: the descendant came after they were placed, as idle ones."""
+    w = World(24, capacity=1)
+    w.submit("wk-a", parcels=8, urgency="idle", run_s=60.0, haulS=60.0)
+    w.run(12.0)
+    c = w.controller
+    assert c is not None
+    a = c.jobs.jobs[JobId("wk-a")]
+    assert a.running
+    w.submit("wk-b", urgency="urgent", awaits=["wk-a"] if needed else [], cpus=0.5)
+    standard = Graph().add("standard", urgency="standard")
+    offers = [
+        cheapest_victims(standard, m, Steady(w.now))
+        for m in c.fleet.machines.values()
+        if m.placed and not m.free_cpus
+    ]
+    assert offers and all((offer is None) is needed for offer in offers)
