--- a/src/eldercart/core/controller.py
+++ b/src/eldercart/core/controller.py
@@ -28,7 +28,17 @@
 from eldercart.core.direct_orders import DirectOrders, Order
 from eldercart.core.fleet import Life
 from eldercart.core.floor import FinishedJob, Floor
-from eldercart.core.jobs import GONE, JOB, Job, Phase, asked_at, end_of, parse_job_record
+from eldercart.core.jobs import (
+    GONE,
+    JOB,
+    Job,
+    Phase,
+    Placement,
+    asked_at,
+    end_of,
+    list_read_at,
+    parse_job_record,
+)
 from eldercart.core.machines import MachineWatch
 from eldercart.core.planner import Planner
 from eldercart.core.records import Outcome, PendingTxn, Records
@@ -52,7 +62,7 @@
 from eldercart.wire import Malformed, users, workers
 from eldercart.wire.cloud import MachineType
 from eldercart.wire.state import Item, Put, Txn
-from eldercart.wire.users import JobSpec
+from eldercart.wire.users import JobSpec, ListReference
 
 log = logging.getLogger("eldercart.controller")
 
@@ -61,12 +71,16 @@
 
 
 class Verdict(Enum):
+    """Why the leader tells no state of a job."""
+
     UNKNOWN_JOB = "unknown"
     UNDECIDED = "undecided"
 
 
 @dataclass(frozen=True, slots=True)
 class JobStatus:
+    """What a poll of a job is told."""
+
     state: str
     done: int
     running: int
@@ -74,6 +88,8 @@
 
 
 class Controller:
+    """The leader: takes events with their times, hands out the work that follows."""
+
     def __init__(
         self,
         settings: NodeSettings,
@@ -84,6 +100,7 @@
         wall: WallTime,
         life: LifeId = ONLY_LIFE,
     ) -> None:
+        """`types`: the machine types known so far; `wall`: the time of day at `now`."""
         self.settings = settings
         self.tuning = tuning
         self.epoch = epoch
@@ -117,29 +134,50 @@
         """Takes over the records. Every recorded placement may be on its machine."""
         for item in memo_items:
             memory.recall(self.floor, item.key, item.value)
+        job_items = list(job_items)
         for item in job_items:
             self.learn_job(item, now)
-        orphans: list[tuple[str, Revision]] = []
         loaded = self.records.sheets.load(place_items, self.jobs, now)
-        for item in gone_items:
-            job = self.jobs.get(JobId(item.key[len(GONE) :]))
-            if job is None:
-                orphans.append((item.key, item.version))
-                continue
-            job.ended = end_of(item.value)
-            if job.ended == users.CANCELLED:
-                at = asked_at(item.value)
-                asked = now if at is None else Steady(min(now, at - self._zero_wall))
-                self.floor.cancelled(job, asked, now)
-            self.records.cleaning[job.id] = job
-            self.floor.ended(job.id, job.ended, now)
-        self.records.orphans = orphans
+        self._load_markers(gone_items, {item.key[len(JOB) :] for item in job_items}, now)
         for job in self.jobs.jobs.values():
-            self.jobs.finish_load(job)
-            if job.chunks:
-                self.floor.take(self.floor.graph.begun(job, now), now)
-            if job.complete and job.ended is None:
-                self.floor.ending[job.id] = job
+            self._finish_load(job, now)
+        self._load_placements(loaded, now)
+        log.info(
+            "took over epoch=%d jobs=%d placements=%d orphans=%d",
+            self.epoch, len(self.jobs.jobs), len(loaded), len(self.records.orphans),
+        )  # fmt: skip
+
+    def _load_markers(self, markers: Iterable[Item], recorded: set[str], now: Steady) -> None:
+        """Jobs that have ended and wait to be cleaned up. A marker without a job record is a
+        leftover; one whose record can't be read stays, or a leader that can read the record would
+        take the job for open."""
+        for item in markers:
+            job_id = JobId(item.key[len(GONE) :])
+            job = self.jobs.get(job_id)
+            if job is not None:
+                self._load_ended(job, item, now)
+            elif job_id not in recorded:
+                self.records.orphans.append((item.key, item.version))
+
+    def _load_ended(self, job: Job, marker: Item, now: Steady) -> None:
+        job.ended = end_of(marker.value)
+        if job.ended == users.CANCELLED:
+            at = asked_at(marker.value)
+            asked = now if at is None else Steady(min(now, at - self._zero_wall))
+            self.floor.cancelled(job, asked, now)
+        self.records.cleaning[job.id] = job
+        self.floor.ended(job.id, job.ended, now)
+
+    def _finish_load(self, job: Job, now: Steady) -> None:
+        """Once all that the records tell of the job is known."""
+        self.jobs.finish_load(job)
+        if job.chunks:
+            self.floor.take(self.floor.graph.begun(job, now), now)
+        if job.complete and job.ended is None:
+            self.floor.ending[job.id] = job
+
+    def _load_placements(self, loaded: list[Placement], now: Steady) -> None:
+        """Whatever is recorded may be on its machine, until that is heard or given up."""
         heard = Steady(now + self.tuning.takeover_grace_s)
         for p in loaded:
             m = self.fleet.get(p.machine)
@@ -153,10 +191,6 @@
             # Its run time will be seen only in part. Taken for a whole one it would make all
             # later tasks of its job look slow, and healthy machines with them.
             p.since_known = False
-        log.info(
-            "took over epoch=%d jobs=%d placements=%d orphans=%d",
-            self.epoch, len(self.jobs.jobs), len(loaded), len(orphans),
-        )  # fmt: skip
 
     def learn_job(self, item: Item, now: Steady) -> None:
         """A job record, from a read or a watch."""
@@ -168,14 +202,19 @@
         except (Malformed, KeyError, TypeError, ValueError) as err:
             log.error("job record unreadable job=%s: %s", job_id, err)
             return
-        self.add_job(spec, size, WallTime(at), now)
+        self.add_job(spec, size, WallTime(at), now, list_read_at(item.value))
 
-    def add_job(self, spec: JobSpec, size: int, at: WallTime, now: Steady) -> None:
+    def add_job(
+        self, spec: JobSpec, size: int, at: WallTime, now: Steady,
+        elsewhere: ListReference | None = None,
+    ) -> None:  # fmt: skip
+        """A job that was accepted; `elsewhere`: its list of dependencies, if not in its record."""
         if spec.id in self.jobs:
             return
         f = self.floor
         arrived = Steady(min(now, at - self._zero_wall))
-        f.take(f.graph.add(self.jobs.add(spec, size, arrived), now), now)
+        job = self.jobs.add(spec, size, arrived, elsewhere)
+        f.take(f.graph.add(job, now), now)
         log.info(
             "job accepted job=%s class=%s team=%s tasks=%d cpus=%g image=%s",
             spec.id, spec.klass, spec.team, spec.tasks, spec.cpus, spec.image,
@@ -184,6 +223,7 @@
     # ------------------------------------------------------------------ users
 
     def status(self, job_id: JobId) -> JobStatus | Verdict:
+        """The job's state as this leader may tell it; a Verdict where it may not."""
         job = self.jobs.get(job_id)
         if job is None:
             return Verdict.UNKNOWN_JOB
@@ -242,15 +282,19 @@
         self.silence.heard(relay, orders, now)
 
     def take_wants(self) -> dict[NodeId, list[MachineId]]:
+        """By relay, the machines whose next reports are wanted here."""
         return self.floor.take_wants()
 
     def relay_lost(self, relay: NodeId) -> None:
+        """The connection to the relay is gone, and with it what was sent on it."""
         self.reports.relay_lost(relay)
 
     def undelivered(self, machine: MachineId) -> None:
+        """The commands of the last answer surely did not reach the machine in time."""
         self.reports.undelivered(machine)
 
     def shown(self, machine: MachineId, now: Steady) -> None:
+        """The machine has answered when it was asked directly."""
         self.silence.shown(machine, now)
 
     def take_orders(self, now: Steady) -> list[Order]:
@@ -258,9 +302,11 @@
         return self.orders.take(now)
 
     def ordered(self, r: workers.Report, executed: bool, sent: Steady, now: Steady) -> None:
+        """The report that answers a direct command sent at `sent`."""
         self.orders.answered(r, executed, sent, now)
 
     def take_probes(self) -> list[Probe]:
+        """Silent machines to be asked directly, with their addresses."""
         return self.silence.take_probes()
 
     # ------------------------------------------------------------------ time
@@ -270,6 +316,7 @@
         self.silence.stood_still(seconds)
 
     def tick(self, now: Steady) -> None:
+        """What is due by the clock alone; called several times a second."""
         self.machine_watch.watch(now)
         if now >= self.floor.rental_due and now - self._rented >= RENTAL_PACE_S:
             self._rented = now
@@ -280,11 +327,13 @@
             self._summary(now)
 
     def plan_due(self, now: Steady) -> bool:
+        """Whether a pass of placing is worth its cost now."""
         # While nothing can be written, nothing new can be placed, and what was written ahead is
         # all that can start: to plan anew would only take it back.
         return not self.floor.outage and self.planner.due(now, self.records.unwritten())
 
     def plan(self, now: Steady) -> None:
+        """One pass of placing."""
         self.planner.plan(now)
 
     def _summary(self, now: Steady) -> None:
@@ -324,6 +373,7 @@
     # ------------------------------------------------------------------ state service
 
     def next_txn(self, now: Steady, ops: int) -> PendingTxn | None:
+        """The next transaction of at most `ops` changes, if none is under way; see `txn_done`."""
         return self.records.next_txn(now, ops)
 
     def next_memo(self, now: Steady) -> Txn | None:
@@ -342,14 +392,17 @@
 
     @property
     def ends_waiting(self) -> bool:
+        """Whether a job has ended and its end is not durable yet."""
         return bool(self.floor.ending)
 
     @property
     def reread(self) -> set[str]:
+        """Keys whose version only a read can tell."""
         return self.records.reread
 
     @property
     def reread_under_way(self) -> set[str]:
+        """Of these, the keys that are being read."""
         return self.records.reread_under_way
 
     def txn_done(
@@ -364,6 +417,7 @@
         return self.records.txn_done(pending, outcome, revision, failed, now)
 
     def reread_done(self, key: str, item: Item | None, now: Steady) -> None:
+        """A key that was to be read again; None: it is absent."""
         self.records.reread_done(key, item, now)
 
     def take_unread(self, now: Steady, most: int) -> list[JobId]:
@@ -378,19 +432,23 @@
             self.floor.ended(job, how, now)
 
     def take_finished(self) -> list[FinishedJob]:
+        """Ends that became durable since the last call."""
         out, self.floor.finished = self.floor.finished, []
         return out
 
     def take_start_waits(self) -> list[float]:
+        """Seconds from readiness to the start, of the tasks that began since the last call."""
         out, self.floor.start_waits = self.floor.start_waits, []
         return out
 
     # ------------------------------------------------------------------ cloud
 
     def next_cloud(self, now: Steady) -> CloudCall | None:
+        """The next call to the cloud, if one is due; see `cloud_done`."""
         return self.cloud.next_call(now)
 
     def cloud_done(self, call: CloudCall, status: int | None, body: bytes, now: Steady) -> None:
+        """The answer to a call; None: there was none."""
         self.cloud.done(call, status, body, now)
 
 
--- a/src/eldercart/core/records.py
+++ b/src/eldercart/core/records.py
@@ -16,6 +16,7 @@
     Placement,
     chunk_size,
     end_of,
+    needs_keys,
 )
 from eldercart.core.sheets import Sheet, Sheets
 from eldercart.election import LEAD_KEY
@@ -32,6 +33,8 @@
 
 
 class Outcome(Enum):
+    """What became of a transaction."""
+
     OK = "ok"
     CONFLICT = "conflict"
     REFUSED = "refused"  # surely not carried out
@@ -41,6 +44,8 @@
 
 @dataclass(slots=True)
 class PendingTxn:
+    """A transaction on its way, and what is true once it is carried out."""
+
     txn: Txn
     ends: list[tuple[Job, str]] = field(default_factory=list)
     chunks: list[tuple[Job, Chunk, list[Placement], list[Placement]]] = field(default_factory=list)
@@ -48,6 +53,7 @@
     dropped: list[Sheet] = field(default_factory=list)
     cleanups: list[Job] = field(default_factory=list)
     orphans: list[tuple[str, Revision]] = field(default_factory=list)
+    lists: list[str] = field(default_factory=list)  # lists of dependencies that go
     size: int = 0
     units: set[str] = field(default_factory=set)  # jobs that end, and sheets: see `Records._split`
 
@@ -56,11 +62,15 @@
     """Owns what waits to be written and the transaction under way."""
 
     def __init__(self, floor: Floor) -> None:
+        """The parts that all others work on are in `floor`."""
         self.f = floor
         self.reread: set[str] = set()
         self.reread_under_way: set[str] = set()
         self.cleaning: dict[JobId, Job] = {}
         self.orphans: list[tuple[str, Revision]] = []
+        # Lists of dependencies of which the job's record is gone already. They are lost with the
+        # leader; what then stays in the store is read by nobody.
+        self.lists: dict[str, None] = {}
         self.sheets = Sheets(floor.settings.value_bytes, floor.epoch)
         self._txn: PendingTxn | None = None
         self._pause = NEVER
@@ -95,6 +105,7 @@
             or f.dirty
             or self.cleaning
             or self.orphans
+            or self.lists
             or self.sheets.empties()
         ):
             # The last write had no answer and yet nothing is left of it: only a new one can tell
@@ -111,6 +122,7 @@
             # fan-out would hold back all placements for as long as its ends take to write.
             self._add_ends(pending, f.orphaned, ops)
             self._add_cleanups(pending, ops)
+            self._add_lists(pending, ops)
         if not pending.txn.writes:
             return None
         self._txn = pending
@@ -151,16 +163,25 @@
 
     def _add_chunks(self, pending: PendingTxn, ops: int, now: Steady) -> None:
         """Placements first, in the order of the last pass; completed tasks in batches, later."""
-        f = self.f
+        changed = self._changed_chunks(now)
+        if len(pending.txn.writes) >= ops:
+            return
+        # All of them find their sheets first, so that what is new is on few.
+        keys = list(dict.fromkeys(self.sheets.of(job, c).key for job, c in changed))
+        for key in keys:  # it grows
+            sheet = self.sheets.sheets[key]
+            if not sheet.closed and not self._add_sheet(pending, sheet, ops, keys):
+                return
+
+    def _changed_chunks(self, now: Steady) -> list[tuple[Job, Chunk]]:
+        """Those to be written, the most urgent first."""
         urgent: list[tuple[bool, int, int, int, Job, Chunk]] = []
         idle: list[tuple[Steady, Job, Chunk]] = []
-        for job in list(f.dirty.values()):
-            if job.ended is not None or job.cancelled or job.id in f.ending:
+        for job in list(self.f.dirty.values()):
+            if job.ended is not None or job.cancelled or job.id in self.f.ending:
                 # The end covers the record; what it still lists is checked against reports.
                 for c in job.chunks.values():
                     c.dirty = c.urgent = False
-                del f.dirty[job.id]
-                continue
             left = False
             for c in job.chunks.values():
                 if not c.dirty:
@@ -169,22 +190,13 @@
                 if c.urgent:
                     rank = (not job.aged, -job.priority, job.rank, c.low)
                     urgent.append((*rank, job, c))
-                elif now - c.dirty_since >= f.tuning.flush_done_s:
+                elif now - c.dirty_since >= self.f.tuning.flush_done_s:
                     idle.append((c.dirty_since, job, c))
             if not left:
-                del f.dirty[job.id]
-        if len(pending.txn.writes) >= ops:
-            return
+                del self.f.dirty[job.id]
         urgent.sort(key=lambda u: u[:4])
         idle.sort(key=lambda i: i[0])
-        # All of them find their sheets first, so that what is new is on few.
-        sheets = {self.sheets.of(job, c).key: None for *_, job, c in urgent}
-        sheets |= {self.sheets.of(job, c).key: None for _, job, c in idle}
-        keys = list(sheets)
-        for key in keys:  # it grows
-            sheet = self.sheets.sheets[key]
-            if not sheet.closed and not self._add_sheet(pending, sheet, ops, keys):
-                return
+        return [u[4:] for u in urgent] + [i[1:] for i in idle]
 
     def _add_sheet(self, pending: PendingTxn, sheet: Sheet, ops: int, keys: list[str]) -> bool:
         """Returns whether the transaction may take more. What has outgrown the sheet goes to
@@ -264,6 +276,20 @@
             pending.dropped.append(sheet)
             pending.units.add(sheet.key)
 
+    def _add_lists(self, pending: PendingTxn, ops: int) -> None:
+        """Lists of dependencies go with their job's record, or after it, never before: a record
+        whose list is missing could not be read by the next leader. With the record's end there, no
+        late copy of the acceptance can be carried out any more, so nothing refers to them again.
+
+        Lists that no record refers to are left alone: they were written for an acceptance that may
+        still be under way, and neither its node nor its nonce is known here. So are those of
+        which an earlier leader deleted the record only.
+        """
+        txn = pending.txn
+        keys = [*self.lists, *(key for job in pending.cleanups for key in _list_keys(job))]
+        pending.lists = keys[: max(0, ops - len(txn.writes))]
+        txn.writes += [Drop(key) for key in pending.lists]
+
     # -- outcomes
 
     def txn_done(
@@ -331,6 +357,7 @@
                 return
         if not units:
             self.orphans.clear()  # nobody misses them; a later leader may try again
+            self.lists.clear()
         for sheet in pending.dropped:
             self.sheets.forget(sheet)
         at_fault = [*(j for j, *_ in pending.chunks), *(j for j, _ in pending.ends)]
@@ -339,6 +366,7 @@
             self._aside[job.id] = Steady(now + ASIDE_S)
 
     def reread_done(self, key: str, item: Item | None, now: Steady) -> None:
+        """The key as a fresh read has it; None: it is absent."""
         self.reread.discard(key)
         self._unsure.discard(key)
         if key.startswith(END):
@@ -354,7 +382,6 @@
             sheet.version = ABSENT if item is None else item.version
 
     def _committed(self, pending: PendingTxn, revision: Revision, now: Steady) -> None:
-        f = self.f
         for job, how in pending.ends:
             self._ended(job, how, now)
             self.cleaning[job.id] = job
@@ -364,29 +391,46 @@
             if sheet.empty:
                 self.sheets.forget(sheet)
             sheet.version = ABSENT
-        for _, c, planned, ended in pending.chunks:
-            for p in planned:
-                if p.phase is Phase.PLANNED:
-                    p.phase = Phase.WANTED
-                    m = f.fleet.get(p.machine)
-                    if m is not None:
-                        f.want(m)
-            for p in ended:
-                if c.placements.get(p.index) is p:
-                    del c.placements[p.index]
-                m = f.fleet.get(p.machine)
-                if m is not None:
-                    f.fleet.forget(m, p)
-                    f.want(m)  # what is recorded as done may be cleared there
+        for _, chunk, planned, ended in pending.chunks:
+            self._chunk_durable(chunk, planned, ended)
         for job in pending.cleanups:
-            self.cleaning.pop(job.id, None)
-            self.sheets.drop(job)
-            f.jobs.remove(job)
-            for p in job.placements():
-                m = f.fleet.get(p.machine)
-                if m is not None:
-                    f.fleet.forget(m, p)
-                    f.want(m)
+            self._cleaned_up(job)
+        for key in pending.lists:
+            self.lists.pop(key, None)
+
+    def _chunk_durable(
+        self, chunk: Chunk, planned: list[Placement], ended: list[Placement]
+    ) -> None:
+        """What was planned may be launched, and what has ended is done with."""
+        for p in planned:
+            if p.phase is Phase.PLANNED:
+                p.phase = Phase.WANTED
+                self._want(p)
+        for p in ended:
+            if chunk.placements.get(p.index) is p:
+                del chunk.placements[p.index]
+            self._forget(p)
+
+    def _cleaned_up(self, job: Job) -> None:
+        """The job's record is gone, and so is what other records say of it."""
+        self.lists |= dict.fromkeys(_list_keys(job))
+        self.cleaning.pop(job.id, None)
+        self.sheets.drop(job)
+        self.f.jobs.remove(job)
+        for p in job.placements():
+            self._forget(p)
+
+    def _want(self, p: Placement) -> None:
+        machine = self.f.fleet.get(p.machine)
+        if machine is not None:
+            self.f.want(machine)
+
+    def _forget(self, p: Placement) -> None:
+        """What is recorded as done, or over, may be cleared on its machine."""
+        machine = self.f.fleet.get(p.machine)
+        if machine is not None:
+            self.f.fleet.forget(machine, p)
+            self.f.want(machine)
 
     def _ended(self, job: Job, how: str, now: Steady) -> None:
         f = self.f
@@ -407,3 +451,7 @@
                 job.id, job.spec.klass, job.spec.estimate_s, len(job.ran),
                 " ".join(f"{r:.1f}" for r in sorted(job.ran)[:: max(1, len(job.ran) // 8)]),
             )  # fmt: skip
+
+
+def _list_keys(job: Job) -> list[str]:
+    return [] if job.elsewhere is None else needs_keys(job.id, job.elsewhere)
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -5,10 +5,16 @@
 
 import pytest
 
+from eldercart.core.controller import JobStatus, Outcome, Verdict
+from eldercart.core.fleet import Fleet
 from eldercart.core.graph import DependencyGraph
 from eldercart.core.jobs import Job, JobBook
-from eldercart.units import FOREVER, JobId, Steady
-from eldercart.wire import users
+from eldercart.core.placement import Promises, cheapest_victims, order_jobs
+from eldercart.core.planner import _Pass
+from eldercart.units import FOREVER, JobId, Revision, Steady
+from eldercart.wire import peers, users
+from eldercart.wire.state import Drop
+from test_acceptance import Place, names
 from test_core import finish
 from world import World, submission
 
@@ -139,6 +145,52 @@
     assert (a.priority, a.due) == (0, FOREVER)
 
 
+def test_what_was_inherited_goes_with_a_job_that_is_cancelled_with_another() -> None:
+    """`DependencyGraph._orphan`: c is cancelled with a, so b, and x before it, are needed by
+    nobody any more; else they would go ahead of all others for good."""
+    g = Graph()
+    x = g.add("x", urgency="idle", haulS=5.0)
+    g.add("a", urgency="idle")
+    b = g.add("b", "x", urgency="idle", haulS=5.0)
+    g.add("c", "a", "b", urgency="urgent", haulS=5.0, dueS=100.0)
+    g.add("d", "c", urgency="urgent", haulS=5.0, dueS=100.0)
+    assert (x.priority, b.priority) == (2, 2) and (x.due, b.due) == (85.0, 90.0)
+    g.end("a", users.CANCELLED)
+    assert g.orphaned == ["c", "d"]
+    assert (x.priority, b.priority) == (0, 0) and (x.due, b.due) == (FOREVER, FOREVER)
+
+
+@pytest.mark.parametrize("leaves", [False, True], ids=["comes", "leaves"])
+def test_inheritance_costs_little_where_paths_are_many(leaves: bool) -> None:
+    """`_raise` and `_lower`: 3 to the power of 40 paths lead up through these layers, and of any
+    two the later one looked at may be the longer. The guard is the order in which jobs are
+    taken; from the last in on, this would not end."""
+    g = Graph()
+    layers, wide = 40, 3
+    before: list[str] = []
+    for layer in range(layers):
+        names = [f"{layer}-{i}" for i in range(wide)]
+        for name in names:
+            g.add(name, *before, urgency="idle")
+        before = names
+    looks = 0
+
+    def rest_s(job: Job) -> float:
+        nonlocal looks
+        looks += 1
+        assert looks < 50 * layers * wide
+        layer, _, number = job.id[3:].partition("-")
+        return float(number) * 2.0 ** (int(layer) - 30) if number else 1.0
+
+    g.graph._rest_s = rest_s
+    g.add("last", *before, urgency="urgent", dueS=10_000.0)
+    first = g.book.jobs[JobId("wk-0-0")]
+    assert first.priority == 2 and first.due == 10_000 - 1 - 2 * (2.0 ** (layers - 30) - 2.0**-29)
+    if leaves:
+        g.end("last", users.CANCELLED)
+        assert first.priority == 0 and first.due == FOREVER
+
+
 def test_inherited_also_if_those_after_it_were_read_first() -> None:
     g = Graph()
     g.add("c", "b", urgency="urgent", dueS=50.0, haulS=5.0)
@@ -270,12 +322,15 @@
     w.submit("wk-a", parcels=1, crew="t1", run_s=60.0, haulS=60.0)
     w.submit("wk-b", parcels=200, crew="t1", awaits=["wk-a"], run_s=5.0)
     w.submit("wk-c", parcels=8, crew="t1", run_s=5.0)
+    w.submit("wk-d", parcels=8, awaits=["wk-a"], breeds=["big"], run_s=5.0)
     w.run(40.0)
     c = w.controller
     assert c is not None
     assert w.end_in_store("wk-c") == users.DONE
-    assert c.status(JobId("wk-b")).waiting == ("wk-a",)  # type: ignore[union-attr]
+    status = c.status(JobId("wk-b"))
+    assert status == JobStatus(users.PENDING, 0, 0, ("wk-a",))
     assert len(w.cloud.machines) <= 4, "nothing is rented for what waits"
+    assert all(m.type["sku"] == "small" for m in w.cloud.machines.values())
     assert not c.jobs.jobs[JobId("wk-b")].chunks
 
 
@@ -432,3 +487,410 @@
     assert c is not None and c.floor.orphaned, "not all of their ends are written yet"
     w.poll_all()
     finish(w)
+
+
+# ---------------------------------------------------------------- lists beside their job's record
+
+
+def needs(w: World, job: str = "") -> list[str]:
+    return [key for key in w.store.keys if key.startswith(f"needs/{job}")]
+
+
+@pytest.mark.parametrize("how", [users.DONE, users.CANCELLED])
+@pytest.mark.parametrize("faults", [{}, ROUGH], ids=["quiet", "rough"])
+@pytest.mark.parametrize("seed", range(3))
+def test_lists_of_dependencies_go_with_their_jobs_record(
+    faults: dict[str, Any], seed: int, how: str
+) -> None:
+    """`Records._add_lists`. Under every change of leader a record is there only with its list (the
+    stand-in world asserts it when it elects), and what no record referred to stays."""
+    w = World(seed, **faults)
+    w.submit("wk-a", parcels=2, run_s=3.0)
+    w.submit("wk-b", parcels=2, run_s=3.0)
+    w.submit("wk-c", parcels=3, awaits=["wk-a", "wk-b"], run_s=3.0, parts=2)
+    w.submit("wk-d", parcels=3, awaits=["wk-c"], run_s=3.0, parts=1)
+    w.store.keys["needs/wk-e/other/0"] = (["wk-a"], 1, None)  # its acceptance may be under way
+    for turn in range(12):
+        w.run(1.5)
+        w.poll_all()
+        if faults and turn % 3 == 1:
+            w.elect()
+        if turn == 5 and how == users.CANCELLED:
+            w.cancel("wk-c")
+    finish(w)
+    for _ in range(40):
+        if not [key for key in w.store.keys if key.startswith("job/")]:
+            break
+        w.run(1.0)
+    w.run(2.0)
+    assert w.end_in_store("wk-d") == w.end_in_store("wk-c")
+    assert needs(w) == ["needs/wk-e/other/0"]
+
+
+def test_a_list_longer_than_a_transaction_goes_in_several() -> None:
+    """`Records.lists` keeps what did not fit into the transaction that dropped the record."""
+    w = World(0)
+    w.store.txn_ops = 20
+    names = [f"wk-{i}" for i in range(50)]
+    for name in names:
+        w.store.keys[f"end/{name}"] = ({"e": users.DONE, "n": 1}, 1, None)
+        w.jobs[name] = submission(name)
+    w.submit("wk-last", parcels=1, awaits=names, run_s=1.0, parts=50)
+    c = w.controller
+    assert c is not None
+    for _ in range(400):
+        w.step(0.1)
+        if not needs(w):
+            break
+        if "job/wk-last" in w.store.keys:
+            assert len(needs(w)) == 50, "never before the record that refers to it"
+    assert not needs(w) and not c.records.lists and not w.too_large
+
+
+@pytest.mark.parametrize(
+    ("outcome", "failed"),
+    [(Outcome.REFUSED, ()), (Outcome.UNKNOWN, ()), (Outcome.CONFLICT, ("end/wk-c",))],
+)
+def test_lists_are_dropped_again_after_a_write_that_failed(
+    outcome: Outcome, failed: tuple[str, ...]
+) -> None:
+    """Only a transaction that was carried out takes a list off the books."""
+    w = World(0)
+    w.store.keys["end/wk-a"] = ({"e": users.CANCELLED, "n": 1}, 1, None)
+    w.jobs["wk-a"] = submission("wk-a")
+    w.submit("wk-c", parcels=1, awaits=["wk-a"], parts=1)
+    c = w.controller
+    assert c is not None
+    now = Steady(w.now)
+    for job in c.take_unread(now, 20):
+        c.end_read(job, users.CANCELLED, now)
+    pending = c.next_txn(now, 20)
+    assert pending is not None and Drop(needs(w)[0]) in pending.txn.writes
+    assert not c.txn_done(pending, outcome, Revision(0), failed, now)
+    w.run(3.0)
+    assert not needs(w) and "job/wk-c" not in w.store.keys
+    assert w.end_in_store("wk-c") == users.CANCELLED
+
+
+def test_a_marker_whose_record_can_not_be_read_stays() -> None:
+    """`Controller._load_markers`: without it the next leader that can read the record takes the
+    job for open, calls it pending after its end was told, and starts its tasks again."""
+    w = World(1)
+    w.submit("wk-a", parcels=2, run_s=60.0)
+    w.run(12.0)
+    w.cancel("wk-a")
+    while w.end_in_store("wk-a") is None:
+        w.step(0.1)
+    record = w.store.keys["job/wk-a"]
+    assert "gone/wk-a" in w.store.keys
+    w.store.keys["job/wk-a"] = ({"s": "of a later version"}, *record[1:])
+    w.store.keys["gone/wk-z"] = ({"e": users.DONE}, 1, None)
+    w.elect()
+    w.run(2.0)
+    assert "gone/wk-a" in w.store.keys and "gone/wk-z" not in w.store.keys
+    w.store.keys["job/wk-a"] = record
+    w.elect()
+    w.poll_all()
+    finish(w)
+    w.run(30.0)
+    assert "job/wk-a" not in w.store.keys and "gone/wk-a" not in w.store.keys
+
+
+# ---------------------------------------------------------------- far downstream, and order
+
+
+@pytest.mark.parametrize("trouble", ["", "leader", "store", "leader and late answers"])
+@pytest.mark.parametrize("shape", ["deep", "wide"])
+def test_all_downstream_is_told_in_time_however_far(shape: str, trouble: str) -> None:
+    """From the confirmation on `DependencyGraph._orphan` makes hundreds of jobs `aborted` at once,
+    whatever becomes of their own ends; the next leader finds them by `_Unread` and by the ends."""
+    w = World(13, **({"txn_lost": 0.3} if "late" in trouble else {}))
+    number = 250
+    w.submit("wk-root", parcels=2, run_s=60.0)
+    for i in range(number):
+        before = "wk-root" if shape == "wide" or i == 0 else f"wk-{i - 1}"
+        w.submit(f"wk-{i}", parcels=1, awaits=[before], run_s=1.0)
+    w.run(8.0)
+    w.cancel("wk-root")
+    while "wk-root" not in w.told:
+        w.step(0.1)
+    if "leader" in trouble:
+        w.elect()
+    if "store" in trouble:
+        w.outage_until = w.now + w.settings.cancel_s
+    for _ in range(3):
+        w.poll_all()
+        w.step(0.1)
+    until = w.now + w.settings.cancel_s
+    c = w.controller
+    assert c is not None
+    while w.now < until:
+        w.run(3.0)
+        w.poll_all()
+    told = [w.controller.status(JobId(f"wk-{i}")) for i in range(number)]  # type: ignore[union-attr]
+    for i, status in enumerate(told):
+        gone = w.end_in_store(f"wk-{i}") == users.CANCELLED
+        assert gone or status.state == users.CANCELLED, i  # type: ignore[union-attr]
+    finish(w)
+
+
+@pytest.mark.parametrize("how", [users.DONE, users.CANCELLED])
+def test_a_new_leader_finds_out_from_the_store_alone_what_may_start(how: str) -> None:
+    """`DependencyGraph.add` and `take_unread`: the job before it has ended under an earlier leader,
+    and all that is left of it is its end."""
+    w = World(14)
+    w.submit("wk-a", parcels=1, run_s=2.0)
+    w.submit("wk-b", parcels=2, awaits=["wk-a"], run_s=40.0)
+    w.submit("wk-c", parcels=2, awaits=["wk-b"], run_s=1.0)
+    if how == users.CANCELLED:
+        w.cancel("wk-a")
+    while w.end_in_store("wk-a") is None or "job/wk-a" in w.store.keys:
+        w.step(0.1)
+    w.elect()
+    w.poll_all()
+    w.run(12.0)
+    c = w.controller
+    assert c is not None
+    job = c.jobs.get(JobId("wk-b"))
+    if how == users.DONE:
+        assert job is not None and job.running == 2
+        w.elect()  # its tasks run: it was ready, and remains so without any read
+        c = w.controller
+        assert c.jobs.jobs[JobId("wk-b")].ready
+    else:
+        assert w.end_in_store("wk-c") == users.CANCELLED
+    finish(w)
+
+
+def test_the_deadline_counts_from_the_submission_all_else_from_readiness() -> None:
+    """`Promises.start_dues` and `preempts_from`, `Floor._due`."""
+    g = Graph()
+    g.add("a")
+    b = g.add("b", "a", lot="slow", dueS=100.0)
+    g.now = 40.0
+    g.end("a")
+    assert b.ready and (b.arrived, b.ready_at) == (0.0, 40.0)
+    promises = Promises({"slow": (8.0,)}, {"slow": (60.0,)}, {"slow": (1.0, 1.5)})
+    assert promises.start_dues(b, 5.0) == [40 + 8.0, 40 + 60.0 - 5, 100.0 - 5, 150.0 - 5]
+    assert promises.preempts_from(b, 3.0, 5.0) == 40 + 0.55 * 8.0
+    w = World(0)
+    w.submit("wk-a", parcels=1, run_s=5.0)
+    w.submit("wk-b", parcels=1, awaits=["wk-a"], dueS=100.0)
+    submitted = w.now
+    c = w.controller
+    assert c is not None
+    b = c.jobs.jobs[JobId("wk-b")]
+    while not b.ready:
+        w.step(0.1)
+    assert b.ready_at > submitted + 5 and c.floor._due(b) == submitted + 100
+
+
+@pytest.mark.parametrize("needed", [True, False])
+def test_an_idle_job_that_an_urgent_one_needs_goes_first(needed: bool) -> None:
+    """`DependencyGraph._raise`, and `order_jobs` by the job's priority, not its submission's."""
+    w = World(15, capacity=1)
+    w.submit("wk-fill", parcels=8, run_s=8.0)
+    w.run(10.0)
+    for i in range(4):
+        w.submit(f"wk-other{i}", parcels=8, run_s=8.0)
+    w.submit("wk-a", parcels=4, urgency="idle", run_s=2.0)
+    w.submit("wk-b", parcels=1, urgency="urgent", awaits=["wk-a"] if needed else [], run_s=1.0)
+    others = [f"wk-other{i}" for i in range(4)]
+    while w.end_in_store("wk-a") is None:
+        w.step(0.1)
+    still = [job for job in others if w.end_in_store(job) is None]
+    assert (len(still) >= 3) is needed
+    finish(w)
+
+
+def test_order_is_by_the_priority_that_is_needed() -> None:
+    """`order_jobs`: the job's priority, which its dependents raise, not its submission's."""
+    g = Graph()
+    other = g.add("other", urgency="standard")
+    a = g.add("a", urgency="idle")
+    g.add("b", "a", urgency="urgent")
+    ordered = order_jobs(
+        [other, a], Fleet(), {}, Promises({}, {}), lambda priority, spot: 100.0,
+        lambda job: 6.0, lambda job: 6.0, Steady(0.0),
+    )  # fmt: skip
+    assert ordered == [a, other]
+
+
+def test_waits_for_a_start_count_from_readiness() -> None:
+    """`Machines` tells them to the operator, as the aims count them."""
+    w = World(16)
+    w.submit("wk-a", parcels=1, run_s=60.0)
+    w.submit("wk-b", parcels=1, awaits=["wk-a"], run_s=5.0)
+    finish(w)
+    c = w.controller
+    assert c is not None
+    waits = c.take_start_waits()
+    assert len(waits) == 2 and max(waits) < 30.0, waits
+
+
+def all_done_in_memory(w: World, job: str) -> None:
+    """The store goes away before the job's last task ends, and stays away."""
+    until_last_task(w, job)
+    w.outage_until = w.now + 40.0
+    c = w.controller
+    assert c is not None
+    while not c.jobs.jobs[JobId(job)].complete:
+        w.step(0.1)
+    assert w.end_in_store(job) is None
+
+
+def test_a_job_submitted_when_the_last_task_before_it_is_over_waits_for_the_end() -> None:
+    """`DependencyGraph.add` asks for a durable end, never for a count of tasks."""
+    w = World(17)
+    w.submit("wk-a", parcels=3, run_s=4.0)
+    all_done_in_memory(w, "wk-a")
+    w.submit("wk-b", parcels=1, awaits=["wk-a"], run_s=1.0)
+    c = w.controller
+    assert c is not None
+    w.run(5.0)
+    assert w.end_in_store("wk-a") is None and not c.jobs.jobs[JobId("wk-b")].ready
+    finish(w)
+
+
+def test_a_cancellation_after_the_last_task_leaves_the_chain_alone() -> None:
+    """`Controller.cancel`: nobody knows yet, but the end that is on its way is `done`."""
+    w = World(18)
+    w.submit("wk-a", parcels=3, run_s=4.0)
+    w.submit("wk-b", parcels=1, awaits=["wk-a"], run_s=1.0)
+    all_done_in_memory(w, "wk-a")
+    c = w.controller
+    assert c is not None
+    assert c.cancel(JobId("wk-a"), Steady(w.now)) is Verdict.UNDECIDED
+    finish(w)
+    assert w.end_in_store("wk-a") == w.end_in_store("wk-b") == users.DONE
+
+
+def test_a_cancellation_that_is_only_asked_for_is_told_of_nobody_downstream() -> None:
+    """`DependencyGraph.add`: the store is away, so it may yet come to nothing."""
+    w = World(19)
+    w.submit("wk-a", parcels=3, run_s=60.0)
+    w.submit("wk-b", parcels=1, awaits=["wk-a"], run_s=1.0)
+    w.run(8.0)
+    w.outage_until = w.now + 20.0
+    w.cancel("wk-a")
+    w.submit("wk-late", parcels=1, awaits=["wk-a"], run_s=1.0)
+    w.submit("wk-later", parcels=1, awaits=["wk-b"], run_s=1.0)
+    for _ in range(50):
+        w.step(0.1)
+        w.poll_all()
+    assert not w.told
+    finish(w)
+    assert {w.end_in_store(job) for job in w.jobs} == {users.CANCELLED}
+
+
+@pytest.mark.parametrize("how", [users.DONE, users.CANCELLED])
+def test_a_job_is_told_undecided_once_its_end_was_sent(how: str) -> None:
+    """`Controller.status`: the end may be durable already and be told by whoever reads it."""
+    w = World(20)
+    w.submit("wk-a", parcels=3, run_s=4.0)
+    w.submit("wk-b", parcels=1, awaits=["wk-a"], run_s=1.0)
+    if how == users.DONE:
+        all_done_in_memory(w, "wk-a")
+    else:
+        w.cancel("wk-a")
+    c = w.controller
+    assert c is not None
+    assert isinstance(c.status(JobId("wk-a")), JobStatus), "not sent: nobody can have been told"
+    pending = c.next_txn(Steady(w.now + 1.0), 20)
+    assert pending is not None
+    assert c.status(JobId("wk-a")) is Verdict.UNDECIDED
+    after = c.status(JobId("wk-b"))
+    if how == users.CANCELLED:
+        assert after is Verdict.UNKNOWN_JOB, "a fresh read can tell"
+    else:
+        assert isinstance(after, JobStatus) and after.state == users.PENDING
+
+
+@pytest.mark.parametrize("how", [users.DONE, users.CANCELLED])
+def test_a_job_that_waits_to_be_cleaned_up_has_ended_for_those_after_it(how: str) -> None:
+    """`DependencyGraph.add`: it is in the book, but the end is what counts; `_load_ended` for those
+    that a new leader loads before it finds the marker."""
+    g = Graph()
+    a = g.add("a")
+    g.add("b", "a")
+    a.ended = how
+    g._took(g.graph.ended(a.id, how, Steady(1.0)))
+    g.add("late", "a")
+    assert (g.ready, g.orphaned) == (
+        (["a", "b", "late"], []) if how == users.DONE else (["a"], ["b", "late"])
+    )
+    w = World(21)
+    w.submit("wk-a", parcels=1, run_s=60.0)
+    w.submit("wk-b", parcels=1, awaits=["wk-a"], run_s=1.0)
+    w.store.keys["end/wk-a"] = ({"e": how, "n": 1}, 9, None)
+    w.store.keys["gone/wk-a"] = ({"e": how, "t": w.now}, 9, None)
+    w.elect()
+    c = w.controller
+    assert c is not None
+    b = c.jobs.jobs[JobId("wk-b")]
+    assert (b.ready, b.orphaned) == (how == users.DONE, how == users.CANCELLED)
+    w.poll_all()
+    finish(w)
+
+
+def test_the_leader_deletes_the_lists_that_it_accepted_itself() -> None:
+    """`Front._accept` tells the controller where the list is, as a record that is read does. After
+    the deletion a repeated submission and a look-up are answered by the end that is left."""
+    place = Place()
+    before = names(1000)
+    for name in before:
+        place.ended(name, users.CANCELLED)
+    w = World(22)
+    c = w.controller
+    assert c is not None
+    place.node.leading.controller = c
+    place.node.leading.pump_soon = lambda: None
+    place.node.leading.tell = lambda number, job: peers.Told(number, peers.UNKNOWN, 0, 0)
+    body = submission("wk-last", awaits=before)
+    assert place.submit(body).status == 201
+    assert place.store.sim.range("needs/wk-last/")
+    now = Steady(w.now)
+    for name in c.take_unread(now, 2000):
+        c.end_read(name, users.CANCELLED, now)
+    while place.store.sim.range("needs/wk-last/"):
+        pending = c.next_txn(now, 20)
+        assert pending is not None
+        pending.txn.guards.pop("lead")  # the leader's key is in another store here
+        assert place.store.sim.txn(pending.txn.body())[0] == 200
+        c.txn_done(pending, Outcome.OK, Revision(place.store.sim.revision), (), now)
+    assert not place.store.sim.range("job/wk-last")
+    place.node.leading.controller = None
+    for asking in (place.submit(body), place.poll("wk-last")):
+        assert (asking.status, asking.answer["standing"]) == (200, users.CANCELLED)
+    assert not place.store.sim.range("needs/"), "the repeat wrote no other list"
+
+
+def test_no_ordinary_machines_are_kept_for_a_job_that_waits() -> None:
+    """`_Pass._ordinary_kept`: up to the priority of jobs that may start, not of those that wait."""
+    w = World(23)
+    w.submit("wk-a", parcels=50, urgency="idle", loaners=False, run_s=60.0)
+    w.submit("wk-b", parcels=50, urgency="urgent", loaners=False, awaits=["wk-c"], run_s=5.0)
+    w.jobs["wk-c"] = submission("wk-c")
+    c = w.controller
+    assert c is not None
+    assert _Pass(c.planner, [], [], Steady(w.now))._ordinary_kept() == 0
+
+
+@pytest.mark.parametrize("needed", [True, False])
+def test_running_tasks_that_an_urgent_job_has_come_to_need_are_not_stopped(needed: bool) -> None:
+    """`cheapest_victims`: the descendant came after they were placed, as idle ones."""
+    w = World(24, capacity=1)
+    w.submit("wk-a", parcels=8, urgency="idle", run_s=60.0, haulS=60.0)
+    w.run(12.0)
+    c = w.controller
+    assert c is not None
+    a = c.jobs.jobs[JobId("wk-a")]
+    assert a.running
+    w.submit("wk-b", urgency="urgent", awaits=["wk-a"] if needed else [], cpus=0.5)
+    standard = Graph().add("standard", urgency="standard")
+    offers = [
+        cheapest_victims(standard, m, Steady(w.now))
+        for m in c.fleet.machines.values()
+        if m.placed and not m.free_cpus
+    ]
+    assert offers and all((offer is None) is needed for offer in offers)
