--- a/src/eldercart/core/fleet.py
+++ b/src/eldercart/core/fleet.py
@@ -9,7 +9,10 @@
 
 from eldercart.core.jobs import Phase, Placement
 from eldercart.units import (
+    CLOCK_ZERO,
+    LONG_AGO,
     NO_REPORT,
+    NO_SESSION,
     MachineId,
     NodeId,
     ReportOrder,
@@ -58,27 +61,27 @@
     leaving_gpus: float = 0.0
     leaving_memory: float = 0.0
     by_priority: dict[int, float] = field(default_factory=dict)  # CPUs placed, not being stopped
-    idle_since: Steady = Steady(0)
+    idle_since: Steady = CLOCK_ZERO
     draining: bool = False  # notice or quarantine: nothing new starts here
     quarantined: bool = False
-    quarantined_at: Steady = Steady(0)
+    quarantined_at: Steady = CLOCK_ZERO
     taken_at: Steady | None = None  # when the cloud takes it back, by its notice
     images: dict[str, float] = field(default_factory=dict)  # name -> GB, least recent first
     failed_jobs: set[str] = field(default_factory=set)
     paces: list[tuple[str, float]] = field(default_factory=list)  # run time / the job's median
     good_since_fault: int = 0
-    refuse_until: Steady = Steady(-1e9)
+    refuse_until: Steady = LONG_AGO
     # Whether it does what it is told; see `health.Obedience`.
     unheeded: int = 0
-    told_since: Steady = Steady(0)
+    told_since: Steady = CLOCK_ZERO
     old_epoch: int = 0  # reports that showed an older epoch although one was answered
     undelivered: bool = False  # the last answer surely came too late
     # Whether it was asked directly, because nothing was heard of it, and answered.
-    probed: Steady = Steady(-1e9)
-    shown: Steady = Steady(-1e9)
+    probed: Steady = LONG_AGO
+    shown: Steady = LONG_AGO
     # Direct commands: when the last one went out, and the session that the worker showed then.
-    ordered: Steady = Steady(-1e9)
-    session: Session = Session(0)
+    ordered: Steady = LONG_AGO
+    session: Session = NO_SESSION
     wanted: bool = False
 
     @property
--- a/src/eldercart/core/jobs.py
+++ b/src/eldercart/core/jobs.py
@@ -18,7 +18,9 @@
 from typing import Any
 
 from eldercart.units import (
+    CLOCK_ZERO,
     FOREVER,
+    NO_ATTEMPT,
     Attempt,
     JobId,
     MachineId,
@@ -68,9 +70,9 @@
     phase: Phase = Phase.PLANNED
     maybe_there: bool = False  # a launch was sent, or may have been by an earlier leader
     queued: bool = False  # waits on its machine for room; nothing was sent
-    queued_at: Steady = Steady(0)
+    queued_at: Steady = CLOCK_ZERO
     stopping: bool = False
-    since: Steady = Steady(0)  # start of running, as seen here
+    since: Steady = CLOCK_ZERO  # start of running, as seen here
     since_known: bool = True  # False: it ran already when this leader first heard of it
     reported: bool = False
     priority: int = 0  # the job's when it was placed
@@ -88,10 +90,10 @@
     low: int  # its first task
     high: int  # the task after its last
     cut: bool = False  # finer than the job's record says
-    attempt: Attempt = Attempt(0)
+    attempt: Attempt = NO_ATTEMPT
     dirty: bool = False
     urgent: bool = False  # holds a placement that waits to be launched
-    dirty_since: Steady = Steady(0)
+    dirty_since: Steady = CLOCK_ZERO
     placements: dict[int, Placement] = field(default_factory=dict)
     sheet: str | None = None  # the key of the record that it is written in, see `sheets`
     reserved: int = 0  # bytes of that record
--- a/src/eldercart/core/relay.py
+++ b/src/eldercart/core/relay.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from eldercart.units import Epoch, MachineId, NodeId, ReportOrder, Steady
+from eldercart.units import NO_EPOCH, Epoch, MachineId, NodeId, ReportOrder, Steady
 
 SLACK_S = 1.0  # for answers under way when a leader stops granting
 SUPERSEDED_S = 2.0  # for which a grant outlives the word of a higher epoch
@@ -82,7 +82,7 @@
     seen: Steady
     base: Any = None  # the tasks as the leader took them last; None: the next report goes to it
     notice: bool = False
-    told: Epoch = Epoch(0)  # the epoch last answered with, here
+    told: Epoch = NO_EPOCH  # the epoch last answered with, here
 
 
 class Relay:
--- a/src/eldercart/core/rental.py
+++ b/src/eldercart/core/rental.py
@@ -11,7 +11,7 @@
 from eldercart.core.placement import allowed, fits_type
 from eldercart.settings import Tuning
 from eldercart.settings.platform import Team
-from eldercart.units import Steady
+from eldercart.units import CLOCK_ZERO, Steady
 from eldercart.wire.cloud import MAX_RENT, MachineType
 
 SAMPLE_S = 1.0  # between two figures of the window
@@ -57,7 +57,7 @@
     request: str
     offer: Offer
     number: int
-    sent: Steady = Steady(0)
+    sent: Steady = CLOCK_ZERO
 
 
 @dataclass(slots=True)
--- a/src/eldercart/units.py
+++ b/src/eldercart/units.py
@@ -22,6 +22,11 @@
 
 ONLY_LIFE = LifeId("0")  # for what is never started twice, as in tests
 ABSENT = Revision(0)
+NO_EPOCH = Epoch(0)
+NO_ATTEMPT = Attempt(0)
+NO_SESSION = Session(0)
+CLOCK_ZERO = Steady(0)
+LONG_AGO = Steady(-1e9)  # before anything that this process has seen
 FOREVER = Steady(float("inf"))
 
 
