--- a/src/eldercart/core/controller.py
+++ b/src/eldercart/core/controller.py
@@ -47,7 +47,7 @@
 )
 from eldercart.wire import Malformed, users, workers
 from eldercart.wire.cloud import MachineType
-from eldercart.wire.state import Item, Put, Txn
+from eldercart.wire.state import Item, Txn
 from eldercart.wire.users import JobSpec
 
 log = logging.getLogger("eldercart.controller")
@@ -319,18 +319,20 @@
     def next_txn(self, now: Steady, ops: int) -> PendingTxn | None:
         return self.records.next_txn(now, ops)
 
-    def next_memo(self, now: Steady) -> Txn | None:
-        """Now and then, a transaction that keeps what was learned; nobody waits for its outcome."""
+    def next_memo(self, now: Steady, most_changes: int | None = None) -> Txn | None:
+        """Now and then, a transaction that keeps what was learned, of at most so many changes;
+        nobody waits for its outcome."""
         if now < self._memo_due:
             return None
         self._memo_due = Steady(now + self.tuning.memo_s)
         txn = Txn({LEAD_KEY: Revision(self.epoch)})
         # There may be more of them than a transaction takes: then they take turns.
-        records = list(memory.memos(self.floor).items())
-        start = self._memo_next % len(records)
-        turn = (records[start:] + records[:start])[: self.settings.txn_ops]
-        self._memo_next = start + len(turn)
-        txn.writes += [Put(key, value) for key, value in turn]
+        records = memory.memos(self.floor)
+        most = self.settings.txn_ops
+        most = most if most_changes is None else min(most, most_changes)
+        puts = memory.next_puts(records, self._memo_next, most)
+        self._memo_next = (self._memo_next + len(puts)) % len(records)
+        txn.writes += puts
         return txn
 
     @property
--- a/src/eldercart/core/memory.py
+++ b/src/eldercart/core/memory.py
@@ -9,6 +9,7 @@
 
 from eldercart.core.floor import Floor
 from eldercart.units import MachineId
+from eldercart.wire.state import TXN_BYTES, Put
 
 MEMO = "memo/"
 PACES = MEMO + "paces"
@@ -26,6 +27,21 @@
     return out
 
 
+def next_puts(records: dict[str, Any], start: int, most_changes: int) -> list[Put]:
+    """The records to write next, the one numbered `start` first: as many as there are changes for,
+    and as fit into one transaction. The others have their turn later."""
+    keys = list(records)
+    start %= len(keys)
+    puts: list[Put] = []
+    size = 0
+    for key in (keys[start:] + keys[:start])[:most_changes]:
+        size += len(key) + _bytes(records[key])
+        if puts and size > TXN_BYTES:
+            break
+        puts.append(Put(key, records[key]))
+    return puts
+
+
 def _bytes(value: Any) -> int:
     return len(orjson.dumps(value)) + 1
 
--- a/src/eldercart/core/records.py
+++ b/src/eldercart/core/records.py
@@ -21,12 +21,11 @@
 from eldercart.election import LEAD_KEY
 from eldercart.units import ABSENT, JobId, Revision, Steady
 from eldercart.wire import users
-from eldercart.wire.state import Drop, Item, Put, Txn
+from eldercart.wire.state import TXN_BYTES, Drop, Item, Put, Txn
 
 log = logging.getLogger("eldercart.controller")
 
 WRITE_PAUSE_S = 0.25  # after a write that was not carried out
-TXN_BYTES = 56 * 1024  # the limit is 64 KiB; keys, guards and names take the rest
 ANY_UNITS = 1000  # ends and sheets, more than a transaction holds
 ASIDE_S = 20.0  # for which a job is left alone whose record the store refuses for what it is
 
--- a/src/eldercart/net/dependencies.py
+++ b/src/eldercart/net/dependencies.py
@@ -26,7 +26,7 @@
 from eldercart.net.store import FOR_ACCEPTING, FOR_POLLS
 from eldercart.units import ABSENT, JobId, Revision, Steady
 from eldercart.wire import Malformed, peers, users
-from eldercart.wire.state import Item, Put, Txn
+from eldercart.wire.state import TXN_BYTES, Item, Put, Txn
 from eldercart.wire.users import JobSpec, ListReference
 
 if TYPE_CHECKING:
@@ -40,7 +40,6 @@
 DEEP = 4  # jobs in a row, after which all open ones are read: a request for each takes too long
 GUARD_BYTES = 48 * 1024  # of a transaction's 64 KiB
 GUARD_ROOM = 30  # what a guard takes beside its key
-TXN_BYTES = 56 * 1024
 # Users wait 5 s for an acceptance and 2 s for a poll. A request may take 2 s itself.
 READ_S, WRITE_S, WALK_S = 1.5, 2.5, 1.2
 UNDER_WAY = 64  # lists partly written that are kept for their users' next tries
--- a/src/eldercart/net/leading.py
+++ b/src/eldercart/net/leading.py
@@ -32,7 +32,7 @@
     needs_prefix,
     resolve,
 )
-from eldercart.core.memory import MEMO
+from eldercart.core.memory import FILL, MEMO
 from eldercart.election import LEAD_KEY, Role
 from eldercart.net.buckets import Bucket
 from eldercart.net.client import HttpClient, WorkerClient
@@ -61,6 +61,7 @@
     429: Outcome.REFUSED,
     503: Outcome.REFUSED,
 }  # any other status, or none: unknown
+TYPES_AGAIN_S = 1.0  # after a write of the machine types that was not done
 LIST_AGAIN_S, LIST_LONGEST_S = 0.5, 10.0  # pauses before a list is read again
 READS = 20  # ends of awaited jobs that are read at once
 PUMP_S = 0.02  # in which events gather before what follows from them is looked for
@@ -82,6 +83,8 @@
         self._cloud_tokens = Bucket(rate, max(1.0, rate), node.clock())
         self.pump_soon = Soon(PUMP_S, self.pump)
         self._began = node.clock()
+        self._types_stored = True  # the machine types that this node knows, as far as it knows
+        self._types_due = Steady(0)  # they are not written before
         self.heard_at = node.clock()  # when a worker reported last, here or to a relay
 
     @property
@@ -131,6 +134,7 @@
             now = node.clock()
             for item in parts[CATALOG_KEY]:
                 node.take_types(item)
+            self._types_stored = bool(parts[CATALOG_KEY])
             c = Controller(
                 node.settings, node.tuning, epoch, dict(node.types), now, WallTime(time.time()),
                 node.life,
@@ -291,8 +295,9 @@
             pending = c.next_txn(now, ops)
             if pending is not None:
                 self._write(c, pending, now)
-        if node.store.writes.available(now, FOR_MEMORY) >= 1:
-            memo = c.next_memo(now)
+        spare = node.store.writes.available(now, FOR_MEMORY)
+        if spare >= 1:
+            memo = c.next_memo(now, spare)
             if memo is not None:
                 node.store.requests.force(now)
                 node.store.writes.force(now, len(memo.writes))
@@ -441,15 +446,20 @@
             return [(t.name, t.cpus, t.gpus, t.memory_gb, t.zones) for t in types.values()]
 
         node = self.node
-        c.cloud.catalog_changed = False
-        stored = shape(node.types)
+        known = shape(node.types)
         node.types = dict(c.floor.types)
-        if shape(c.floor.types) == stored:
+        self._types_stored = self._types_stored and shape(c.floor.types) == known
+        if self._types_stored:
+            c.cloud.catalog_changed = False
             return
         now = node.clock()
+        if now < self._types_due or node.store.writes.available(now, FOR_PLACING) < 1:
+            return
+        c.cloud.catalog_changed = False
+        self._types_stored = True
         node.store.requests.force(now)
         node.store.writes.force(now)
-        value = cloud.catalog_record(c.floor.types)
+        value = cloud.catalog_record(c.floor.types, int(FILL * node.settings.value_bytes))
         txn = Txn({LEAD_KEY: Revision(c.epoch)}, [Put(CATALOG_KEY, value)])
 
         def done(status: int | None, revision: Revision, failed: tuple[str, ...]) -> None:
@@ -458,7 +468,10 @@
                 # and the others answer with 503 as long as they don't.
                 log.error("catalogue refused by the state service status=%s", status)
             elif status != 200 and self.controller is c:
-                node.types = {}
+                # Its own submissions go on being judged; a repeat at every turn of the loop would
+                # use up the changes just when there are too few.
+                self._types_stored = False
+                self._types_due = Steady(node.clock() + TYPES_AGAIN_S)
                 c.cloud.catalog_changed = True
 
         node.store.txn(txn, done)
--- a/src/eldercart/wire/cloud.py
+++ b/src/eldercart/wire/cloud.py
@@ -71,16 +71,28 @@
     return types
 
 
-def catalog_record(types: dict[str, MachineType]) -> dict[str, Any]:
+def catalog_record(types: dict[str, MachineType], most_bytes: int | None = None) -> dict[str, Any]:
+    """What the state service keeps of the catalogue. If that were larger than `most_bytes`, it is
+    without the fields that only a leader uses, who soon has them from the cloud itself: every
+    reader takes defaults for them, and what a submission is judged by stays."""
+    breeds = [_breed(t) for t in types.values()]
+    if most_bytes is not None and len(orjson.dumps({"breeds": breeds})) > most_bytes:
+        for breed in breeds:
+            for field in _LEADERS_FIELDS:
+                del breed[field]
+            if not breed["accelerators"]:
+                del breed["accelerators"]
+    return {"breeds": breeds}
+
+
+_LEADERS_FIELDS = ("localGb", "pullGbPerS", "readyS")
+
+
+def _breed(t: MachineType) -> dict[str, Any]:
     return {
-        "breeds": [
-            {
-                "sku": t.name, "cpus": t.cpus, "accelerators": t.gpus, "memGb": t.memory_gb,
-                "localGb": t.cache_gb, "pullGbPerS": t.fetch_gb_per_s, "rate": t.price,
-                "lowPrice": t.spot_price, "readyS": t.boot_s, "yards": list(t.zones),
-            }
-            for t in types.values()
-        ]
+        "sku": t.name, "cpus": t.cpus, "accelerators": t.gpus, "memGb": t.memory_gb,
+        "localGb": t.cache_gb, "pullGbPerS": t.fetch_gb_per_s, "rate": t.price,
+        "lowPrice": t.spot_price, "readyS": t.boot_s, "yards": list(t.zones),
     }  # fmt: skip
 
 
--- a/src/eldercart/wire/state.py
+++ b/src/eldercart/wire/state.py
@@ -9,7 +9,8 @@
 from eldercart.units import LeaseId, Revision
 from eldercart.wire.checks import Malformed, count, load_answer, objects, text, texts
 
-PAGE = 1000
+PAGE = 1000  # keys of one answer to a range
+TXN_BYTES = 56 * 1024  # of values; the limit is 64 KiB, names and guards take the rest
 
 
 @dataclass(frozen=True, slots=True)
