--- a/src/eldercart/net/soon.py
+++ b/src/eldercart/net/coalescing.py
@@ -8,7 +8,7 @@
 reactor: Any = _reactor
 
 
-class Soon:
+class CoalescedCall:
     """Calls `what` once, `delay_s` after it was first asked for since the last call."""
 
     def __init__(self, delay_s: float, what: Callable[[], None]) -> None:
--- a/src/eldercart/net/eager.py
+++ b/src/eldercart/net/immediate_write.py
@@ -9,7 +9,7 @@
 from twisted.internet import tcp
 
 
-class EagerServer(tcp.Server):
+class ImmediateWriteServer(tcp.Server):
     """The server side of a connection; falls back on the reactor when the socket is full."""
 
     def startWriting(self) -> None:
--- a/src/eldercart/net/leading.py
+++ b/src/eldercart/net/leading.py
@@ -36,7 +36,7 @@
 from eldercart.election import LEAD_KEY, Role
 from eldercart.net.buckets import Bucket
 from eldercart.net.client import HttpClient, WorkerClient
-from eldercart.net.soon import Soon
+from eldercart.net.coalescing import CoalescedCall
 from eldercart.net.store import FOR_ENDS, FOR_MEMORY, FOR_PLACING, FOR_POLLS
 from eldercart.units import Epoch, JobId, MachineId, NodeId, ReportOrder, Revision, Steady, WallTime
 from eldercart.wire import Malformed, cloud, peers, users, workers
@@ -81,7 +81,7 @@
         self._workers = WorkerClient(max(4, s.sockets // 20))
         rate = 0.9 * s.cloud_rps
         self._cloud_tokens = Bucket(rate, max(1.0, rate), node.clock())
-        self.pump_soon = Soon(PUMP_S, self.pump)
+        self.pump_soon = CoalescedCall(PUMP_S, self.pump)
         self._began = node.clock()
         self._types_stored = True  # the machine types that this node knows, as far as it knows
         self._types_due = Steady(0)  # they are not written before
--- a/src/eldercart/net/links.py
+++ b/src/eldercart/net/links.py
@@ -8,7 +8,7 @@
 from twisted.internet import reactor as _reactor
 from twisted.protocols.basic import Int32StringReceiver
 
-from eldercart.net.eager import EagerServer, flush
+from eldercart.net.immediate_write import ImmediateWriteServer, flush
 from eldercart.settings.platform import Endpoint
 from eldercart.units import NodeId, Steady
 from eldercart.wire import Malformed, peers
@@ -165,4 +165,4 @@
 
 def listen(endpoint: Endpoint, exchange: Exchange) -> None:
     port = reactor.listenTCP(endpoint.port, exchange, backlog=32, interface=endpoint.host)
-    port.transport = EagerServer
+    port.transport = ImmediateWriteServer
--- a/src/eldercart/net/fallen.py
+++ b/src/eldercart/net/reduced_rates.py
@@ -12,7 +12,7 @@
 FIRST_S, MOST_S = 20.0, 640.0  # for which the lower rates hold at least, and at most
 
 
-class FallenRates:
+class ReducedRates:
     """One node's judgement. It tells its peers only of what it met itself: what it was told would
     otherwise go round and never end."""
 
@@ -20,7 +20,7 @@
         self._foretold = foretold
         self._patience = FIRST_S
         self._own = self._told = Steady(-1e9)  # until when, by own refusals and by those of peers
-        self.falls = 0  # how often this node found it out by itself
+        self.reductions = 0  # how often this node found it out by itself
 
     def refused(self, now: Steady, within: bool) -> None:
         """The service answered 429; `within`: though this node had not overdrawn its share."""
@@ -29,7 +29,7 @@
         if not self.lowered(now):
             soon = now - max(self._own, self._told) <= self._patience
             self._patience = min(MOST_S, 2 * self._patience) if soon else FIRST_S
-            self.falls += 1
+            self.reductions += 1
         # While the lower rates hold this says only that it was no stray one: requests that were
         # under way come back refused, too, and are no reason to wait longer than that.
         self._own = Steady(max(self._own, now + self._patience))
--- a/src/eldercart/net/relaying.py
+++ b/src/eldercart/net/relaying.py
@@ -16,9 +16,9 @@
     shares,
     spare_s,
 )
+from eldercart.net.coalescing import CoalescedCall
 from eldercart.net.links import Channel, Exchange, Link
 from eldercart.net.server import JsonRequest
-from eldercart.net.soon import Soon
 from eldercart.units import Epoch, JobId, MachineId, NodeId, ReportOrder, Session, Steady
 from eldercart.wire import Malformed, peers, users, workers
 from eldercart.wire.checks import count, load_object, text
@@ -83,7 +83,7 @@
         self.peer_served = Steady(-1e9)  # when a peer last said that the store serves it
         self.peer_counts: dict[NodeId, tuple[int, Steady]] = {}  # workers at each
         self._takes: dict[NodeId, tuple[str, ...]] = {}  # by what each peer said last
-        self._falls_told = 0
+        self._reductions_told = 0
         self._channels: dict[NodeId, Channel] = {}  # the newest that each peer greeted on
         self._number = 0
         self._held: dict[int, Held] = {}
@@ -91,7 +91,7 @@
         self._questions: dict[int, Question] = {}
         self._reports: list[tuple[int, bytes]] = []
         self._polls: list[tuple[int, str]] = []
-        self._flush_soon = Soon(FLUSH_S, self._flush)
+        self._flush_soon = CoalescedCall(FLUSH_S, self._flush)
         self._timeouts_due = Steady(0)
         self._shares: dict[NodeId, Share] = {}
 
@@ -102,8 +102,8 @@
         leader = node.election.leader
         node.store.follow(now)
         # That the store's rates have fallen the others should not have to find out, too.
-        news = node.store.fallen.falls != self._falls_told
-        self._falls_told = node.store.fallen.falls
+        news = node.store.reduced_rates.reductions != self._reductions_told
+        self._reductions_told = node.store.reduced_rates.reductions
         for link in self.links.values():
             every = GREET_LEADER_S if link.label == leader else GREET_S
             if node.leading.acts and node.store.failing_since is not None:
@@ -154,7 +154,7 @@
                     node.settings.label, self._number, node.election.epoch,
                     node.store.failing_since is None, self.relay.machines,
                     node.store.short(now) if leads else 0, heard,
-                    peers.TAKES, int(node.store.fallen.left_s(now) * 1000),
+                    peers.TAKES, int(node.store.reduced_rates.left_s(now) * 1000),
                 )
             )
         )  # fmt: skip
@@ -342,7 +342,7 @@
         if g.store_ok:
             self.peer_served = now
         self._takes[peer] = g.takes
-        self.node.store.fallen.told(g.low_ms / 1000, now)
+        self.node.store.reduced_rates.told(g.low_ms / 1000, now)
         self.node.store.follow(now)
         self.node.saw_epoch(g.epoch, "a peer knows a higher epoch")
         if g.epoch > self.relay.epoch:
@@ -414,7 +414,7 @@
                 peers.Greeted(
                     g.number, node.election.epoch, grants, node.store.failing_since is None,
                     share.most, share.spare, node.store.lend(g.short, now) if acts else 0,
-                    peers.TAKES, int(node.store.fallen.left_s(now) * 1000),
+                    peers.TAKES, int(node.store.reduced_rates.left_s(now) * 1000),
                     node.electing.ready,
                 )
             )
--- a/src/eldercart/net/server.py
+++ b/src/eldercart/net/server.py
@@ -8,7 +8,7 @@
 from twisted.internet import reactor as _reactor
 from twisted.web import http
 
-from eldercart.net.eager import EagerServer
+from eldercart.net.immediate_write import ImmediateWriteServer
 from eldercart.settings.platform import Endpoint
 from eldercart.wire.checks import MAX_BODY
 from eldercart.wire.users import error_body
@@ -129,4 +129,4 @@
     # All workers may come at once, when theirs is the only node left: a full queue costs each of
     # them a time-out, and several of those its lease.
     port = reactor.listenTCP(endpoint.port, factory, backlog=factory.most, interface=endpoint.host)
-    port.transport = EagerServer
+    port.transport = ImmediateWriteServer
--- a/src/eldercart/net/store.py
+++ b/src/eldercart/net/store.py
@@ -6,7 +6,7 @@
 
 from eldercart.net.buckets import Bucket
 from eldercart.net.client import Answer, HttpClient
-from eldercart.net.fallen import FallenRates
+from eldercart.net.reduced_rates import ReducedRates
 from eldercart.settings import NodeSettings
 from eldercart.units import LeaseId, Revision, Steady
 from eldercart.wire import Malformed
@@ -35,7 +35,7 @@
         self.failing_since: Steady | None = None
         self.refused_at = Steady(-1e9)  # when it last answered that it can't
         s = settings
-        self.fallen = FallenRates(
+        self.reduced_rates = ReducedRates(
             s.state_rps_next < s.state_rps or s.state_write_rps_next < s.state_write_rps
         )
         self._lowered = False
@@ -48,7 +48,7 @@
 
     def follow(self, now: Steady) -> None:
         """The rates that hold now: they change by a refusal, by a peer's word and by time."""
-        lowered = self.fallen.lowered(now)
+        lowered = self.reduced_rates.lowered(now)
         if lowered != self._lowered:
             self._lowered = lowered
             self._share_out(now)
@@ -118,7 +118,7 @@
         """The limit is reached, whatever the buckets say."""
         self.requests.drain(now)
         self.writes.drain(now)
-        self.fallen.refused(now, within)
+        self.reduced_rates.refused(now, within)
         self.follow(now)
 
     def get(self, key: str, done: Callable[[bool, Item | None], None]) -> None:
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -244,7 +244,9 @@
         election = SimpleNamespace(epoch=5, leader="drover-0", hold_seen=99.0, hold_until=101.0)
         store = SimpleNamespace(
             failing_since=None, lend=lambda n, now: 0, lent=lambda n, now: None,
-            fallen=SimpleNamespace(told=lambda s, now: None, left_s=lambda now: 0.0, falls=0),
+            reduced_rates=SimpleNamespace(
+                told=lambda s, now: None, left_s=lambda now: 0.0, reductions=0
+            ),
             follow=lambda now: None, last_ok=99.0, short=lambda now: 0,
         )  # fmt: skip
         self.leading = SimpleNamespace(acts=True, heard=lambda *a: None)
--- a/tests/test_eager.py
+++ b/tests/test_immediate_write.py
@@ -7,7 +7,7 @@
 import pytest
 from twisted.internet.protocol import Protocol
 
-from eldercart.net.eager import EagerServer, flush
+from eldercart.net.immediate_write import ImmediateWriteServer, flush
 
 
 class Reactor:
@@ -30,12 +30,12 @@
 
 
 @pytest.fixture
-def pair() -> Iterator[tuple[EagerServer, Reactor, socket.socket]]:
+def pair() -> Iterator[tuple[ImmediateWriteServer, Reactor, socket.socket]]:
     ours, theirs = socket.socketpair()
     ours.setblocking(False)
     theirs.settimeout(5.0)
     reactor = Reactor()
-    transport = EagerServer(ours, Protocol(), ("a", 1), None, 1, reactor)
+    transport = ImmediateWriteServer(ours, Protocol(), ("a", 1), None, 1, reactor)
     yield transport, reactor, theirs
     ours.close()
     theirs.close()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -13,8 +13,8 @@
 from eldercart.core.fleet import Life
 from eldercart.core.jobs import JobBook, Phase, chunk_size, job_record, parse_job_record
 from eldercart.core.sheets import Sheets
-from eldercart.net.fallen import FIRST_S, MOST_S, FallenRates
 from eldercart.net.node import Node
+from eldercart.net.reduced_rates import FIRST_S, MOST_S, ReducedRates
 from eldercart.net.store import Store
 from eldercart.settings import BadSettings, load_tuning
 from eldercart.settings.platform import NodeSettings, parse_platform
@@ -130,8 +130,8 @@
         (True, [(0, TOLD, 1e9)], {MOST_S - 1: True, MOST_S + 1: False}),
     ],
 )  # fmt: skip
-def test_fallen_rates(foretold: bool, events: list[Any], lowered: dict[float, bool]) -> None:
-    fallen = FallenRates(foretold)
+def test_reduced_rates(foretold: bool, events: list[Any], lowered: dict[float, bool]) -> None:
+    reduced_rates = ReducedRates(foretold)
     todo = sorted(
         [(float(t), 0, kind, arg) for t, kind, arg in events]
         + [(float(t), 1, "look", want) for t, want in lowered.items()]
@@ -139,22 +139,22 @@
     for t, _, kind, arg in todo:
         now = Steady(t)
         if kind == "look":
-            assert fallen.lowered(now) is arg, t
+            assert reduced_rates.lowered(now) is arg, t
         elif kind == TOLD:
-            fallen.told(arg, now)
+            reduced_rates.told(arg, now)
         else:
-            fallen.refused(now, kind == IN)
+            reduced_rates.refused(now, kind == IN)
 
 
 def test_word_of_the_fall_does_not_go_round() -> None:
     """Each node passes on what it met itself: two that told each other what they were told would
     keep the lower rates for ever."""
-    a, b = FallenRates(True), FallenRates(True)
+    a, b = ReducedRates(True), ReducedRates(True)
     a.refused(Steady(0), True)
     for t in range(1, 60):
         b.told(a.left_s(Steady(t)), Steady(t + 0.4))
         a.told(b.left_s(Steady(t)), Steady(t + 0.4))
-    assert b.left_s(Steady(1)) == 0 and b.falls == 0 and a.falls == 1
+    assert b.left_s(Steady(1)) == 0 and b.reductions == 0 and a.reductions == 1
     assert not a.lowered(Steady(FIRST_S + 2)) and not b.lowered(Steady(FIRST_S + 2))
 
 
@@ -204,7 +204,7 @@
         assert before <= s.state_write_rps
         refusal(all_[at], http)
         for store in all_:
-            store.fallen.told(all_[at].fallen.left_s(clock()), clock())
+            store.reduced_rates.told(all_[at].reduced_rates.left_s(clock()), clock())
             store.follow(clock())
         for leader in (0, nodes - 1):
             for i, store in enumerate(all_):
@@ -232,7 +232,7 @@
     (store,), clock, http = stores(1, NEXT)
     http.status = 429
     store.watch("lead", Revision(1), 10.0, lambda status, revision, events: None)
-    assert store.fallen.lowered(clock()) and store.writes.rate < 18
+    assert store.reduced_rates.lowered(clock()) and store.writes.rate < 18
 
 
 class LimitedHttp:
@@ -278,11 +278,11 @@
                 store.writes.force(clock(), most)
                 txn = Txn({}, [Put("k", 1)] * most)
                 store.txn(txn, lambda status, revision, failed: None)
-            low += 0.05 / nodes if store.fallen.lowered(clock()) else 0
+            low += 0.05 / nodes if store.reduced_rates.lowered(clock()) else 0
         if rng.random() < 0.1:
             for store in all_:
                 for peer in all_:
-                    store.fallen.told(peer.fallen.left_s(clock()), clock())
+                    store.reduced_rates.told(peer.reduced_rates.left_s(clock()), clock())
     refused = [t - began for t, status, _ in service.log if status == 429]
     if not falls:
         assert len(refused) < 5 and low < 100, (refused, low)
@@ -354,7 +354,7 @@
     node = Node(settings_of(NEXT, 3), load_tuning())
     rate = node.store.writes.rate
     node.relaying._heard_peer(NodeId("drover-1"), GREETED, node.clock())
-    assert node.store.writes.rate < rate and node.store.fallen.left_s(node.clock()) == 0
+    assert node.store.writes.rate < rate and node.store.reduced_rates.left_s(node.clock()) == 0
 
 
 # -- parts cut anew
