--- a/src/eldercart/net/buckets.py
+++ b/src/eldercart/net/buckets.py
@@ -8,6 +8,7 @@
     they are served only while more than `reserve` (a share of the burst) would remain."""
 
     def __init__(self, rate: float, burst: float, now: Steady) -> None:
+        """Starts full; `rate` is in tokens per second, `burst` the most that it holds."""
         self._rate = rate
         self._burst = max(1.0, burst)
         self._tokens = self._burst
@@ -15,6 +16,7 @@
 
     @property
     def rate(self) -> float:
+        """Tokens per second."""
         return self._rate
 
     @property
@@ -23,6 +25,7 @@
         return self._tokens < 0
 
     def set_rate(self, rate: float, burst: float, now: Steady) -> None:
+        """Changes rate and burst from now on; tokens beyond the new burst are lost."""
         self._refill(now)
         self._rate = rate
         self._burst = max(1.0, burst)
@@ -33,10 +36,12 @@
         self._at = now
 
     def available(self, now: Steady, reserve: float = 0.0) -> int:
+        """How many tokens may be taken above the reserve; negative if it is overdrawn."""
         self._refill(now)
         return int(self._tokens - reserve * self._burst)
 
     def take(self, now: Steady, number: int = 1, reserve: float = 0.0) -> bool:
+        """Takes tokens if that leaves the reserve; otherwise none, and returns False."""
         self._refill(now)
         if self._tokens - number < reserve * self._burst - 1e-9:
             return False
--- a/src/eldercart/net/client.py
+++ b/src/eldercart/net/client.py
@@ -22,6 +22,7 @@
     """Calls `answer(status, body)` exactly once; status None means that there was no answer."""
 
     def __init__(self, endpoint: Endpoint, connect_timeout: float, connections: int) -> None:
+        """Keeps up to `connections` idle connections to the host."""
         self._base = f"http://{endpoint.host}:{endpoint.port}".encode()
         pool = HTTPConnectionPool(reactor)
         pool.maxPersistentPerHost = connections
@@ -31,6 +32,7 @@
     def request(
         self, method: bytes, path: str, body: bytes | None, timeout: float, answer: Answer
     ) -> None:
+        """Sends once; `timeout` counts from now until the whole answer is there."""
         _send(self._agent, method, self._base + path.encode(), body, timeout, answer)
 
 
@@ -38,6 +40,7 @@
     """Asks any worker, over a connection of its own each time; silence has no consequence."""
 
     def __init__(self, most: int) -> None:
+        """At most `most` requests are under way at a time; more are dropped."""
         self._agent = Agent(reactor, connectTimeout=1.0)
         self._most = most
         self._open = 0
--- a/src/eldercart/net/coalescing.py
+++ b/src/eldercart/net/coalescing.py
@@ -1,4 +1,4 @@
-"""Work that is put off for a moment, so that what belongs together gathers."""
+"""Calls that are coalesced: many requests within a short time lead to one call."""
 
 from collections.abc import Callable
 from typing import Any
@@ -12,11 +12,13 @@
     """Calls `what` once, `delay_s` after it was first asked for since the last call."""
 
     def __init__(self, delay_s: float, what: Callable[[], None]) -> None:
+        """`what` does the work that is asked for."""
         self._delay_s = delay_s
         self._what = what
         self._set = False
 
     def __call__(self) -> None:
+        """Asks for the call; without effect while one is scheduled."""
         if not self._set:
             self._set = True
             reactor.callLater(self._delay_s, self._run)
--- a/src/eldercart/net/immediate_write.py
+++ b/src/eldercart/net/immediate_write.py
@@ -1,7 +1,7 @@
-"""Connections that send at once.
+"""Connections that write to their socket immediately.
 
-By itself the reactor sends what was written only after its next look at all sockets: two more
-system calls and a longer way through the loop for each answer, hundreds of times a second.
+The reactor alone sends what was written only after it has polled all sockets again: two more
+system calls and one more turn of the loop for each answer, hundreds of times a second.
 """
 
 from typing import Any
@@ -13,14 +13,15 @@
     """The server side of a connection; falls back on the reactor when the socket is full."""
 
     def startWriting(self) -> None:
-        # Asked for without anything to send, it means to close: that is the reactor's turn, as is
-        # whatever the matter may be with a socket that takes nothing.
+        """Writes now if there is new data and the socket takes all of it."""
+        # Called without anything to send, it means to close: that is left to the reactor, and so
+        # is a socket that takes nothing or fails.
         fresh = self._tempDataLen and not self.disconnecting and not self.dataBuffer
         if not fresh or self.doWrite() is not None or self.dataBuffer:
             super().startWriting()
 
 
 def flush(transport: Any) -> None:
-    """The same for a connection that this side has opened; troubles are left to the reactor."""
+    """The same for a connection that this side has opened; errors are left to the reactor."""
     if not transport.disconnecting:
         transport.doWrite()
--- a/src/eldercart/net/reduced_rates.py
+++ b/src/eldercart/net/reduced_rates.py
@@ -1,10 +1,10 @@
-"""Whether the state service's rates have fallen to the ones that the settings foretell.
+"""Whether the state service's rate limits have been reduced to those announced in the settings.
 
-The fall comes without notice. What tells of it is a refusal (429) that the rates known so far can't
+The reduction comes without notice. The sign of it is a refusal (429) that the present limits can't
 explain, since this node had kept within its share of them. Other reasons remain possible: a peer
 that overdrew its own share, as a new leader does while it reads, or two clocks that disagree on
-where a second ends. So the lower rates hold for a time, and are then tried against the old ones
-again; each time that this fails soon, the next try waits twice as long.
+where a second ends. So the lower rates are used for a time, after which the old ones are tried
+again; each time that this fails soon, the next try waits twice as long (exponential backoff).
 """
 
 from eldercart.units import Steady
@@ -13,10 +13,11 @@
 
 
 class ReducedRates:
-    """One node's judgement. It tells its peers only of what it met itself: what it was told would
-    otherwise go round and never end."""
+    """One node's judgement. It tells its peers only of refusals that it met itself: two nodes that
+    repeated what they were told would keep the lower rates for ever."""
 
     def __init__(self, foretold: bool) -> None:
+        """`foretold`: the settings announce lower rates; otherwise nothing lowers them."""
         self._foretold = foretold
         self._patience = FIRST_S
         self._own = self._told = Steady(-1e9)  # until when, by own refusals and by those of peers
@@ -42,6 +43,7 @@
             self._patience = max(self._patience, left_s)
 
     def lowered(self, now: Steady) -> bool:
+        """Whether the lower rates are to be used now."""
         return now < max(self._own, self._told)
 
     def left_s(self, now: Steady) -> float:
--- a/src/eldercart/net/server.py
+++ b/src/eldercart/net/server.py
@@ -24,11 +24,13 @@
     too_long = False
 
     def gotLength(self, length: int | None) -> None:
+        """Prepares for a body of this length, or of an unknown one."""
         # Never a temporary file: /tmp counts as memory.
         self.content = BytesIO()
         self.too_long = length is not None and length > MAX_BODY
 
     def handleContentChunk(self, data: bytes) -> None:
+        """Keeps the next part of the body; beyond the bound nothing more is kept."""
         if self.too_long or self.content.tell() + len(data) > MAX_BODY:
             self.too_long = True
             return
@@ -44,6 +46,7 @@
         self.process()
 
     def process(self) -> None:
+        """Hands the whole request to the factory's route."""
         if self.too_long:
             self.reply(400, error_body("body over 64 KiB"))
             return
@@ -56,16 +59,19 @@
                 self.reply(503, error_body("internal"), retry_after=1)
 
     def connectionLost(self, reason: Any) -> None:
+        """The peer has left: nothing is sent any more."""
         self.gone = True
         super().connectionLost(reason)
 
     def body(self) -> bytes:
+        """The body as received."""
         value: bytes = self.content.getvalue()
         return value
 
     def reply(
         self, status: int, body: bytes, retry_after: int | None = None, close: bool = False
     ) -> None:
+        """Answers, once; `close` ends the connection afterwards."""
         if self.gone or self.finished:
             return
         if close:
@@ -83,15 +89,19 @@
 
 
 class JsonChannel(http.HTTPChannel):
+    """One accepted connection; the factory counts the open ones."""
+
     requestFactory = JsonRequest
 
     def connectionMade(self) -> None:
+        """Counts the connection."""
         self.factory.open += 1
         # Small answers on kept connections: do not wait to fill a packet.
         self.transport.setTcpNoDelay(True)
         super().connectionMade()
 
     def connectionLost(self, reason: Any) -> None:
+        """Counts it no longer."""
         self.factory.open -= 1
         super().connectionLost(reason)
 
@@ -101,6 +111,7 @@
     hung peers leaves sockets for the calls that keep the service going."""
 
     def __init__(self, route: Callable[[JsonRequest], None], most: int) -> None:
+        """Accepts at most `most` connections at a time."""
         super().__init__(timeout=120, reactor=reactor)
         self.route = route
         self.most = most
@@ -113,9 +124,10 @@
         """Without the clock that the access log would need."""
 
     def stopFactory(self) -> None:
-        pass
+        """Nothing was started."""
 
     def buildProtocol(self, addr: Any) -> Any:
+        """The channel for a new connection; None closes it at once."""
         if self.open >= self.most:
             return None
         channel = JsonChannel()
@@ -126,6 +138,7 @@
 
 
 def listen(endpoint: Endpoint, factory: JsonFactory) -> None:
+    """Accepts connections at the endpoint."""
     # All workers may come at once, when theirs is the only node left: a full queue costs each of
     # them a time-out, and several of those its lease.
     port = reactor.listenTCP(endpoint.port, factory, backlog=factory.most, interface=endpoint.host)
--- a/src/eldercart/net/store.py
+++ b/src/eldercart/net/store.py
@@ -24,7 +24,11 @@
 
 
 class Store:
+    """The state service as this node may use it. Tokens of transactions are their callers'
+    concern, since these can wait; all other calls take theirs here."""
+
     def __init__(self, settings: NodeSettings, clock: Callable[[], Steady]) -> None:
+        """Starts with a follower's share of the present limits."""
         self._http = HttpClient(settings.state, 1.0, 8)
         self._clock = clock
         self._settings = settings
@@ -43,6 +47,7 @@
         self._share_out(now)
 
     def set_leader(self, leader: bool) -> None:
+        """The shares of a leader and of the others differ."""
         self._leader = leader
         self._share_out(self._clock())
 
@@ -86,6 +91,7 @@
         return number
 
     def lent(self, number: int, now: Steady) -> None:
+        """Adds tokens that the leader has taken from its own share for this node."""
         self.requests.give(now, number)
         self.writes.give(now, number)
 
@@ -181,6 +187,8 @@
         self._call(b"POST", "/txn", txn.body(), TIMEOUT_S, got)
 
     def open_hold(self, life_ms: int, done: Callable[[LeaseId | None], None]) -> None:
+        """A new lease; `done(None)` if none was given."""
+
         def got(status: int | None, data: bytes) -> None:
             try:
                 done(wire.parse_lease(data) if status == 200 else None)
@@ -200,6 +208,7 @@
         self._call(b"POST", f"/holds/{hold}/touch", b"{}", 1.0, got)
 
     def drop_hold(self, hold: LeaseId, done: Callable[[bool], None]) -> None:
+        """Ends a lease; `done(True)` once it surely has ended."""
         self.requests.force(self._clock())
         self._call(b"DELETE", f"/holds/{hold}", None, 1.0, lambda s, _: done(s in (200, 204, 404)))
 
@@ -210,6 +219,9 @@
         wait_s: float,
         done: Callable[[int | None, Revision, list[Any]], None],
     ) -> None:
+        """Waits for changes under the prefix: `done(200, revision to go on from, events)`, or
+        `done(status, after, [])` if it failed."""
+
         def got(status: int | None, data: bytes) -> None:
             if status == 429:
                 self._refused(self._clock(), within)
