--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -13,6 +13,8 @@
 from eldercart.core.fleet import Life
 from eldercart.core.jobs import JobBook, Phase, chunk_size, job_record, parse_job_record
 from eldercart.core.sheets import Sheets
+from eldercart.net.buckets import Bucket
+from eldercart.net.front import RETRY_S
 from eldercart.net.node import Node
 from eldercart.net.reduced_rates import FIRST_S, MOST_S, ReducedRates
 from eldercart.net.store import Store
@@ -22,6 +24,7 @@
 from eldercart.wire import cloud, peers, users
 from eldercart.wire.state import Item, Put, Txn
 from standins import CATALOG
+from test_acceptance import Place
 from world import PLATFORM, World, submission
 
 NEXT = {"write_rps": 18, "value_kb": 2.0, "txn_ops": 6}
@@ -297,6 +300,154 @@
         assert sum(window) > 5 * 18 * 0.92 * 0.6, (start, sum(window))
 
 
+class Requests(LimitedHttp):
+    """The same, with a limit on requests too, which falls at the same time."""
+
+    def __init__(self, clock: Clock, at: float, later: float = 70.0) -> None:
+        super().__init__(clock, 25, 18, at)
+        self.all_later = later
+        self.all, self.counted = 70.0, clock.now
+
+    def request(self, method: bytes, path: str, body: Any, timeout: float, answer: Any) -> None:
+        now = self.clock.now
+        rate = self.all_later if now >= self.at else 70.0
+        self.all = min(rate, self.all + (now - self.counted) * rate)
+        self.counted = now
+        if self.all < 1:
+            self.log.append((now, 429, 0))
+            answer(429, b"{}")
+            return
+        self.all -= 1
+        if method == b"POST":
+            super().request(method, path, body, timeout, answer)
+        else:
+            answer(404, b"{}")
+
+
+def burst(
+    nodes: list[Store], clock: Clock, seconds: float, rng: random.Random, followers: list[Store]
+) -> list[int]:
+    """Every node writes as its tokens allow and looks up as much as it may; the `followers` of the
+    limits tell each other what they met. Returns the changes that each got through."""
+    through = [0] * len(nodes)
+    until = clock.now + seconds
+    while clock.now < until:
+        clock.now += 0.05
+        for i, store in enumerate(nodes):
+            if store in followers:
+                store.follow(clock())
+            most = min(store.writes.available(clock()), 6 if store._leader else 1)
+            if most > 0 and store.requests.take(clock()):
+                store.writes.force(clock(), most)
+
+                def done(status: int | None, *_: Any, i: int = i, most: int = most) -> None:
+                    through[i] += most if status == 200 else 0
+
+                store.txn(Txn({}, [Put("k", 1)] * most), done)
+            if store.requests.available(clock(), 0.3) >= 1:
+                store.get("x", lambda ok, item: None)
+        if rng.random() < 0.1:
+            for store in followers:
+                for peer in followers:
+                    store.reduced_rates.told(peer.reduced_rates.left_s(clock()), clock())
+    return through
+
+
+@pytest.mark.parametrize("at_s", [0.0, 0.3, 5.0])
+def test_fall_in_a_burst_while_leaders_take_over(at_s: float) -> None:
+    """A leader that takes over reads without asking for tokens, and so overdraws. Neither that
+    nor the fall near it makes a lasting spell of refusals, or leaves a node without its share."""
+    nodes, clock, _ = stores(5, NEXT | {"rps": 40})
+    service = Requests(clock, clock.now + 30 + at_s, 40.0)
+    for store in nodes:
+        store._http = service  # type: ignore[assignment]
+    rng = random.Random(4)
+    burst(nodes, clock, 30, rng, nodes)
+    for turn in range(6):
+        for i, store in enumerate(nodes):
+            store.set_leader(i == turn % 5)
+        for _ in range(40):
+            clock.now += 0.01
+            nodes[turn % 5].get("x", lambda ok, item: None)
+        began = clock.now
+        through = burst(nodes, clock, 40, rng, nodes)
+        assert sum(through) > 40 * 18 * 0.92 * 0.7, (turn, through)
+        assert min(through) > 40 * 18 * 0.92 * 0.075 * 0.6, (turn, through)
+        late = [t for t, status, _ in service.log if status == 429 and t > began + 5]
+        assert len(late) < 40, (turn, len(late))
+    clock.now += 3 * MOST_S
+    for store in nodes:
+        store.follow(clock())
+    assert sum(store.writes.rate for store in nodes) > 18, "nothing lowers the rates for good"
+
+
+@pytest.mark.parametrize("old_leads", [True, False])
+@pytest.mark.parametrize("old", [1, 3])
+def test_nodes_that_keep_the_higher_rates_starve_no_others(old: int, old_leads: bool) -> None:
+    """Nodes of an earlier version may not know the lower rates. Until they are replaced some
+    requests are refused; all nodes get changes through, and the new ones keep to their shares of
+    the lower rates."""
+    nodes, clock, _ = stores(5, NEXT)
+    plain = stores(5, None)[0]
+    for store in plain:
+        store._clock = clock
+    nodes = plain[:old] + nodes[old:] if old_leads else nodes[: 5 - old] + plain[5 - old :]
+    new = [store for store in nodes if store not in plain]
+    service = Requests(clock, clock.now)
+    for i, store in enumerate(nodes):
+        store._http = service  # type: ignore[assignment]
+        store.set_leader(i == 0)
+    rng = random.Random(old)
+    burst(nodes, clock, 30, rng, new)
+    for _ in range(5):
+        through = burst(nodes, clock, 20, rng, new)
+        assert sum(through) > 20 * 18 * 0.7, through
+        assert min(through) > 20 * 18 * 0.92 * 0.075 * 0.4, through
+        assert all(store.reduced_rates.lowered(clock()) for store in new)
+        for store in new:
+            share = 0.7 if store._leader else 0.3 / 4
+            assert store.writes.rate <= 18 * share
+
+
+@pytest.mark.parametrize(("writes", "requests"), [(0, 9), (9, 0), (0, 0)])
+def test_submission_without_tokens_is_refused_at_once(writes: int, requests: int) -> None:
+    """With a time after which to come again, without a call to the service that has no tokens
+    left for it, and taken as soon as there are some."""
+    place = Place()
+    place.store.writes = Bucket(1.0, 9.0, Steady(0))
+    place.store.requests = Bucket(1.0, 9.0, Steady(0))
+    place.store.writes.force(Steady(0), 9 - writes)
+    place.store.requests.force(Steady(0), 9 - requests)
+    asking = place.submit(submission("wk-000001"))
+    assert (asking.status, asking.retry) == (503, RETRY_S)
+    assert place.store.writes.available(Steady(0)) == writes, "what it lacks costs nothing"
+    assert place.store.requests.available(Steady(0)) == requests
+    assert "job/wk-000001" not in place.store.sim.keys
+    place.now = 1.1
+    assert place.submit(submission("wk-000001")).status == 201
+
+
+def test_submission_at_a_node_that_is_behind_is_refused_at_once() -> None:
+    place = Place()
+    place.node.lag = place.node.tuning.lag_s + 0.01
+    asking = place.submit(submission("wk-000001"))
+    assert (asking.status, asking.retry) == (503, RETRY_S)
+    place.node.lag = 0.0
+    assert place.submit(submission("wk-000001")).status == 201
+
+
+@pytest.mark.parametrize("status", [400, 413, 429, 503])
+def test_acceptance_that_the_service_refuses(status: int) -> None:
+    """Nothing is stored and nothing remembered of it: the next try is judged anew."""
+    place = Place()
+    carry_out = place.store.txn
+    place.store.txn = lambda txn, done: done(status, Revision(0), ())  # type: ignore[method-assign]
+    asking = place.submit(submission("wk-000001"))
+    assert (asking.status, asking.retry) == (503, RETRY_S)
+    place.store.txn = carry_out  # type: ignore[method-assign]
+    assert place.submit(submission("wk-000001")).status == 201
+
+
 # -- greetings
 
 
