--- a/src/eldercart/core/fleet.py
+++ b/src/eldercart/core/fleet.py
@@ -10,8 +10,10 @@
 
 from eldercart.core.jobs import Phase, Placement
 from eldercart.units import (
+    CLOCK_ZERO,
     NEVER,
     NO_REPORT,
+    NO_SESSION,
     JobId,
     MachineId,
     NodeId,
@@ -73,10 +75,10 @@
     leaving_gpus: float = 0.0
     leaving_memory: float = 0.0
     by_priority: dict[int, float] = field(default_factory=dict)  # CPUs placed, not being stopped
-    idle_since: Steady = Steady(0)
+    idle_since: Steady = CLOCK_ZERO
     draining: bool = False  # notice or quarantine: nothing new starts here
     quarantined: bool = False
-    quarantined_at: Steady = Steady(0)
+    quarantined_at: Steady = CLOCK_ZERO
     taken_at: Steady | None = None  # when the cloud takes it back, by its notice
     images: dict[str, float] = field(default_factory=dict)  # name -> GB, least recent first
     failed_jobs: set[JobId] = field(default_factory=set)
@@ -85,7 +87,7 @@
     refuse_until: Steady = NEVER
     # Whether it does what it is told; see `health.Obedience`.
     unheeded: int = 0
-    told_since: Steady = Steady(0)
+    told_since: Steady = CLOCK_ZERO
     old_epoch: int = 0  # reports that showed an older epoch although one was answered
     undelivered: bool = False  # the last answer surely came too late
     # Whether it was asked directly, because nothing was heard of it, and answered.
@@ -93,7 +95,7 @@
     shown: Steady = NEVER
     # Direct commands: when the last one went out, and the session that the worker showed then.
     ordered: Steady = NEVER
-    session: Session = Session(0)
+    session: Session = NO_SESSION
     wanted: bool = False
 
     @property
--- a/src/eldercart/core/records.py
+++ b/src/eldercart/core/records.py
@@ -22,12 +22,11 @@
 from eldercart.election import LEAD_KEY
 from eldercart.units import ABSENT, NEVER, JobId, Revision, Steady
 from eldercart.wire import users
-from eldercart.wire.state import Drop, Item, Put, Txn
+from eldercart.wire.state import TXN_BYTES, Drop, Item, Put, Txn
 
 log = logging.getLogger("eldercart.controller")
 
 WRITE_PAUSE_S = 0.25  # after a write that was not carried out
-TXN_BYTES = 56 * 1024  # the limit is 64 KiB; keys, guards and names take the rest
 ANY_UNITS = 1000  # ends and sheets, more than a transaction holds
 ASIDE_S = 20.0  # for which a job is left alone whose record the store refuses for what it is
 
@@ -361,6 +360,8 @@
         for sheet in pending.dropped:
             self.sheets.forget(sheet)
         at_fault = [*(j for j, *_ in pending.chunks), *(j for j, _ in pending.ends)]
+        for sheet in pending.sheets:
+            self.sheets.isolate(sheet)
         for job in [*at_fault, *pending.cleanups]:
             log.error("record refused job=%s", job.id)
             self._aside[job.id] = Steady(now + ASIDE_S)
--- a/src/eldercart/net/catalog.py
+++ b/src/eldercart/net/catalog.py
@@ -4,8 +4,10 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from eldercart.core.controller import Controller
+from eldercart.core.memory import FILL
 from eldercart.election import LEAD_KEY
-from eldercart.units import Revision
+from eldercart.net.store import FOR_PLACING
+from eldercart.units import NEVER, Revision, Steady
 from eldercart.wire import cloud
 from eldercart.wire.cloud import MachineType
 from eldercart.wire.state import Put, Txn
@@ -16,6 +18,7 @@
 log = logging.getLogger("eldercart.node")
 
 CATALOG_KEY = "catalog"
+WRITE_AGAIN_S = 1.0  # after a write of the catalogue that was not carried out
 
 
 class Shape(NamedTuple):
@@ -37,21 +40,33 @@
     """Writes the leader's catalogue to the state service when its shape has changed."""
 
     def __init__(self, node: "Node") -> None:
-        """Compares with, and changes, the types that the node knows."""
         self._node = node
+        self.stored = True  # the types that this node knows, as far as it can tell
+        self._due = NEVER  # the next write goes out no earlier
 
     def store(self, controller: Controller) -> None:
-        """Takes the controller's types over into the node, and writes them if they differ."""
+        """Takes the controller's types over into the node, and writes them if they differ from
+        what is stored. Without a token for a change, the next turn of the loop tries again."""
         node = self._node
-        controller.cloud.catalog_changed = False
-        stored = shapes(node.types)
+        known = shapes(node.types)
         node.types = dict(controller.floor.types)
-        if shapes(controller.floor.types) == stored:
+        self.stored = self.stored and shapes(controller.floor.types) == known
+        if self.stored:
+            controller.cloud.catalog_changed = False
             return
         now = node.clock()
+        if now < self._due or node.store.writes.available(now, FOR_PLACING) < 1:
+            return
+        controller.cloud.catalog_changed = False
+        self.stored = True
+        self._write(controller, now)
+
+    def _write(self, controller: Controller, now: Steady) -> None:
+        node = self._node
         node.store.requests.force(now)
         node.store.writes.force(now)
-        value = cloud.catalog_record(controller.floor.types)
+        most_bytes = int(FILL * node.settings.value_bytes)
+        value = cloud.catalog_record(controller.floor.types, most_bytes)
         txn = Txn({LEAD_KEY: Revision(controller.epoch)}, [Put(CATALOG_KEY, value)])
 
         def done(status: int | None, revision: Revision, failed: tuple[str, ...]) -> None:
@@ -60,7 +75,10 @@
                 # and the others answer with 503 as long as they don't.
                 log.error("catalogue refused by the state service status=%s", status)
             elif status != 200 and node.leading.controller is controller:
-                node.types = {}
+                # Its own submissions go on being judged; a repeat at every turn of the loop would
+                # use up the changes just when there are too few.
+                self.stored = False
+                self._due = Steady(node.clock() + WRITE_AGAIN_S)
                 controller.cloud.catalog_changed = True
 
         node.store.txn(txn, done)
--- a/src/eldercart/net/forwarding.py
+++ b/src/eldercart/net/forwarding.py
@@ -7,9 +7,9 @@
 from typing import TYPE_CHECKING, Any
 
 from eldercart.core.relay import Answer, Forward, Redirect, Relay
+from eldercart.net.coalescing import CoalescedCall
 from eldercart.net.links import Link, link_up
 from eldercart.net.server import JsonRequest
-from eldercart.net.soon import Soon
 from eldercart.units import Epoch, MachineId, NodeId, Steady
 from eldercart.wire import Malformed, peers, users, workers
 from eldercart.wire.checks import load_object
@@ -47,7 +47,7 @@
         self._held: dict[int, Held] = {}
         self._given_up: OrderedDict[int, MachineId] = OrderedDict()
         self._batch: list[tuple[int, bytes]] = []
-        self._flush_soon = Soon(FLUSH_S, self._flush)
+        self._flush_soon = CoalescedCall(FLUSH_S, self._flush)
 
     # -- from workers
 
--- a/src/eldercart/net/greetings.py
+++ b/src/eldercart/net/greetings.py
@@ -48,7 +48,7 @@
         self.peer_served = NEVER  # when a peer last said that the store serves it
         self._counts: dict[NodeId, WorkerCount] = {}
         self._takes: dict[NodeId, tuple[str, ...]] = {}  # by what each peer said last
-        self._falls_told = 0
+        self._reductions_told = 0
         self._shares: dict[NodeId, Share] = {}
 
     # -- time
@@ -63,8 +63,8 @@
         node = self._node
         leader = node.election.leader
         # That the store's rates have fallen the others should not have to find out, too.
-        news = node.store.fallen.falls != self._falls_told
-        self._falls_told = node.store.fallen.falls
+        news = node.store.reduced_rates.reductions != self._reductions_told
+        self._reductions_told = node.store.reduced_rates.reductions
         for link in self._links.values():
             every = GREET_LEADER_S if link.label == leader else GREET_S
             if node.leading.acts and node.store.failing_since is not None:
@@ -91,7 +91,7 @@
             short=node.store.short(now) if leads else 0,
             heard=heard,
             takes=peers.TAKES,
-            low_ms=int(node.store.fallen.left_s(now) * 1000),
+            low_ms=int(node.store.reduced_rates.left_s(now) * 1000),
         )
         link.send(peers.greet(greet))
 
@@ -135,7 +135,7 @@
         if told.store_ok:
             self.peer_served = now
         self._takes[peer] = told.takes
-        node.store.fallen.told(told.low_ms / 1000, now)
+        node.store.reduced_rates.told(told.low_ms / 1000, now)
         node.store.follow(now)
         node.saw_epoch(told.epoch, "a peer knows a higher epoch")
         if told.epoch > self._relay.epoch:
@@ -182,7 +182,7 @@
             spare=share.spare,
             lent=node.store.lend(greet.short, now) if acts else 0,
             takes=peers.TAKES,
-            low_ms=int(node.store.fallen.left_s(now) * 1000),
+            low_ms=int(node.store.reduced_rates.left_s(now) * 1000),
             ready=node.electing.ready,
         )
         channel.send(peers.greeted(answer))
--- a/src/eldercart/net/leading.py
+++ b/src/eldercart/net/leading.py
@@ -10,8 +10,8 @@
 from eldercart.election import Role
 from eldercart.net.catalog import CatalogRecord
 from eldercart.net.cloud_calls import CloudCalls
+from eldercart.net.coalescing import CoalescedCall
 from eldercart.net.job_records import JobRecords, resolve_all
-from eldercart.net.soon import Soon
 from eldercart.net.store_work import StoreWork
 from eldercart.net.takeover import StoredRecords, TakeOver
 from eldercart.net.user_answers import UserAnswers
@@ -49,7 +49,7 @@
         self._store_work = StoreWork(node)
         self._cloud_calls = CloudCalls(node)
         self._worker_calls = WorkerCalls(node)
-        self.pump_soon = Soon(PUMP_S, self.pump)
+        self.pump_soon = CoalescedCall(PUMP_S, self.pump)
         self._began = node.clock()
         self.heard_at = node.clock()  # when a worker reported last, here or to a relay
 
@@ -84,6 +84,7 @@
         self._takeover = None
         for item in records.catalog:
             node.take_types(item)
+        self.catalog.stored = bool(records.catalog)
         controller = Controller(
             node.settings, node.tuning, epoch, dict(node.types), now, WallTime(time.time()),
             node.life,
--- a/src/eldercart/net/questions.py
+++ b/src/eldercart/net/questions.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
+from eldercart.net.coalescing import CoalescedCall
 from eldercart.net.links import Link, link_up
-from eldercart.net.soon import Soon
 from eldercart.units import JobId, NodeId, Steady
 from eldercart.wire import peers
 
@@ -38,7 +38,7 @@
         self._numbers = numbers
         self._open: dict[int, Question] = {}
         self._polls: list[tuple[int, str]] = []
-        self._flush_soon = Soon(FLUSH_S, self._flush)
+        self._flush_soon = CoalescedCall(FLUSH_S, self._flush)
 
     def poll(self, job: JobId, answer: ToldAnswer) -> bool:
         """Asks the leader; False: there is none to ask, and `answer` won't be called."""
--- a/src/eldercart/net/store_work.py
+++ b/src/eldercart/net/store_work.py
@@ -117,9 +117,10 @@
 
     def _write_memo(self, controller: Controller, now: Steady) -> None:
         store = self._node.store
-        if store.writes.available(now, FOR_MEMORY) < 1:
+        spare = store.writes.available(now, FOR_MEMORY)
+        if spare < 1:
             return
-        memo = controller.next_memo(now)
+        memo = controller.next_memo(now, spare)
         if memo is not None:
             store.requests.force(now)
             store.writes.force(now, len(memo.writes))
--- a/src/eldercart/units.py
+++ b/src/eldercart/units.py
@@ -22,6 +22,10 @@
 
 ONLY_LIFE = LifeId("0")  # for what is never started twice, as in tests
 ABSENT = Revision(0)
+NO_EPOCH = Epoch(0)
+NO_ATTEMPT = Attempt(0)
+NO_SESSION = Session(0)
+CLOCK_ZERO = Steady(0)
 FOREVER = Steady(float("inf"))
 NEVER = Steady(-1e9)  # longer ago than any pause or lease: "has not happened yet"
 
