--- a/src/eldercart/cli/client.py
+++ b/src/eldercart/cli/client.py
@@ -41,7 +41,11 @@
 
 def run(args: argparse.Namespace) -> int:
     if args.command == "submit":
-        raw = sys.stdin.buffer.read() if args.file == "-" else Path(args.file).read_bytes()
+        try:
+            raw = sys.stdin.buffer.read() if args.file == "-" else Path(args.file).read_bytes()
+        except OSError as err:
+            print(f"eldercart: {args.file}: {err.strerror}", file=sys.stderr)
+            return EXIT_USAGE
         try:
             if args.awaits:
                 raw = _with_awaits(raw, args.awaits)
--- a/src/eldercart/net/dependencies.py
+++ b/src/eldercart/net/dependencies.py
@@ -178,9 +178,13 @@
             names = users.dependencies_from_record(record)
         except Malformed:
             return None
-        self.needs.keep(job, names, 1 + len(names))
+        self.learn_names(job, names)
         return names
 
+    def learn_names(self, job: JobId, names: tuple[JobId, ...]) -> None:
+        """What an accepted job awaits; it never changes."""
+        self.needs.keep(job, names, 1 + len(names))
+
     def cancelled_before(
         self, jobs: tuple[JobId, ...], done: Callable[[bool | None], None]
     ) -> None:
--- a/src/eldercart/net/front.py
+++ b/src/eldercart/net/front.py
@@ -42,6 +42,9 @@
                 return
             self.node.relaying.report(request)
         elif path == b"/healthz":
+            if method != b"GET":
+                request.reply(405, users.error_body("method"))
+                return
             healthy = self.node.healthy()
             request.reply(200 if healthy else 503, b"{}", None if healthy else RETRY_S)
         elif path == b"/work":
@@ -62,7 +65,10 @@
                 request.reply(404, users.error_body("no such job"))
             else:
                 self._guarded(request, lambda r: serve(r, JobId(job)))
-        elif path == b"/status" and method == b"GET":
+        elif path == b"/status":
+            if method != b"GET":
+                request.reply(405, users.error_body("method"))
+                return
             request.reply(200, self.node.status_page())
         else:
             request.reply(404, users.error_body("no such path"))
@@ -115,8 +121,9 @@
             if spec.team not in node.settings.teams:
                 refusal = (422, "unknown team")
             elif not node.types:
+                # A node that has just started; a job accepted by another one is known all the same.
                 log.info("submission refused: machine types unknown")
-                request.reply(503, users.error_body("machine types unknown"), RETRY_S)
+                self._refuse(request, job, 503, "machine types unknown")
                 return
             else:
                 why = rules.never_runs(spec, node.types, node.settings.teams)
@@ -131,7 +138,11 @@
             self._accept(request, spec)
 
     def _refuse(self, request: JsonRequest, job: JobId, status: int, message: str) -> None:
-        self._unless_known(request, job, lambda: request.reply(status, users.error_body(message)))
+        """`message` goes to the user of a job that is not known; a 503 asks to come back."""
+        pause = RETRY_S if status == 503 else None
+        self._unless_known(
+            request, job, lambda: request.reply(status, users.error_body(message), pause)
+        )
 
     def _unless_known(self, request: JsonRequest, job: JobId, absent: Callable[[], Any]) -> None:
         """A repeat of an accepted job gets its state, whatever the body says now."""
@@ -206,17 +217,22 @@
                 self.dependencies.forget_list(job)
             if status == 200:
                 self.dependencies.accepted(job)
+                self.dependencies.learn_names(job, spec.dependencies)
                 request.reply(201, users.state_body(job, users.PENDING))
                 c = node.leading.controller
                 if c is not None:
                     c.add_job(spec, size, at, node.clock())
                     node.leading.pump_soon()
-            elif status == 409 and END + job not in failed and not awaits():
+            elif status == 409 and END + job not in failed and awaits_none():
                 # The job is there and had not ended, as of this very transaction. It may have
                 # since, and this node have told so.
                 self.dependencies.accepted(job)
                 state = self._finals.get(job, users.PENDING)
                 request.reply(200, users.state_body(job, state))
+            elif status == 409 and END + job not in failed:
+                self._unless_known(
+                    request, job, lambda: request.reply(503, users.error_body("try again"), 1)
+                )
             elif status == 409 or status is None:
                 self.look_up(
                     job,
@@ -228,9 +244,10 @@
                 log.info("submission not stored status=%s", status)
                 request.reply(503, users.error_body("cannot store it now"), RETRY_S)
 
-        def awaits() -> bool:
-            """Whether it may have been told as cancelled with another job, before its own end."""
-            return bool(spec.dependencies or self.dependencies.needs.get(job))
+        def awaits_none() -> bool:
+            """Whether it can't have been told as cancelled with another job, before its own end.
+            What is stored counts: a repeat need not name what the submission named."""
+            return self.dependencies.needs.get(job) == ()
 
         store.txn(txn, done)
 
--- a/src/eldercart/net/relaying.py
+++ b/src/eldercart/net/relaying.py
@@ -21,7 +21,7 @@
 from eldercart.net.soon import Soon
 from eldercart.units import Epoch, JobId, MachineId, NodeId, ReportOrder, Session, Steady
 from eldercart.wire import Malformed, peers, users, workers
-from eldercart.wire.checks import count, load_object, text
+from eldercart.wire.checks import count, load_enclosed, text
 
 if TYPE_CHECKING:
     from eldercart.net.node import Node
@@ -184,7 +184,7 @@
         now = node.clock()
         body = request.body()
         try:
-            obj = load_object(body)
+            obj = load_enclosed(body)
             machine = MachineId(text(obj, "wagon"))
             order = ReportOrder(Session(count(obj, "stint")), count(obj, "tally"))
             epoch = Epoch(count(obj, "whip"))
--- a/src/eldercart/settings/platform.py
+++ b/src/eldercart/settings/platform.py
@@ -123,7 +123,7 @@
 
     def endpoint(self, path: str) -> Endpoint:
         host, _, port = self.text(path).rpartition(":")
-        if not host or not port.isdigit() or not 0 < int(port) < 65536:
+        if not host or not (port.isascii() and port.isdigit()) or not 0 < int(port) < 65536:
             raise BadSettings(f"settings: {path}: must be host:port")
         return Endpoint(host, int(port))
 
--- a/src/eldercart/wire/checks.py
+++ b/src/eldercart/wire/checks.py
@@ -19,6 +19,17 @@
     return load_answer(body)
 
 
+def load_enclosed(body: bytes) -> dict[str, Any]:
+    """An object that goes on inside a frame. Nested as deeply as the parser just allows, it would
+    make the whole frame unreadable, and with it what others sent."""
+    value = load_object(body)
+    try:
+        orjson.dumps(value)  # allows far fewer levels than the parser
+    except orjson.JSONEncodeError:
+        raise Malformed("nested too deeply") from None
+    return value
+
+
 def load_answer(body: bytes) -> dict[str, Any]:
     """A response may be longer than a request."""
     try:
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -321,6 +321,62 @@
     assert (asking.status, asking.answer["standing"]) == (200, "done")
 
 
+REPEATS: list[tuple[str, dict[str, Any]]] = [
+    ("as it was", submission("wk-9", awaits=["wk-middle"])),
+    ("without what it awaits", submission("wk-9")),
+    ("with another list", submission("wk-9", awaits=["wk-open"])),
+    ("with a list that can't be read", submission("wk-9", awaits="wk-middle")),
+    ("with a job that was never accepted", submission("wk-9", awaits=["wk-x"])),
+    ("with itself", submission("wk-9", awaits=["wk-9"])),
+    ("malformed", {"nameId": "wk-9"}),
+    ("of another team", submission("wk-9", crew="nobody")),
+    ("as one that can't run", submission("wk-9", cpus=4000.0)),
+]
+
+
+@pytest.mark.parametrize("types_known", [True, False], ids=["running", "just started"])
+@pytest.mark.parametrize("body", [r[1] for r in REPEATS], ids=[r[0] for r in REPEATS])
+def test_a_repeat_at_another_node_tells_the_cancellation_before_it(
+    body: dict[str, Any], types_known: bool
+) -> None:
+    """Its user was told `aborted` when the job before it was cancelled, though it has no end of
+    its own yet: `pending` would go back. What was accepted counts, not what the repeat says; and
+    a node that has just started needs no machine types to know a job that another one accepted."""
+    place = Place()
+    if not types_known:
+        place.node.types = {}
+    place.know("wk-open")
+    place.ended("wk-root", users.CANCELLED)
+    place.know("wk-middle", ("wk-root",))
+    place.know("wk-9", ("wk-middle",))
+    asking = place.submit(body)
+    assert (asking.status, asking.answer.get("standing")) == (200, "aborted")
+
+
+def test_without_machine_types_a_new_job_is_told_to_come_back() -> None:
+    place = Place()
+    place.node.types = {}
+    asking = place.submit(submission("wk-9"))
+    assert (asking.status, asking.retry) == (503, 2)
+    assert not place.store.sim.keys
+
+
+def test_a_known_job_whose_record_is_not_found_is_told_to_come_back() -> None:
+    """It was accepted, so a read without it is older than what is known: never a 4xx."""
+    place = Place()
+    place.front.dependencies.accepted(JobId("wk-9"))
+    asking = place.submit(submission("wk-9", awaits=["wk-open"]))
+    assert (asking.status, asking.retry) == (503, 2)
+
+
+def test_a_repeat_where_it_was_accepted_takes_no_read() -> None:
+    place = Place()
+    assert place.submit(submission("wk-9")).status == 201
+    before = len(place.store.asked)
+    assert place.submit(submission("wk-9")).status == 200
+    assert place.store.asked[before:] == ["txn"]
+
+
 def names(number: int) -> list[str]:
     return [f"wk-{i:06d}" for i in range(number)]
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,6 +1,7 @@
 """Settings, election, predictor, order of jobs and token buckets."""
 
 import copy
+import json
 from typing import Any
 
 import pytest
@@ -29,6 +30,7 @@
         ("label", None, "label"),
         ("front", "nowhere", "front"),
         ("endpoints.state", "1.2.3.4:99999", "endpoints.state"),
+        ("endpoints.state", "1.2.3.4:\u00b2", "endpoints.state"),
         ("settings.workers.lease_s", "14", "settings.workers.lease_s"),
         ("settings.workers.report_s", 0, "settings.workers.report_s"),
         ("settings.state.rps", True, "settings.state.rps"),
@@ -65,6 +67,83 @@
     assert capsys.readouterr().err.strip() == "settings: settings.teams: missing"
 
 
+NEXT_LIMITS: list[tuple[Any, str]] = [
+    ([], "settings.state.next: must be an object"),
+    ("less", "settings.state.next: must be an object"),
+    (7, "settings.state.next: must be an object"),
+    (False, "settings.state.next: must be an object"),
+    ({"rps": "70"}, "settings.state.next.rps: must be a number"),
+    ({"rps": True}, "settings.state.next.rps: must be a number"),
+    ({"rps": [70]}, "settings.state.next.rps: must be a number"),
+    ({"rps": 0}, "settings.state.next.rps: must be at least 1"),
+    ({"rps": -5}, "settings.state.next.rps: must be at least 1"),
+    ({"write_rps": {}}, "settings.state.next.write_rps: must be a number"),
+    ({"write_rps": 0.5}, "settings.state.next.write_rps: must be at least 1"),
+    ({"value_kb": "2"}, "settings.state.next.value_kb: must be a number"),
+    ({"value_kb": 0}, "settings.state.next.value_kb: must be at least 0.5"),
+    ({"txn_ops": False}, "settings.state.next.txn_ops: must be a number"),
+    ({"txn_ops": 1}, "settings.state.next.txn_ops: must be at least 2"),
+    ({"rps": 50, "txn_ops": "6"}, "settings.state.next.txn_ops: must be a number"),
+]
+
+
+@pytest.mark.parametrize("command", ["check-settings", "serve"])
+@pytest.mark.parametrize(("later", "line"), NEXT_LIMITS)
+def test_malformed_next_limits_end_with_status_2_and_one_line(
+    command: str, later: Any, line: str, tmp_path: Any, capsys: Any
+) -> None:
+    """Limits that fall without notice have to be known before; a guess would be found out by
+    refused writes, in the middle of the day."""
+    root = copy.deepcopy(PLATFORM)
+    root["settings"]["state"]["next"] = later
+    path = tmp_path / "node.json"
+    path.write_text(json.dumps(root))
+    assert main([command, "--config", str(path)]) == 2
+    out, err = capsys.readouterr()
+    assert (out, err) == ("", f"settings: {line}\n")
+
+
+@pytest.mark.parametrize("later", [None, {}, {"rps": None}, {"unknown": "x"}])
+def test_next_limits_may_be_left_out(later: Any, tmp_path: Any) -> None:
+    root = copy.deepcopy(PLATFORM)
+    root["settings"]["state"]["next"] = later
+    path = tmp_path / "node.json"
+    path.write_text(json.dumps(root))
+    assert main(["check-settings", "--config", str(path)]) == 0
+    assert parse_platform(root) == parse_platform(PLATFORM)
+
+
+# -- the command line
+
+JOB = submission("wk-9")
+
+
+@pytest.mark.parametrize(
+    ("arguments", "status", "line"),
+    [
+        (["submit", "nowhere.json"], 2, "eldercart: nowhere.json: No such file or directory"),
+        (["submit", "list.json"], 2, "eldercart: the job is malformed: not an object"),
+        (["submit", "text.json"], 2, "eldercart: the job is malformed: not JSON"),
+        (["submit", "awaits.json"], 2, "eldercart: the job is malformed: awaits"),
+        (["submit", "--awaits", "x", "job.json"], 2, "eldercart: the job is malformed: awaits"),
+        (["status", "job-9"], 2, "eldercart: not a job id: job-9"),
+        (["cancel", "wk-9/0"], 2, "eldercart: not a job id: wk-9/0"),
+    ],
+)
+def test_the_command_line_refuses_in_one_line(
+    arguments: list[str], status: int, line: str, tmp_path: Any, monkeypatch: Any, capsys: Any
+) -> None:
+    """Nothing is sent: no server has this name."""
+    monkeypatch.chdir(tmp_path)
+    files = {"list": [], "job": JOB, "awaits": JOB | {"awaits": "wk-1"}}
+    for name, value in files.items():
+        (tmp_path / f"{name}.json").write_text(json.dumps(value))
+    (tmp_path / "text.json").write_text("{")
+    command, *rest = arguments
+    assert main([command, "--server", "nowhere.invalid:1", *rest]) == status
+    assert capsys.readouterr().err.strip() == line
+
+
 # -- election
 
 HOLD = LeaseId(5)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,7 +9,7 @@
 from eldercart.core import placement as rules
 from eldercart.settings.platform import parse_platform
 from eldercart.wire import Malformed, cloud, peers, state, users, workers
-from eldercart.wire.checks import load_object
+from eldercart.wire.checks import load_enclosed, load_object
 from standins import CATALOG
 from world import PLATFORM, submission
 
@@ -82,6 +82,20 @@
         load_object(body)
 
 
+@pytest.mark.parametrize(("levels", "good"), [(1, True), (100, True), (300, False), (1022, False)])
+def test_what_goes_on_in_a_frame_is_not_nested_too_deeply(levels: int, good: bool) -> None:
+    """The parser takes 1,024 levels. A report with as many, handed on within a frame, would make
+    the frame unreadable: the leader would drop it with other workers' reports, and the link."""
+    body = b'{"x":' + b"[" * levels + b"]" * levels + b"}"
+    load_object(body)
+    if good:
+        batch = [(1, orjson.dumps(load_enclosed(body)))]
+        assert peers.parse_reports(peers.parse(peers.reports(workers.Epoch(3), batch)))
+    else:
+        with pytest.raises(Malformed, match="nested"):
+            load_enclosed(body)
+
+
 @pytest.mark.parametrize(
     ("changes", "why"),
     [
