--- /dev/null
+++ b/src/eldercart/net/key_ranges.py
@@ -0,0 +1,14 @@
+"""Prefixes under which the keys of many jobs are read in one request."""
+
+from collections.abc import Iterable
+from itertools import takewhile
+
+from eldercart.units import JobId
+
+
+def common_key(prefix: str, jobs: Iterable[JobId]) -> str:
+    """What the keys of all the jobs begin with. The first and the last of the names share what
+    all between them share."""
+    names = list(jobs)
+    pairs = zip(min(names), max(names), strict=False)
+    return prefix + "".join(a for a, _ in takewhile(lambda pair: pair[0] == pair[1], pairs))
