--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -289,6 +289,8 @@
     ("awaits itself", submission("wk-9", awaits=["wk-open", "wk-9"]), 422),
     ("awaits an unknown job", submission("wk-9", awaits=["wk-x"]), 422),
     ("awaits an unknown one among others", submission("wk-9", awaits=["wk-open", "wk-x"]), 422),
+    ("awaits one of another team", submission("wk-9", crew="t1", awaits=["wk-open"]), 201),
+    ("is a service", submission("wk-9", shape="service"), 400),
     ("awaits an open job", submission("wk-9", awaits=["wk-open"]), 201),
     ("awaits it twice", submission("wk-9", awaits=["wk-open", "wk-open"]), 201),
     ("awaits a done one", submission("wk-9", awaits=["wk-done", "wk-open"]), 201),
@@ -545,6 +547,45 @@
     assert place.submit(submission("wk-9", awaits=names(400))).status in (201, 503)
 
 
+def test_a_job_that_ends_during_the_check_counts_as_accepted() -> None:
+    """Its record goes as its end comes. Two reads, one of each, could miss both: then a job that
+    was accepted long ago would be taken for one that never was."""
+    place = Place()
+    place.know("wk-open")
+    asking = Asking(submission("wk-9", awaits=["wk-open"]))
+    place.front._submit(cast(Any, asking))
+    ended = False
+    while place.store.answers:
+        place.store.answers.popleft()()
+        if not ended:
+            place.ended("wk-open", users.DONE)
+            ended = True
+    assert asking.status == 201
+
+
+def test_a_job_that_is_accepted_during_the_check_is_not_refused_for_an_older_read() -> None:
+    """The ends are read in a range first; that a name is not among them says nothing."""
+    place = Place()
+    jobs = names(200)
+    for name in jobs[:-1]:
+        place.ended(name, users.DONE)
+    asking = Asking(submission("wk-9", awaits=jobs))
+    place.front._submit(cast(Any, asking))
+    assert place.store.asked == ["range"]
+    place.store.answers.popleft()()
+    place.know(jobs[-1])
+    place.settle()
+    assert asking.status == 201
+
+
+def test_a_wide_fan_out_is_accepted_without_reading_its_root_again() -> None:
+    place = Place()
+    place.know("wk-root")
+    for job in names(500):
+        assert place.submit(submission(job, awaits=["wk-root"])).status == 201
+    assert place.store.asked.count("compare") == 1
+
+
 def test_a_repeat_writes_no_list_again() -> None:
     place = Place()
     for name in names(400):
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -417,3 +417,39 @@
     with region.lock:
         assert [i["path"] for i in region.store.range("job/")] == ["job/wk-good"]
         assert not region.store.range("end/") and not region.store.range("needs/")
+
+
+def test_the_command_line_submits_jobs_that_await_and_says_why_they_wait(
+    service: tuple[Region, Service], tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    region, node = service
+
+    def run(*arguments: str) -> tuple[int, str]:
+        command, *rest = arguments
+        status = main([command, "--server", node.front, *rest])
+        return status, capsys.readouterr().out.strip()
+
+    def submit(job: str, *options: str, **changes: Any) -> tuple[int, str]:
+        body = submission(job, **changes)
+        with region.lock:
+            region.jobs[job] = body | {"runS": 3600.0}
+        file = tmp_path / f"{job}.json"
+        file.write_bytes(orjson.dumps(body))
+        return run("submit", *options, str(file))
+
+    def waits_of(job: str) -> set[str]:
+        """They are told in no order."""
+        state, _, waits = run("status", job)[1].partition(", waits for ")
+        assert state == f"{job}: pending, 0 done, 0 running"
+        return set(waits.split())
+
+    assert submit("wk-first") == (0, "wk-first: pending")
+    assert submit("wk-second", "--awaits", "wk-first") == (0, "wk-second: pending")
+    assert submit("wk-third", "--awaits", "wk-second", awaits=["wk-first"])[0] == 0
+    assert submit("wk-none", "--awaits", "wk-never")[0] == 1
+    assert submit("wk-none", "--awaits", "first")[0] == 2
+    until(lambda: waits_of("wk-third") == {"wk-first", "wk-second"})
+    assert run("cancel", "wk-first") == (0, "wk-first: aborted")
+    until(lambda: run("status", "wk-third")[1].startswith("wk-third: aborted"))
+    assert submit("wk-late", "--awaits", "wk-third")[0] == 0, "accepted, though it can't be done"
+    until(lambda: run("status", "wk-late")[1].startswith("wk-late: aborted"))
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -2,11 +2,12 @@
 
 import copy
 import json
+from pathlib import Path
 from typing import Any
 
 import pytest
 
-from eldercart.cli import main
+from eldercart.cli import main, parser
 from eldercart.core import placement as rules
 from eldercart.core.fleet import Fleet, Life
 from eldercart.core.jobs import Job, JobBook
@@ -118,6 +119,21 @@
 JOB = submission("wk-9")
 
 
+README = Path(__file__).resolve().parent.parent / "README.md"
+
+
+def test_the_commands_in_the_readme_are_understood() -> None:
+    lines = [line.strip() for line in README.read_text().splitlines()]
+    commands = [line.partition("run.py ")[2].split() for line in lines if "run.py " in line]
+    assert {command[0] for command in commands} == {
+        "check-settings", "serve", "submit", "status", "cancel",
+    }  # fmt: skip
+    for command in commands:
+        args = parser().parse_args(command)
+        assert args.command == command[0]
+        assert getattr(args, "awaits", []) == (["wk-000412"] if "--awaits" in command else [])
+
+
 @pytest.mark.parametrize(
     ("arguments", "status", "line"),
     [
