--- /dev/null
+++ b/src/eldercart/core/bookings.py
@@ -0,0 +1,119 @@
+"""Soft bookings: room that counts as demand until the job that it is meant for comes.
+
+A booking reserves no machine. Any waiting task may use the room meanwhile; the booking only makes
+the leader rent, or keep, that many CPUs.
+"""
+
+from collections.abc import Callable, Collection
+from dataclasses import dataclass, field
+from enum import Enum
+
+from eldercart.settings import Tuning
+from eldercart.units import JobId, Steady
+
+Path = tuple[str, ...]
+Pipeline = tuple[str, str]  # team and class
+ChainNumber = int
+
+
+class Origin(Enum):
+    """Why room was booked."""
+
+    STREAM = "stream"  # the next job of a team's class, as the stream predictor expects it
+    CHAIN = "chain"  # a successor along a chain that is not submitted yet
+    SUBMITTED = "submitted"  # a successor that is submitted and waits: nothing was predicted
+
+
+@dataclass(slots=True)
+class Tally:
+    """What became of the bookings of one origin."""
+
+    hits: int = 0
+    misses: int = 0
+    unused: int = 0
+
+    def __str__(self) -> str:
+        return f"{self.hits}/{self.misses}/{self.unused}"
+
+
+@dataclass(slots=True)
+class Booking:
+    """Room for one expected job, of `pipeline` and most likely with `image`."""
+
+    pipeline: Pipeline
+    upstream: JobId
+    image: str
+    cpus: float
+    spot: bool
+    until: Steady
+    origin: Origin = Origin.STREAM
+    successor: JobId | None = None  # known if the job is submitted already
+    # The chains that the job is expected to continue, and the path of each. A fan-in has several.
+    chains: dict[ChainNumber, Path] = field(default_factory=dict)
+
+
+class BookingBook:
+    """Owns the bookings, the cap on their number, and the tallies."""
+
+    def __init__(self, tuning: Tuning) -> None:
+        self._tuning = tuning
+        self.bookings: list[Booking] = []
+        self.tallies = {origin: Tally() for origin in Origin}
+
+    def depth(self, booked_share: float) -> int:
+        """How many bookings a pipeline may have at that load of the fleet."""
+        tuning = self._tuning
+        if booked_share > tuning.load_much:
+            return int(tuning.depth_full)
+        return int(tuning.depth_loaded if booked_share > tuning.load_some else tuning.depth)
+
+    def of(self, pipeline: Pipeline, origin: Origin | None = None) -> list[Booking]:
+        """The pipeline's bookings, oldest first; of all origins unless one is named."""
+        return [
+            booking
+            for booking in self.bookings
+            if booking.pipeline == pipeline and origin in (None, booking.origin)
+        ]
+
+    def has_room(self, pipeline: Pipeline, load: float) -> bool:
+        """Whether the load allows one more booking of the pipeline."""
+        return len(self.of(pipeline)) < self.depth(load)
+
+    def continuing(self, chains: Collection[ChainNumber]) -> list[Booking]:
+        """Those for the successor of one of these chains."""
+        return [
+            booking
+            for booking in self.bookings
+            if any(number in chains for number in booking.chains)
+        ]
+
+    def add(self, booking: Booking) -> None:
+        """Books."""
+        self.bookings.append(booking)
+
+    def hit(self, booking: Booking) -> None:
+        """The expected job has come and takes its room."""
+        self.tallies[booking.origin].hits += 1
+        self.bookings.remove(booking)
+
+    def miss(self, booking: Booking) -> None:
+        """Another job came, or none will: the room is returned."""
+        self.tallies[booking.origin].misses += 1
+        self.bookings.remove(booking)
+
+    def expire(self, now: Steady) -> None:
+        """Returns the room that no job took in time."""
+        for booking in [b for b in self.bookings if b.until <= now]:
+            self.tallies[booking.origin].unused += 1
+            self.bookings.remove(booking)
+
+    def booked(self, held: Callable[[JobId], float]) -> tuple[float, float]:
+        """CPUs booked: for jobs that need ordinary machines, and in all. What the upstream still
+        holds comes free for its successor, so only the rest is needed beside it."""
+        ordinary = everything = 0.0
+        for booking in self.bookings:
+            cpus = max(0.0, booking.cpus - held(booking.upstream))
+            everything += cpus
+            if not booking.spot:
+                ordinary += cpus
+        return ordinary, everything
--- a/src/eldercart/core/cloudwork.py
+++ b/src/eldercart/core/cloudwork.py
@@ -20,28 +20,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Rent:
+    """Rent machines, under the request's name."""
+
     hire: Hire
 
 
 @dataclass(frozen=True, slots=True)
 class Delete:
+    """Return machines."""
+
     machines: tuple[MachineId, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ListPage:
+    """List machines, after the one named."""
+
     after: MachineId | None
 
 
 @dataclass(frozen=True, slots=True)
 class GetCatalog:
-    pass
+    """Read the machine types."""
 
 
 CloudCall = Rent | Delete | ListPage | GetCatalog
 
 
 def no_capacity(body: bytes) -> bool:
+    """Whether a 503 says that the cloud has no such machine, and not that it is in trouble."""
     return b"no capacity" in body
 
 
@@ -69,6 +76,7 @@
     # -- what to rent and to return
 
     def rent(self, now: Steady) -> None:
+        """Books room, measures the demand, and decides what to rent and what to return."""
         f = self.f
         if not f.types:
             return
@@ -106,7 +114,23 @@
         fleet = sum(m.type.cpus for m in f.fleet.machines.values() if m.life is Life.UP)
         used = sum(f.fleet.team_cpus.values()) + f.predictor.booked(self._held)[1]
         load = used / fleet if fleet else 0.0
-        ending: dict[JobId, float] = {}  # jobs that end within a boot
+        ending = self._ending(boot, now)
+        for job_id, left in ending.items():
+            f.predictor.prepare(f.jobs.jobs[job_id], left, boot, load, now)
+        for job_id in ending:
+            for after in f.graph.dependents(job_id):
+                if after.ended is None and all(name in ending for name in after.awaited):
+                    last = max(after.awaited, key=lambda name: ending[name])
+                    cpus = self._at_once(after.spec.team, after.spec.cpus * after.spec.tasks)
+                    f.predictor.prepare_submitted(after, cpus, last, ending[last], boot, load, now)
+        for expected in f.predictor.chains.predictions(ending):
+            cpus = self._at_once(expected.pipeline[0], expected.cpus)
+            f.predictor.prepare_chain(expected, cpus, boot, load, now)
+
+    def _ending(self, boot_s: float, now: Steady) -> dict[JobId, float]:
+        """Jobs that end within about one boot, and in how many seconds."""
+        f = self.f
+        ending: dict[JobId, float] = {}
         for job in f.jobs.jobs.values():
             if not job.open or job.pending or job.queued:
                 continue
@@ -115,21 +139,16 @@
             for p in job.placements():
                 if p.phase is not Phase.ENDED:
                     left = max(left, run - p.ran(now))
-                    if left > boot:
+                    if left > boot_s:
                         break
-            f.predictor.prepare(job, left, boot, load, now)
-            if left <= boot:
+            if left <= boot_s:
                 ending[job.id] = left
-        for job_id in ending:
-            for after in f.graph.dependents(job_id):
-                if after.ended is None and all(name in ending for name in after.awaited):
-                    last = max(after.awaited, key=lambda name: ending[name])
-                    left = ending[last]
-                    cpus = after.spec.cpus * after.spec.tasks
-                    team = f.settings.teams.get(after.spec.team)
-                    if team is not None and team.cpus_max > 0:
-                        cpus = min(cpus, team.cpus_max)  # more of it can't run at once
-                    f.predictor.prepare_submitted(after, cpus, last, left, boot, load, now)
+        return ending
+
+    def _at_once(self, team_name: str, cpus: float) -> float:
+        """How much of that the team may use at once."""
+        team = self.f.settings.teams.get(team_name)
+        return min(cpus, team.cpus_max) if team is not None and team.cpus_max > 0 else cpus
 
     # -- calls
 
--- a/src/eldercart/core/controller.py
+++ b/src/eldercart/core/controller.py
@@ -168,7 +168,7 @@
             return
         f = self.floor
         arrived = Steady(min(now, at - self._zero_wall))
-        f.take(f.graph.add(self.jobs.add(spec, size, arrived), now), now)
+        f.submitted(self.jobs.add(spec, size, arrived), now)
         log.info(
             "job accepted job=%s class=%s team=%s tasks=%d cpus=%g image=%s",
             spec.id, spec.klass, spec.team, spec.tasks, spec.cpus, spec.image,
@@ -288,8 +288,9 @@
                 spec = job.spec
                 waiting[spec.klass] = waiting.get(spec.klass, 0.0) + job.pending * spec.cpus
         log.info(
-            "prediction hits=%d misses=%d unused=%d booked=%d",
+            "prediction hits=%d misses=%d unused=%d booked=%d %s",
             f.predictor.hits, f.predictor.misses, f.predictor.unused, len(f.predictor.bookings),
+            " ".join(f"{origin.value}={tally}" for origin, tally in f.predictor.tallies.items()),
         )  # fmt: skip
         up = [m for m in self.fleet.machines.values() if m.life is Life.UP]
         total = sum(m.type.cpus for m in up)
--- a/src/eldercart/core/floor.py
+++ b/src/eldercart/core/floor.py
@@ -65,8 +65,16 @@
         deadline = job.spec.deadline_s
         return FOREVER if deadline is None else Steady(job.arrived + deadline)
 
+    def submitted(self, job: Job, now: Steady) -> None:
+        """A job has come into the book."""
+        effect = self.graph.add(job, now)
+        if not job.orphaned:
+            self.predictor.submitted(job, self.graph.dependents(job.id))
+        self.take(effect, now)
+
     def ended(self, job: JobId, how: str, now: Steady) -> None:
         """A durable end: of a job in the book, or of one that others await."""
+        self.predictor.chain_ended(job, how, now)
         self.take(self.graph.ended(job, how, now), now)
 
     def take(self, effect: Effect, now: Steady) -> None:
--- a/src/eldercart/core/prediction.py
+++ b/src/eldercart/core/prediction.py
@@ -1,16 +1,19 @@
-"""What will be needed soon: the branch predictor, soft bookings, and how long jobs really run.
+"""What will be needed soon: predicted jobs, their bookings, and how long jobs really run.
 
 After the paper's sequence table (V-A): a pipeline is the stream of one team's jobs of one class,
 its nodes are images, and a branch is whether the upstream job is done or aborted. There is one
 sub-entry per path of recent images, with counted outcomes and, per outcome, counted successors.
-Nothing runs early: a booking only holds room, softly.
+Jobs that await others are predicted along their chain instead, see `chain_prediction`. Nothing runs
+early: a booking only holds room, softly.
 """
 
 import logging
 from collections import deque
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
+from eldercart.core.bookings import Booking, BookingBook, Origin, Path, Pipeline, Tally
+from eldercart.core.chain_prediction import ChainPredictor, Prediction
 from eldercart.core.jobs import Job
 from eldercart.settings import Tuning
 from eldercart.units import JobId, Steady
@@ -18,8 +21,6 @@
 
 log = logging.getLogger("eldercart.prediction")
 
-Path = tuple[str, ...]
-Pipeline = tuple[str, str]  # team and class
 MAX_PATHS = 512  # a pipeline; beyond, the path seen longest ago is forgotten
 LONGEST = 1.4  # the longest task of a job against its mean, as seen
 LAUNCH_S = 3.0
@@ -28,29 +29,22 @@
 
 @dataclass(slots=True)
 class SubEntry:
+    """What was counted for one path of images."""
+
     outcomes: dict[str, int] = field(default_factory=dict)
     successors: dict[str, dict[str, int]] = field(default_factory=dict)
 
     def share_done(self) -> float | None:
+        """The share of jobs that ended done; None without any."""
         total = sum(self.outcomes.values())
         return self.outcomes.get(DONE, 0) / total if total else None
 
     def likeliest(self, outcome: str) -> str | None:
+        """The image that most often followed that outcome."""
         counts = self.successors.get(outcome)
         return max(counts, key=lambda image: (counts[image], image)) if counts else None
 
 
-@dataclass(slots=True)
-class Booking:
-    pipeline: Pipeline
-    upstream: JobId
-    image: str
-    cpus: float
-    spot: bool
-    until: Steady
-    successor: JobId | None = None  # submitted already: nothing had to be guessed
-
-
 @dataclass(slots=True)
 class Seen:
     """One job of a stream: its path, and what is known of its end and its successor."""
@@ -64,6 +58,8 @@
 
 @dataclass(slots=True)
 class Stream:
+    """The independent jobs of one team's class."""
+
     table: dict[Path, SubEntry] = field(default_factory=dict)
     recent: deque[str] = field(default_factory=deque)
     seen: deque[Seen] = field(default_factory=deque)
@@ -79,28 +75,31 @@
     estimated: float = 0.0
 
     def add(self, ran: float, estimate: float) -> None:
+        """One more task has run."""
         self.ran = self.ran * 0.98 + ran
         self.estimated = self.estimated * 0.98 + estimate
 
     def ratio(self) -> float:
+        """Run time against estimate, within bounds."""
         if self.estimated < 1.0:
             return 1.0
         return min(4.0, max(0.2, self.ran / self.estimated))
 
 
 class Predictor:
-    """Owns the tables and the bookings."""
+    """Owns the tables of the streams, the paces, and the bookings of all origins."""
 
     def __init__(self, tuning: Tuning) -> None:
         self._tuning = tuning
         self._streams: dict[Pipeline, Stream] = {}
         self._paces: dict[str, Pace] = {}
-        self.bookings: list[Booking] = []
-        self.hits = self.misses = self.unused = 0
+        self._book = BookingBook(tuning)
+        self.chains = ChainPredictor(tuning)
 
     # -- run times
 
     def ran(self, job: Job, seconds: float) -> None:
+        """A task of the job has run that long."""
         if seconds > 0 and job.spec.estimate_s > 0:
             self._paces.setdefault(job.spec.klass, Pace()).add(seconds, job.spec.estimate_s)
 
@@ -118,16 +117,22 @@
         return max(longest, LONGEST * self.run_s(job)) + LAUNCH_S
 
     def paces(self) -> dict[str, tuple[float, float]]:
+        """The sums of run times and estimates by class, to be kept for the next leader."""
         return {klass: (round(p.ran, 1), round(p.estimated, 1)) for klass, p in self._paces.items()}
 
     def recall_paces(self, paces: dict[str, tuple[float, float]]) -> None:
+        """Takes over what the leader before had learned."""
         for klass, (ran, estimated) in paces.items():
             self._paces.setdefault(klass, Pace(ran, estimated))
 
     # -- the stream
 
     def arrived(self, job: Job, now: Steady) -> None:
+        """A job is ready to start. It is the next of its stream unless it awaited others."""
         spec = job.spec
+        if spec.dependencies:
+            self._resolve(job)
+            return
         stream = self._streams.setdefault((spec.team, spec.klass), Stream())
         if stream.seen:
             before = stream.seen[-1]
@@ -145,6 +150,7 @@
         stream.spot = spec.spot
 
     def ended(self, job: Job, outcome: str) -> None:
+        """The durable end of a job of a stream."""
         stream = self._streams.get((job.spec.team, job.spec.klass))
         if stream is None:
             return
@@ -182,32 +188,49 @@
 
     # -- bookings
 
-    def depth(self, booked_share: float) -> int:
-        t = self._tuning
-        if booked_share > t.load_much:
-            return int(t.depth_full)
-        return int(t.depth_loaded if booked_share > t.load_some else t.depth)
+    @property
+    def bookings(self) -> list[Booking]:
+        """The room that is booked now."""
+        return self._book.bookings
+
+    @property
+    def tallies(self) -> dict[Origin, Tally]:
+        """What became of the bookings, by origin."""
+        return self._book.tallies
+
+    @property
+    def hits(self) -> int:
+        """Bookings of all origins that their job took."""
+        return sum(tally.hits for tally in self.tallies.values())
+
+    @property
+    def misses(self) -> int:
+        """Bookings of all origins that were returned since their job did not come."""
+        return sum(tally.misses for tally in self.tallies.values())
+
+    @property
+    def unused(self) -> int:
+        """Bookings of all origins that expired."""
+        return sum(tally.unused for tally in self.tallies.values())
 
     def prepare(self, job: Job, ends_in: float, boot_s: float, load: float, now: Steady) -> None:
-        """Books room for the job's successor about one boot before the job's estimated end."""
-        if ends_in > boot_s:
+        """Books room for the next job of the stream about one boot before the estimated end of
+        this one. A job with dependencies belongs to a chain and not to the stream."""
+        if ends_in > boot_s or job.spec.dependencies:
             return
         pipeline = (job.spec.team, job.spec.klass)
         stream = self._streams.get(pipeline)
-        if stream is None:
+        if stream is None or not self._book.has_room(pipeline, load):
             return
-        mine = [b for b in self.bookings if b.pipeline == pipeline]
-        if len(mine) >= self.depth(load) or any(b.upstream == job.id for b in mine):
+        if any(b.upstream == job.id for b in self._book.of(pipeline, Origin.STREAM)):
             return
         seen = next((s for s in stream.seen if s.job == job.id), None)
-        if seen is None:
-            return
-        image = self.predict(*pipeline, seen.path)
+        image = self.predict(*pipeline, seen.path) if seen is not None else None
         if image is None:
             return
         until = Steady(now + max(ends_in, 0.0) + boot_s)
         booking = Booking(pipeline, job.id, image, stream.cpus.get(image, 0.0), stream.spot, until)
-        self.bookings.append(booking)
+        self._book.add(booking)
         log.debug("booked pipeline=%s/%s image=%s cpus=%g", *pipeline, image, booking.cpus)
 
     def prepare_submitted(
@@ -215,52 +238,106 @@
         now: Steady,
     ) -> None:  # fmt: skip
         """The same for a successor that is submitted already and waits for that job last: its room
-        is booked, as deep as the load allows, without a guess."""
+        is booked, as deep as the load allows, without a prediction."""
         spec = after.spec
         pipeline = (spec.team, spec.klass)
-        mine = [b for b in self.bookings if b.pipeline == pipeline]
-        if len(mine) >= self.depth(load) or any(b.successor == after.id for b in mine):
+        if not self._book.has_room(pipeline, load):
+            return
+        if any(b.successor == after.id for b in self._book.of(pipeline)):
             return
         until = Steady(now + max(ends_in, 0.0) + boot_s)
-        self.bookings.append(
-            Booking(pipeline, upstream, spec.image, cpus, spec.spot, until, after.id)
+        self._book.add(
+            Booking(
+                pipeline, upstream, spec.image, cpus, spec.spot, until, Origin.SUBMITTED, after.id
+            )
         )
         log.debug("booked job=%s image=%s cpus=%g", after.id, spec.image, cpus)
 
+    def prepare_chain(
+        self, expected: Prediction, cpus: float, boot_s: float, load: float, now: Steady
+    ) -> None:
+        """Books room for a successor along a chain that is not submitted yet. A fan-in is booked
+        once: the other jobs that it awaits join the booking that the first of them made."""
+        until = Steady(now + max(expected.ends_in, 0.0) + boot_s)
+        booked = self._booked_for(expected)
+        if booked is not None:
+            booked.chains[expected.chain] = expected.path
+            booked.until = max(booked.until, until)
+            return
+        if not self._book.has_room(expected.pipeline, load):
+            return
+        booking = Booking(
+            expected.pipeline, expected.upstream, expected.image, cpus, expected.spot, until,
+            Origin.CHAIN, chains={expected.chain: expected.path},
+        )  # fmt: skip
+        self._book.add(booking)
+        log.debug(
+            "booked chain=%s/%s after=%s cpus=%g", *expected.pipeline, expected.upstream, cpus
+        )
+
     def returned(self, job: JobId) -> None:
         """The successor will not come: its room is returned."""
-        kept = [b for b in self.bookings if b.successor != job]
-        self.misses += len(self.bookings) - len(kept)
-        self.bookings = kept
+        for booking in [b for b in self.bookings if b.successor == job]:
+            self._book.miss(booking)
+
+    def expire(self, now: Steady) -> None:
+        """Returns the room that no job took in time, and counts the chains that ended."""
+        self._book.expire(now)
+        self.chains.settle(now)
+
+    def booked(self, held: Callable[[JobId], float] = lambda _: 0.0) -> tuple[float, float]:
+        """CPUs booked beyond what the upstream jobs hold: for jobs that need ordinary machines,
+        and in all."""
+        return self._book.booked(held)
 
     def _resolve(self, job: Job) -> None:
-        """A job has arrived, or is ready: it takes the booking made for it or its image; if there
-        is none, the oldest guess of the pipeline was a miss and its room is returned."""
+        """A job is ready: it takes the booking made for it or, if it has no dependencies, for the
+        next of its image; if there is none, the oldest prediction of the stream was a miss."""
         pipeline = (job.spec.team, job.spec.klass)
-        mine = [b for b in self.bookings if b.pipeline == pipeline]
-        own = next((b for b in mine if b.successor == job.id), None)
-        mine = [own] if own is not None else [b for b in mine if b.successor is None]
-        if not mine:
+        own = next((b for b in self._book.of(pipeline) if b.successor == job.id), None)
+        if own is not None:
+            self._book.hit(own)
+            return
+        expected = self._book.of(pipeline, Origin.STREAM)
+        if job.spec.dependencies or not expected:
             return
-        hit = own or next((b for b in mine if b.image == job.spec.image), None)
-        if hit is not None:
-            self.hits += 1
+        same_image = next((b for b in expected if b.image == job.spec.image), None)
+        if same_image is not None:
+            self._book.hit(same_image)
         else:
-            self.misses += 1
-        self.bookings.remove(hit or mine[0])
+            self._book.miss(expected[0])
 
-    def expire(self, now: Steady) -> None:
-        kept = [b for b in self.bookings if b.until > now]
-        self.unused += len(self.bookings) - len(kept)
-        self.bookings = kept
+    # -- chains
 
-    def booked(self, held: Callable[[JobId], float] = lambda _: 0.0) -> tuple[float, float]:
-        """CPUs booked: for jobs that need ordinary machines, and in all. What the upstream still
-        holds comes free for its successor, so only the rest is needed beside it."""
-        ordinary = everything = 0.0
-        for b in self.bookings:
-            cpus = max(0.0, b.cpus - held(b.upstream))
-            everything += cpus
-            if not b.spot:
-                ordinary += cpus
-        return ordinary, everything
+    def submitted(self, job: Job, dependents: Iterable[Job] = ()) -> None:
+        """A job was accepted, perhaps learned of after some that await it. If it awaits others, it
+        takes the room booked for what follows them; what else was booked there is returned."""
+        pipeline = (job.spec.team, job.spec.klass)
+        took = False
+        for booking in self._book.continuing(self.chains.submitted(job, dependents)):
+            if booking.pipeline == pipeline and not took:
+                self._book.hit(booking)
+                took = True
+            else:
+                self._book.miss(booking)
+
+    def chain_ended(self, job: JobId, outcome: str, now: Steady) -> None:
+        """The durable end of a job. If it is aborted, so is all that awaits it: the room booked
+        for its successor is returned."""
+        chain = self.chains.ended(job, outcome, now)
+        if chain is not None and outcome == CANCELLED:
+            for booking in self._book.continuing({chain}):
+                self._book.miss(booking)
+
+    def _booked_for(self, expected: Prediction) -> Booking | None:
+        """The booking that was made for the same job: along the same chain or, if the job awaits
+        several chains, along another one of these."""
+        mine = self._book.of(expected.pipeline, Origin.CHAIN)
+        for booking in mine:
+            if expected.chain in booking.chains:
+                return booking
+        for booking in mine:
+            others = booking.chains.values()
+            if expected.path not in others and expected.fan_in.issuperset(others):
+                return booking
+        return None
--- /dev/null
+++ b/tests/test_prediction.py
@@ -0,0 +1,397 @@
+"""Predictions along chains: what follows a job whose user submits the last one late, and the room
+booked for it. The predictor of independent streams is tested in `test_parts`."""
+
+from typing import Any
+
+import pytest
+
+from eldercart.core.bookings import Origin, Tally
+from eldercart.core.jobs import Job
+from eldercart.core.prediction import Predictor
+from eldercart.settings import load_tuning
+from eldercart.units import JobId, Steady
+from eldercart.wire import users
+from world import World, submission
+
+BOOT_S = 10.0
+SETTLED_S = 61.0  # after which no successor is expected any more
+TEAM = "t2"
+
+
+class Chains:
+    """A predictor that is told of jobs by short names, as `class-number`."""
+
+    def __init__(self, **tuning: Any) -> None:
+        self.predictor = Predictor(load_tuning(values=tuning))
+        self.now = 100.0
+        self.ending: dict[JobId, float] = {}
+
+    def submit(self, name: str, *awaits: str, **changes: Any) -> Job:
+        fields = {"lot": name.split("-")[0], "awaits": [f"wk-{a}" for a in awaits]} | changes
+        spec = users.parse_submission(submission(f"wk-{name}", **fields))
+        job = Job(spec, 100, Steady(self.now))
+        self.predictor.submitted(job)
+        return job
+
+    def end(self, *names: str, how: str = users.DONE) -> None:
+        for name in names:
+            self.ending.pop(JobId(f"wk-{name}"), None)
+            self.predictor.chain_ended(JobId(f"wk-{name}"), how, Steady(self.now))
+
+    def near_end(self, load: float = 0.0, **left: float) -> None:
+        """Tells for each job (with `_` for the dash) in how many seconds it ends."""
+        self.ending |= {JobId("wk-" + n.replace("_", "-")): s for n, s in left.items()}
+        for expected in self.predictor.chains.predictions(self.ending):
+            self.predictor.prepare_chain(expected, expected.cpus, BOOT_S, load, Steady(self.now))
+
+    def wait(self, seconds: float) -> None:
+        self.now += seconds
+        self.predictor.expire(Steady(self.now))
+
+    def learn(self, *stages: str, times: int = 1, start: int = 1000, how: str = users.DONE) -> None:
+        """Whole chains of these classes, each job submitted as soon as those before it; all but
+        the last end as `how` says."""
+        for number in range(start, start + times):
+            names = [f"{stage}-{number}" for stage in stages]
+            for i, name in enumerate(names):
+                self.submit(name, *names[max(0, i - 1) : i])
+            self.end(*names[:-1], how=how)
+            self.end(names[-1])
+            self.wait(SETTLED_S)
+
+    def booked(self) -> list[tuple[str, float]]:
+        return [(b.pipeline[1], b.cpus) for b in self.predictor.bookings]
+
+    @property
+    def tally(self) -> tuple[int, int, int]:
+        tally = self.predictor.tallies[Origin.CHAIN]
+        return tally.hits, tally.misses, tally.unused
+
+
+def running_pair(chains: Chains, number: str = "1") -> None:
+    """The jobs a and b of a chain; a is done."""
+    chains.submit(f"a-{number}")
+    chains.submit(f"b-{number}", f"a-{number}")
+    chains.end(f"a-{number}")
+
+
+def test_late_last_job_finds_its_booking() -> None:
+    c = Chains()
+    c.learn("a", "b", "c")
+    running_pair(c)
+    c.near_end(b_1=3.0)
+    assert c.booked() == [("c", 12.0)], "its usual size"
+    c.end("b-1")
+    c.submit("c-1", "b-1")
+    assert (c.booked(), c.tally) == ([], (1, 0, 0))
+
+
+def test_usual_size_is_learned() -> None:
+    c = Chains()
+    for number, tasks in ((1, 10), (2, 20)):
+        running_pair(c, str(number))
+        c.submit(f"c-{number}", f"b-{number}", parcels=tasks)
+        c.end(f"b-{number}", f"c-{number}")
+    running_pair(c, "3")
+    c.near_end(b_3=3.0)
+    assert c.booked() == [("c", pytest.approx(0.7 * 20 + 0.3 * 40))]
+
+
+def test_path_tells_branches_apart() -> None:
+    """b goes on with c after a, and with d after x."""
+    c = Chains(path_length=2)
+    c.learn("a", "b", "c", times=3)
+    c.learn("x", "b", "d", times=3, start=2000)
+    running_pair(c)
+    c.submit("x-2")
+    c.submit("b-2", "x-2")
+    c.end("x-2")
+    c.near_end(b_1=3.0, b_2=3.0)
+    assert sorted(c.booked()) == [("c", 12.0), ("d", 12.0)]
+
+
+def test_images_tell_branches_apart() -> None:
+    c = Chains(path_length=1)
+    for number, image, after in ((1, "one", "c"), (2, "two", "d")):
+        c.submit(f"a-{number}")
+        c.submit(f"b-{number}", f"a-{number}", kit=image)
+        c.submit(f"{after}-{number}", f"b-{number}")
+        c.end(f"a-{number}", f"b-{number}", f"{after}-{number}")
+    c.submit("a-3")
+    c.submit("b-3", "a-3", kit="two")
+    c.end("a-3")
+    c.near_end(b_3=3.0)
+    assert c.booked() == [("d", 12.0)]
+
+
+def test_unknown_path_falls_back_on_its_known_end() -> None:
+    c = Chains(path_length=2)
+    c.learn("a", "b", "c")
+    c.submit("new-1")
+    c.submit("b-1", "new-1")
+    c.end("new-1")
+    c.near_end(b_1=3.0)
+    assert c.booked() == [("c", 12.0)]
+
+
+def test_nothing_is_booked_where_chains_normally_end() -> None:
+    """That a chain ended is counted like a successor; with as many of both nothing is booked."""
+    c = Chains()
+    c.learn("a", "b", times=2)
+    c.learn("a", "b", "c", times=2, start=2000)
+    running_pair(c)
+    c.near_end(b_1=3.0)
+    assert c.booked() == []
+    c.end("b-1")
+    c.submit("c-1", "b-1")
+    running_pair(c, "2")
+    c.near_end(b_2=3.0)
+    assert c.booked() == [("c", 12.0)], "three that went on against two"
+
+
+def test_a_successor_that_is_submitted_is_not_predicted() -> None:
+    c = Chains()
+    c.learn("a", "b", "c")
+    running_pair(c)
+    c.submit("c-1", "b-1")
+    c.near_end(b_1=3.0)
+    assert c.booked() == []
+
+
+@pytest.mark.parametrize(
+    ("jobs", "done", "booked"),
+    [
+        (3, 3, ["c"]), (5, 3, ["c"]),  # 60% done: the successor of those that are done
+        (9, 5, []), (2, 1, []),  # between
+        (5, 2, ["other"]), (3, 0, ["other"]),  # 40% done: that of the aborted ones
+    ],
+)  # fmt: skip
+def test_two_thresholds(jobs: int, done: int, booked: list[str]) -> None:
+    c = Chains(path_length=2)
+    if done:
+        c.learn("a", "b", "c", times=done)
+    for number in range(jobs - done):
+        running_pair(c, f"x{number}")
+        c.submit(f"other-x{number}", f"b-x{number}")
+        c.end(f"b-x{number}", how=users.CANCELLED)
+    running_pair(c)
+    c.near_end(b_1=3.0)
+    assert [klass for klass, _ in c.booked()] == booked
+
+
+def test_fan_in_of_one_chain_is_booked_once_and_for_the_last() -> None:
+    """Four siblings whose late successor awaits all of them."""
+    c = Chains()
+
+    def siblings(number: int) -> list[str]:
+        c.submit(f"a-{number}")
+        names = [f"b-{number}{i}" for i in range(4)]
+        for name in names:
+            c.submit(name, f"a-{number}")
+        c.end(f"a-{number}")
+        return names
+
+    c.end(*siblings(1))
+    c.submit("c-1", "b-10", "b-11", "b-12", "b-13")
+    names = siblings(2)
+    c.near_end(b_20=1.0, b_21=2.0, b_22=3.0)
+    assert c.booked() == [], "one of them does not end yet"
+    c.near_end(b_23=9.0)
+    assert c.booked() == [("c", 12.0)] and c.predictor.bookings[0].until == c.now + 9.0 + BOOT_S
+    c.near_end(b_22=9.5)
+    c.end(*names[:2])
+    c.near_end()
+    assert c.booked() == [("c", 12.0)], "another ends last now"
+    c.end(*names[2:])
+    c.submit("c-2", *names)
+    assert (c.booked(), c.tally) == ([], (1, 0, 0))
+
+
+def test_fan_in_of_several_chains_is_booked_once() -> None:
+    """The late job awaits the ends of two chains that have nothing else in common; the next pair
+    of them is booked by itself."""
+    c = Chains()
+
+    def two_chains(number: int) -> None:
+        for first, second in (("a", "b"), ("x", "y")):
+            c.submit(f"{first}-{number}")
+            c.submit(f"{second}-{number}", f"{first}-{number}")
+            c.end(f"{first}-{number}")
+
+    two_chains(1)
+    c.end("b-1", "y-1")
+    c.submit("c-1", "b-1", "y-1")
+    two_chains(2)
+    two_chains(3)
+    c.near_end(b_2=3.0, y_2=6.0)
+    assert c.booked() == [("c", 12.0)] and c.predictor.bookings[0].until == c.now + 6.0 + BOOT_S
+    c.near_end(b_3=3.0, y_3=6.0)
+    assert len(c.booked()) == 2
+    c.end("b-2", "y-2")
+    c.submit("c-2", "b-2", "y-2")
+    assert (len(c.booked()), c.tally) == (1, (1, 0, 0))
+
+
+def test_fan_in_that_was_not_known_takes_one_booking_and_returns_the_other() -> None:
+    c = Chains()
+    c.learn("a", "b", "c")
+    c.learn("x", "y", "c", start=2000)
+    running_pair(c)
+    c.submit("x-1")
+    c.submit("y-1", "x-1")
+    c.end("x-1")
+    c.near_end(b_1=3.0, y_1=3.0)
+    assert len(c.booked()) == 2
+    c.submit("c-1", "b-1", "y-1")
+    assert (c.booked(), c.tally) == ([], (1, 1, 0))
+
+
+def test_wide_fan_in_costs_no_more_than_its_jobs() -> None:
+    """Thousands of different paths into one job: what is kept of them stays bounded."""
+    c = Chains()
+    names = [f"b-{i}" for i in range(3000)]
+    for i, name in enumerate(names):
+        c.submit(name, kit=f"image-{i}")
+    c.submit("c-1", *names)
+    c.end(*names)
+    table = c.predictor.chains._table
+    assert len(table) == 3000
+    assert not any(s.fan_in for e in table.values() for s in e.successors["done"]
+                   .by_pipeline.values())  # fmt: skip
+
+
+def test_successor_that_was_learned_of_first_is_not_predicted_nor_taken_for_an_end() -> None:
+    """A take-over reads the records in no order of the chain."""
+    c = Chains()
+    c.learn("a", "b", "c")
+    after = c.submit("c-1", "b-1")
+    upstream = submission("wk-b-1", lot="b", awaits=["wk-a-1"])
+    job = Job(users.parse_submission(upstream), 100, Steady(c.now))
+    c.predictor.submitted(job, [after])
+    c.near_end(b_1=3.0)
+    assert c.booked() == []
+    c.end("b-1")
+    c.wait(SETTLED_S)
+    running_pair(c, "2")
+    c.near_end(b_2=3.0)
+    assert c.booked() == [("c", 12.0)], "one more that went on"
+
+
+def test_miss_returns_the_room() -> None:
+    c = Chains()
+    c.learn("a", "b", "c")
+    running_pair(c)
+    c.near_end(b_1=3.0)
+    c.submit("other-1", "b-1")
+    assert (c.booked(), c.tally) == ([], (0, 1, 0))
+    assert c.predictor.booked() == (0.0, 0.0)
+
+
+def test_unused_room_expires_one_boot_after_the_end() -> None:
+    """As long as the upstream job goes on, its booking is kept and nothing is counted."""
+    c = Chains()
+    c.learn("a", "b", "c")
+    running_pair(c)
+    c.near_end(b_1=3.0)
+    c.wait(8.0)
+    c.near_end(b_1=0.0)
+    c.wait(8.0)
+    assert c.booked() == [("c", 12.0)]
+    c.end("b-1")
+    c.near_end()
+    c.wait(2.5)
+    assert (c.booked(), c.tally) == ([], (0, 0, 1))
+
+
+def test_aborted_upstream_returns_the_room() -> None:
+    """All that awaits a cancelled job is cancelled: no successor of use will come."""
+    c = Chains()
+    c.learn("a", "b", "c")
+    running_pair(c)
+    c.near_end(b_1=3.0)
+    c.end("b-1", how=users.CANCELLED)
+    assert (c.booked(), c.tally) == ([], (0, 1, 0))
+
+
+@pytest.mark.parametrize(("load", "depth"), [(0.5, 6), (0.7, 6), (0.75, 5), (0.8, 5), (0.9, 4)])
+def test_depth_is_capped_by_load(load: float, depth: int) -> None:
+    c = Chains()
+    c.learn("a", "b", "c")
+    for number in range(10):
+        running_pair(c, str(number))
+    c.near_end(load, **{f"b_{number}": 3.0 for number in range(10)})
+    assert len(c.booked()) == depth
+
+
+def test_one_that_awaits_nothing_needs_more_evidence() -> None:
+    """It may well be independent, even if another of its kind began a chain."""
+    c = Chains()
+    for number in range(3):
+        c.submit(f"a-{number}")
+        c.near_end(**{f"a_{number}": 3.0})
+        assert c.booked() == []
+        c.end(f"a-{number}")
+        c.submit(f"b-{number}", f"a-{number}")
+    c.submit("a-9")
+    c.near_end(a_9=3.0)
+    assert c.booked() == [("b", 12.0)]
+
+
+def test_independent_jobs_are_not_predicted_along_chains() -> None:
+    c = Chains()
+    for number in range(5):
+        c.submit(f"a-{number}")
+        c.end(f"a-{number}")
+    c.wait(SETTLED_S)
+    c.submit("a-8")
+    c.end("a-8")
+    c.submit("b-8", "a-8")
+    c.submit("a-9")
+    c.near_end(a_9=3.0)
+    assert c.booked() == [] and len(c.predictor.chains._nodes) == 3
+
+
+def test_stream_and_chain_bookings_are_kept_apart() -> None:
+    """An independent job of the class takes no room that was booked for a chain, nor is a job of
+    a chain the next of the stream."""
+    c = Chains()
+    c.learn("a", "b", "c")
+    running_pair(c)
+    c.near_end(b_1=3.0)
+    independent = c.submit("c-7")
+    c.predictor.arrived(independent, Steady(c.now))
+    assert c.booked() == [("c", 12.0)]
+    late = c.submit("c-1", "b-1")
+    c.predictor.arrived(late, Steady(c.now))
+    c.predictor.prepare(late, 1.0, BOOT_S, 0.0, Steady(c.now))
+    assert c.booked() == []
+    assert c.predictor.tallies[Origin.STREAM] == Tally()
+    assert (c.predictor.hits, c.predictor.misses, c.predictor.unused) == (1, 0, 0)
+
+
+# ---------------------------------------------------------------- in the stand-in world
+
+
+def test_room_is_booked_for_last_jobs_that_are_submitted_late() -> None:
+    """Chains that repeat; the last job is submitted only when the others are over, and from the
+    second chain on it finds its room booked one boot ahead."""
+    w = World(6, tuning={"flush_done_s": 1.0})
+    c = w.controller
+    assert c is not None
+    tally = c.floor.predictor.tallies[Origin.CHAIN]
+    booked_before_the_end = 0
+    for number in range(4):
+        first, second, last = (f"wk-{name}{number}" for name in "abc")
+        w.submit(first, parcels=2, lot="first", run_s=4.0, haulS=4.0)
+        w.submit(second, parcels=2, lot="second", awaits=[first], run_s=4.0, haulS=4.0)
+        booked = False
+        while w.end_in_store(second) is None:
+            w.step(0.1)
+            booked |= any(b.pipeline == (TEAM, "third") for b in c.floor.predictor.bookings)
+        booked_before_the_end += booked
+        w.run(1.0)
+        w.submit(last, parcels=3, lot="third", awaits=[second], run_s=4.0, dueS=60.0)
+        while w.end_in_store(last) is None:
+            w.step(0.1)
+    assert booked_before_the_end == 3
+    assert (tally.hits, tally.misses, tally.unused) == (3, 0, 0)
