--- a/src/eldercart/core/bookings.py
+++ b/src/eldercart/core/bookings.py
@@ -33,6 +33,7 @@
     unused: int = 0
 
     def __str__(self) -> str:
+        """As the log shows it."""
         return f"{self.hits}/{self.misses}/{self.unused}"
 
 
@@ -56,6 +57,7 @@
     """Owns the bookings, the cap on their number, and the tallies."""
 
     def __init__(self, tuning: Tuning) -> None:
+        """Starts without bookings."""
         self._tuning = tuning
         self.bookings: list[Booking] = []
         self.tallies = {origin: Tally() for origin in Origin}
--- a/src/eldercart/core/chain_prediction.py
+++ b/src/eldercart/core/chain_prediction.py
@@ -129,6 +129,7 @@
     """Owns the table of paths and the chains that are under way."""
 
     def __init__(self, tuning: Tuning) -> None:
+        """Starts without knowledge."""
         self._tuning = tuning
         self._table: dict[Path, SubEntry] = {}
         self._nodes: dict[JobId, Node] = {}
@@ -235,8 +236,7 @@
             if node.successor is None:
                 node.successor = job
                 node.fan_in = paths - {node.path}
-                if node.outcome is not None:
-                    self._count(node)
+                self._count(node)
 
     def _entry(self, path: Path) -> SubEntry | None:
         """The sub-entry of the path or, if it is new, of its longest known end."""
@@ -247,7 +247,7 @@
         return None
 
     def _count(self, node: Node) -> None:
-        """Counts once what the job's end and its successor were."""
+        """Counts once what the job's end and its successor were; nothing before its end."""
         if node.counted or node.outcome is None:
             return
         node.counted = True
--- a/src/eldercart/core/cloudwork.py
+++ b/src/eldercart/core/cloudwork.py
@@ -61,6 +61,7 @@
     """Owns the calls under way and those that wait."""
 
     def __init__(self, floor: Floor, prefix: str) -> None:
+        """`prefix`: of request names."""
         self.f = floor
         self.catalog_changed = False
         self._prefix = prefix  # of request names: no other start of any node has it
--- a/src/eldercart/core/prediction.py
+++ b/src/eldercart/core/prediction.py
@@ -24,6 +24,10 @@
 MAX_PATHS = 512  # a pipeline; beyond, the path seen longest ago is forgotten
 LONGEST = 1.4  # the longest task of a job against its mean, as seen
 LAUNCH_S = 3.0
+SIZE_MEMORY = 0.7  # weight of the earlier sizes in the usual size of an image's jobs
+PACE_MEMORY = 0.98  # weight of the earlier run times
+PACE_LEAST, PACE_MOST = 0.2, 4.0  # a ratio beyond is not believed
+ENOUGH_RUNS = 3  # after which a job's own run times tell more than its class
 KEEP = 64  # jobs of a pipeline whose successor may still be unknown
 
 
@@ -76,20 +80,21 @@
 
     def add(self, ran: float, estimate: float) -> None:
         """One more task has run."""
-        self.ran = self.ran * 0.98 + ran
-        self.estimated = self.estimated * 0.98 + estimate
+        self.ran = self.ran * PACE_MEMORY + ran
+        self.estimated = self.estimated * PACE_MEMORY + estimate
 
     def ratio(self) -> float:
         """Run time against estimate, within bounds."""
         if self.estimated < 1.0:
             return 1.0
-        return min(4.0, max(0.2, self.ran / self.estimated))
+        return min(PACE_MOST, max(PACE_LEAST, self.ran / self.estimated))
 
 
 class Predictor:
     """Owns the tables of the streams, the paces, and the bookings of all origins."""
 
     def __init__(self, tuning: Tuning) -> None:
+        """Starts without knowledge and bookings."""
         self._tuning = tuning
         self._streams: dict[Pipeline, Stream] = {}
         self._paces: dict[str, Pace] = {}
@@ -105,7 +110,7 @@
 
     def run_s(self, job: Job) -> float:
         """The run time of one of the job's tasks, as far as can be told."""
-        if len(job.ran) >= 3:
+        if len(job.ran) >= ENOUGH_RUNS:
             return sum(job.ran) / len(job.ran)
         pace = self._paces.get(job.spec.klass)
         return job.spec.estimate_s * (pace.ratio() if pace else 1.0)
@@ -113,7 +118,7 @@
     def longest_s(self, job: Job) -> float:
         """How long the job's last task takes once it is launched: tasks of one job differ, and
         the job is done only with the longest; report, launch and fetch come on top."""
-        longest = job.longest if len(job.ran) >= 3 else LONGEST * self.run_s(job)
+        longest = job.longest if len(job.ran) >= ENOUGH_RUNS else LONGEST * self.run_s(job)
         return max(longest, LONGEST * self.run_s(job)) + LAUNCH_S
 
     def paces(self) -> dict[str, tuple[float, float]]:
@@ -146,7 +151,8 @@
         while len(stream.seen) > KEEP:
             stream.seen.popleft()
         size = spec.cpus * spec.tasks
-        stream.cpus[spec.image] = 0.7 * stream.cpus.get(spec.image, size) + 0.3 * size
+        usual = stream.cpus.get(spec.image, size)
+        stream.cpus[spec.image] = SIZE_MEMORY * usual + (1.0 - SIZE_MEMORY) * size
         stream.spot = spec.spot
 
     def ended(self, job: Job, outcome: str) -> None:
@@ -215,8 +221,8 @@
 
     def prepare(self, job: Job, ends_in: float, boot_s: float, load: float, now: Steady) -> None:
         """Books room for the next job of the stream about one boot before the estimated end of
-        this one. A job with dependencies belongs to a chain and not to the stream."""
-        if ends_in > boot_s or job.spec.dependencies:
+        this one. Jobs of chains are not in the stream."""
+        if ends_in > boot_s:
             return
         pipeline = (job.spec.team, job.spec.klass)
         stream = self._streams.get(pipeline)
@@ -337,7 +343,6 @@
             if expected.chain in booking.chains:
                 return booking
         for booking in mine:
-            others = booking.chains.values()
-            if expected.path not in others and expected.fan_in.issuperset(others):
+            if expected.fan_in.issuperset(booking.chains.values()):
                 return booking
         return None
