--- a/tests/test_prediction.py
+++ b/tests/test_prediction.py
@@ -387,6 +387,7 @@
     running_pair(c, "2")
     c.near_end(b_2=3.0)
     assert c.booked() == []
+    assert set(c.predictor.chains._table) == {("t2/a/img",)}, "of the two that are done"
 
 
 def test_room_that_the_upstream_holds_is_not_asked_for_twice() -> None:
