--- a/src/eldercart/core/cloudwork.py
+++ b/src/eldercart/core/cloudwork.py
@@ -273,6 +273,10 @@
                 heard = Steady(now + f.tuning.takeover_grace_s)
                 m = f.fleet.add(item.id, kind, item.zone, item.spot, life, hired, heard)
                 log.debug("machine listed machine=%s state=%s", m.id, item.state)
+            elif m.zone == rules.UNKNOWN_ZONE:
+                # Known from its tasks alone: the list says what it is before it reports.
+                kind = f.types.get(item.type) or unknown_type(item.type)
+                f.fleet.describe(m, kind, item.zone, item.spot)
             if item.address and not m.address:
                 m.address = item.address
             if item.state == cloud.FAILED and m.life is not Life.LEAVING:
--- /dev/null
+++ b/tests/test_rental.py
@@ -0,0 +1,27 @@
+"""Renting and returning: what counts as supply, and what as demand."""
+
+from eldercart.core import placement as rules
+from eldercart.units import Steady
+from world import World
+
+
+def test_new_leader_counts_machines_it_knows_by_their_tasks() -> None:
+    """Seen on a rollout day: the list was read, yet the machines known from placements alone
+    counted for nothing until they reported, and as many were rented again within two seconds."""
+    w = World(1, capacity=60)
+    w.submit("wk-000001", run_s=60.0, cpus=4.0, parcels=40)
+    w.run(20)
+    before = set(w.cloud.machines)
+    assert any(m.on() for m in w.cloud.machines.values())
+    w.elect()
+    c = w.controller
+    assert c is not None
+    for _ in range(30):  # no machine reports meanwhile
+        w.now += 0.1
+        c.tick(Steady(w.now))
+        w.serve_cloud(c, Steady(w.now))
+    assert c.cloud._list_seen
+    assert set(w.cloud.machines) == before
+    known = [c.fleet.machines[name] for name in before]
+    assert all(m.zone != rules.UNKNOWN_ZONE and m.type.cpus > 0 for m in known)
+    assert sum(m.free_cpus for m in known) == sum(m.type.cpus for m in known) - 40 * 4.0
