--- a/src/eldercart/core/cloudwork.py
+++ b/src/eldercart/core/cloudwork.py
@@ -117,7 +117,8 @@
                     left = max(left, run - p.ran(now))
                     if left > boot:
                         break
-            f.predictor.prepare(job, left, boot, load, now)
+            if not f.rental.quiet:  # else no guessed successor will come
+                f.predictor.prepare(job, left, boot, load, now)
             if left <= boot:
                 ending[job.id] = left
         for job_id in ending:
--- a/src/eldercart/core/rental.py
+++ b/src/eldercart/core/rental.py
@@ -29,7 +29,9 @@
     _samples: deque[tuple[Steady, float]] = field(default_factory=deque)
     level: float = 0.0
 
-    def update(self, cpus: float, at: Steady, memory_s: float) -> None:
+    def update(self, cpus: float, booked: float, at: Steady, memory_s: float) -> None:
+        """Bookings are no part of the window: the jobs they stand for come into it when they
+        arrive, and would be counted twice."""
         if self._samples and at - self._samples[-1][0] < SAMPLE_S:
             self._samples[-1] = (self._samples[-1][0], max(cpus, self._samples[-1][1]))
         else:
@@ -38,11 +40,11 @@
             self._samples.popleft()
         values = [cpus for _, cpus in self._samples]
         if not values:
-            self.level = cpus
+            self.level = cpus + booked
             return
         mean = fmean(values)
         deviation = max(0.0, fmean([v * v for v in values]) - mean * mean) ** 0.5
-        self.level = max(cpus, mean + self.spread * deviation)
+        self.level = max(cpus + booked, mean + self.spread * deviation)
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,7 +75,7 @@
     _counter: int = 0
     _last_arrival: Steady | None = None
     _gap: float = 0.0  # mean seconds between submissions, recent ones weighing more
-    _quiet: bool = False
+    quiet: bool = False  # submissions have stopped
 
     def __post_init__(self) -> None:
         self.ordinary = Demand(self.tuning.ordinary_spread)
@@ -90,7 +92,7 @@
             self._last_arrival = now
 
     def measure(self, jobs: Iterable[Job], booked: tuple[float, float], now: Steady) -> None:
-        ordinary = booked[0]
+        ordinary = 0.0
         by_team: dict[str, float] = {}
         for job in jobs:
             if not job.ready or job.cancelled or job.hold_until > now:
@@ -110,10 +112,10 @@
         # Peaks are remembered because more work like it will come. When submissions have stopped,
         # by their own usual pace, it will not: the fleet shrinks to what is left to do.
         pause = max(self.tuning.pause_s, PAUSE_GAPS * self._gap)
-        self._quiet = self._last_arrival is None or now - self._last_arrival > pause
-        memory = 0.0 if self._quiet else self.tuning.demand_memory_s
-        self.ordinary.update(ordinary, now, memory)
-        self.any.update(sum(by_team.values()) + booked[1], now, memory)
+        self.quiet = self._last_arrival is None or now - self._last_arrival > pause
+        memory = 0.0 if self.quiet else self.tuning.demand_memory_s
+        self.ordinary.update(ordinary, booked[0], now, memory)
+        self.any.update(sum(by_team.values()), booked[1], now, memory)
 
     def targets(self) -> tuple[float, float]:
         share = 1.0 + self.tuning.headroom_share
@@ -240,7 +242,7 @@
         """Idle machines that neither demand nor booking needs."""
         want_ordinary, want_any = self.targets()
         supply_ordinary = supply_any = 0.0
-        idle_s = self.tuning.idle_return_s / (3.0 if self._quiet else 1.0)
+        idle_s = self.tuning.idle_return_s / (3.0 if self.quiet else 1.0)
         idle = []
         for m in machines:
             if m.life not in (Life.BOOTING, Life.UP) or m.draining:
