--- a/src/eldercart/core/chain_prediction.py
+++ b/src/eldercart/core/chain_prediction.py
@@ -17,7 +17,7 @@
 from eldercart.core.bookings import ChainNumber, Path, Pipeline
 from eldercart.core.jobs import Job
 from eldercart.settings import Tuning
-from eldercart.units import JobId, Steady
+from eldercart.units import CLOCK_ZERO, JobId, Steady
 from eldercart.wire.users import CANCELLED, DONE
 
 MAX_PATHS = 4096  # beyond, the path counted longest ago is forgotten
@@ -104,7 +104,7 @@
     chain: Chain
     has_dependencies: bool
     outcome: str | None = None
-    settled_at: Steady = Steady(0)
+    settled_at: Steady = CLOCK_ZERO
     successor: Job | None = None  # the first that was submitted
     fan_in: set[Path] = field(default_factory=set)  # of that successor
     counted: bool = False
--- a/src/eldercart/core/cloudwork.py
+++ b/src/eldercart/core/cloudwork.py
@@ -116,8 +116,9 @@
         used = sum(f.fleet.team_cpus.values()) + f.predictor.booked(self._held)[1]
         load = used / fleet if fleet else 0.0
         ending = self._ending(boot, now)
-        for job_id, left in ending.items():
-            f.predictor.prepare(f.jobs.jobs[job_id], left, boot, load, now)
+        if not f.rental.quiet:  # else no guessed successor of a stream will come
+            for job_id, left in ending.items():
+                f.predictor.prepare(f.jobs.jobs[job_id], left, boot, load, now)
         for job_id in ending:
             for after in f.graph.dependents(job_id):
                 if after.ended is None and all(name in ending for name in after.awaited):
@@ -293,6 +294,10 @@
                 heard = Steady(now + f.tuning.takeover_grace_s)
                 m = f.fleet.add(item.id, kind, item.zone, item.spot, life, hired, heard)
                 log.debug("machine listed machine=%s state=%s", m.id, item.state)
+            elif m.zone == rules.UNKNOWN_ZONE:
+                # Known from its tasks alone: the list says what it is before it reports.
+                kind = f.types.get(item.type) or unknown_type(item.type)
+                f.fleet.describe(m, kind, item.zone, item.spot)
             if item.address and not m.address:
                 m.address = item.address
             if item.state == cloud.FAILED and m.life is not Life.LEAVING:
