--- a/src/eldercart/core/records.py
+++ b/src/eldercart/core/records.py
@@ -333,6 +333,8 @@
         for sheet in pending.dropped:
             self.sheets.forget(sheet)
         at_fault = [*(j for j, *_ in pending.chunks), *(j for j, _ in pending.ends)]
+        for sheet in pending.sheets:
+            self.sheets.isolate(sheet)
         for job in [*at_fault, *pending.cleanups]:
             log.error("record refused job=%s", job.id)
             self._aside[job.id] = Steady(now + ASIDE_S)
--- a/src/eldercart/core/sheets.py
+++ b/src/eldercart/core/sheets.py
@@ -164,6 +164,12 @@
         self._open.pop(sheet.key, None)
         return parts
 
+    def isolate(self, sheet: Sheet) -> None:
+        """It has a single part, which the store refuses: no other part may join it, so that it can
+        wait without holding back anybody."""
+        sheet.alone = True
+        self._open.pop(sheet.key, None)
+
     def empties(self) -> list[Sheet]:
         return [s for s in self.sheets.values() if s.empty and s.version]
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -2,6 +2,7 @@
 
 import copy
 import random
+from dataclasses import replace
 from itertools import pairwise
 from typing import Any
 
@@ -124,6 +125,11 @@
             True, [(0, IN, 0), (21, IN, 0), (62, IN, 0)],
             {61.5: False, 63: True, 141: True, 143: False},
         ),
+        # But never longer than this.
+        (
+            True, [(t, IN, 0) for t in (0, 21, 62, 143, 304, 625, 1266)],
+            {1264: True, 1265.5: False, 1265 + MOST_S: True, 1267 + MOST_S: False},
+        ),
         # A long time without any, and the next is a stray one again.
         (True, [(0, IN, 0), (21, IN, 0), (200, IN, 0)], {199: False, 219: True, 221: False}),
         (True, [(0, TOLD, 30)], {0: True, 29: True, 31: False}),
@@ -353,6 +359,34 @@
     return through
 
 
+@pytest.mark.parametrize("lowered", [False, True])
+@pytest.mark.parametrize("wanted", [1, 5, 50])
+def test_lent_tokens_are_the_leaders_own(lowered: bool, wanted: int) -> None:
+    """A node that lacks tokens for submissions gets some of the leader's, never more than that one
+    has to spare: all of them together stay as many as before."""
+    nodes, clock, http = stores(5, NEXT)
+    if lowered:
+        refusal(nodes[0], http)
+        clock.now += 5.0
+    leader, follower = nodes[0], nodes[1]
+    follower.writes.drain(clock())
+    follower.requests.drain(clock())
+    buckets = [(leader.requests, follower.requests), (leader.writes, follower.writes)]
+    before = [a.available(clock()) + b.available(clock()) for a, b in buckets]
+    assert follower.short(clock()) == 5 and leader.short(clock()) == 0
+    number = leader.lend(wanted, clock())
+    follower.lent(number, clock())
+    assert 0 < number <= wanted
+    after = [a.available(clock()) + b.available(clock()) for a, b in buckets]
+    # What the other one has no room for is lost.
+    assert after == before or (wanted == 50 and after < before)
+    assert all(a.available(clock(), 0.3) >= 0 for a, _ in buckets), "its own placements go on"
+    while leader.lend(wanted, clock()):
+        pass
+    assert leader.lend(wanted, clock()) == 0 and leader.lend(0, clock()) == 0
+    assert all(a.available(clock(), 0.3) >= 0 for a, _ in buckets)
+
+
 @pytest.mark.parametrize("at_s", [0.0, 0.3, 5.0])
 def test_fall_in_a_burst_while_leaders_take_over(at_s: float) -> None:
     """A leader that takes over reads without asking for tokens, and so overdraws. Neither that
@@ -883,6 +917,62 @@
     assert sent[-1] < began + 11.5 and not c.cloud.catalog_changed, "stored once, and left alone"
 
 
+def leading_node(next_: Any, types: dict[str, cloud.MachineType]) -> tuple[Node, Clock, list[Any]]:
+    """A node that leads, its clock, and the transactions that a willing service gets from it."""
+    node = Node(settings_of(next_, 5), load_tuning())
+    clock = Clock()
+    clock.now = node.clock()  # its buckets count from there
+    node.clock = node.store._clock = clock  # type: ignore[method-assign]
+    node.store.set_leader(True)
+    sent: list[Any] = []
+
+    class Service:
+        def request(self, method: bytes, path: str, body: Any, timeout: float, answer: Any) -> None:
+            if path == "/txn":
+                sent.append(orjson.loads(body)["writes"])
+            answer(200, b'{"ledgerRev":1}')
+
+    node.store._http = Service()  # type: ignore[assignment]
+    node.leading.controller = Controller(
+        node.settings, node.tuning, Epoch(5), types, clock(), WallTime(0.0)
+    )
+    clock.now += 60.0
+    return node, clock, sent
+
+
+def test_leader_keeps_its_memory_within_its_tokens() -> None:
+    """A transaction of more changes than one second's worth is refused whenever it is sent, and
+    one of more than there are tokens holds up ends and placements."""
+    types = cloud.parse_catalog(CATALOG)
+    node, clock, sent = leading_node({"value_kb": 2, "write_rps": 18}, types)
+    c = node.leading.controller
+    assert c is not None
+    for n in range(900):
+        m = c.fleet.add(
+            MachineId(f"n-{n:06d}"), types["small"], "a", False, Life.UP, Steady(0), Steady(0)
+        )
+        m.images = {f"registry/{'long-' * 5}{n}-{i}": 1.5 for i in range(3)}
+    for _ in range(1000):
+        clock.now += 0.02
+        node.leading.pump()
+        assert node.store.writes.available(clock()) >= 0
+    memos = [w for writes in sent for w in writes if w.get("put", "").startswith(memory.MEMO)]
+    assert len(memos) > 3 and max(len(writes) for writes in sent) < 18
+
+
+def test_leader_stores_a_catalogue_that_fits() -> None:
+    type_ = cloud.parse_catalog(CATALOG)["small"]
+    types = {f"t{i}": replace(type_, name=f"t{i}") for i in range(15)}
+    node, _, sent = leading_node(NEXT, types)
+    c = node.leading.controller
+    assert c is not None
+    c.cloud.catalog_changed = True
+    node.leading.pump()
+    puts = [w for writes in sent for w in writes if w.get("put") == "catalog"]
+    assert len(orjson.dumps(cloud.catalog_record(types))) > 2048
+    assert len(puts) == 1 and len(orjson.dumps(puts[0]["v"])) <= 2048
+
+
 @pytest.mark.parametrize(("number", "value_kb"), [(2, 1.0), (8, 1.5), (11, 2.0), (40, 32.0)])
 def test_catalogue_fits_into_a_smaller_value(number: int, value_kb: float) -> None:
     """A node that does not lead knows the types from there alone: refused for its size, it would
@@ -996,6 +1086,19 @@
     finish(w)
 
 
+def test_record_that_stays_refused_takes_few_changes() -> None:
+    """As long as its chunk can't be cut anew it is refused whenever it is sent. It waits between
+    two tries, and so do neither the other jobs nor the service's rate of changes."""
+    w = production(0)
+    upgrade(w)
+    fall(w)
+    w.run(20)
+    before = w.too_large
+    assert before
+    w.run(60)
+    assert w.too_large - before <= 4 * 3, "of three chunks, each once in twenty seconds"
+
+
 def test_chunk_of_a_refused_record_is_cut_until_it_fits() -> None:
     """Whatever the settings said, and whatever the service counts: no record waits for ever."""
     w = World(51, platform=platform(NEXT))
