--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -14,6 +14,7 @@
 from eldercart.core.fleet import Life
 from eldercart.core.jobs import JobBook, Phase, chunk_size, job_record, parse_job_record
 from eldercart.core.sheets import Sheets
+from eldercart.election import Claim, Election, OpenHold, ReadLead, TouchHold
 from eldercart.net.buckets import Bucket
 from eldercart.net.front import RETRY_S
 from eldercart.net.node import Node
@@ -21,7 +22,17 @@
 from eldercart.net.store import Store
 from eldercart.settings import BadSettings, load_tuning
 from eldercart.settings.platform import NodeSettings, parse_platform
-from eldercart.units import Epoch, JobId, MachineId, NodeId, Revision, Steady, WallTime
+from eldercart.units import (
+    Epoch,
+    JobId,
+    LeaseId,
+    LifeId,
+    MachineId,
+    NodeId,
+    Revision,
+    Steady,
+    WallTime,
+)
 from eldercart.wire import cloud, peers, users
 from eldercart.wire.state import Item, Put, Txn
 from standins import CATALOG
@@ -359,6 +370,19 @@
     return through
 
 
+@pytest.mark.parametrize("nodes", [1, 3, 5])
+def test_a_quiet_time_saves_up_no_long_burst(nodes: int) -> None:
+    """Of a limit's burst, one second's worth, a node uses less than its share, or so much that it
+    can take a few submissions."""
+    all_, clock, _ = stores(nodes, NEXT)
+    s = settings_of(NEXT, nodes)
+    clock.now += 1000.0
+    for i, store in enumerate(all_):
+        for bucket, limit in ((store.requests, s.state_rps), (store.writes, s.state_write_rps)):
+            share = bucket.rate / (0.92 * limit)
+            assert 5 <= bucket.available(clock()) <= max(6, 0.8 * limit * share), i
+
+
 @pytest.mark.parametrize("lowered", [False, True])
 @pytest.mark.parametrize("wanted", [1, 5, 50])
 def test_lent_tokens_are_the_leaders_own(lowered: bool, wanted: int) -> None:
@@ -381,8 +405,7 @@
     # What the other one has no room for is lost.
     assert after == before or (wanted == 50 and after < before)
     assert all(a.available(clock(), 0.3) >= 0 for a, _ in buckets), "its own placements go on"
-    while leader.lend(wanted, clock()):
-        pass
+    assert sum(leader.lend(wanted, clock()) for _ in range(100)) <= 50
     assert leader.lend(wanted, clock()) == 0 and leader.lend(0, clock()) == 0
     assert all(a.available(clock(), 0.3) >= 0 for a, _ in buckets)
 
@@ -482,6 +505,53 @@
     assert place.submit(submission("wk-000001")).status == 201
 
 
+def claiming() -> tuple[Election, Steady]:
+    """A node that is about to claim the leader key, on a lease of three seconds."""
+    e = Election(NodeId("n0"), 3.0, 0.02, LifeId("x"))
+    now = Steady(10.0)
+    assert isinstance(e.next_action(now), ReadLead)
+    e.read(None, now)
+    assert isinstance(e.next_action(now), OpenHold)
+    e.opened(LeaseId(1), now)
+    return e, now
+
+
+def test_refused_claim_waits_and_asks_first() -> None:
+    """The claims of all nodes at once, repeated without a pause, would keep the rate used up."""
+    e, now = claiming()
+    claim = e.next_action(now)
+    assert isinstance(claim, Claim)
+    e.failed(claim, now)
+    assert e.next_action(now) is None and e.next_action(Steady(now + 0.1)) is None
+    assert isinstance(e.next_action(Steady(now + 0.2)), ReadLead)
+    e.read(None, Steady(now + 0.2))
+    assert isinstance(e.next_action(Steady(now + 0.2)), Claim)
+
+
+def test_claim_on_a_lease_that_has_ended_takes_a_new_one() -> None:
+    """The 400 that says so would come back for each claim on that lease."""
+    e, now = claiming()
+    assert isinstance(e.next_action(now), Claim)
+    e.claimed(None, now, hold_lost=True)
+    assert isinstance(e.next_action(now), ReadLead)
+    e.read(None, now)
+    assert isinstance(e.next_action(now), OpenHold)
+
+
+def test_refused_renewal_is_repeated_while_the_hold_lasts() -> None:
+    e, now = claiming()
+    assert isinstance(e.next_action(now), Claim)
+    e.claimed(Revision(7), now)
+    tries = []
+    while e.within_lease(now):
+        action = e.next_action(now)
+        if isinstance(action, TouchHold):
+            tries.append(now)
+            e.failed(action, now)
+        now = Steady(now + 0.01)
+    assert 10 <= len(tries) <= 20, "not one after the other, and not too late"
+
+
 # -- greetings
 
 
