--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -754,79 +754,109 @@
     assert job.part(finer[3]) == [JOB, 9, {"a": 8, "d": [], "r": [], "n": 1}]
 
 
-@pytest.mark.parametrize("seed", range(30))
-def test_cutting_loses_no_task_and_places_none_twice(seed: int) -> None:
-    """Any order of placing, finishing, dropping, cutting, writing some of the sheets, and taking
-    over from what was written, late copies of older sheets included."""
-    rng = random.Random(seed)
-    tasks, size = rng.choice([(40, 50), (120, 50), (130, 40)])
-    jobs, job = book(tasks, size)
-    sheets = Sheets(2048, Epoch(1))
-    stored: dict[str, Any] = {}
-    late: list[tuple[str, Any, int]] = []  # writes under way, with the version they are guarded on
-    used: dict[int, int] = {}  # attempts that may have been launched
-    durable: dict[int, tuple[int, str]] = {}  # placements that may have been launched
-    epoch = 1
-    for step in range(300):
-        now = Steady(step)
-        what = rng.random()
-        placed = [p for p in job.placements() if p.phase < 5]
+class Cutting:
+    """A job, its sheets, and what the store holds of them, by single random steps."""
+
+    def __init__(self, seed: int) -> None:
+        self.rng = random.Random(seed)
+        self.tasks, self.size = self.rng.choice([(40, 50), (120, 50), (130, 40)])
+        self.jobs, self.job = book(self.tasks, self.size)
+        self.sheets = Sheets(2048, Epoch(1))
+        self.stored: dict[str, Any] = {}
+        # Writes under way, with the version they are guarded on.
+        self.late: list[tuple[str, Any, int]] = []
+        self.used: dict[int, int] = {}  # attempts that may have been launched
+        self.durable: dict[int, tuple[int, str]] = {}  # placements that may have been launched
+        self.epoch = 1
+
+    def step(self, number: int) -> None:
+        now = Steady(number)
+        what = self.rng.random()
+        placed = [p for p in self.job.placements() if p.phase < 5]
         if what < 0.35:
-            for index in jobs.next_tasks(job, rng.randrange(1, 6)):
-                p = jobs.place(job, index, MachineId(f"n-{rng.randrange(99):06d}"), now)
-                assert p.attempt > used.get(index, 0), "an attempt is used once"
+            self.place(now)
         elif what < 0.55 and placed:
-            p = rng.choice(placed)
-            durable.pop(p.index, None)
-            if rng.random() < 0.6:
-                jobs.finish(p, now)
-                del job.chunk_of(p.index).placements[p.index]
-            else:
-                jobs.drop(p, now, again=True)
-        elif what < 0.62 and job.chunks:
-            chunk = rng.choice([*job.chunks.values()])
-            if chunk.tasks > 1:
-                jobs.touch(job, chunk, now)
-                sheets.of(job, chunk)
-                sheets.recut(jobs, job, chunk, rng.randrange(1, chunk.tasks), rng.random() < 0.3)
+            self.end(self.rng.choice(placed), now)
+        elif what < 0.62 and self.job.chunks:
+            self.cut(now)
         elif what < 0.95:
-            dirty = [c for c in job.chunks.values() if c.dirty]
-            for chunk in rng.sample(dirty, min(len(dirty), 3)):
-                sheet = sheets.of(job, chunk)
-                if sheet.closed:
-                    continue
-                record, size_ = sheets.record(sheet)
-                if size_ > sheets.most and len(sheet.parts) > 1:
-                    sheets.close(sheet)
-                    continue
-                value = orjson.loads(orjson.dumps(record))
-                if rng.random() < 0.2:
-                    late.append((sheet.key, value, stored.get(sheet.key, (None, 0))[1]))
-                    continue  # no answer: what is new stays to be written
-                sheet.version = Revision(step + 1)
-                stored[sheet.key] = (value, step + 1)
-                for _, c in sheet.parts.values():
-                    c.dirty = False
-                    durable |= {p.index: (p.attempt, p.machine) for p in c.placements.values()}
-                    used |= {p.index: p.attempt for p in c.placements.values()}
-        elif what < 0.97 and late:
-            key, value, guard = late.pop(rng.randrange(len(late)))
-            if stored.get(key, (None, 0))[1] == guard:
-                stored[key] = (value, step + 1)
+            self.write(number)
+        elif what < 0.97 and self.late:
+            self.write_late(number)
+        else:
+            self.take_over(now)
+        check_whole(self.job)
+
+    def place(self, now: Steady) -> None:
+        for index in self.jobs.next_tasks(self.job, self.rng.randrange(1, 6)):
+            machine = MachineId(f"n-{self.rng.randrange(99):06d}")
+            p = self.jobs.place(self.job, index, machine, now)
+            assert p.attempt > self.used.get(index, 0), "an attempt is used once"
+
+    def end(self, p: Any, now: Steady) -> None:
+        self.durable.pop(p.index, None)
+        if self.rng.random() < 0.6:
+            self.jobs.finish(p, now)
+            del self.job.chunk_of(p.index).placements[p.index]
         else:
-            epoch += 1
-            late.clear()  # they were guarded on the leader's key, too
-            jobs, job = book(tasks, size)
-            sheets = Sheets(2048, Epoch(epoch))
-            sheets.load(
-                [Item(k, v, Revision(r)) for k, (v, r) in stored.items()], jobs, now
-            )  # fmt: skip
-            jobs.finish_load(job)
-            assert not job.unreadable
-            known = {p.index: (p.attempt, p.machine) for p in job.placements()}
-            for index, place in durable.items():
-                assert known.get(index) == place, "launched, and forgotten"
-        check_whole(job)
+            self.jobs.drop(p, now, again=True)
+
+    def cut(self, now: Steady) -> None:
+        chunk = self.rng.choice([*self.job.chunks.values()])
+        if chunk.tasks > 1:
+            self.jobs.touch(self.job, chunk, now)
+            self.sheets.of(self.job, chunk)
+            most = self.rng.randrange(1, chunk.tasks)
+            self.sheets.recut(self.jobs, self.job, chunk, most, self.rng.random() < 0.3)
+
+    def write(self, number: int) -> None:
+        dirty = [c for c in self.job.chunks.values() if c.dirty]
+        for chunk in self.rng.sample(dirty, min(len(dirty), 3)):
+            sheet = self.sheets.of(self.job, chunk)
+            if sheet.closed:
+                continue
+            record, size = self.sheets.record(sheet)
+            if size > self.sheets.most and len(sheet.parts) > 1:
+                self.sheets.close(sheet)
+                continue
+            value = orjson.loads(orjson.dumps(record))
+            if self.rng.random() < 0.2:
+                guard = self.stored.get(sheet.key, (None, 0))[1]
+                self.late.append((sheet.key, value, guard))
+                continue  # no answer: what is new stays to be written
+            sheet.version = Revision(number + 1)
+            self.stored[sheet.key] = (value, number + 1)
+            for _, c in sheet.parts.values():
+                c.dirty = False
+                self.durable |= {p.index: (p.attempt, p.machine) for p in c.placements.values()}
+                self.used |= {p.index: p.attempt for p in c.placements.values()}
+
+    def write_late(self, number: int) -> None:
+        key, value, guard = self.late.pop(self.rng.randrange(len(self.late)))
+        if self.stored.get(key, (None, 0))[1] == guard:
+            self.stored[key] = (value, number + 1)
+
+    def take_over(self, now: Steady) -> None:
+        self.epoch += 1
+        self.late.clear()  # they were guarded on the leader's key, too
+        self.jobs, self.job = book(self.tasks, self.size)
+        self.sheets = Sheets(2048, Epoch(self.epoch))
+        items = [Item(k, v, Revision(r)) for k, (v, r) in self.stored.items()]
+        self.sheets.load(items, self.jobs, now)
+        self.jobs.finish_load(self.job)
+        assert not self.job.unreadable
+        known = {p.index: (p.attempt, p.machine) for p in self.job.placements()}
+        for index, place in self.durable.items():
+            assert known.get(index) == place, "launched, and forgotten"
+
+
+@pytest.mark.parametrize("seed", range(30))
+def test_cutting_loses_no_task_and_places_none_twice(seed: int) -> None:
+    """Any order of placing, finishing, dropping, cutting, writing some of the sheets, and taking
+    over from what was written, late copies of older sheets included."""
+    cutting = Cutting(seed)
+    for number in range(300):
+        cutting.step(number)
 
 
 # -- sizes
