--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1188,7 +1188,7 @@
 
 def test_record_that_stays_refused_takes_few_changes() -> None:
     """As long as its chunk can't be cut anew it is refused whenever it is sent. It waits between
-    two tries, and so do neither the other jobs nor the service's rate of changes."""
+    two tries, or it would take all changes that the leader has."""
     w = production(0)
     upgrade(w)
     fall(w)
@@ -1196,7 +1196,7 @@
     before = w.too_large
     assert before
     w.run(60)
-    assert w.too_large - before <= 4 * 3, "of three chunks, each once in twenty seconds"
+    assert 1 <= w.too_large - before <= 4, "of one chunk, once in twenty seconds"
 
 
 def test_chunk_of_a_refused_record_is_cut_until_it_fits() -> None:
