--- a/src/eldercart/core/rental.py
+++ b/src/eldercart/core/rental.py
@@ -29,9 +29,7 @@
     _samples: deque[tuple[Steady, float]] = field(default_factory=deque)
     level: float = 0.0
 
-    def update(self, cpus: float, booked: float, at: Steady, memory_s: float) -> None:
-        """Bookings are no part of the window: the jobs they stand for come into it when they
-        arrive, and would be counted twice."""
+    def update(self, cpus: float, at: Steady, memory_s: float) -> None:
         if self._samples and at - self._samples[-1][0] < SAMPLE_S:
             self._samples[-1] = (self._samples[-1][0], max(cpus, self._samples[-1][1]))
         else:
@@ -40,11 +38,11 @@
             self._samples.popleft()
         values = [cpus for _, cpus in self._samples]
         if not values:
-            self.level = cpus + booked
+            self.level = cpus
             return
         mean = fmean(values)
         deviation = max(0.0, fmean([v * v for v in values]) - mean * mean) ** 0.5
-        self.level = max(cpus + booked, mean + self.spread * deviation)
+        self.level = max(cpus, mean + self.spread * deviation)
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,7 +90,7 @@
             self._last_arrival = now
 
     def measure(self, jobs: Iterable[Job], booked: tuple[float, float], now: Steady) -> None:
-        ordinary = 0.0
+        ordinary = booked[0]
         by_team: dict[str, float] = {}
         for job in jobs:
             if not job.ready or job.cancelled or job.hold_until > now:
@@ -114,8 +112,8 @@
         pause = max(self.tuning.pause_s, PAUSE_GAPS * self._gap)
         self.quiet = self._last_arrival is None or now - self._last_arrival > pause
         memory = 0.0 if self.quiet else self.tuning.demand_memory_s
-        self.ordinary.update(ordinary, booked[0], now, memory)
-        self.any.update(sum(by_team.values()), booked[1], now, memory)
+        self.ordinary.update(ordinary, now, memory)
+        self.any.update(sum(by_team.values()) + booked[1], now, memory)
 
     def targets(self) -> tuple[float, float]:
         share = 1.0 + self.tuning.headroom_share
