--- a/tests/relayworld.py
+++ b/tests/relayworld.py
@@ -33,6 +33,15 @@
     epoch: int
 
 
+@dataclass
+class LeaderReply:
+    """The leader's answer to a forwarded report, as the worker gets it."""
+
+    body: bytes
+    launches: list[workers.Launch]
+    commands: int
+
+
 class RelayWorld(World):
     def __init__(self, seed: int, nodes: int = 3, **faults: Any) -> None:
         self.nodes = nodes
@@ -222,28 +231,37 @@
             return
         if epoch != c.epoch:
             return  # another leader by now
-        report = workers.parse_report(orjson.loads(f.body))
-        commands = c.on_report(report, now, relay.label)
+        machine = MachineId(w.id)
+        reply = self.ask_leader(f.body, now, relay.label)
         if self.chance("mesh_lost"):
-            c.undelivered(report.machine)  # the connection broke, and that the leader sees
+            c.undelivered(machine)  # the connection broke, and that the leader sees
             return
-        if commands is None:
-            relay.overtaken(report.machine, f.order)
+        if reply is None:
+            relay.overtaken(machine, f.order)
             return
-        for command in commands:
-            if isinstance(command, workers.Launch):
-                self.check_durable(command, w)
-        again = bool(commands) or c.wants_next(report.machine)
-        body = workers.commands_body(c.epoch, commands)
+        for launch in reply.launches:
+            self.check_durable(launch, w)
+        again = reply.commands > 0 or c.wants_next(machine)
         delay = self.rng.uniform(0.0, self.faults.get("mesh_delay", 0.05))
 
         def back() -> None:
             if self.relays[at] is relay and at != self.asleep:
-                relay.answered(report.machine, f.order, f.notice, f.tasks, again)
-                self.answer(w, f, body)
+                relay.answered(machine, f.order, f.notice, f.tasks, again)
+                self.answer(w, f, reply.body)
 
         self.after(delay, back)
 
+    def ask_leader(self, body: bytes, now: Steady, relay: NodeId) -> LeaderReply | None:
+        """What the leader answers to a report; None: it has seen a newer one."""
+        assert self.controller is not None
+        commands = self.controller.on_report(workers.parse_report(orjson.loads(body)), now, relay)
+        if commands is None:
+            return None
+        launches = [command for command in commands if isinstance(command, workers.Launch)]
+        return LeaderReply(
+            workers.commands_body(self.controller.epoch, commands), launches, len(commands)
+        )
+
     def answer(self, w: WorkerSim, f: Flight, body: bytes) -> None:
         if self.flights.get(w.id) is not f:
             return  # a copy's, or too late: the worker does not wait for it any more
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,26 +1,18 @@
-"""This version and the one in production, side by side: what each writes the other reads, a leader
-of either takes over from one of the other, and a service is replaced node by node.
+"""This version and each one that it may meet, side by side: what each writes the other reads, a
+leader of either takes over from one of the other, and a service is replaced node by node.
 
-`versions/production.json` holds what production's own code wrote, see `versions/record.py`. Its
+`versions/<commit>.json` holds what that version's own code wrote, see `versions/record.py`. Its
 code itself is run where the repository's history is at hand; where it is not, what it would read is
 only compared with what it would have written, and a warning says so.
 
 Not covered here: sockets and the processes' own start and end (a greeting crosses only as bytes),
-grants and the spread of workers as a leader counts them, direct commands to workers, outages of the
-state service, and a leader of production after a job with dependencies has started: it drops the
-sheets that hold only such jobs, so a task on a machine that it does not hear would run twice. None
-of those is asked for before all nodes have the new version; there is no way back while one is open.
+grants and the spread of workers as a leader counts them, and a leader of 0782287 after a job with
+dependencies has started: it drops the sheets that hold only such jobs, so a task on a machine that
+it does not hear would run twice. None of those is asked for before all nodes have the new version;
+there is no way back to it while one is open. `test_upgrade` has whole replacements.
 """
 
-import importlib
 import random
-import sys
-import warnings
-from collections.abc import Iterator
-from dataclasses import dataclass, fields, is_dataclass
-from enum import Enum
-from pathlib import Path
-from types import ModuleType
 from typing import Any
 
 import orjson
@@ -29,44 +21,44 @@
 from eldercart.core.controller import Controller, Verdict
 from eldercart.core.jobs import job_record, needs_prefix
 from eldercart.core.relay import Relay
-from eldercart.units import Epoch, JobId, NodeId, Revision, Steady
+from eldercart.units import JobId
 from eldercart.wire import peers, users
-from eldercart.wire.state import Item
 from eldercart.wire.users import ListReference
-from relayworld import RelayWorld
 from standins import CATALOG
 from test_core import finish, submit_all
-from versions import reading, record
-from world import PLATFORM, submission
+from versions import history, reading, record, writing
+from versions.mixed import MixedWorld
+from world import submission
 
-RECORDED = Path(record.__file__).parent / "production.json"
-SAMPLES: dict[str, Any] = orjson.loads(RECORDED.read_bytes())
-ALIAS = "eldercart_production"
+SHORTS = list(record.VERSIONS)
+BEFORE_CHAINS, WITH_CHAINS = "0782287", "852ab75"
+Store = list[dict[str, Any]]
 
+each_version = pytest.mark.parametrize("short", SHORTS)
 
-NOT_RUN = "the code of the version in production was NOT run: no history is at hand"
 
-
-@pytest.fixture(scope="module")
-def tree(tmp_path_factory: pytest.TempPathFactory) -> Path | None:
-    """The sources of the version in production."""
-    folder = tmp_path_factory.mktemp("production")
-    if record.unpack(folder):
-        return folder
-    warnings.warn(NOT_RUN, stacklevel=1)
-    return None
+def each_sample(kind: str) -> pytest.MarkDecorator:
+    """Over the versions and their samples, by number or name."""
+    cases = []
+    for short in SHORTS:
+        found = history.samples(short).get(kind, [])
+        names = found if isinstance(found, dict) else range(len(found))
+        cases += [pytest.param(short, name, id=f"{short}-{name}") for name in names]
+    return pytest.mark.parametrize(("short", "name"), cases)
 
 
-# -- what production writes, this version reads
+# -- what they write, this version reads
 
 
-def of_today(value: Any) -> Any:
-    """What production read, with the fields that came since."""
+def of_today(short: str, value: Any) -> Any:
+    """What the version read, with the fields that came since."""
+    if short != BEFORE_CHAINS:
+        return value
     if isinstance(value, list):
-        return [of_today(v) for v in value]
+        return [of_today(short, v) for v in value]
     if not isinstance(value, dict):
         return value
-    value = {k: of_today(v) for k, v in value.items()}
+    value = {k: of_today(short, v) for k, v in value.items()}
     if "verdict" in value:
         value["waiting"] = []
     if "lent" in value:
@@ -75,78 +67,140 @@
         value |= {"takes": [], "low_ms": 0}
     if "deadline_s" in value:
         value["dependencies"] = []
+    if "attempts" in value:
+        value |= {"awaited": [], "ready": True, "orphaned": False}
     return value
 
 
-def test_the_samples_are_of_the_version_in_production(tree: Path | None) -> None:
-    assert SAMPLES["production"] == record.production()
-    if tree is not None:
-        fresh = orjson.loads(record.run_as(tree, "record.py"))
-        assert fresh == SAMPLES, "record them again: python3 tests/versions/record.py"
+def test_the_version_in_production_is_among_them() -> None:
+    assert record.production() in record.VERSIONS.values()
+    for short, commit in record.VERSIONS.items():
+        assert commit.startswith(short)
+
+
+@each_version
+def test_the_samples_are_of_the_version(short: str) -> None:
+    """Recorded by its own code, which writes the same again."""
+    assert history.samples(short)["production"] == record.VERSIONS[short]
+    history.tree(short)
+    fresh = orjson.loads(record.record(record.VERSIONS[short]))
+    assert fresh == history.samples(short), "samples are never changed: this tells of the recorder"
 
 
-@pytest.mark.parametrize("name", SAMPLES["frames"])
-def test_frames_of_production_are_read(name: str) -> None:
-    sample = SAMPLES["frames"][name]
-    assert reading.read_frame(sample["data"]) == of_today(sample["read"])
+@each_sample("frames")
+def test_frames_are_read(short: str, name: str) -> None:
+    sample = history.samples(short)["frames"][name]
+    assert reading.read_frame(sample["data"]) == of_today(short, sample["read"])
 
 
-def test_the_samples_hold_every_kind() -> None:
-    kinds = {orjson.loads(f["data"])["k"] for f in SAMPLES["frames"].values()}
+@each_version
+def test_the_samples_hold_every_kind(short: str) -> None:
+    samples = history.samples(short)
+    kinds = {orjson.loads(f["data"])["k"] for f in samples["frames"].values()}
     assert kinds == {
         peers.GREET, peers.GREETED, peers.REPORTS, peers.ANSWERS, peers.POLLS, peers.STATES,
         peers.CANCEL, peers.CANCELLED, peers.WANT, peers.DROPPED,
     }  # fmt: skip
-    alone = {r["found"]["path"].partition("/")[0] for r in SAMPLES["records"]}
+    alone = {r["found"]["path"].partition("/")[0] for r in samples["records"]}
     assert alone == {"job", "end", "gone", "memo", "catalog", "lead"}
-    books = [s["read"]["jobs"].values() for s in SAMPLES["stores"]]
+    books = [s["read"]["jobs"].values() for s in samples["stores"]]
     assert any(j["placed"] and j["done"] and len(j["attempts"]) > 1 for b in books for j in b)
     assert any(j["ended"] == users.CANCELLED for b in books for j in b)
-    parts = [i["v"]["p"] for s in SAMPLES["stores"] for i in s["store"] if is_sheet(i)]
+    parts = [i["v"]["p"] for s in samples["stores"] for i in s["store"] if is_sheet(i)]
     assert any(len(p) > 1 for p in parts)
-    remembered = [s["read"]["remembered"] for s in SAMPLES["stores"]]
+    remembered = [s["read"]["remembered"] for s in samples["stores"]]
     assert any(r[0] for r in remembered) and any(r[1] for r in remembered)
-    assert any(record.changed_copies([*filter(is_sheet, s["store"])]) for s in SAMPLES["stores"])
-    assert any(sum(map(is_sheet, s["store"])) > 1 for s in SAMPLES["stores"])
+    stores = [s["store"] for s in samples["stores"]]
+    assert any(writing.changed_copies([*filter(is_sheet, store)]) for store in stores)
+    assert any(sum(map(is_sheet, store)) > 1 for store in stores)
+
+
+def test_the_samples_hold_what_came_with_chains() -> None:
+    samples = history.samples(WITH_CHAINS)
+    frames = [orjson.loads(f["data"]) for f in samples["frames"].values()]
+    assert any(
+        f.get("takes") == ["recut"] and f["low"] > 0 for f in frames if f["k"] == peers.GREET
+    )
+    assert any(f.get("ready") is False for f in frames)
+    assert any(told.get("w") for f in frames if f["k"] == peers.STATES for told in f["i"])
+    assert any(len(r["found"]["v"]["s"]) > 18 for r in samples["records"] if is_job(r["found"]))
+    assert any(found["lists"] for found in samples["lists"])
+    books = [job for s in samples["stores"] for job in s["read"]["jobs"].values()]
+    assert any(job["awaited"] and not job["ready"] for job in books)
+    assert any(not job["awaited"] and job["ready"] for job in books)
+    parts = [p for s in samples["stores"] for i in s["store"] if is_sheet(i) for p in i["v"]["p"]]
+    assert any("n" in part for _, _, part in parts), "finer parts"
 
 
 def is_sheet(found: dict[str, Any]) -> bool:
     return str(found["path"]).startswith("place/")
 
 
-@pytest.mark.parametrize("sample", SAMPLES["records"], ids=lambda s: s["found"]["path"])
-def test_records_of_production_are_read(sample: dict[str, Any]) -> None:
-    assert reading.read_record(sample["found"]) == of_today(sample["read"])
+def is_job(found: dict[str, Any]) -> bool:
+    return str(found["path"]).startswith("job/")
+
+
+@each_sample("records")
+def test_records_are_read(short: str, name: int) -> None:
+    sample = history.samples(short)["records"][name]
+    assert reading.read_record(sample["found"]) == of_today(short, sample["read"])
+
+
+@each_sample("lists")
+def test_lists_of_dependencies_are_read(short: str, name: int) -> None:
+    """Also one of which a part is missing: then it is not known what the job awaits."""
+    sample = history.samples(short)["lists"][name]
+    assert reading.read_lists(sample["record"], sample["lists"]) == sample["read"]
 
 
-@pytest.mark.parametrize("number", range(len(SAMPLES["stores"])))
-def test_states_of_production_are_taken_over(number: int) -> None:
-    """The same placements, tasks done, ends and memories as production would go on with."""
-    sample = SAMPLES["stores"][number]
-    assert reading.take_over(sample["store"]) == sample["read"]
+@each_sample("stores")
+def test_states_are_taken_over(short: str, name: int) -> None:
+    """The same placements, tasks done, ends and memories as that version would go on with."""
+    sample = history.samples(short)["stores"][name]
+    assert reading.take_over(sample["store"]) == of_today(short, sample["read"])
 
 
-# -- what this version writes, production reads
+# -- what this version writes, they read
 
 
-def test_the_same_is_written_as_by_production() -> None:
+def test_the_same_is_written_as_before_chains() -> None:
     """With nothing of what came since: the bytes are the same but for `ready`, `takes` and `low`,
-    which production does not look for."""
+    which 0782287 does not look for."""
+    samples = history.samples(BEFORE_CHAINS)
     for name, write in reading.FRAMES.items():
         written = orjson.loads(write())
         if written["k"] == peers.GREETED:
             assert written.pop("ready") is True
         if written["k"] in (peers.GREET, peers.GREETED):
             assert (written.pop("takes"), written.pop("low")) == ([], 0)
-        assert written == orjson.loads(SAMPLES["frames"][name]["data"]), name
-    alone = [*reading.job_records(), reading.lead_record(), reading.catalog_record(CATALOG)]
-    assert alone == [s["found"] for s in SAMPLES["records"][: len(alone)]]
+        assert written == orjson.loads(samples["frames"][name]["data"]), name
+    alone = plain_records()
+    assert alone == [s["found"] for s in samples["records"][: len(alone)]]
 
 
-def test_sheets_are_written_again_as_they_were() -> None:
+def test_the_same_is_written_as_with_chains() -> None:
+    """All bytes are the same."""
+    samples = history.samples(WITH_CHAINS)
+    frames = reading.FRAMES | reading.NEWER_FRAMES
+    assert {name: write().decode() for name, write in frames.items()} == {
+        name: sample["data"] for name, sample in samples["frames"].items()
+    }
+    alone = [*plain_records(), *reading.chained_records()]
+    assert alone == [s["found"] for s in samples["records"][: len(alone)]]
+    assert reading.chained_lists() == samples["lists"][0]["lists"]
+
+
+def plain_records() -> Store:
+    return [*reading.job_records(), reading.lead_record(), reading.catalog_record(CATALOG)]
+
+
+@each_version
+def test_sheets_are_written_again_as_they_were(short: str) -> None:
     """A part that was moved stays only where the higher attempt is, or of equals the newer."""
-    for sample in SAMPLES["stores"]:
+    for sample in history.samples(short)["stores"]:
         sheets = [found for found in sample["store"] if is_sheet(found)]
+        if any("n" in part for found in sheets for _, _, part in found["v"]["p"]):
+            continue  # see below
         expected: dict[str, list[Any]] = {found["path"]: [] for found in sheets}
         best: dict[tuple[str, int], tuple[int, int, str, Any]] = {}
         for found in sheets:
@@ -160,11 +214,24 @@
         for _, _, path, part in best.values():
             expected[path].append(part)
         again = reading.write_again(sample["store"])
-        assert {k: sorted(v["p"]) for k, v in again.items()} == {
-            k: sorted(v) for k, v in expected.items()
+        assert {k: sorted(v["p"], key=str) for k, v in again.items()} == {
+            k: sorted(v, key=str) for k, v in expected.items()
         }
 
 
+def test_finer_parts_are_written_again_as_they_were() -> None:
+    """Each finer part of a job that is open, and beside them nothing that they cover."""
+    finer = 0
+    for sample in history.samples(WITH_CHAINS)["stores"]:
+        again = reading.write_again(sample["store"])
+        for found in filter(is_sheet, sample["store"]):
+            for part in found["v"]["p"]:
+                if "n" in part[2] and part[0] in sample["read"]["jobs"]:
+                    finer += 1
+                    assert part in again[found["path"]]["p"]
+    assert finer > 3
+
+
 def shape(value: Any) -> Any:
     """Which fields there are, and of which kind; the lengths of lists that hold one kind do not
     count, nor do the names in a mapping."""
@@ -177,26 +244,35 @@
 
 
 @pytest.fixture(scope="module")
-def written() -> list[list[dict[str, Any]]]:
-    """As `record.stores` made them with production: by this version's leader, without
-    dependencies."""
-    return record.stores()
+def written() -> list[Store]:
+    """As the samples were made: by this version's leader, without dependencies."""
+    return writing.stores()
+
 
+@pytest.fixture(scope="module")
+def chained() -> list[Store]:
+    """With dependencies, and with finer parts."""
+    return writing.chains()
 
-def test_records_have_the_shapes_of_production(written: list[list[dict[str, Any]]]) -> None:
+
+@each_version
+def test_records_have_the_shapes_of_the_version(
+    short: str, written: list[Store], chained: list[Store]
+) -> None:
     """Job records, ends and markers, of which each job has one."""
     known: dict[str, list[Any]] = {}
-    for sample in SAMPLES["stores"]:
+    for sample in history.samples(short)["stores"]:
         for found in sample["store"]:
             known.setdefault(found["path"].partition("/")[0], []).append(shape(found["v"]))
     seen = set()
-    for found in (i for store in written for i in store):
+    stores = written if short == BEFORE_CHAINS else written + chained
+    for found in (i for store in stores for i in store):
         kind = found["path"].partition("/")[0]
         if kind in ("job", "end", "gone", "lead"):
             seen.add(kind)
             fields = dict(found["v"])
-            if kind == "gone":
-                # When it was cancelled: production reads no more of it than how the job ended.
+            if kind == "gone" and short == BEFORE_CHAINS:
+                # When it was cancelled: this one reads no more of it than how the job ended.
                 assert type(fields.pop("t")) is float
             assert shape(fields) in known[kind] or kind == "lead", found
         elif kind == "memo" and "images" in found["path"]:
@@ -204,271 +280,170 @@
         elif kind == "place":
             assert list(found["v"]) == ["p"]
             for job, number, part in found["v"]["p"]:
-                assert (type(job), type(number), list(part)) == (str, int, ["a", "d", "r"])
+                assert (type(job), type(number)) == (str, int)
+                finer = "n" in part
+                assert list(part) == ["a", "d", "r", "n"][: 4 if finer else 3]
+                assert not finer or (short == WITH_CHAINS and type(part["n"]) is int)
                 assert type(part["a"]) is int
                 assert all([type(x) for x in d] == [int, int] for d in part["d"])
                 assert all([type(x) for x in r] == [int, int, str] for r in part["r"])
     assert {"job", "end", "gone"} <= seen
 
 
-NEWER: dict[str, bytes] = {
-    "greeted, not ready": peers.greeted(
-        peers.Greeted(1, Epoch(9), False, True, 0, None, 0, ready=False)
-    ),
-    "greeted, of what it reads": peers.greeted(
-        peers.Greeted(1, Epoch(9), True, True, 0, None, 0, peers.TAKES, 3000)
-    ),
-    "states with what is awaited": peers.states(
-        peers.STATES, [peers.Told(1, users.PENDING, 0, 0, ("wk-a", "wk-b")),
-                       peers.Told(2, users.RUNNING, 1, 1)],
-    ),
-    "cancelled": peers.states(peers.CANCELLED, [peers.Told(1, users.CANCELLED, 0, 0)]),
-}  # fmt: skip
-
-
 def awaiting(job: str, elsewhere: ListReference | None = None) -> dict[str, Any]:
     spec = users.parse_submission(submission(job, awaits=["wk-long", "wk-000004"]))
     return {"path": f"job/{job}", "v": job_record(spec, 136, 1234.5, elsewhere), "stamp": 7}
 
 
 def without(value: Any) -> Any:
-    """What production can know of it."""
+    """What 0782287 can know of it."""
     if isinstance(value, list):
         return [without(v) for v in value]
     if not isinstance(value, dict):
         return value
-    new = ("waiting", "ready", "dependencies", "takes", "low_ms")
-    return {k: without(v) for k, v in value.items() if k not in new}
+    new = ("waiting", "ready", "dependencies", "takes", "low_ms", "awaited", "orphaned")
+    told = {k: without(v) for k, v in value.items() if k not in new}
+    if "attempts" in value:
+        told["waiting"] = value["waiting"]  # here the number of tasks that wait
+    return told
 
 
-def test_what_is_written_is_read_by_production(
-    tree: Path | None, written: list[list[dict[str, Any]]]
-) -> None:
-    """Every frame and record, and whole states: a leader of production goes on with the same
+def of_kinds(stores: list[Store], *kinds: str) -> Store:
+    return [i for s in stores for i in s if i["path"].partition("/")[0] in kinds]
+
+
+def asked_of(short: str, asked: dict[str, Any]) -> dict[str, Any]:
+    """What that version's own code makes of it."""
+    tree = history.tree(short)
+    answer = record.run_as(tree, "old_reading.py", given=orjson.dumps(asked))
+    found: dict[str, Any] = orjson.loads(answer)
+    return found
+
+
+def test_what_is_written_is_read_before_chains(written: list[Store]) -> None:
+    """Every frame and record, and whole states: a leader of 0782287 goes on with the same
     placements and the same tasks done, and finds nothing that it can't read."""
-    if tree is None:
-        pytest.skip(f"{NOT_RUN}; what is written was compared with what it wrote, above")
-    stores = written
     reference = ListReference("nonce", 1)
     chained = [awaiting("wk-chain"), awaiting("wk-chain2", reference)]
     lists = {"path": needs_prefix(JobId("wk-chain2"), reference) + "0", "v": ["wk-long"]}
-    mixed = [*stores[0], *chained, {**lists, "stamp": 7}]
-    frames = {name: write() for name, write in reading.FRAMES.items()} | NEWER
-    alone = [
-        i for s in stores for i in s
-        if i["path"].partition("/")[0] in ("end", "gone", "memo", "lead", "job")
-    ]  # fmt: skip
-    alone += [*reading.job_records(), reading.lead_record(), reading.catalog_record(CATALOG)]
+    mixed = [*written[0], *chained, {**lists, "stamp": 7}]
+    frames = reading.FRAMES | reading.NEWER_FRAMES
+    alone = of_kinds(written, "end", "gone", "memo", "lead", "job") + plain_records()
     asked = {
-        "frames": {name: data.decode() for name, data in frames.items()},
+        "frames": {name: write().decode() for name, write in frames.items()},
         "records": [*alone, *chained],
-        "stores": [*stores, mixed],
+        "stores": [*written, mixed],
+        "lists": [],
     }
-    theirs = orjson.loads(record.run_as(tree, "reading.py", orjson.dumps(asked)))
-    ours = reading.answer(asked)
+    theirs, ours = asked_of(BEFORE_CHAINS, asked), reading.answer(asked)
     for name in asked["frames"]:
         assert theirs["frames"][name] == without(ours["frames"][name]), name
     for found, they, we in zip(alone, theirs["records"], ours["records"], strict=False):
         assert they == without(we), found
-    # A job that awaits others: production calls its record unreadable and starts nothing of it.
+    # A job that awaits others: this version calls its record unreadable and starts nothing of it.
     assert [str(r).split(":")[0] for r in theirs["records"][len(alone) :]] == ["unreadable"] * 2
     assert [str(r).split(":")[0] for r in ours["records"][len(alone) :]][1] == "unreadable"
     assert ours["records"][len(alone)]["spec"]["dependencies"] == ["wk-long", "wk-000004"]
     *plain, with_chains = theirs["stores"]
-    assert plain == ours["stores"][:-1]
-    for state in plain:
+    assert plain == without(ours["stores"][:-1])
+    check_taken_over(plain)
+    assert with_chains == plain[0], "it keeps the jobs that await others out of its book"
+
+
+def test_what_is_written_is_read_with_chains(written: list[Store], chained: list[Store]) -> None:
+    """Everything that 852ab75 reads it reads as this version does: frames, records, lists, finer
+    parts and chains in whole states."""
+    frames = reading.FRAMES | reading.NEWER_FRAMES
+    states = [*written, *chained]
+    alone = of_kinds(states, "end", "gone", "memo", "lead", "job") + plain_records()
+    referring = reading.chained_records()
+    lists = reading.chained_lists()
+    asked = {
+        "frames": {name: write().decode() for name, write in frames.items()},
+        "records": [*alone, *referring],
+        "stores": states,
+        "lists": [{"record": referring[1], "lists": part} for part in (lists, lists[:1])],
+    }
+    theirs, ours = asked_of(WITH_CHAINS, asked), reading.answer(asked)
+    for kind, found in ours.items():
+        assert theirs[kind] == found, kind
+    assert [found is None for found in theirs["lists"]] == [False, True]
+    check_taken_over(theirs["stores"][: len(written)])
+    jobs = [job for state in theirs["stores"] for job in state["jobs"].values()]
+    assert any(job["awaited"] for job in jobs)
+    assert any("+" in number for job in jobs for number in job["attempts"]), "finer parts"
+    assert not any(state["unread"] for state in theirs["stores"])
+
+
+def check_taken_over(states: list[dict[str, Any]]) -> None:
+    for state in states:
         assert state["unread"] == 0
         assert not any(job["unreadable"] for job in state["jobs"].values())
     for at in (0, 1):  # images, run times
-        assert any(state["remembered"][at] for state in plain)
-    assert sum(len(job["placed"]) for state in plain for job in state["jobs"].values()) > 100
-    assert sum(job["count"] for state in plain for job in state["jobs"].values()) > 50
-    assert with_chains == plain[0], "it keeps the jobs that await others out of its book"
+        assert any(state["remembered"][at] for state in states)
+    assert sum(len(job["placed"]) for state in states for job in state["jobs"].values()) > 100
+    assert sum(job["count"] for state in states for job in state["jobs"].values()) > 50
 
 
 # -- nodes of both versions
 
 
-@dataclass
-class Version:
-    """Production's code in this process, under another package name."""
-
-    package: str
-
-    def module(self, name: str) -> ModuleType:
-        return importlib.import_module(f"{self.package}.{name}")
-
-    def __call__(self, value: Any) -> Any:
-        """The same in this version's types: fields that it does not have are left out."""
-        kind = type(value)
-        if isinstance(value, tuple) and hasattr(value, "_fields"):
-            return self.type(kind)(*map(self, value))
-        if isinstance(value, list | tuple):
-            return kind(map(self, value))
-        if isinstance(value, Enum):
-            return self.type(kind)[value.name]
-        if is_dataclass(value):
-            own = self.type(kind)
-            names = {f.name for f in fields(own)}
-            given = {f.name: getattr(value, f.name) for f in fields(value) if f.name in names}
-            return own(**{name: self(part) for name, part in given.items()})
-        return value
-
-    def type(self, kind: type) -> Any:
-        _, _, module = kind.__module__.partition(".")
-        return getattr(self.module(module), kind.__name__) if module else kind
-
-
-HERE = Version("eldercart")
-
-
-class Translated:
-    """An object of the other version: what goes in and out is put in its types, or in ours."""
-
-    def __init__(self, version: Version, inner: Any) -> None:
-        self._version, self._inner = version, inner
-
-    def __getattr__(self, name: str) -> Any:
-        found = getattr(self._inner, name)
-        if not callable(found):
-            return found
-
-        def call(*args: Any, **kwargs: Any) -> Any:
-            given = {key: self._version(value) for key, value in kwargs.items()}
-            return HERE(found(*map(self._version, args), **given))
-
-        return call
-
-
-class ProductionLeader(Translated):
-    """Production's controller: it knows no direct commands and reads no ends of others."""
-
-    _call: Any = None
-
-    def next_txn(self, now: Steady, ops: int) -> Any:
-        return self._inner.next_txn(now, ops)
-
-    def add_job(self, spec: users.JobSpec, size: int, at: float, now: Steady) -> None:
-        """It reads the record."""
-        record = job_record(spec, size, at)
-        self._inner.learn_job(Item(f"job/{spec.id}", record, Revision(1)), now)
-
-    def next_memo(self, now: Steady) -> Any:
-        return self._inner.next_memo(now)
+TROUBLES: list[dict[str, Any]] = [
+    {},
+    {"txn_lost": 0.15, "txn_twice": 0.1, "cloud_lost": 0.1},
+    {"report_lost": 0.05, "report_twice": 0.1, "answer_lost": 0.05, "mesh_lost": 0.05},
+]
 
-    def txn_done(self, pending: Any, outcome: Any, *rest: Any) -> Any:
-        return self._inner.txn_done(pending, self._version(outcome), *rest)
 
-    def next_cloud(self, now: Steady) -> Any:
-        self._call = self._inner.next_cloud(now)
-        return HERE(self._call)
+@each_version
+def test_cloud_requests_are_named_alike(short: str) -> None:
+    """In the same state both leaders ask for the same under the same name: what one asked for
+    without an answer, the other could find again. Leaders after each other use no name twice: the
+    cloud would answer with the machines of the earlier request."""
+    asked: dict[bool, list[bytes]] = {}
+    for new in (False, True):
+        w = RecordingWorld(7, history.earlier(short), 2, replaced={0, 1} if new else ())
+        w.submit("wk-000001", parcels=6, cpus=2.0)
+        w.watch(3)
+        assert w.led == [new]
+        asked[new] = w.requests
+        names = {orjson.loads(body)["hire"] for body in w.requests}
+        w.requests = []
+        w.replace(w.leader)  # the next one is of either version
+        w.submit("wk-000002", parcels=200, cpus=2.0)
+        w.watch(3)
+        assert names and w.requests
+        assert not names & {orjson.loads(body)["hire"] for body in w.requests}
+    assert asked[False][0] == asked[True][0]
 
-    def cloud_done(self, call: Any, *rest: Any) -> Any:
-        return self._inner.cloud_done(self._call, *rest)
 
-    def take_orders(self, now: Steady) -> list[Any]:
-        return []
+class RecordingWorld(MixedWorld):
+    """Keeps the requests for machines."""
 
-    def take_unread(self, now: Steady, most: int) -> list[Any]:
-        return []
+    def __init__(self, *arguments: Any, **faults: Any) -> None:
+        self.requests: list[bytes] = []
+        super().__init__(*arguments, **faults)
+        rent = self.cloud.rent
 
+        def recorded(body: bytes, now: float) -> Any:
+            self.requests.append(body)
+            return rent(body, now)
 
-@pytest.fixture(scope="module")
-def production(tree: Path | None) -> Iterator[Version | None]:
-    if tree is None:
-        yield None
-        return
-    (tree / ALIAS).mkdir()
-    for source in (tree / "src" / "eldercart").rglob("*"):
-        into = tree / ALIAS / source.relative_to(tree / "src" / "eldercart")
-        if source.is_dir():
-            into.mkdir(exist_ok=True)
-        elif source.suffix == ".py":
-            into.parent.mkdir(exist_ok=True)
-            into.write_text(source.read_text().replace("eldercart", ALIAS))
-        else:
-            into.write_bytes(source.read_bytes())
-    sys.path.insert(0, str(tree))
-    yield Version(ALIAS)
-    sys.path.remove(str(tree))
-    for name in [m for m in sys.modules if m.partition(".")[0] == ALIAS]:
-        del sys.modules[name]
-
-
-class MixedWorld(RelayWorld):
-    """Each node has the old version until it is replaced; one that crashes comes back with the
-    version that it had. The rules are checked at every step, as ever."""
-
-    def __init__(self, seed: int, production: Version, nodes: int = 3, **faults: Any) -> None:
-        self.production = production
-        self.replaced: set[int] = set()
-        self.wanted: bool | None = None  # whether the next leader should be a new one
-        self.led: list[bool] = []  # for each leader, whether it was a new one
-        super().__init__(seed, nodes, **faults)
-
-    def choose(self, free: list[int]) -> int:
-        like = [i for i in free if self.wanted is None or (i in self.replaced) is self.wanted]
-        return self.rng.choice(like or free)
-
-    def new_controller(self, epoch: Epoch) -> Any:
-        new = self.leader in self.replaced
-        self.led.append(new)
-        if new:
-            return super().new_controller(epoch)
-        p = self.production
-        settings = p.module("settings.platform").parse_platform(PLATFORM)
-        types = p.module("wire.cloud").parse_catalog(CATALOG)
-        inner = p.module("core.controller").Controller(
-            settings, p.module("settings").load_tuning(), epoch, types, self.now, self.now,
-            self.life,
-        )  # fmt: skip
-        return ProductionLeader(p, inner)
-
-    def new_relay(self, i: int) -> Any:
-        if i in self.replaced:
-            return super().new_relay(i)
-        inner = self.production.module("core.relay").Relay(
-            NodeId(f"n{i}"), 0.4 * self.settings.lease_s, 0.02
-        )
-        return Translated(self.production, inner)
-
-    def replace(self, i: int) -> None:
-        self.replaced.add(i)
-        self.crash(i)
-
-    def hand_over(self, new: bool) -> None:
-        """The leader crashes while tasks run, and one of that version leads."""
-        assert any(m.on() for m in self.cloud.machines.values())
-        self.wanted = new
-        self.crash(self.leader)
-        self.wanted = None
-        assert self.led[-1] is new
-
-    def watch(self, seconds: float) -> None:
-        end = self.now + seconds
-        while self.now < end:
-            self.run(0.5)
-            self.poll_all()
-
-
-TROUBLES: list[dict[str, Any]] = [
-    {},
-    {"txn_lost": 0.15, "txn_twice": 0.1, "cloud_lost": 0.1},
-    {"report_lost": 0.05, "report_twice": 0.1, "answer_lost": 0.05, "mesh_lost": 0.05},
-]
+        self.cloud.rent = recorded  # type: ignore[method-assign]
 
 
+@each_version
 @pytest.mark.parametrize("faults", TROUBLES, ids=lambda f: " ".join(f) or "quiet")
-def test_leaders_of_both_versions_in_turn(
-    production: Version | None, faults: dict[str, Any]
-) -> None:
+def test_leaders_of_both_versions_in_turn(short: str, faults: dict[str, Any]) -> None:
     """Old, new, old, new, with jobs running and some cancelled; then the last node is replaced, and
-    jobs that await others follow."""
-    if production is None:
-        pytest.skip(NOT_RUN)
-    w = MixedWorld(5, production, 4, **faults)
+    jobs that await others follow. Where the old version knows these, some come all the time."""
+    version = history.earlier(short)
+    chains = version.old_chains
+    w = MixedWorld(5, version, 4, **faults)
     submit_all(w)
     w.submit("wk-long", parcels=500, cpus=1.0, run_s=9.0)  # runs all the time, in several parts
+    if chains:
+        w.submit("wk-after", parcels=5, awaits=["wk-long", "wk-000000"])
     w.watch(15)
     w.cancel("wk-000006")
     w.replace(1)
@@ -478,10 +453,13 @@
         w.hand_over(new)
         for i in range(3):
             w.submit(f"wk-{round_}{i}", parcels=8 + 10 * i, run_s=3.0 + 2 * i, urgency="urgent")
+        if chains:
+            w.submit(f"wk-{round_}c", parcels=3, awaits=[f"wk-{round_}0", f"wk-{round_}1"])
+            w.submit(f"wk-{round_}d", parcels=3, awaits=[f"wk-{round_}c", f"wk-{round_}2"])
         w.watch(9)
         w.cancel(f"wk-{round_}2")
         w.watch(2)
-        if not new:
+        if not new and not chains:
             # Nothing like it is asked for yet; all the same, it waits for a leader that reads it.
             w.submit("wk-early", parcels=3, awaits=["wk-11", "wk-000000"])
             assert w.controller.status(JobId("wk-early")) is Verdict.UNKNOWN_JOB
@@ -495,17 +473,21 @@
     changes = [b for a, b in zip([None, *w.led], w.led, strict=False) if a is not b]
     assert changes[:4] == [False, True, False, True], w.led
     assert {w.end_in_store(job) for job in w.jobs} == {users.DONE, users.CANCELLED}
-    assert {w.end_in_store(job) for job in ("wk-early", "wk-second")} == {users.DONE}
+    done = ["wk-second", *(["wk-after", "wk-0c", "wk-1c", "wk-2c"] if chains else ["wk-early"])]
+    assert {w.end_in_store(job) for job in done} == {users.DONE}
+    if chains:
+        for round_ in range(3):
+            assert w.end_in_store(f"wk-{round_}d") == w.end_in_store(f"wk-{round_}2")
 
 
+@each_version
 @pytest.mark.parametrize("seed", range(4))
-def test_nodes_are_replaced_at_random(production: Version | None, seed: int) -> None:
+def test_nodes_are_replaced_at_random(short: str, seed: int) -> None:
     """Two at a time, in any order, while others crash and come back with what they had or stand
     still for a while, and machines hang."""
-    if production is None:
-        pytest.skip(NOT_RUN)
+    version = history.earlier(short)
     rng = random.Random(seed)
-    w = MixedWorld(seed, production, 5, txn_lost=0.1, report_twice=0.1, answer_lost=0.05,
+    w = MixedWorld(seed, version, 5, txn_lost=0.1, report_twice=0.1, answer_lost=0.05,
                    mesh_lost=0.05)  # fmt: skip
     submit_all(w)
     todo = list(range(w.nodes))
@@ -524,17 +506,22 @@
         else:
             w.sleep(rng.choice([w.leader, rng.randrange(w.nodes)]), rng.uniform(2, 8))
         w.submit(f"wk-{len(todo)}", parcels=20, urgency="urgent")
+        if version.old_chains:
+            w.submit(f"wk-{len(todo)}c", parcels=5, awaits=[f"wk-{len(todo)}", "wk-000000"])
     finish(w)
     w.watch(3)
     assert {w.end_in_store(job) for job in w.jobs} == {users.DONE}
     assert (w.led[0], w.led[-1]) == (False, True)
 
 
-def test_the_alias_is_production(production: Version | None) -> None:
-    if production is None:
-        pytest.skip(NOT_RUN)
-    assert production.module("core.controller").Controller is not Controller
-    assert production.module("core.relay").Relay is not Relay
-    assert not hasattr(production.module("wire.peers").Told(1, "done", 0, 0), "waiting")
-    with pytest.raises(ModuleNotFoundError):
-        production.module("core.graph")
+@each_version
+def test_the_alias_is_the_earlier_version(short: str) -> None:
+    version = history.earlier(short)
+    assert version.old_controller_type() is not Controller
+    assert version.old_relay_type() is not Relay
+    assert version.old_package in version.old_controller_type().__module__
+    assert version.old_chains is (short == WITH_CHAINS)
+    if short == BEFORE_CHAINS:
+        assert not hasattr(version.old_module("wire.peers").Told(1, "done", 0, 0), "waiting")
+        with pytest.raises(ModuleNotFoundError):
+            version.old_module("core.graph")
--- /dev/null
+++ b/tests/versions/history.py
@@ -0,0 +1,50 @@
+"""Earlier versions' sources and code, from the repository's history, once a process."""
+
+import atexit
+import shutil
+import tempfile
+import warnings
+from functools import cache
+from pathlib import Path
+from typing import Any
+
+import orjson
+import pytest
+
+from versions import record
+from versions.legacy.old_nodes import OldVersion
+
+NOT_RUN = "the code of {} was NOT run: no history is at hand"
+
+
+@cache
+def samples(short: str) -> dict[str, Any]:
+    found: dict[str, Any] = orjson.loads(record.samples_path(short).read_bytes())
+    return found
+
+
+@cache
+def _tree(short: str) -> Path | None:
+    folder = Path(tempfile.mkdtemp(prefix=f"eldercart-{short}-"))
+    atexit.register(shutil.rmtree, folder, ignore_errors=True)
+    return folder if record.unpack(record.VERSIONS[short], folder) else None
+
+
+def tree(short: str) -> Path:
+    """Its sources; the test is skipped, and a warning says so, where there is no history."""
+    found = _tree(short)
+    if found is None:
+        warnings.warn(NOT_RUN.format(short), stacklevel=2)
+        pytest.skip(NOT_RUN.format(short))
+    return found
+
+
+@cache
+def _version(short: str) -> OldVersion:
+    return OldVersion(short, tree(short))
+
+
+def earlier(short: str) -> OldVersion:
+    """Its code in this process, under another package name."""
+    tree(short)
+    return _version(short)
--- /dev/null
+++ b/tests/versions/legacy/old_reading.py
@@ -0,0 +1,350 @@
+"""FROZEN (see the package): what a version writes and what it makes of what is written, in plain
+values, by its own code. Run as a script with the sources and tests of that version first on the
+path (`answer`); `old_recording` uses it in the same way.
+"""
+
+import sys
+from collections.abc import Callable
+from dataclasses import asdict
+from typing import Any
+
+import orjson
+
+from eldercart.core.controller import Controller
+from eldercart.core.jobs import (
+    JOB,
+    PLACE,
+    Placement,
+    chunk_size,
+    end_of,
+    job_record,
+    parse_job_record,
+)
+from eldercart.core.memory import PACES
+from eldercart.election import LEAD_KEY, Claim, Election
+from eldercart.settings import load_tuning
+from eldercart.settings.platform import parse_platform
+from eldercart.units import (
+    Attempt,
+    Epoch,
+    JobId,
+    LeaseId,
+    LifeId,
+    MachineId,
+    NodeId,
+    ReportOrder,
+    Revision,
+    Session,
+    Steady,
+    TaskKey,
+    WallTime,
+)
+from eldercart.wire import Malformed, cloud, peers, users, workers
+from eldercart.wire.state import Item
+from world import PLATFORM, submission
+
+NOW = Steady(100.0)
+Store = list[dict[str, Any]]  # as the state service lists it
+
+# -- what is written: the same things by each version
+
+
+def _m(*names: str) -> list[MachineId]:
+    return [MachineId(name) for name in names]
+
+
+def _calls() -> list[dict[str, Any]]:
+    key = TaskKey("wk-a.b:1/7")
+    return workers.command_objects(
+        [
+            workers.Launch(key, Attempt(3)),
+            workers.Kill(key, Attempt(2), 1.5),
+            workers.Clear(key, Attempt(1)),
+        ]
+    )
+
+
+def _greet(*heard: tuple[MachineId, ReportOrder]) -> bytes:
+    return peers.greet(peers.Greet(NodeId("drover-1"), 17, Epoch(9), True, 40, 3, heard))
+
+
+def _greeted(leads: bool, spare: str | None) -> bytes:
+    to = None if spare is None else NodeId(spare)
+    return peers.greeted(peers.Greeted(17, Epoch(9), leads, not leads, 50, to, 2))
+
+
+_HEARD = (
+    (MachineId("n-000001"), ReportOrder(Session(1), 8)),
+    (MachineId("n-000002"), ReportOrder(Session(4), 2**40)),
+)
+_REPORT = b'{"wagon":"n-000001","address":"10.1.0.1:9000","stint":1,"tally":8,"parcels":[]}'
+_TOLD = [
+    peers.Told(1, users.PENDING, 0, 0),
+    peers.Told(2, users.RUNNING, 5, 12),
+    peers.Told(3, users.DONE, 40, 0),
+    peers.Told(4, users.CANCELLED, 3, 0),
+    peers.Told(5, peers.UNKNOWN, 0, 0),
+    peers.Told(6, peers.UNDECIDED, 0, 0),
+    peers.Told(7, peers.NOT_LEADER, 0, 0),
+]
+
+FRAMES: dict[str, Callable[[], bytes]] = {
+    "greet": lambda: _greet(*_HEARD),
+    "greet, nobody heard": _greet,
+    "greeted by the leader": lambda: _greeted(True, "drover-2"),
+    "greeted by another": lambda: _greeted(False, None),
+    "reports": lambda: peers.reports(Epoch(9), [(1, _REPORT), (2, _REPORT)]),
+    "answers": lambda: peers.answers(
+        [peers.Answer(1, _calls(), True), peers.Answer(2, [], False), peers.Answer(3, None, False)]
+    ),
+    "polls": lambda: peers.polls([(1, "wk-a.b:1"), (2, "wk-2")]),
+    "states": lambda: peers.states(peers.STATES, _TOLD),
+    "cancel": lambda: peers.cancel(8, "wk-2"),
+    "cancelled": lambda: peers.states(peers.CANCELLED, _TOLD[3:]),
+    "want": lambda: peers.machines(peers.WANT, _m("n-000001", "n-000002")),
+    "dropped": lambda: peers.machines(peers.DROPPED, _m("n-000003")),
+}
+
+# Whether this version knows jobs that await others, and finer parts of placements.
+CHAINS = hasattr(users, "ListReference")
+if CHAINS:
+    _NEWER = (("recut",), 3000)
+    FRAMES |= {
+        "greet, of what it reads": lambda: peers.greet(
+            peers.Greet(NodeId("drover-1"), 17, Epoch(9), True, 40, 3, _HEARD, *_NEWER)
+        ),
+        "greeted, of what it reads": lambda: peers.greeted(
+            peers.Greeted(17, Epoch(9), True, True, 50, NodeId("drover-2"), 2, *_NEWER, True)
+        ),
+        "greeted, not ready": lambda: peers.greeted(
+            peers.Greeted(17, Epoch(9), False, True, 0, None, 0, (), 0, False)
+        ),
+        "states with what is awaited": lambda: peers.states(
+            peers.STATES,
+            [peers.Told(1, users.PENDING, 0, 0, ("wk-a", "wk-b")), peers.Told(2, users.DONE, 1, 0)],
+        ),
+    }
+
+
+SUBMISSIONS: list[dict[str, Any]] = [
+    submission("wk-plain"),
+    submission("wk-a.b:1-c_d", breeds=["big", "small"], yard="b", together=True, urgency="prod"),
+    submission("wk-rich", crew="t1", parcels=100_000, cpus=0, accelerators=2, memGb=0.5,
+               spread=True, loaners=False, haulS=0, waypointS=20, stowS=1.5, dueS=90,
+               urgency="idle"),
+]  # fmt: skip
+
+
+def job_records() -> Store:
+    out = []
+    for body in SUBMISSIONS:
+        spec = users.parse_submission(body)
+        record = job_record(spec, chunk_size(8192), 1234.5)
+        out.append({"path": JOB + spec.id, "v": _plain(record), "stamp": 7})
+    return out
+
+
+AWAITED = ["wk-plain", "wk-a.b:1-c_d"]
+CHAINED = submission("wk-chain", awaits=AWAITED)
+
+
+def chained_records() -> Store:
+    """A job that awaits others: named in its record, and in a list."""
+    spec = users.parse_submission(CHAINED)
+    size = chunk_size(8192)
+    listed = job_record(spec, size, 1234.5, users.ListReference("nonce", 2))
+    return [
+        {"path": JOB + spec.id, "v": _plain(job_record(spec, size, 1234.5)), "stamp": 7},
+        {"path": JOB + spec.id, "v": _plain(listed), "stamp": 7},
+    ]
+
+
+def chained_lists() -> Store:
+    """The two parts of the list."""
+    from eldercart.core.jobs import needs_prefix
+
+    prefix = needs_prefix(JobId("wk-chain"), users.ListReference("nonce", 2))
+    return [{"path": f"{prefix}{n}", "v": [name], "stamp": 6} for n, name in enumerate(AWAITED)]
+
+
+def read_lists(found: dict[str, Any], lists: Store) -> Any:
+    """A job record with the lists that it refers to."""
+    from eldercart.core.jobs import resolve
+
+    item = resolve(JobId(found["path"][len(JOB) :]), _item(found), map(_item, lists))
+    if item is None:
+        return None
+    return read_record({**found, "v": item.value})
+
+
+def lead_record() -> dict[str, Any]:
+    """As a claim of the leader key writes it."""
+    e = Election(NodeId("drover-1"), 3.0, 0.02, LifeId("life-1"))
+    e.read(None, NOW)
+    e.next_action(NOW)
+    e.opened(LeaseId(4), NOW)
+    claim = e.next_action(NOW)
+    assert isinstance(claim, Claim)
+    put: Any = claim.txn.writes[0]
+    return {"path": put.key, "v": put.value, "stamp": 7, "tether": put.lease}
+
+
+def catalog_record(catalog: dict[str, Any]) -> dict[str, Any]:
+    return {
+        "path": "catalog",
+        "v": _plain(cloud.catalog_record(cloud.parse_catalog(catalog))),
+        "stamp": 7,
+    }
+
+
+# -- what is read
+
+
+def _plain(value: Any) -> Any:
+    return orjson.loads(orjson.dumps(value, default=list))
+
+
+def read_frame(data: str) -> Any:
+    frame = peers.parse(data.encode())
+    match peers.kind_of(frame):
+        case peers.GREET:
+            return _plain(peers.parse_greet(frame))
+        case peers.GREETED:
+            return _plain(peers.parse_greeted(frame))
+        case peers.REPORTS:
+            return _plain(peers.parse_reports(frame))
+        case peers.ANSWERS:
+            return _plain(peers.parse_answers(frame))
+        case peers.POLLS | peers.CANCEL:
+            return _plain(peers.parse_asked(frame))
+        case peers.STATES | peers.CANCELLED:
+            return _plain(peers.parse_states(frame))
+        case peers.WANT | peers.DROPPED:
+            return _plain(peers.parse_machines(frame))
+        case kind:
+            raise AssertionError(kind)
+
+
+def _item(found: dict[str, Any]) -> Item:
+    lease = found.get("tether")
+    return Item(
+        found["path"], found["v"], Revision(found["stamp"]),
+        None if lease is None else LeaseId(lease),
+    )  # fmt: skip
+
+
+def read_record(found: dict[str, Any]) -> Any:
+    """One record that stands for itself; sheets are read with their jobs, see `take_over`."""
+    item = _item(found)
+    kind = item.key.partition("/")[0]
+    if kind == "job":
+        try:
+            spec, size, at = parse_job_record(JobId(item.key[len(JOB) :]), item.value)
+        except (Malformed, KeyError, TypeError, ValueError) as err:
+            return f"unreadable: {err}"
+        return _plain({"spec": asdict(spec), "size": size, "at": at})
+    if kind in ("end", "gone"):
+        return end_of(item.value)
+    if kind == "catalog":
+        return _plain({name: asdict(t) for name, t in cloud.parse_catalog(item.value).items()})
+    if kind == LEAD_KEY:
+        e = Election(NodeId("drover-2"), 3.0, 0.02)
+        e.read(item, NOW)
+        return [e.role.value, e.leader, e.epoch]
+    assert kind == "memo", item.key
+    c = _controller(Epoch(10**6))
+    c.load([], [], [], NOW, [item])
+    return _remembered(c, item.key)
+
+
+def _number(job: Any, chunk: Any) -> str:
+    """0782287 counts chunks, later ones know them by their first task; finer ones by their span."""
+    if hasattr(chunk, "number"):
+        return str(chunk.number)
+    return f"{chunk.low}+{chunk.tasks}" if chunk.cut else str(chunk.low // job.size)
+
+
+def _remembered(c: Controller, key: str) -> Any:
+    return _plain(c.floor.predictor.paces() if key == PACES else c.fleet._recalled)
+
+
+def _controller(epoch: Epoch) -> Controller:
+    settings = parse_platform(PLATFORM)
+    return Controller(settings, load_tuning(), epoch, {}, NOW, WallTime(NOW))
+
+
+def take_over(store: Store) -> dict[str, Any]:
+    """What a new leader knows once it has read the store."""
+    c = _controller(Epoch(10**6))
+    items = [_item(found) for found in store]
+
+    def of(prefix: str) -> list[Item]:
+        return [i for i in items if i.key.startswith(prefix)]
+
+    memos = of("memo/")
+    c.load(of(JOB), of(PLACE), of("gone/"), NOW, memos)
+    sheets = c.records.sheets.sheets.values()
+    return _plain(
+        {
+            "jobs": {
+                job.id: {
+                    "done": [i for i, done in enumerate(job.done) if done],
+                    "count": job.done_count,
+                    "placed": sorted(map(_placed, job.placements())),
+                    "attempts": {
+                        _number(job, ch): ch.attempt for _, ch in sorted(job.chunks.items())
+                    },
+                    "waiting": job.pending,
+                    "ended": job.ended,
+                    "cancelled": job.cancelled,
+                    "unreadable": job.unreadable,
+                    **_chain(job),
+                }
+                for job in sorted(c.jobs.jobs.values(), key=lambda j: j.id)
+            },
+            "on": {m.id: sorted(m.placed) for m in sorted(c.fleet.machines.values(), key=_id)},
+            "unread": sum(len(s.unread) for s in sheets),
+            "orphans": sorted(key for key, _ in c.records.orphans),
+            "remembered": [_remembered(c, item.key) for item in memos],
+        }
+    )
+
+
+def _chain(job: Any) -> dict[str, Any]:
+    """What the job waits for, where the version knows that."""
+    if not CHAINS:
+        return {}
+    return {"awaited": sorted(job.awaited), "ready": job.ready, "orphaned": job.orphaned}
+
+
+def _placed(p: Placement) -> list[Any]:
+    return [p.index, p.attempt, p.machine, p.phase.name, p.maybe_there, p.stopping]
+
+
+def _id(machine: Any) -> str:
+    return str(machine.id)
+
+
+def write_again(store: Store) -> dict[str, Any]:
+    """The sheets as a leader that took them over writes them."""
+    c = _controller(Epoch(10**6))
+    items = [_item(found) for found in store]
+    c.load(
+        [i for i in items if i.key.startswith(JOB)],
+        [i for i in items if i.key.startswith(PLACE)], [], NOW,
+    )  # fmt: skip
+    sheets = c.records.sheets
+    return {key: _plain(sheets.record(sheet)[0]) for key, sheet in sheets.sheets.items()}
+
+
+def answer(asked: dict[str, Any]) -> dict[str, Any]:
+    return {
+        "frames": {name: read_frame(data) for name, data in asked["frames"].items()},
+        "records": [read_record(found) for found in asked["records"]],
+        "stores": [take_over(store) for store in asked["stores"]],
+        "lists": [read_lists(a["record"], a["lists"]) for a in asked["lists"]] if CHAINS else [],
+    }
+
+
+if __name__ == "__main__":
+    sys.stdout.buffer.write(orjson.dumps(answer(orjson.loads(sys.stdin.buffer.read()))))
--- /dev/null
+++ b/tests/versions/mixed.py
@@ -0,0 +1,124 @@
+"""The stand-in world with nodes of an earlier version and of this one."""
+
+from collections.abc import Iterable
+from typing import Any
+
+import orjson
+
+from eldercart.units import Attempt, Epoch, MachineId, NodeId, Steady, TaskKey
+from eldercart.wire import workers
+from relayworld import LeaderReply, RelayWorld
+from standins import CATALOG
+from versions.adapters import EarlierLeader, EarlierRelay
+from versions.legacy.old_nodes import OldController, OldRelay, OldVersion
+from world import PLATFORM
+
+
+class MixedWorld(RelayWorld):
+    """Each node has the old version until it is replaced; one that crashes comes back with the
+    version that it had. The rules are checked at every step, as ever."""
+
+    def __init__(
+        self, seed: int, earlier: OldVersion, nodes: int = 3, replaced: Iterable[int] = (),
+        **faults: Any,
+    ) -> None:  # fmt: skip
+        self.earlier = earlier
+        self.platform = faults.get("platform", PLATFORM)
+        self.replaced = set(replaced)
+        self.wanted: bool | None = None  # whether the next leader should be a new one
+        self.led: list[bool] = []  # for each leader, whether it was a new one
+        self.rented: list[bytes] = []  # requests of earlier leaders to the cloud
+        super().__init__(seed, nodes, **faults)
+
+    def choose(self, free: list[int]) -> int:
+        like = [i for i in free if self.wanted is None or (i in self.replaced) is self.wanted]
+        return self.rng.choice(like or free)
+
+    def new_controller(self, epoch: Epoch) -> Any:
+        new = self.leader in self.replaced
+        self.led.append(new)
+        if new:
+            return super().new_controller(epoch)
+        old = OldController(self.earlier, self.platform, CATALOG, epoch, self.now, self.life)
+        return EarlierLeader(old, epoch)
+
+    def new_relay(self, i: int) -> Any:
+        if i in self.replaced:
+            return super().new_relay(i)
+        label = NodeId(f"n{i}")
+        return EarlierRelay(OldRelay(self.earlier, label, 0.4 * self.settings.lease_s, 0.02), label)
+
+    def ask_leader(self, body: bytes, now: Steady, relay: NodeId) -> LeaderReply | None:
+        if not isinstance(self.controller, EarlierLeader):
+            return super().ask_leader(body, now, relay)
+        found = self.controller.old.old_report(orjson.loads(body), now, relay)
+        if found is None:
+            return None
+        launches = [workers.Launch(TaskKey(key), Attempt(number)) for key, number in found[1]]
+        return LeaderReply(found[0], launches, found[2])
+
+    def serve_cloud(self, c: Any, now: Steady) -> None:
+        """With the requests as the earlier version writes them."""
+        if not isinstance(c, EarlierLeader):
+            super().serve_cloud(c, now)
+            return
+        call = c.old.old_cloud_call(now)
+        if call is None:
+            return
+        if self.now < self.cloud_down_until:
+            c.old.old_cloud_done(503, b'{"error":"trouble"}', now)
+            return
+        kind, body = call
+        status: int
+        answer: dict[str, Any]
+        match kind:
+            case "rent":
+                self.rented.append(body)
+                status, answer = self.cloud.rent(body, self.now)
+            case "delete":
+                status, answer = self.cloud.delete(body)
+            case "list":
+                status, answer = 200, self.cloud.list(self.now)
+            case _:
+                status, answer = 200, CATALOG
+        if self.chance("cloud_lost"):
+            c.old.old_cloud_done(None, b"", now)
+        else:
+            c.old.old_cloud_done(status, orjson.dumps(answer), now)
+
+    def serve_orders(self, c: Any, now: Steady) -> None:
+        if not isinstance(c, EarlierLeader):
+            super().serve_orders(c, now)
+            return
+        for machine, body in c.old.old_orders(now):
+            w = self.cloud.machines.get(MachineId(machine))
+            down = w is None or self.now < max(w.boots_at, w.hangs_until) or w.id in self.deaf
+            if w is None or down or self.chance("order_lost"):
+                continue
+            status, report = w.orders(body)
+            self.orders += 1
+            c.old.old_ordered(report, status == 200, now)
+
+    # -- the replacement
+
+    def replace(self, i: int) -> None:
+        self.replaced.add(i)
+        self.crash(i)
+
+    @property
+    def all_replaced(self) -> bool:
+        return len(self.replaced) == self.nodes
+
+    def hand_over(self, new: bool) -> None:
+        """The leader crashes while tasks run, and one of that version leads."""
+        assert any(m.on() for m in self.cloud.machines.values())
+        self.wanted = new
+        self.crash(self.leader)
+        self.wanted = None
+        assert self.led[-1] is new
+
+    def watch(self, seconds: float) -> None:
+        end = self.now + seconds
+        while self.now < end:
+            self.run(0.5)
+            self.poll_all()
--- a/tests/versions/reading.py
+++ b/tests/versions/reading.py
@@ -1,14 +1,8 @@
-"""What a version of the code writes and what it makes of what is written, in plain values.
-
-Knows no version: it is imported by the tests with the code of this tree, and run as a script, with
-the source tree of another version first on the path, to ask that one (`answer`). It uses only what
-the version in production has as well,
-and the stand-in world that lies beside that code.
+"""What this version writes and what it makes of what is written, in plain values: the same as
+`legacy.old_reading` does with the code of an earlier version, under the same frozen names.
 """
 
-import sys
-from collections.abc import Callable
-from dataclasses import asdict
+from collections.abc import Callable, Sequence
 from typing import Any
 
 import orjson
@@ -17,14 +11,19 @@
 from eldercart.core.jobs import (
     JOB,
     PLACE,
+    Chunk,
+    Job,
+    Phase,
     Placement,
     chunk_size,
     end_of,
     job_record,
+    needs_prefix,
     parse_job_record,
+    resolve,
 )
 from eldercart.core.memory import PACES
-from eldercart.election import LEAD_KEY, Claim, Election
+from eldercart.election import LEAD_KEY, Claim, Election, Role
 from eldercart.settings import load_tuning
 from eldercart.settings.platform import parse_platform
 from eldercart.units import (
@@ -44,6 +43,8 @@
 )
 from eldercart.wire import Malformed, cloud, peers, users, workers
 from eldercart.wire.state import Item
+from eldercart.wire.users import JobSpec, ListReference
+from versions.legacy import old_fields
 from world import PLATFORM, submission
 
 NOW = Steady(100.0)
@@ -108,6 +109,24 @@
     "dropped": lambda: peers.machines(peers.DROPPED, _m("n-000003")),
 }
 
+# What 0782287 does not write.
+_NEWER = (("recut",), 3000)
+NEWER_FRAMES: dict[str, Callable[[], bytes]] = {
+    "greet, of what it reads": lambda: peers.greet(
+        peers.Greet(NodeId("drover-1"), 17, Epoch(9), True, 40, 3, _HEARD, *_NEWER)
+    ),
+    "greeted, of what it reads": lambda: peers.greeted(
+        peers.Greeted(17, Epoch(9), True, True, 50, NodeId("drover-2"), 2, *_NEWER, True)
+    ),
+    "greeted, not ready": lambda: peers.greeted(
+        peers.Greeted(17, Epoch(9), False, True, 0, None, 0, (), 0, False)
+    ),
+    "states with what is awaited": lambda: peers.states(
+        peers.STATES,
+        [peers.Told(1, users.PENDING, 0, 0, ("wk-a", "wk-b")), peers.Told(2, users.DONE, 1, 0)],
+    ),
+}
+
 
 SUBMISSIONS: list[dict[str, Any]] = [
     submission("wk-plain"),
@@ -127,6 +146,35 @@
     return out
 
 
+AWAITED = ["wk-plain", "wk-a.b:1-c_d"]
+CHAINED = submission("wk-chain", awaits=AWAITED)
+
+
+def chained_records() -> Store:
+    """A job that awaits others: named in its record, and in a list."""
+    spec = users.parse_submission(CHAINED)
+    size = chunk_size(8192)
+    listed = job_record(spec, size, 1234.5, ListReference("nonce", 2))
+    return [
+        {"path": JOB + spec.id, "v": _plain(job_record(spec, size, 1234.5)), "stamp": 7},
+        {"path": JOB + spec.id, "v": _plain(listed), "stamp": 7},
+    ]
+
+
+def chained_lists() -> Store:
+    """The two parts of the list."""
+    prefix = needs_prefix(JobId("wk-chain"), ListReference("nonce", 2))
+    return [{"path": f"{prefix}{n}", "v": [name], "stamp": 6} for n, name in enumerate(AWAITED)]
+
+
+def read_lists(found: dict[str, Any], lists: Store) -> Any:
+    """A job record with the lists that it refers to."""
+    item = resolve(JobId(found["path"][len(JOB) :]), _item(found), map(_item, lists))
+    if item is None:
+        return None
+    return read_record({**found, "v": item.value})
+
+
 def lead_record() -> dict[str, Any]:
     """As a claim of the leader key writes it."""
     e = Election(NodeId("drover-1"), 3.0, 0.02, LifeId("life-1"))
@@ -154,21 +202,67 @@
     return orjson.loads(orjson.dumps(value, default=list))
 
 
+def _named(names: Sequence[str], *values: Any) -> dict[str, Any]:
+    return dict(zip(names, values, strict=True))
+
+
+def _told(t: peers.Told) -> dict[str, Any]:
+    return _named(old_fields.READ_TOLD, t.number, t.verdict, t.done, t.running, t.waiting)
+
+
+def _greet_read(g: peers.Greet) -> dict[str, Any]:
+    return _named(
+        old_fields.READ_GREET,
+        g.sender, g.number, g.epoch, g.store_ok, g.machines, g.short, g.heard,
+        g.takes, g.low_ms,
+    )  # fmt: skip
+
+
+def _greeted_read(g: peers.Greeted) -> dict[str, Any]:
+    return _named(
+        old_fields.READ_GREETED,
+        g.number, g.epoch, g.leads, g.store_ok, g.most, g.spare, g.lent, g.takes,
+        g.low_ms, g.ready,
+    )  # fmt: skip
+
+
+def _specification(s: JobSpec) -> dict[str, Any]:
+    return _named(
+        old_fields.READ_JOB_SPEC,
+        s.id, s.klass, s.team, s.priority, s.tasks, s.cpus, s.gpus, s.memory_gb,
+        s.image, s.image_gb, s.types, s.zone, s.together, s.spread, s.spot, s.estimate_s,
+        s.checkpoint_s, s.save_s, s.deadline_s, s.dependencies,
+    )  # fmt: skip
+
+
+def _machine_type(t: cloud.MachineType) -> dict[str, Any]:
+    return _named(
+        old_fields.READ_MACHINE_TYPE,
+        t.name, t.cpus, t.gpus, t.memory_gb, t.cache_gb, t.fetch_gb_per_s,
+        t.price, t.spot_price, t.boot_s, t.zones,
+    )  # fmt: skip
+
+
 def read_frame(data: str) -> Any:
     frame = peers.parse(data.encode())
     match peers.kind_of(frame):
         case peers.GREET:
-            return _plain(peers.parse_greet(frame))
+            return _plain(_greet_read(peers.parse_greet(frame)))
         case peers.GREETED:
-            return _plain(peers.parse_greeted(frame))
+            return _plain(_greeted_read(peers.parse_greeted(frame)))
         case peers.REPORTS:
             return _plain(peers.parse_reports(frame))
         case peers.ANSWERS:
-            return _plain(peers.parse_answers(frame))
+            return _plain(
+                [
+                    _named(old_fields.READ_ANSWER, a.number, a.calls, a.again)
+                    for a in peers.parse_answers(frame)
+                ]
+            )
         case peers.POLLS | peers.CANCEL:
             return _plain(peers.parse_asked(frame))
         case peers.STATES | peers.CANCELLED:
-            return _plain(peers.parse_states(frame))
+            return _plain([_told(t) for t in peers.parse_states(frame)])
         case peers.WANT | peers.DROPPED:
             return _plain(peers.parse_machines(frame))
         case kind:
@@ -192,24 +286,26 @@
             spec, size, at = parse_job_record(JobId(item.key[len(JOB) :]), item.value)
         except (Malformed, KeyError, TypeError, ValueError) as err:
             return f"unreadable: {err}"
-        return _plain({"spec": asdict(spec), "size": size, "at": at})
+        return _plain(_named(old_fields.READ_JOB_RECORD, _specification(spec), size, at))
     if kind in ("end", "gone"):
         return end_of(item.value)
     if kind == "catalog":
-        return _plain({name: asdict(t) for name, t in cloud.parse_catalog(item.value).items()})
+        return _plain(
+            {name: _machine_type(t) for name, t in cloud.parse_catalog(item.value).items()}
+        )
     if kind == LEAD_KEY:
         e = Election(NodeId("drover-2"), 3.0, 0.02)
         e.read(item, NOW)
-        return [e.role.value, e.leader, e.epoch]
+        role = old_fields.READ_LEADER if e.role is Role.LEADER else old_fields.READ_FOLLOWER
+        return [role, e.leader, e.epoch]
     assert kind == "memo", item.key
     c = _controller(Epoch(10**6))
     c.load([], [], [], NOW, [item])
     return _remembered(c, item.key)
 
 
-def _number(job: Any, chunk: Any) -> int:
-    """Production counts chunks, this version knows them by their first task."""
-    return chunk.number if hasattr(chunk, "number") else chunk.low // job.size
+def _number(job: Job, chunk: Chunk) -> str:
+    return f"{chunk.low}+{chunk.tasks}" if chunk.cut else str(chunk.low // job.size)
 
 
 def _remembered(c: Controller, key: str) -> Any:
@@ -232,33 +328,34 @@
     memos = of("memo/")
     c.load(of(JOB), of(PLACE), of("gone/"), NOW, memos)
     sheets = c.records.sheets.sheets.values()
-    return _plain(
-        {
-            "jobs": {
-                job.id: {
-                    "done": [i for i, done in enumerate(job.done) if done],
-                    "count": job.done_count,
-                    "placed": sorted(map(_placed, job.placements())),
-                    "attempts": {
-                        str(_number(job, ch)): ch.attempt for _, ch in sorted(job.chunks.items())
-                    },
-                    "waiting": job.pending,
-                    "ended": job.ended,
-                    "cancelled": job.cancelled,
-                    "unreadable": job.unreadable,
-                }
-                for job in sorted(c.jobs.jobs.values(), key=lambda j: j.id)
-            },
-            "on": {m.id: sorted(m.placed) for m in sorted(c.fleet.machines.values(), key=_id)},
-            "unread": sum(len(s.unread) for s in sheets),
-            "orphans": sorted(key for key, _ in c.records.orphans),
-            "remembered": [_remembered(c, item.key) for item in memos],
-        }
-    )
+    jobs = {job.id: _job(job) for job in sorted(c.jobs.jobs.values(), key=lambda j: j.id)}
+    on = {m.id: sorted(m.placed) for m in sorted(c.fleet.machines.values(), key=_id)}
+    unread = sum(len(s.unread) for s in sheets)
+    orphans = sorted(key for key, _ in c.records.orphans)
+    remembered = [_remembered(c, item.key) for item in memos]
+    return dict(_plain(_named(old_fields.READ_TAKEN_OVER, jobs, on, unread, orphans, remembered)))
+
+
+def _job(job: Job) -> dict[str, Any]:
+    done = [i for i, done in enumerate(job.done) if done]
+    placed = sorted(map(_placed, job.placements()))
+    attempts = {_number(job, chunk): chunk.attempt for _, chunk in sorted(job.chunks.items())}
+    return _named(
+        old_fields.READ_JOB + old_fields.READ_CHAIN,
+        done, job.done_count, placed, attempts, job.pending, job.ended,
+        job.cancelled, job.unreadable, sorted(job.awaited), job.ready, job.orphaned,
+    )  # fmt: skip
+
+
+_PHASES = (
+    Phase.PLANNED, Phase.WANTED, Phase.FETCHING, Phase.RUNNING, Phase.SAVING, Phase.ENDED,
+)  # fmt: skip
+_PHASE_NAMES = dict(zip(_PHASES, old_fields.READ_PHASES, strict=True))
 
 
 def _placed(p: Placement) -> list[Any]:
-    return [p.index, p.attempt, p.machine, p.phase.name, p.maybe_there, p.stopping]
+    phase = _PHASE_NAMES[p.phase]
+    return [p.index, p.attempt, p.machine, phase, p.maybe_there, p.stopping]
 
 
 def _id(machine: Any) -> str:
@@ -282,8 +379,5 @@
         "frames": {name: read_frame(data) for name, data in asked["frames"].items()},
         "records": [read_record(found) for found in asked["records"]],
         "stores": [take_over(store) for store in asked["stores"]],
+        "lists": [read_lists(a["record"], a["lists"]) for a in asked["lists"]],
     }
-
-
-if __name__ == "__main__":
-    sys.stdout.buffer.write(orjson.dumps(answer(orjson.loads(sys.stdin.buffer.read()))))
--- /dev/null
+++ b/tests/versions/writing.py
@@ -0,0 +1,102 @@
+"""States of the store as this version's leader leaves them in the stand-in world: the same runs as
+`legacy.old_recording` has with an earlier version's.
+"""
+
+from typing import Any
+
+from eldercart.core.controller import Outcome
+from eldercart.units import Revision
+from world import World
+
+
+def stores() -> list[list[dict[str, Any]]]:
+    """States of the store as a leader leaves them while jobs run, end and are cancelled."""
+    out: list[list[dict[str, Any]]] = []
+    for seed in (1, 2):
+        w = World(seed, txn_lost=0.1, answer_lost=0.05)
+        w.submit("wk-long", parcels=300, cpus=0.5, run_s=9.0, crew="t1")  # several parts
+        for i in range(6):
+            w.submit(f"wk-{i:06d}", parcels=2 + 3 * i, run_s=3.0 + i, urgency="urgent", lot="quick")
+        for after in (14, 11, 1, 25):
+            w.run(after)
+            w.cancel(f"wk-{len(out) % 4 + 2:06d}")
+            w.run(0.3)
+            out.append(w.store.range(""))
+            if seed == 2:
+                w.elect()  # what it takes over stays where it is, and new sheets join it
+    return [*out, moved()]
+
+
+def moved() -> list[dict[str, Any]]:
+    """A state in which parts are on two sheets, as known earlier and as they are now: the service
+    has come to refuse a sheet, so each part gets its own."""
+
+    class Refusing(World):
+        refuses = False
+
+        def serve_store(self, c: Any, now: Any) -> None:
+            pending = c.next_txn(now, 20)
+            if pending is None:
+                return
+            if self.refuses and any(len(sheet.parts) > 1 for sheet in pending.sheets):
+                c.txn_done(pending, Outcome.MALFORMED, Revision(0), (), now)
+                return
+            status, answer = self.store.txn(pending.txn.body())
+            assert status == 200
+            c.txn_done(pending, Outcome.OK, Revision(answer["ledgerRev"]), (), now)
+            for job, how in c.take_finished():
+                self.tell(job, how)
+
+    w = Refusing(3)
+    for i in range(6):
+        w.submit(f"wk-{i:06d}", parcels=40, cpus=1.0, run_s=8.0 + i)
+    w.run(20)
+    w.refuses = True
+    for _ in range(200):
+        w.run(0.1)
+        if len(changed_copies(w.store.range("place/"))) > 1:
+            return w.store.range("")
+    raise AssertionError("no part was moved")
+
+
+def changed_copies(sheets: list[dict[str, Any]]) -> list[str]:
+    """Jobs of which two sheets say something else."""
+    known: dict[tuple[str, int], Any] = {}
+    out = []
+    for job, number, part in (p for sheet in sheets for p in sheet["v"]["p"]):
+        if known.setdefault((job, number), part)["a"] != part["a"]:
+            out.append(job)
+    return out
+
+
+def chains() -> list[list[dict[str, Any]]]:
+    """States with jobs that await others: some waiting, some ready, some cancelled with another."""
+    out: list[list[dict[str, Any]]] = []
+    w = World(4, txn_lost=0.1, answer_lost=0.05)
+    w.submit("wk-first", parcels=12, run_s=4.0)
+    w.submit("wk-other", parcels=30, run_s=30.0)
+    w.submit("wk-second", parcels=20, run_s=15.0, awaits=["wk-first"])
+    w.submit("wk-third", parcels=5, awaits=["wk-second", "wk-other"])
+    w.submit("wk-last", parcels=5, awaits=["wk-third"], dueS=90.0)
+    for after in (12, 14, 8):
+        w.run(after)
+        out.append(w.store.range(""))
+    w.cancel("wk-other")
+    w.run(0.3)
+    return [*out, w.store.range(""), finer()]
+
+
+def finer() -> list[dict[str, Any]]:
+    """A state in which parts were cut anew, as the service came to refuse larger ones."""
+    w = World(51)
+    w.may_recut = True
+    w.submit("wk-000001", parcels=60, cpus=0.2, memGb=0.1, run_s=30.0)
+    w.submit("wk-000002", parcels=3, cpus=0.2, memGb=0.1, run_s=5.0)
+    w.run(1)
+    w.store.value_bytes = 400
+    for _ in range(400):
+        w.run(0.1)
+        parts = [p[2] for i in w.store.range("place/") for p in i["v"]["p"]]
+        if sum("n" in part for part in parts) > 3:
+            return w.store.range("")
+    raise AssertionError("no part was cut anew")
