--- /dev/null
+++ b/tests/test_upgrade.py
@@ -0,0 +1,222 @@
+"""Whole replacements in the stand-in world: a service of an earlier version, at work, of which the
+nodes are replaced a few at a time while troubles come.
+
+The world checks at every step `ran_twice`, `too_early`, `quota`, `wrong_place`, `ran_cancelled` and
+`forgotten`, and at every poll `went_back` and `orphaned`; at the end every job that was not
+cancelled, or after one that was, is done: nothing is lost.
+"""
+
+import random
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+from typing import Any
+
+import orjson
+import pytest
+
+from eldercart.wire import users
+from test_limits import NEXT, fall, platform
+from versions import history, record
+from versions.adapters import EarlierLeader, EarlierRelay
+from versions.mixed import MixedWorld
+
+FAULTY = {"txn_lost": 0.1, "txn_twice": 0.1, "report_twice": 0.1, "answer_lost": 0.05,
+          "mesh_lost": 0.05}  # fmt: skip
+FIRST, LAST, ANY = "first", "last", "any"
+AFTER_LAST, TAKING_OVER = "after the last", "while a leader takes over"
+
+
+@dataclass(frozen=True)
+class Case:
+    """How a replacement goes."""
+
+    name: str
+    at_once: int = 1  # nodes killed together
+    leader: str = ANY  # when its turn comes
+    dies: bool = False  # one dies before its turn, and comes back old
+    outage: bool = False  # of the state service, in the middle
+    falls: str | None = None  # when the state service's limits do
+    cancels: bool = False
+    faults: dict[str, float] = field(default_factory=dict)
+
+
+CASES = [
+    Case("one by one"),
+    Case("two at once", at_once=2),
+    Case("three at once under faults", at_once=3, faults=FAULTY),
+    Case("leader first", leader=FIRST),
+    Case("leader last", leader=LAST),
+    Case("leader first under faults", leader=FIRST, faults=FAULTY),
+    Case("leader last, cancelled", leader=LAST, cancels=True),
+    Case("dies before its turn", dies=True),
+    Case("dies before its turn, leader last", dies=True, leader=LAST, faults=FAULTY),
+    Case("outage in the middle", at_once=2, outage=True),
+    Case("outage in the middle, cancelled, under faults", outage=True, cancels=True, faults=FAULTY),
+    Case("limits fall after the last", falls=AFTER_LAST),
+    Case("limits fall after the last, leader last", falls=AFTER_LAST, leader=LAST),
+    Case("limits fall while a leader takes over", falls=TAKING_OVER, at_once=2),
+    Case("limits fall under faults", falls=TAKING_OVER, leader=LAST, faults=FAULTY, cancels=True),
+    Case("all together", at_once=2, dies=True, outage=True, falls=AFTER_LAST, cancels=True,
+         faults=FAULTY),
+]  # fmt: skip
+
+
+class Upgrade:
+    """One replacement of a service of five nodes."""
+
+    def __init__(self, short: str, case: Case, seed: int) -> None:
+        self.case = case
+        self.rng = random.Random(seed)
+        version = history.earlier(short)
+        self.chains = version.old_chains  # whether chains may be submitted before the end
+        self.w = w = MixedWorld(seed, version, 5, platform=platform(NEXT), **case.faults)
+        w.store.value_bytes, w.store.txn_ops = 32 * 1024, 20
+        self.number = 0
+        # Where nothing else makes tasks run again, no priority does either: see `check_end`.
+        self.calm = not case.faults and not case.cancels
+
+    # -- what users do
+
+    def submit(self, name: str, **changes: Any) -> str:
+        self.w.submit(name, memGb=1.0, **changes)
+        return name
+
+    def submit_some(self) -> None:
+        """A plain job of a limited team, and a pipeline where they are served."""
+        n = self.number
+        self.number += 1
+        urgency = "standard" if self.calm else "urgent"
+        self.submit(f"wk-{n}plain", crew="t1", parcels=24, cpus=1.0, run_s=5.0, urgency=urgency)
+        if self.chains or self.w.all_replaced:
+            self.submit_chain(str(n))
+
+    def submit_chain(self, name: str) -> None:
+        a = self.submit(f"wk-{name}a", parcels=6, cpus=1.0, run_s=4.0)
+        b = self.submit(f"wk-{name}b", parcels=4, cpus=1.0, run_s=6.0)
+        c = self.submit(f"wk-{name}c", parcels=5, cpus=1.0, run_s=3.0, awaits=[a, b])
+        due = None if self.calm else 90.0
+        self.submit(f"wk-{name}d", parcels=2, cpus=1.0, run_s=3.0, awaits=[c], dueS=due)
+
+    def cancel_some(self) -> None:
+        """Of a pipeline the first job, and a job that runs alone."""
+        n = self.number - 1
+        if self.chains or self.w.all_replaced:
+            self.w.cancel(f"wk-{n}b")
+        self.w.cancel(f"wk-{n}plain")
+
+    # -- the replacement
+
+    def run(self) -> None:
+        w, case = self.w, self.case
+        self.submit("wk-long", parcels=400, cpus=0.5, run_s=15.0)  # at work all the time
+        self.submit_some()
+        w.watch(12)
+        for turn, batch in enumerate(self.batches()):
+            if case.outage and turn == 1:
+                self.outage(batch)
+            for i in batch:
+                w.replace(i)
+            if not w.all_replaced:
+                w.watch(self.rng.uniform(0.5, 4))
+                self.die(turn)
+                self.submit_some()
+                w.watch(self.rng.uniform(0.5, 3))
+                if case.cancels:
+                    self.cancel_some()
+        self.all_new()
+        self.check_end()
+
+    def batches(self) -> Iterator[list[int]]:
+        """Who is replaced next, as the leader stands then."""
+        while left := [i for i in range(self.w.nodes) if i not in self.w.replaced]:
+            self.rng.shuffle(left)
+            leads = self.w.leader
+            if leads in left and self.case.leader != ANY:
+                left.remove(leads)
+                left.insert(0 if self.case.leader == FIRST else len(left), leads)
+            yield left[: self.case.at_once]
+
+    def die(self, turn: int) -> None:
+        """A node that is still to be replaced dies and comes back with what it had."""
+        left = [i for i in range(self.w.nodes) if i not in self.w.replaced]
+        if self.case.dies and turn % 2 == 0:
+            i = self.rng.choice(left)
+            self.w.crash(i)
+            assert isinstance(self.w.relays[i], EarlierRelay)
+
+    def outage(self, batch: list[int]) -> None:
+        """Longer than two leases. Nobody can be elected meanwhile; who does not lead is killed."""
+        w = self.w
+        w.outage_until = w.now + 2.2 * w.settings.lease_s
+        w.watch(3)
+        for i in batch:
+            if i != w.leader:
+                w.replace(i)
+        while w.now < w.outage_until:
+            w.watch(1)
+
+    def all_new(self) -> None:
+        """What comes at once when the last node is new."""
+        w = self.w
+        assert w.all_replaced
+        if self.case.falls == AFTER_LAST:
+            fall(w)
+        self.submit_chain("new")
+        if self.case.falls == TAKING_OVER:
+            w.watch(1)
+            w.crash(w.leader)
+            fall(w)
+        self.submit_some()
+        w.watch(2)
+        w.crash(self.rng.randrange(w.nodes))
+        if self.case.cancels:
+            self.cancel_some()
+        w.watch(2)
+
+    # -- what came of it
+
+    def check_end(self) -> None:
+        w = self.w
+        end = w.now + 400
+        while not w.all_ended() and w.now < end:
+            w.watch(1)
+            w.check_kept()
+        w.watch(3)
+        cancelled = {job for job in w.jobs if {job, *w.before(job)} & w.cancelled_at.keys()}
+        for job in w.jobs:
+            expected = users.CANCELLED if job in cancelled else users.DONE
+            assert w.end_in_store(job) == expected, f"lost: {job}"
+        assert bool(cancelled) is self.case.cancels
+        assert w.led[0] is False and w.led[-1] is True
+        if self.case.falls is not None:
+            self.check_fallen()
+        if self.calm:
+            again = {task: n for task, n in w.starts.items() if n > 1}
+            assert not again, "a replacement alone makes no task run again"
+
+    def check_fallen(self) -> None:
+        """Nothing was refused for its size, and nothing larger is written."""
+        w = self.w
+        assert not w.too_large
+        sheets = [orjson.dumps(i["v"]) for i in w.store.range("place/")]
+        assert all(len(sheet) <= 2048 for sheet in sheets)
+
+
+@pytest.mark.parametrize("short", record.VERSIONS)
+@pytest.mark.parametrize("case", CASES, ids=lambda case: case.name)
+def test_replacement(short: str, case: Case) -> None:
+    Upgrade(short, case, seed=len(case.name)).run()
+
+
+def test_the_table_is_of_replacements() -> None:
+    """The cases bring about what their names say."""
+    upgrade = Upgrade("852ab75", Case("x", at_once=2, leader=LAST), 1)
+    assert isinstance(upgrade.w.controller, EarlierLeader)
+    leads = upgrade.w.leader
+    turns = []
+    for batch in upgrade.batches():
+        turns.append(batch)
+        for i in batch:
+            upgrade.w.replace(i)
+    assert [len(batch) for batch in turns] == [2, 2, 1]
+    assert turns[-1] == [leads]
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -522,6 +522,6 @@
     assert version.old_package in version.old_controller_type().__module__
     assert version.old_chains is (short == WITH_CHAINS)
     if short == BEFORE_CHAINS:
-        assert not hasattr(version.old_module("wire.peers").Told(1, "done", 0, 0), "waiting")
+        assert not hasattr(version.old_answer_to_a_poll(), "waiting")
         with pytest.raises(ModuleNotFoundError):
             version.old_module("core.graph")
--- a/tests/versions/legacy/old_nodes.py
+++ b/tests/versions/legacy/old_nodes.py
@@ -36,6 +36,10 @@
     def old_module(self, name: str) -> ModuleType:
         return importlib.import_module(f"{self.old_package}.{name}")
 
+    def old_answer_to_a_poll(self) -> Any:
+        """The type, with the state of a job as a frame carries it."""
+        return self.old_module("wire.peers").Told(1, "done", 0, 0)
+
     def old_controller_type(self) -> Any:
         return self.old_module("core.controller").Controller
 
--- a/tests/versions/mixed.py
+++ b/tests/versions/mixed.py
@@ -99,6 +99,11 @@
             self.orders += 1
             c.old.old_ordered(report, status == 200, now)
 
+    def step(self, dt: float) -> None:
+        # No leader writes finer parts before every node has said that it reads them.
+        self.may_recut = self.earlier.old_chains or self.all_replaced
+        super().step(dt)
+
     # -- the replacement
 
     def replace(self, i: int) -> None:
