--- a/src/eldercart/cli/serve.py
+++ b/src/eldercart/cli/serve.py
@@ -1,4 +1,4 @@
-"""`serve`: one controller node until it is killed."""
+"""`serve`: one controller node until it is killed, or asked to end (SIGTERM)."""
 
 import gc
 from typing import Any
@@ -15,6 +15,7 @@
     PythonLoggingObserver("twisted").start()
     node = Node(settings, tuning)
     reactor.callWhenRunning(node.start)
+    node.ending.install()
     # What was imported stays: the collector need not look at it again.
     gc.collect()
     gc.freeze()
--- a/src/eldercart/election/__init__.py
+++ b/src/eldercart/election/__init__.py
@@ -5,6 +5,7 @@
 on which every write of the leader is guarded. Versions only grow, so epochs do.
 """
 
+import math
 from dataclasses import dataclass
 from enum import Enum
 
@@ -131,6 +132,16 @@
         self._stale_hold = hold
         self._back_at = Steady(now + 3 * self._life)
 
+    def retire(self, now: Steady) -> None:
+        """Gives the hold up for good: this node is about to end."""
+        self.resign(now)
+        self._back_at = Steady(math.inf)
+
+    @property
+    def hands_over(self) -> bool:
+        """Whether a hold that was given up has still to be dropped."""
+        return self._stale_hold is not None
+
     def next_action(self, now: Steady) -> Action | None:
         if self._busy:
             return None
--- a/src/eldercart/net/front.py
+++ b/src/eldercart/net/front.py
@@ -36,7 +36,9 @@
 
     def route(self, request: JsonRequest) -> None:
         path, method = request.path, request.method
-        if path == b"/v1/report":
+        if self.node.ending.begun:
+            self.node.ending.refuse(request)
+        elif path == b"/v1/report":
             if method != b"POST":
                 request.reply(405, users.error_body("method"))
                 return
--- a/src/eldercart/net/node.py
+++ b/src/eldercart/net/node.py
@@ -11,11 +11,12 @@
 from eldercart.election import Election
 from eldercart.net import links
 from eldercart.net.electing import Electing
+from eldercart.net.ending import Ending
 from eldercart.net.front import Front
 from eldercart.net.leading import CATALOG_KEY, Leading
 from eldercart.net.meters import Meters
 from eldercart.net.relaying import Relaying
-from eldercart.net.server import JsonFactory, listen
+from eldercart.net.server import JsonFactory, JsonRequest, listen
 from eldercart.net.store import Store
 from eldercart.settings import NodeSettings, Tuning
 from eldercart.units import Epoch, LifeId, Steady
@@ -57,6 +58,9 @@
         self.leading = Leading(self)
         self.relaying = Relaying(self)
         self.electing = Electing(self)
+        self.ending = Ending(self)
+        self._requests = JsonFactory(self.front.route, max(16, int(settings.sockets * 0.75)))
+        self._port: Any = None  # that users and workers connect to, while it is open
         self.lag = 0.0  # seconds by which the event loop is behind, recent ones weighing more
         self._types_asked = Steady(-1e9)
         self._last_tick = steady()
@@ -64,14 +68,22 @@
         self._cpu = time.process_time()
 
     def start(self) -> None:
-        front = JsonFactory(self.front.route, max(16, int(self.settings.sockets * 0.75)))
-        listen(self.settings.front, front)
+        self._port = listen(self.settings.front, self._requests)
         links.listen(self.settings.mesh, self.relaying.exchange)
         log.info(
             "started label=%s zone=%s life=%s", self.settings.label, self.settings.zone, self.life
         )
         self._tick()
 
+    def stop_accepting(self) -> None:
+        """Those that come find no open port here, and go to another node."""
+        self._requests.ending = True
+        if self._port is not None:
+            self._port.stopListening()
+
+    def requests_under_way(self) -> list[JsonRequest]:
+        return list(self._requests.unanswered)
+
     def _tick(self) -> None:
         reactor.callLater(TICK_S, self._tick)
         now = steady()
--- a/src/eldercart/net/server.py
+++ b/src/eldercart/net/server.py
@@ -44,6 +44,7 @@
         self.process()
 
     def process(self) -> None:
+        self.channel.factory.unanswered.add(self)
         if self.too_long:
             self.reply(400, error_body("body over 64 KiB"))
             return
@@ -57,6 +58,7 @@
 
     def connectionLost(self, reason: Any) -> None:
         self.gone = True
+        self.channel.factory.unanswered.discard(self)
         super().connectionLost(reason)
 
     def body(self) -> bytes:
@@ -68,7 +70,8 @@
     ) -> None:
         if self.gone or self.finished:
             return
-        if close:
+        self.channel.factory.unanswered.discard(self)
+        if close or self.channel.factory.ending:
             self.channel.persistent = False
         # Head and body in one piece: a packet, and a call to send it, for each answer.
         head = b"HTTP/1.1 %d %b\r\n" % (status, http.RESPONSES.get(status, b"Unknown"))
@@ -105,6 +108,8 @@
         self.route = route
         self.most = most
         self.open = 0
+        self.unanswered: set[JsonRequest] = set()
+        self.ending = False  # each connection is closed with its next answer
 
     def log(self, request: Any) -> None:
         """No access log."""
@@ -125,8 +130,10 @@
         return channel
 
 
-def listen(endpoint: Endpoint, factory: JsonFactory) -> None:
+def listen(endpoint: Endpoint, factory: JsonFactory) -> Any:
+    """The open port."""
     # All workers may come at once, when theirs is the only node left: a full queue costs each of
     # them a time-out, and several of those its lease.
     port = reactor.listenTCP(endpoint.port, factory, backlog=factory.most, interface=endpoint.host)
     port.transport = EagerServer
+    return port
