--- a/src/eldercart/net/front.py
+++ b/src/eldercart/net/front.py
@@ -43,7 +43,9 @@
     def route(self, request: JsonRequest) -> None:
         """Hands the request to what serves its path and method."""
         route = self._routes.get(request.path)
-        if route is not None:
+        if self.node.ending.begun:
+            self.node.ending.refuse(request)
+        elif route is not None:
             method, serve = route
             if request.method == method:
                 serve(request)
--- a/src/eldercart/net/server.py
+++ b/src/eldercart/net/server.py
@@ -47,6 +47,7 @@
 
     def process(self) -> None:
         """Hands the whole request to the factory's route."""
+        self.channel.factory.unanswered.add(self)
         if self.too_long:
             self.reply(400, error_body("body over 64 KiB"))
             return
@@ -61,6 +62,7 @@
     def connectionLost(self, reason: Any) -> None:
         """The peer has left: nothing is sent any more."""
         self.gone = True
+        self.channel.factory.unanswered.discard(self)
         super().connectionLost(reason)
 
     def body(self) -> bytes:
@@ -74,7 +76,8 @@
         """Answers, once; `close` ends the connection afterwards."""
         if self.gone or self.finished:
             return
-        if close:
+        self.channel.factory.unanswered.discard(self)
+        if close or self.channel.factory.ending:
             self.channel.persistent = False
         # Head and body in one piece: a packet, and a call to send it, for each answer.
         head = b"HTTP/1.1 %d %b\r\n" % (status, http.RESPONSES.get(status, b"Unknown"))
@@ -116,6 +119,8 @@
         self.route = route
         self.most = most
         self.open = 0
+        self.unanswered: set[JsonRequest] = set()
+        self.ending = False  # each connection is closed with its next answer
 
     def log(self, request: Any) -> None:
         """No access log."""
@@ -137,9 +142,10 @@
         return channel
 
 
-def listen(endpoint: Endpoint, factory: JsonFactory) -> None:
-    """Accepts connections at the endpoint."""
+def listen(endpoint: Endpoint, factory: JsonFactory) -> Any:
+    """Accepts connections at the endpoint; returns the open port."""
     # All workers may come at once, when theirs is the only node left: a full queue costs each of
     # them a time-out, and several of those its lease.
     port = reactor.listenTCP(endpoint.port, factory, backlog=factory.most, interface=endpoint.host)
     port.transport = ImmediateWriteServer
+    return port
