--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -544,9 +544,22 @@
         place.store.answers.popleft()()
         place.now += 0.4
     assert (asking.status, asking.retry) == (503, 2)
+    assert place.store.asked.count("compare") <= 8, "no more is asked once the time is over"
     assert place.submit(submission("wk-9", awaits=names(400))).status in (201, 503)
 
 
+def test_an_answer_that_comes_too_late_accepts_nothing() -> None:
+    """Its user has gone on to the next try, and the write would still take its time."""
+    place = Place()
+    place.know("wk-open")
+    asking = Asking(submission("wk-9", awaits=["wk-open"]))
+    place.front._submit(cast(Any, asking))
+    place.now = 3.0
+    place.settle()
+    assert (asking.status, asking.retry) == (503, 2)
+    assert JOB + "wk-9" not in place.store.sim.keys
+
+
 @pytest.mark.parametrize("answers_before", [0, 1])
 def test_a_job_that_ends_during_the_check_counts_as_accepted(answers_before: int) -> None:
     """Its record goes as its end comes. Two reads, one of each, could miss both: then a job that
