--- a/src/eldercart/core/controller.py
+++ b/src/eldercart/core/controller.py
@@ -137,7 +137,7 @@
         job_items = list(job_items)
         for item in job_items:
             self.learn_job(item, now)
-        loaded = self.records.sheets.load(place_items, self.jobs, now)
+        loaded = self.records.placement_records.load(place_items, self.jobs, now)
         self._load_markers(gone_items, {item.key[len(JOB) :] for item in job_items}, now)
         for job in self.jobs.jobs.values():
             self._finish_load(job, now)
--- a/src/eldercart/core/jobs.py
+++ b/src/eldercart/core/jobs.py
@@ -94,7 +94,7 @@
 
 @dataclass(slots=True, eq=False)
 class Chunk:
-    """A run of a job's tasks that share one part of a sheet."""
+    """A run of a job's tasks that share one part of a placement record."""
 
     low: int  # its first task
     high: int  # the task after its last
@@ -104,7 +104,8 @@
     urgent: bool = False  # holds a placement that waits to be launched
     dirty_since: Steady = CLOCK_ZERO
     placements: dict[int, Placement] = field(default_factory=dict)
-    sheet: str | None = None  # the key of the record that it is written in, see `sheets`
+    # the key of the record that it is written in, see `placement_records`
+    record_key: str | None = None
     reserved: int = 0  # bytes of that record
     written: tuple[Any, int] | None = None  # as it was written last, and its size in bytes
 
@@ -219,8 +220,8 @@
         self.cuts[number] = sorted(c for c in self.chunks if low <= c < high)
 
     def part(self, chunk: Chunk) -> list[Any]:
-        """As a sheet holds it. With `n`, the second entry is where the part begins; without, the
-        number of a chunk of the job's own size, as all versions know it."""
+        """As a placement record holds it. With `n`, the second entry is where the part begins;
+        without, the number of a chunk of the job's own size, as all versions know it."""
         if chunk.cut:
             return [self.id, chunk.low, self.record(chunk) | {"n": chunk.tasks}]
         return [self.id, chunk.low // self.size, self.record(chunk)]
--- a/src/eldercart/core/records.py
+++ b/src/eldercart/core/records.py
@@ -18,7 +18,7 @@
     end_of,
     needs_keys,
 )
-from eldercart.core.sheets import Sheet, Sheets
+from eldercart.core.placement_records import PlacementRecord, PlacementRecords
 from eldercart.election import LEAD_KEY
 from eldercart.units import ABSENT, NEVER, JobId, Revision, Steady
 from eldercart.wire import users
@@ -27,7 +27,7 @@
 log = logging.getLogger("eldercart.controller")
 
 WRITE_PAUSE_S = 0.25  # after a write that was not carried out
-ANY_UNITS = 1000  # ends and sheets, more than a transaction holds
+ANY_UNITS = 1000  # ends and placement records, more than a transaction holds
 ASIDE_S = 20.0  # for which a job is left alone whose record the store refuses for what it is
 
 
@@ -48,13 +48,14 @@
     txn: Txn
     ends: list[tuple[Job, str]] = field(default_factory=list)
     chunks: list[tuple[Job, Chunk, list[Placement], list[Placement]]] = field(default_factory=list)
-    sheets: list[Sheet] = field(default_factory=list)
-    dropped: list[Sheet] = field(default_factory=list)
+    placement_records: list[PlacementRecord] = field(default_factory=list)
+    dropped: list[PlacementRecord] = field(default_factory=list)
     cleanups: list[Job] = field(default_factory=list)
     orphans: list[tuple[str, Revision]] = field(default_factory=list)
     lists: list[str] = field(default_factory=list)  # lists of dependencies that go
     size: int = 0
-    units: set[str] = field(default_factory=set)  # jobs that end, and sheets: see `Records._split`
+    # jobs that end, and placement records: see `Records._split`
+    units: set[str] = field(default_factory=set)
 
 
 class Records:
@@ -70,7 +71,7 @@
         # Lists of dependencies of which the job's record is gone already. They are lost with the
         # leader; what then stays in the store is read by nobody.
         self.lists: dict[str, None] = {}
-        self.sheets = Sheets(floor.settings.value_bytes, floor.epoch)
+        self.placement_records = PlacementRecords(floor.settings.value_bytes, floor.epoch)
         self._txn: PendingTxn | None = None
         self._pause = NEVER
         self._most_ops: int = floor.settings.txn_ops
@@ -84,7 +85,7 @@
         """Records with placements that wait to be written."""
         return len(
             {
-                c.sheet
+                c.record_key
                 for job in self.f.dirty.values()
                 for c in job.chunks.values()
                 if c.dirty and c.urgent
@@ -105,7 +106,7 @@
             or self.cleaning
             or self.orphans
             or self.lists
-            or self.sheets.empties()
+            or self.placement_records.empties()
         ):
             # The last write had no answer and yet nothing is left of it: only a new one can tell
             # whether the store is back, and only a pass of placing makes one.
@@ -151,7 +152,8 @@
             pending.units.add(job.id)
             pending.size += 250
             if not any(p.phase is not Phase.ENDED for p in job.placements()):
-                # Nothing of it is anywhere: its record goes at once, and with it what sheets say.
+                # Nothing of it is anywhere: its record goes at once, and with it what placement
+                # records say.
                 txn.writes.append(Drop(JOB + job.id))
                 pending.cleanups.append(job)
             else:
@@ -165,11 +167,13 @@
         changed = self._changed_chunks(now)
         if len(pending.txn.writes) >= ops:
             return
-        # All of them find their sheets first, so that what is new is on few.
-        keys = list(dict.fromkeys(self.sheets.of(job, c).key for job, c in changed))
+        # All of them find their placement records first, so that what is new is on few.
+        keys = list(dict.fromkeys(self.placement_records.of(job, c).key for job, c in changed))
         for key in keys:  # it grows
-            sheet = self.sheets.sheets[key]
-            if not sheet.closed and not self._add_sheet(pending, sheet, ops, keys):
+            placement_record = self.placement_records.by_key[key]
+            if not placement_record.closed and not self._add_placement_record(
+                pending, placement_record, ops, keys
+            ):
                 return
 
     def _changed_chunks(self, now: Steady) -> list[tuple[Job, Chunk]]:
@@ -197,28 +201,32 @@
         idle.sort(key=lambda i: i[0])
         return [u[4:] for u in urgent] + [i[1:] for i in idle]
 
-    def _add_sheet(self, pending: PendingTxn, sheet: Sheet, ops: int, keys: list[str]) -> bool:
-        """Returns whether the transaction may take more. What has outgrown the sheet goes to
-        others; of them, those not yet among `keys` are added there."""
+    def _add_placement_record(
+        self, pending: PendingTxn, placement_record: PlacementRecord, ops: int, keys: list[str]
+    ) -> bool:
+        """Returns whether the transaction may take more. What has outgrown the placement record
+        goes to others; of them, those not yet among `keys` are added there."""
         txn = pending.txn
-        key = sheet.key
+        key = placement_record.key
         if len(txn.writes) >= ops:
             return False
-        aside = sheet.alone and any(job.id in self._aside for job, _ in sheet.parts.values())
+        aside = placement_record.alone and any(
+            job.id in self._aside for job, _ in placement_record.parts.values()
+        )
         if aside or self._held(pending, key, key):
             return True
-        record, size = self.sheets.record(sheet)
-        if size > self.sheets.most and self._relieve(sheet, keys):
+        record, size = self.placement_records.record(placement_record)
+        if size > self.placement_records.most and self._relieve(placement_record, keys):
             return True
         size += 2 * len(key) + 60
         if pending.size + size > TXN_BYTES:
             return not pending.size
         pending.size += size
-        txn.guards[key] = sheet.version  # a copy that comes late finds another one
+        txn.guards[key] = placement_record.version  # a copy that comes late finds another one
         txn.writes.append(Put(key, record))
-        pending.sheets.append(sheet)
+        pending.placement_records.append(placement_record)
         pending.units.add(key)
-        for job, c in sheet.parts.values():
+        for job, c in placement_record.parts.values():
             if not c.dirty:
                 continue
             planned = [p for p in c.placements.values() if p.phase is Phase.PLANNED]
@@ -227,27 +235,30 @@
             pending.chunks.append((job, c, planned, ended))
         return True
 
-    def _relieve(self, sheet: Sheet, keys: list[str]) -> bool:
-        """The record has become too large: what is new on it moves to other sheets, and a part
-        that is too large by itself is cut anew. False: that can't be done yet."""
-        parts = [part for part in sheet.parts.values() if part[1].dirty]
-        if len(sheet.parts) == 1:
-            ((job, c),) = sheet.parts.values()
+    def _relieve(self, placement_record: PlacementRecord, keys: list[str]) -> bool:
+        """The record has become too large: what is new on it moves to other placement records, and
+        a part that is too large by itself is cut anew. False: that can't be done yet."""
+        parts = [part for part in placement_record.parts.values() if part[1].dirty]
+        if len(placement_record.parts) == 1:
+            ((job, c),) = placement_record.parts.values()
             if not self.recuts or c.tasks == 1:
                 return False  # as large as it was written before
             self.f.dirty[job.id] = job
             most = min(self._part_tasks, (c.tasks + 1) // 2)
-            parts = [(job, fine) for fine in self.sheets.recut(self.f.jobs, job, c, most, False)]
+            parts = [
+                (job, fine)
+                for fine in self.placement_records.recut(self.f.jobs, job, c, most, False)
+            ]
         else:
-            self.sheets.close(sheet)
-        moved = [self.sheets.of(job, c).key for job, c in parts]
+            self.placement_records.close(placement_record)
+        moved = [self.placement_records.of(job, c).key for job, c in parts]
         keys.extend(dict.fromkeys(k for k in moved if k not in keys))
         return True
 
     @property
     def recuts(self) -> bool:
         """Parts cut anew may be written. One that an earlier leader wrote shows it, too."""
-        return self.may_recut or self.sheets.cuts_found
+        return self.may_recut or self.placement_records.cuts_found
 
     def _add_cleanups(self, pending: PendingTxn, ops: int) -> None:
         txn = pending.txn
@@ -266,14 +277,16 @@
             txn.writes.append(Drop(key))
             pending.orphans.append((key, version))
         if txn.writes or self.f.dirty:
-            return  # an empty sheet may be of use yet
-        for sheet in self.sheets.empties():
-            if len(txn.writes) >= ops or self._held(pending, sheet.key, sheet.key):
+            return  # an empty placement record may be of use yet
+        for placement_record in self.placement_records.empties():
+            if len(txn.writes) >= ops or self._held(
+                pending, placement_record.key, placement_record.key
+            ):
                 return
-            txn.guards[sheet.key] = sheet.version
-            txn.writes.append(Drop(sheet.key))
-            pending.dropped.append(sheet)
-            pending.units.add(sheet.key)
+            txn.guards[placement_record.key] = placement_record.version
+            txn.writes.append(Drop(placement_record.key))
+            pending.dropped.append(placement_record)
+            pending.units.add(placement_record.key)
 
     def _add_lists(self, pending: PendingTxn, ops: int) -> None:
         """Lists of dependencies go with their job's record, or after it, never before: a record
@@ -323,7 +336,10 @@
             return False
         # An earlier try of one of these writes was applied, or this one may be: only the keys
         # themselves can tell their versions. An orphan's conflict means that it is gone.
-        self._unsure.update(sheet.key for sheet in (*pending.sheets, *pending.dropped))
+        self._unsure.update(
+            placement_record.key
+            for placement_record in (*pending.placement_records, *pending.dropped)
+        )
         for job, _ in pending.ends:
             # It may yet be applied, whatever a reread finds, and then be told elsewhere.
             job.end_unsure = True
@@ -338,30 +354,30 @@
         if len(units) > 1:
             self._most_units = len(units) // 2
             return
-        if pending.sheets and len(pending.sheets[0].parts) > 1:
-            for job, c in self.sheets.split(pending.sheets[0]):
+        if pending.placement_records and len(pending.placement_records[0].parts) > 1:
+            for job, c in self.placement_records.split(pending.placement_records[0]):
                 self.f.jobs.touch(job, c, now, urgent=True)
                 self.f.dirty[job.id] = job
             return
         if len(pending.txn.writes) > 2:
             self._most_ops = max(2, len(pending.txn.writes) // 2)
             return
-        if pending.sheets and self.recuts:
-            for job, c in list(pending.sheets[0].parts.values())[:1]:
+        if pending.placement_records and self.recuts:
+            for job, c in list(pending.placement_records[0].parts.values())[:1]:
                 if c.tasks == 1:
                     break
                 # Its size may be the reason: halved until it fits, each half on its own.
-                self.sheets.recut(self.f.jobs, job, c, (c.tasks + 1) // 2, True)
+                self.placement_records.recut(self.f.jobs, job, c, (c.tasks + 1) // 2, True)
                 self.f.dirty[job.id] = job
                 return
         if not units:
             self.orphans.clear()  # nobody misses them; a later leader may try again
             self.lists.clear()
-        for sheet in pending.dropped:
-            self.sheets.forget(sheet)
+        for placement_record in pending.dropped:
+            self.placement_records.forget(placement_record)
         at_fault = [*(j for j, *_ in pending.chunks), *(j for j, _ in pending.ends)]
-        for sheet in pending.sheets:
-            self.sheets.isolate(sheet)
+        for placement_record in pending.placement_records:
+            self.placement_records.isolate(placement_record)
         for job in [*at_fault, *pending.cleanups]:
             log.error("record refused job=%s", job.id)
             self._aside[job.id] = Steady(now + ASIDE_S)
@@ -378,20 +394,20 @@
                 self._ended(job, end_of(item.value), now)
                 self.cleaning[job.id] = job
             return
-        sheet = self.sheets.get(key)
-        if sheet is not None:
-            sheet.version = ABSENT if item is None else item.version
+        placement_record = self.placement_records.get(key)
+        if placement_record is not None:
+            placement_record.version = ABSENT if item is None else item.version
 
     def _committed(self, pending: PendingTxn, revision: Revision, now: Steady) -> None:
         for job, how in pending.ends:
             self._ended(job, how, now)
             self.cleaning[job.id] = job
-        for sheet in pending.sheets:
-            sheet.version = revision
-        for sheet in pending.dropped:
-            if sheet.empty:
-                self.sheets.forget(sheet)
-            sheet.version = ABSENT
+        for placement_record in pending.placement_records:
+            placement_record.version = revision
+        for placement_record in pending.dropped:
+            if placement_record.empty:
+                self.placement_records.forget(placement_record)
+            placement_record.version = ABSENT
         for _, chunk, planned, ended in pending.chunks:
             self._chunk_durable(chunk, planned, ended)
         for job in pending.cleanups:
@@ -416,7 +432,7 @@
         """The job's record is gone, and so is what other records say of it."""
         self.lists |= dict.fromkeys(_list_keys(job))
         self.cleaning.pop(job.id, None)
-        self.sheets.drop(job)
+        self.placement_records.drop(job)
         self.f.jobs.remove(job)
         for p in job.placements():
             self._forget(p)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -13,7 +13,7 @@
 from eldercart.core.controller import Controller, Outcome
 from eldercart.core.fleet import Life
 from eldercart.core.jobs import JobBook, Phase, chunk_size, job_record, parse_job_record
-from eldercart.core.sheets import Sheets
+from eldercart.core.placement_records import PlacementRecords
 from eldercart.election import Claim, Election, OpenHold, ReadLead, TouchHold
 from eldercart.net.buckets import Bucket
 from eldercart.net.front import RETRY_S
@@ -632,7 +632,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sheets", "run", "done", "attempts"),
+    ("placement_records", "run", "done", "attempts"),
     [
         # One coarse part, as the version before writes it.
         ([[part(0, 4, [[0, 1]], [(2, 3), (7, 4)])]], {2: 3, 7: 4}, {0, 1}, {0: 4, 9: 4}),
@@ -660,7 +660,7 @@
             [[part(0, 9, [], [(7, 9)])], [part(0, 4, [], [(1, 4)], 3)]],
             {1: 4, 7: 9}, set(), {0: 9, 9: 9},
         ),
-        # A finer part on two sheets: the higher attempt, of equals the newer.
+        # A finer part on two placement records: the higher attempt, of equals the newer.
         (
             [[part(0, 6, [], [(1, 6)], 3)], [part(0, 5, [], [(1, 5)], 3)]],
             {1: 6}, set(), {0: 6},
@@ -680,12 +680,14 @@
     ],
 )  # fmt: skip
 def test_finest_part_counts(
-    sheets: list[Any], run: dict[int, int], done: set[int], attempts: dict[int, int]
+    placement_records: list[Any], run: dict[int, int], done: set[int], attempts: dict[int, int]
 ) -> None:
     jobs, job = book(25, 10)
-    store = Sheets(32768, Epoch(50))
-    items = [Item(f"place/1-{i}", {"p": p}, Revision(10 + i)) for i, p in enumerate(sheets)]
-    random.Random(len(sheets)).shuffle(items)
+    store = PlacementRecords(32768, Epoch(50))
+    items = [
+        Item(f"place/1-{i}", {"p": p}, Revision(10 + i)) for i, p in enumerate(placement_records)
+    ]
+    random.Random(len(placement_records)).shuffle(items)
     loaded = store.load(items, jobs, Steady(1))
     jobs.finish_load(job)
     assert not job.unreadable
@@ -696,9 +698,11 @@
         assert job.chunk_of(low).attempt == attempt, low
     check_whole(job)
     # Whatever only a coarse part tells of stays where it is; finer parts are written again freely.
-    for sheet in store.sheets.values():
-        told = {(job.id, c.low) for c in job.chunks.values() if c.sheet == sheet.key}
-        assert set(sheet.parts) == told
+    for placement_record in store.by_key.values():
+        told = {
+            (job.id, c.low) for c in job.chunks.values() if c.record_key == placement_record.key
+        }
+        assert set(placement_record.parts) == told
 
 
 @pytest.mark.parametrize(
@@ -709,11 +713,11 @@
     jobs, job = book(25, 10)
     record = {"a": 1, "d": [], "r": []} | value
     items = [Item("place/1-1", {"p": [part(0, 1, [], []), [JOB, 0, record]]}, Revision(5))]
-    sheets = Sheets(32768, Epoch(50))
-    sheets.load(items, jobs, Steady(1))
+    placement_records = PlacementRecords(32768, Epoch(50))
+    placement_records.load(items, jobs, Steady(1))
     jobs.finish_load(job)
     assert job.unreadable and not job.open
-    assert [JOB, 0, record] in sheets.sheets["place/1-1"].unread
+    assert [JOB, 0, record] in placement_records.by_key["place/1-1"].unread
 
 
 def check_whole(job: Any) -> None:
@@ -757,13 +761,13 @@
 
 
 class Cutting:
-    """A job, its sheets, and what the store holds of them, by single random steps."""
+    """A job, its placement records, and what the store holds of them, by single random steps."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.tasks, self.size = self.rng.choice([(40, 50), (120, 50), (130, 40)])
         self.jobs, self.job = book(self.tasks, self.size)
-        self.sheets = Sheets(2048, Epoch(1))
+        self.placement_records = PlacementRecords(2048, Epoch(1))
         self.stored: dict[str, Any] = {}
         # Writes under way, with the version they are guarded on.
         self.late: list[tuple[str, Any, int]] = []
@@ -807,28 +811,28 @@
         chunk = self.rng.choice([*self.job.chunks.values()])
         if chunk.tasks > 1:
             self.jobs.touch(self.job, chunk, now)
-            self.sheets.of(self.job, chunk)
+            self.placement_records.of(self.job, chunk)
             most = self.rng.randrange(1, chunk.tasks)
-            self.sheets.recut(self.jobs, self.job, chunk, most, self.rng.random() < 0.3)
+            self.placement_records.recut(self.jobs, self.job, chunk, most, self.rng.random() < 0.3)
 
     def write(self, number: int) -> None:
         dirty = [c for c in self.job.chunks.values() if c.dirty]
         for chunk in self.rng.sample(dirty, min(len(dirty), 3)):
-            sheet = self.sheets.of(self.job, chunk)
-            if sheet.closed:
+            placement_record = self.placement_records.of(self.job, chunk)
+            if placement_record.closed:
                 continue
-            record, size = self.sheets.record(sheet)
-            if size > self.sheets.most and len(sheet.parts) > 1:
-                self.sheets.close(sheet)
+            record, size = self.placement_records.record(placement_record)
+            if size > self.placement_records.most and len(placement_record.parts) > 1:
+                self.placement_records.close(placement_record)
                 continue
             value = orjson.loads(orjson.dumps(record))
             if self.rng.random() < 0.2:
-                guard = self.stored.get(sheet.key, (None, 0))[1]
-                self.late.append((sheet.key, value, guard))
+                guard = self.stored.get(placement_record.key, (None, 0))[1]
+                self.late.append((placement_record.key, value, guard))
                 continue  # no answer: what is new stays to be written
-            sheet.version = Revision(number + 1)
-            self.stored[sheet.key] = (value, number + 1)
-            for _, c in sheet.parts.values():
+            placement_record.version = Revision(number + 1)
+            self.stored[placement_record.key] = (value, number + 1)
+            for _, c in placement_record.parts.values():
                 c.dirty = False
                 self.durable |= {p.index: (p.attempt, p.machine) for p in c.placements.values()}
                 self.used |= {p.index: p.attempt for p in c.placements.values()}
@@ -842,9 +846,9 @@
         self.epoch += 1
         self.late.clear()  # they were guarded on the leader's key, too
         self.jobs, self.job = book(self.tasks, self.size)
-        self.sheets = Sheets(2048, Epoch(self.epoch))
+        self.placement_records = PlacementRecords(2048, Epoch(self.epoch))
         items = [Item(k, v, Revision(r)) for k, (v, r) in self.stored.items()]
-        self.sheets.load(items, self.jobs, now)
+        self.placement_records.load(items, self.jobs, now)
         self.jobs.finish_load(self.job)
         assert not self.job.unreadable
         known = {p.index: (p.attempt, p.machine) for p in self.job.placements()}
@@ -854,8 +858,8 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_cutting_loses_no_task_and_places_none_twice(seed: int) -> None:
-    """Any order of placing, finishing, dropping, cutting, writing some of the sheets, and taking
-    over from what was written, late copies of older sheets included."""
+    """Any order of placing, finishing, dropping, cutting, writing some of the placement records,
+    and taking over from what was written, late copies of older placement records included."""
     cutting = Cutting(seed)
     for number in range(300):
         cutting.step(number)
@@ -864,13 +868,13 @@
 # -- sizes
 
 
-def test_sheets_stay_within_the_limit_whatever_their_parts_come_to() -> None:
+def test_placement_records_stay_within_the_limit_whatever_their_parts_come_to() -> None:
     """Names of machines that are longer than usual make the estimate wrong."""
     w = World(41, platform=platform(NEXT))
     w.store.value_bytes, w.store.txn_ops = 2048, 6
     assert w.controller is not None
     w.may_recut = True
-    sheets = w.controller.records.sheets
+    placement_records = w.controller.records.placement_records
     jobs = w.controller.jobs
     rng = random.Random(3)
     for n in range(40):
@@ -890,7 +894,7 @@
         w.controller.txn_done(pending, Outcome.OK, Revision(w.store.revision), (), Steady(w.now))
     assert not w.controller.floor.dirty and not w.store.too_large
     w.check_kept()
-    assert {s.key for s in sheets.sheets.values() if s.version} >= set(
+    assert {s.key for s in placement_records.by_key.values() if s.version} >= set(
         i["path"] for i in w.store.range("place/")
     )
 
@@ -1110,7 +1114,7 @@
 
 
 def production(seed: int, **faults: Any) -> World:
-    """A run at the old limits, with chunks and sheets as large as they allow."""
+    """A run at the old limits, with chunks and placement records as large as they allow."""
     w = World(seed, platform=platform(), **faults)
     w.store.value_bytes, w.store.txn_ops = 32 * 1024, 20
     for n, tasks in enumerate([640, 90, 30, 6, 3]):
@@ -1217,7 +1221,7 @@
     assert finer and max(finer) < 34
 
 
-def test_closed_sheet_stays_until_its_jobs_are_over() -> None:
+def test_closed_placement_record_stays_until_its_jobs_are_over() -> None:
     """It may hold the only record of tasks that have not changed since."""
     w = production(52)
     large = {
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -331,14 +331,14 @@
     assert not w.store.range("job/")
 
 
-@pytest.mark.parametrize("what", ["an empty sheet", "a marker that nobody misses"])
+@pytest.mark.parametrize("what", ["an empty placement record", "a marker that nobody misses"])
 @pytest.mark.parametrize("carried_out", [True, False])
 def test_last_write_without_an_answer_stops_nothing(what: str, carried_out: bool) -> None:
     """There was nothing left to write, so nothing ever told that the store is back, and nothing
     was placed any more: the next job waited beside an idle fleet."""
     w = World(48)
     w.submit(ONE, run_s=3.0)
-    if what != "an empty sheet":
+    if what != "an empty placement record":
         finish(w)
         w.run(5)
         w.store.txn(state.Txn({}, [state.Put("gone/wk-000077", {"e": "done"})]).body())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -63,7 +63,8 @@
 @pytest.mark.parametrize("sections", [False, True])
 def test_refused_transaction_is_cut_until_the_job_at_fault_stands_alone(sections: bool) -> None:
     """A record that the store calls malformed, for its size, its key or (`sections`) what it
-    says of that job on a sheet with others, must not be repeated with all others for ever."""
+    says of that job on a placement record with others, must not be repeated with all others for
+    ever."""
     w = World(2)
     submit_all(w)
     w.submit("wk-000099")
@@ -114,7 +115,7 @@
     assert not [p for p in c.jobs.jobs[JobId("wk-000001")].placements()]
 
 
-# -- sheets
+# -- placement records
 
 
 def test_burst_of_small_jobs_takes_few_changes() -> None:
@@ -127,16 +128,18 @@
         w.submit(f"wk-{i:06d}", parcels=4, run_s=4.0, cpus=2.0)
         w.run(0.3)
     finish(w, 200.0)
-    sheets = {e["put"] for _, e in w.store.log if "put" in e and e["put"].startswith("place/")}
-    assert len(sheets) < 15
+    placement_records = {
+        e["put"] for _, e in w.store.log if "put" in e and e["put"].startswith("place/")
+    }
+    assert len(placement_records) < 15
     # Accepted, ended and cleaned up takes three each; a record for each job took 372 in all.
     assert len(w.store.log) - writes < 60 * 5
 
 
 @pytest.mark.parametrize("copy", [False, True])
-def test_part_that_is_on_two_sheets_counts_as_the_newer_has_it(copy: bool) -> None:
-    """A sheet was split, and the leader died before the old one was written again; or a late copy
-    made the old one again, and now it has the higher version."""
+def test_part_that_is_in_two_placement_records_counts_as_the_newer_has_it(copy: bool) -> None:
+    """A placement record was split, and the leader died before the old one was written again; or a
+    late copy made the old one again, and now it has the higher version."""
     w = World(32)
     for i in (1, 2):
         w.submit(f"wk-00000{i}", parcels=3, run_s=100.0)
@@ -160,8 +163,9 @@
     assert len(list(job.placements())) == 3 and len(c.fleet.machines) > 0
 
 
-def test_split_sheet_stays_until_all_its_parts_are_written() -> None:
-    """What had not changed on it must be written anew too, or it would go with the old sheet."""
+def test_split_placement_record_stays_until_all_its_parts_are_written() -> None:
+    """What had not changed on it must be written anew too, or it would go with the old placement
+    record."""
     w = World(34)
     for i in (1, 2, 3):
         w.submit(f"wk-00000{i}", parcels=2, run_s=300.0)
@@ -186,9 +190,9 @@
     w = World(33)
     w.submit("wk-000001", parcels=3, run_s=20.0)
     w.run(12)
-    (sheet,) = w.store.range("place/")
-    part = sheet["v"]["p"][0]
-    del w.store.keys[sheet["path"]]
+    (placement_record,) = w.store.range("place/")
+    part = placement_record["v"]["p"][0]
+    del w.store.keys[placement_record["path"]]
     w.store.revision += 1
     w.store.keys["place/wk-000001/00000"] = (part[2], w.store.revision, None)
     w.elect()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -207,8 +207,8 @@
         """Nothing was refused for its size, and nothing larger is written."""
         w = self.w
         assert not w.too_large
-        sheets = [orjson.dumps(i["v"]) for i in w.store.range("place/")]
-        assert all(len(sheet) <= 2048 for sheet in sheets)
+        placement_records = [orjson.dumps(i["v"]) for i in w.store.range("place/")]
+        assert all(len(placement_record) <= 2048 for placement_record in placement_records)
 
 
 @pytest.mark.parametrize("short", record.VERSIONS)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -7,9 +7,9 @@
 
 Not covered here: sockets and the processes' own start and end (a greeting crosses only as bytes),
 grants and the spread of workers as a leader counts them, and a leader of 0782287 after a job with
-dependencies has started: it drops the sheets that hold only such jobs, so a task on a machine that
-it does not hear would run twice. None of those is asked for before all nodes have the new version;
-there is no way back to it while one is open. `test_upgrade` has whole replacements.
+dependencies has started: it drops the placement records that hold only such jobs, so a task on a
+machine that it does not hear would run twice. None of those is asked for before all nodes have the
+new version; there is no way back to it while one is open. `test_upgrade` has whole replacements.
 """
 
 import random
@@ -106,13 +106,13 @@
     books = [s["read"]["jobs"].values() for s in samples["stores"]]
     assert any(j["placed"] and j["done"] and len(j["attempts"]) > 1 for b in books for j in b)
     assert any(j["ended"] == users.CANCELLED for b in books for j in b)
-    parts = [i["v"]["p"] for s in samples["stores"] for i in s["store"] if is_sheet(i)]
+    parts = [i["v"]["p"] for s in samples["stores"] for i in s["store"] if is_placement_record(i)]
     assert any(len(p) > 1 for p in parts)
     remembered = [s["read"]["remembered"] for s in samples["stores"]]
     assert any(r[0] for r in remembered) and any(r[1] for r in remembered)
     stores = [s["store"] for s in samples["stores"]]
-    assert any(writing.changed_copies([*filter(is_sheet, store)]) for store in stores)
-    assert any(sum(map(is_sheet, store)) > 1 for store in stores)
+    assert any(writing.changed_copies([*filter(is_placement_record, store)]) for store in stores)
+    assert any(sum(map(is_placement_record, store)) > 1 for store in stores)
 
 
 def test_the_samples_hold_what_came_with_chains() -> None:
@@ -128,11 +128,17 @@
     books = [job for s in samples["stores"] for job in s["read"]["jobs"].values()]
     assert any(job["awaited"] and not job["ready"] for job in books)
     assert any(not job["awaited"] and job["ready"] for job in books)
-    parts = [p for s in samples["stores"] for i in s["store"] if is_sheet(i) for p in i["v"]["p"]]
+    parts = [
+        p
+        for s in samples["stores"]
+        for i in s["store"]
+        if is_placement_record(i)
+        for p in i["v"]["p"]
+    ]
     assert any("n" in part for _, _, part in parts), "finer parts"
 
 
-def is_sheet(found: dict[str, Any]) -> bool:
+def is_placement_record(found: dict[str, Any]) -> bool:
     return str(found["path"]).startswith("place/")
 
 
@@ -195,15 +201,15 @@
 
 
 @each_version
-def test_sheets_are_written_again_as_they_were(short: str) -> None:
+def test_placement_records_are_written_again_as_they_were(short: str) -> None:
     """A part that was moved stays only where the higher attempt is, or of equals the newer."""
     for sample in history.samples(short)["stores"]:
-        sheets = [found for found in sample["store"] if is_sheet(found)]
-        if any("n" in part for found in sheets for _, _, part in found["v"]["p"]):
+        placement_records = [found for found in sample["store"] if is_placement_record(found)]
+        if any("n" in part for found in placement_records for _, _, part in found["v"]["p"]):
             continue  # see below
-        expected: dict[str, list[Any]] = {found["path"]: [] for found in sheets}
+        expected: dict[str, list[Any]] = {found["path"]: [] for found in placement_records}
         best: dict[tuple[str, int], tuple[int, int, str, Any]] = {}
-        for found in sheets:
+        for found in placement_records:
             for part in found["v"]["p"]:
                 name, number, value = part
                 if name in sample["read"]["jobs"]:
@@ -224,7 +230,7 @@
     finer = 0
     for sample in history.samples(WITH_CHAINS)["stores"]:
         again = reading.write_again(sample["store"])
-        for found in filter(is_sheet, sample["store"]):
+        for found in filter(is_placement_record, sample["store"]):
             for part in found["v"]["p"]:
                 if "n" in part[2] and part[0] in sample["read"]["jobs"]:
                     finer += 1
--- a/tests/versions/reading.py
+++ b/tests/versions/reading.py
@@ -278,7 +278,8 @@
 
 
 def read_record(found: dict[str, Any]) -> Any:
-    """One record that stands for itself; sheets are read with their jobs, see `take_over`."""
+    """One record that stands for itself; placement records are read with their jobs, see
+    `take_over`."""
     item = _item(found)
     kind = item.key.partition("/")[0]
     if kind == "job":
@@ -327,10 +328,10 @@
 
     memos = of("memo/")
     c.load(of(JOB), of(PLACE), of("gone/"), NOW, memos)
-    sheets = c.records.sheets.sheets.values()
+    placement_records = c.records.placement_records.by_key.values()
     jobs = {job.id: _job(job) for job in sorted(c.jobs.jobs.values(), key=lambda j: j.id)}
     on = {m.id: sorted(m.placed) for m in sorted(c.fleet.machines.values(), key=_id)}
-    unread = sum(len(s.unread) for s in sheets)
+    unread = sum(len(s.unread) for s in placement_records)
     orphans = sorted(key for key, _ in c.records.orphans)
     remembered = [_remembered(c, item.key) for item in memos]
     return dict(_plain(_named(old_fields.READ_TAKEN_OVER, jobs, on, unread, orphans, remembered)))
@@ -363,15 +364,18 @@
 
 
 def write_again(store: Store) -> dict[str, Any]:
-    """The sheets as a leader that took them over writes them."""
+    """The placement records as a leader that took them over writes them."""
     c = _controller(Epoch(10**6))
     items = [_item(found) for found in store]
     c.load(
         [i for i in items if i.key.startswith(JOB)],
         [i for i in items if i.key.startswith(PLACE)], [], NOW,
     )  # fmt: skip
-    sheets = c.records.sheets
-    return {key: _plain(sheets.record(sheet)[0]) for key, sheet in sheets.sheets.items()}
+    placement_records = c.records.placement_records
+    return {
+        key: _plain(placement_records.record(placement_record)[0])
+        for key, placement_record in placement_records.by_key.items()
+    }
 
 
 def answer(asked: dict[str, Any]) -> dict[str, Any]:
--- a/tests/versions/writing.py
+++ b/tests/versions/writing.py
@@ -23,13 +23,13 @@
             w.run(0.3)
             out.append(w.store.range(""))
             if seed == 2:
-                w.elect()  # what it takes over stays where it is, and new sheets join it
+                w.elect()  # what it takes over stays where it is, and new placement records join it
     return [*out, moved()]
 
 
 def moved() -> list[dict[str, Any]]:
-    """A state in which parts are on two sheets, as known earlier and as they are now: the service
-    has come to refuse a sheet, so each part gets its own."""
+    """A state in which parts are on two placement records, as known earlier and as they are now:
+    the service has come to refuse a placement record, so each part gets its own."""
 
     class Refusing(World):
         refuses = False
@@ -38,7 +38,9 @@
             pending = c.next_txn(now, 20)
             if pending is None:
                 return
-            if self.refuses and any(len(sheet.parts) > 1 for sheet in pending.sheets):
+            if self.refuses and any(
+                len(placement_record.parts) > 1 for placement_record in pending.placement_records
+            ):
                 c.txn_done(pending, Outcome.MALFORMED, Revision(0), (), now)
                 return
             status, answer = self.store.txn(pending.txn.body())
@@ -59,11 +61,13 @@
     raise AssertionError("no part was moved")
 
 
-def changed_copies(sheets: list[dict[str, Any]]) -> list[str]:
-    """Jobs of which two sheets say something else."""
+def changed_copies(placement_records: list[dict[str, Any]]) -> list[str]:
+    """Jobs of which two placement records say something else."""
     known: dict[tuple[str, int], Any] = {}
     out = []
-    for job, number, part in (p for sheet in sheets for p in sheet["v"]["p"]):
+    for job, number, part in (
+        p for placement_record in placement_records for p in placement_record["v"]["p"]
+    ):
         if known.setdefault((job, number), part)["a"] != part["a"]:
             out.append(job)
     return out
