--- a/src/eldercart/core/cloudwork.py
+++ b/src/eldercart/core/cloudwork.py
@@ -5,9 +5,9 @@
 
 from eldercart.core import placement as rules
 from eldercart.core.fleet import Life
-from eldercart.core.floor import Floor
 from eldercart.core.jobs import Phase
 from eldercart.core.rental import Hire
+from eldercart.core.scheduler_state import SchedulerState
 from eldercart.units import NEVER, JobId, MachineId, Steady
 from eldercart.wire import Malformed, cloud
 from eldercart.wire.checks import load_answer
@@ -60,83 +60,89 @@
 class CloudWork:
     """Owns the calls under way and those that wait."""
 
-    def __init__(self, floor: Floor, prefix: str) -> None:
+    def __init__(self, scheduler: SchedulerState, prefix: str) -> None:
         """`prefix`: of request names."""
-        self.f = floor
+        self.scheduler = scheduler
         self.catalog_changed = False
         self._prefix = prefix  # of request names: no other start of any node has it
         self._busy: set[str] = set()
         self._renting = 0
         self._pause = NEVER
         self._hires: list[Hire] = []
-        self._list_due = floor.began
+        self._list_due = scheduler.began
         self._list_after: MachineId | None = None
         self._list_seen = False
-        self._catalog_due = floor.began
+        self._catalog_due = scheduler.began
 
     # -- what to rent and to return
 
     def rent(self, now: Steady) -> None:
         """Books room, measures the demand, and decides what to rent and what to return."""
-        f = self.f
-        if not f.types:
+        scheduler = self.scheduler
+        if not scheduler.types:
             return
         self._prepare(now)
-        if f.outage:
+        if scheduler.outage:
             # Nothing can be accepted: that no submission comes tells nothing.
-            f.rental.pause_excused(now)
-        f.rental.measure(f.jobs.jobs.values(), f.predictor.booked(self._held), now)
-        machines = f.fleet.machines.values()
+            scheduler.rental.pause_excused(now)
+        scheduler.rental.measure(
+            scheduler.jobs.jobs.values(), scheduler.predictor.booked(self._held), now
+        )
+        machines = scheduler.fleet.machines.values()
         # After a take-over the fleet is not known yet: renting now would double it.
-        if now - f.began > 2 * f.settings.list_lag_s or self._list_seen:
+        if now - scheduler.began > 2 * scheduler.settings.list_lag_s or self._list_seen:
             choosy = [
                 (j, zone)
-                for j in f.jobs.jobs.values()
+                for j in scheduler.jobs.jobs.values()
                 if (j.pending or j.queued) and j.open
-                if (zone := rules.bound_to(j, f.fleet)) is not None
-                or not all(rules.fits_type(j.spec, kind) for kind in f.types.values())
+                if (zone := rules.bound_to(j, scheduler.fleet)) is not None
+                or not all(rules.fits_type(j.spec, kind) for kind in scheduler.types.values())
             ]
-            self._hires += f.rental.plan(machines, f.types, choosy, self._prefix, now)
-        for m in f.rental.surplus(machines, now):
+            self._hires += scheduler.rental.plan(
+                machines, scheduler.types, choosy, self._prefix, now
+            )
+        for m in scheduler.rental.surplus(machines, now):
             log.info("machine returned machine=%s idle=%.0f", m.id, now - m.idle_since)
-            f.doom(m, now)
+            scheduler.doom(m, now)
 
     def _held(self, job_id: JobId) -> float:
-        job = self.f.jobs.get(job_id)
+        job = self.scheduler.jobs.get(job_id)
         if job is None or not job.open:
             return 0.0
         return job.spec.cpus * (job.spec.tasks - job.done_count)
 
     def _prepare(self, now: Steady) -> None:
         """Soft bookings for the successors of jobs that end within about one boot."""
-        f = self.f
-        f.predictor.expire(now)
-        boot = min(kind.boot_s for kind in f.types.values())
-        fleet = sum(m.type.cpus for m in f.fleet.machines.values() if m.life is Life.UP)
-        used = sum(f.fleet.team_cpus.values()) + f.predictor.booked(self._held)[1]
+        scheduler = self.scheduler
+        scheduler.predictor.expire(now)
+        boot = min(kind.boot_s for kind in scheduler.types.values())
+        fleet = sum(m.type.cpus for m in scheduler.fleet.machines.values() if m.life is Life.UP)
+        used = sum(scheduler.fleet.team_cpus.values()) + scheduler.predictor.booked(self._held)[1]
         load = used / fleet if fleet else 0.0
         ending = self._ending(boot, now)
-        if not f.rental.quiet:  # else no guessed successor of a stream will come
+        if not scheduler.rental.quiet:  # else no guessed successor of a stream will come
             for job_id, left in ending.items():
-                f.predictor.prepare(f.jobs.jobs[job_id], left, boot, load, now)
+                scheduler.predictor.prepare(scheduler.jobs.jobs[job_id], left, boot, load, now)
         for job_id in ending:
-            for after in f.graph.dependents(job_id):
+            for after in scheduler.graph.dependents(job_id):
                 if after.ended is None and all(name in ending for name in after.awaited):
                     last = max(after.awaited, key=lambda name: ending[name])
                     cpus = self._at_once(after.spec.team, after.spec.cpus * after.spec.tasks)
-                    f.predictor.prepare_submitted(after, cpus, last, ending[last], boot, load, now)
-        for expected in f.predictor.chains.predictions(ending):
+                    scheduler.predictor.prepare_submitted(
+                        after, cpus, last, ending[last], boot, load, now
+                    )
+        for expected in scheduler.predictor.chains.predictions(ending):
             cpus = self._at_once(expected.pipeline[0], expected.cpus)
-            f.predictor.prepare_chain(expected, cpus, boot, load, now)
+            scheduler.predictor.prepare_chain(expected, cpus, boot, load, now)
 
     def _ending(self, boot_s: float, now: Steady) -> dict[JobId, float]:
         """Jobs that end within about one boot, and in how many seconds."""
-        f = self.f
+        scheduler = self.scheduler
         ending: dict[JobId, float] = {}
-        for job in f.jobs.jobs.values():
+        for job in scheduler.jobs.jobs.values():
             if not job.open or job.pending or job.queued:
                 continue
-            run = f.predictor.run_s(job)
+            run = scheduler.predictor.run_s(job)
             left = 0.0
             for p in job.placements():
                 if p.phase is not Phase.ENDED:
@@ -149,7 +155,7 @@
 
     def _at_once(self, team_name: str, cpus: float) -> float:
         """How much of that the team may use at once."""
-        team = self.f.settings.teams.get(team_name)
+        team = self.scheduler.settings.teams.get(team_name)
         return min(cpus, team.cpus_max) if team is not None and team.cpus_max > 0 else cpus
 
     # -- calls
@@ -158,15 +164,15 @@
         """The next call; deletions first, since proof of an empty place hangs on them."""
         if now < self._pause:
             return None
-        f = self.f
-        if f.doomed and "delete" not in self._busy:
+        scheduler = self.scheduler
+        if scheduler.doomed and "delete" not in self._busy:
             self._busy.add("delete")
-            doomed = list(f.doomed)
+            doomed = list(scheduler.doomed)
             if len(doomed) > cloud.MAX_DELETE:
                 # Time is short where a cancelled task may still be.
                 doomed.sort(key=lambda machine: not self._holds_cancelled(machine))
             return Delete(tuple(doomed[: cloud.MAX_DELETE]))
-        if (not f.types or now >= self._catalog_due) and "catalog" not in self._busy:
+        if (not scheduler.types or now >= self._catalog_due) and "catalog" not in self._busy:
             self._busy.add("catalog")
             return GetCatalog()
         if self._hires and self._renting < RENTALS:
@@ -181,7 +187,7 @@
         return None
 
     def _holds_cancelled(self, machine: MachineId) -> bool:
-        m = self.f.fleet.get(machine)
+        m = self.scheduler.fleet.get(machine)
         return m is not None and any(p.job.cancelled for p in m.placed.values())
 
     def done(self, call: CloudCall, status: int | None, body: bytes, now: Steady) -> None:
@@ -213,7 +219,7 @@
                     if not more:
                         self._list_seen = True
                 if status != 200 or self._list_after is None:
-                    pause = max(1.0, self.f.settings.list_lag_s)
+                    pause = max(1.0, self.scheduler.settings.list_lag_s)
                     self._list_due = Steady(now + pause)
                 self._busy.discard("list")
             case GetCatalog():
@@ -223,83 +229,89 @@
                 self._busy.discard("catalog")
 
     def _new_catalog(self, types: dict[str, MachineType], now: Steady) -> None:
-        f = self.f
-        if types != f.types:
+        scheduler = self.scheduler
+        if types != scheduler.types:
             self.catalog_changed = True
-        first = not f.types
-        f.types = types
-        for m in f.fleet.machines.values():
+        first = not scheduler.types
+        scheduler.types = types
+        for m in scheduler.fleet.machines.values():
             kind = types.get(m.type.name)
             if kind is not None and kind is not m.type:
-                f.fleet.describe(m, kind, m.zone, m.spot)
+                scheduler.fleet.describe(m, kind, m.zone, m.spot)
         if first:
-            f.plan_wanted = True
-            f.rental_due = now
+            scheduler.plan_wanted = True
+            scheduler.rental_due = now
 
     def _deleted(self, machine: MachineId, now: Steady) -> None:
-        f = self.f
-        f.doomed.pop(machine, None)
-        m = f.fleet.get(machine)
+        scheduler = self.scheduler
+        scheduler.doomed.pop(machine, None)
+        m = scheduler.fleet.get(machine)
         if m is None:
             return
         placed = [*m.placed.values(), *m.queue.values()]
         log.info("machine gone machine=%s tasks=%d", machine, len(placed))
         for p in placed:
             job = p.job
-            if m.spot and p.ran(now) > 0 and f.predictor.run_s(job) >= f.tuning.shy_s:
+            if (
+                m.spot
+                and p.ran(now) > 0
+                and scheduler.predictor.run_s(job) >= scheduler.tuning.shy_s
+            ):
                 job.shy = job.fresh >= job.spec.tasks
-            f.void(p, now)
-        f.fleet.remove(m)
+            scheduler.void(p, now)
+        scheduler.fleet.remove(m)
 
     def _rented(self, hire: Hire, status: int | None, body: bytes, now: Steady) -> None:
-        f, offer = self.f, hire.offer
+        scheduler, offer = self.scheduler, hire.offer
         if status == 200:
             machines = cloud.parse_rented(body)
-            f.rental.hires.pop(hire.request, None)
+            scheduler.rental.hires.pop(hire.request, None)
             for machine in machines:
-                if f.fleet.get(machine) is None and not f.fleet.is_gone(machine):
-                    kind = f.types[offer.type]
-                    f.fleet.add(machine, kind, offer.zone, offer.spot, Life.BOOTING, hire.sent, now)
+                if scheduler.fleet.get(machine) is None and not scheduler.fleet.is_gone(machine):
+                    kind = scheduler.types[offer.type]
+                    scheduler.fleet.add(
+                        machine, kind, offer.zone, offer.spot, Life.BOOTING, hire.sent, now
+                    )
             log.info(
                 "rented type=%s zone=%s spot=%s asked=%d got=%d request=%s",
                 offer.type, offer.zone, offer.spot, hire.number, len(machines), hire.request,
             )  # fmt: skip
             if len(machines) < hire.number:
-                f.rental.refuse(offer, now)
-            f.rental_due = now
+                scheduler.rental.refuse(offer, now)
+            scheduler.rental_due = now
         elif status == 503 and no_capacity(body):
-            f.rental.hires.pop(hire.request, None)
-            f.rental.refuse(offer, now)
-            f.rental_due = now
+            scheduler.rental.hires.pop(hire.request, None)
+            scheduler.rental.refuse(offer, now)
+            scheduler.rental_due = now
             log.info("refused type=%s zone=%s spot=%s", offer.type, offer.zone, offer.spot)
         elif status == 400:
-            f.rental.hires.pop(hire.request, None)
-            f.rental.refuse(offer, now)
+            scheduler.rental.hires.pop(hire.request, None)
+            scheduler.rental.refuse(offer, now)
             log.error("rental malformed request=%s", hire.request)
         else:
             # Nobody knows whether it was carried out: the same name gets the same answer.
             self._hires.append(hire)
 
     def _listed(self, listed: list[cloud.ListedMachine], now: Steady) -> None:
-        f = self.f
+        scheduler = self.scheduler
         for item in listed:
-            if f.fleet.is_gone(item.id):
+            if scheduler.fleet.is_gone(item.id):
                 continue
-            m = f.fleet.get(item.id)
+            m = scheduler.fleet.get(item.id)
             if m is None:
-                kind = f.types.get(item.type) or unknown_type(item.type)
+                kind = scheduler.types.get(item.type) or unknown_type(item.type)
                 hired = Steady(now - item.age_s)
                 life = Life.UP if item.state == cloud.UP else Life.BOOTING
                 # It may report to another node, or be new: it gets a full patience.
-                heard = Steady(now + f.tuning.takeover_grace_s)
-                m = f.fleet.add(item.id, kind, item.zone, item.spot, life, hired, heard)
+                heard = Steady(now + scheduler.tuning.takeover_grace_s)
+                m = scheduler.fleet.add(item.id, kind, item.zone, item.spot, life, hired, heard)
                 log.debug("machine listed machine=%s state=%s", m.id, item.state)
             elif m.zone == rules.UNKNOWN_ZONE:
                 # Known from its tasks alone: the list says what it is before it reports.
-                kind = f.types.get(item.type) or unknown_type(item.type)
-                f.fleet.describe(m, kind, item.zone, item.spot)
+                kind = scheduler.types.get(item.type) or unknown_type(item.type)
+                scheduler.fleet.describe(m, kind, item.zone, item.spot)
             if item.address and not m.address:
                 m.address = item.address
             if item.state == cloud.FAILED and m.life is not Life.LEAVING:
                 log.info("machine failed machine=%s", m.id)
-                f.doom(m, now)
+                scheduler.doom(m, now)
--- a/src/eldercart/core/controller.py
+++ b/src/eldercart/core/controller.py
@@ -27,7 +27,6 @@
 )
 from eldercart.core.direct_orders import DirectOrders, Order
 from eldercart.core.fleet import Life
-from eldercart.core.floor import FinishedJob, Floor
 from eldercart.core.jobs import (
     GONE,
     JOB,
@@ -43,6 +42,7 @@
 from eldercart.core.planner import Planner
 from eldercart.core.records import Outcome, PendingTxn, Records
 from eldercart.core.reports import Reports
+from eldercart.core.scheduler_state import FinishedJob, SchedulerState
 from eldercart.core.silence import Probe, Silence
 from eldercart.election import LEAD_KEY
 from eldercart.settings import NodeSettings, Tuning
@@ -105,17 +105,17 @@
         self.tuning = tuning
         self.epoch = epoch
         self._zero_wall = wall - now  # time of day at steady zero, good to the settings' bound
-        self.floor = Floor(settings, tuning, epoch, types, now)
-        self.floor.zero_wall = self._zero_wall
-        self.jobs = self.floor.jobs
-        self.fleet = self.floor.fleet
-        self.planner = Planner(self.floor)
-        self.records = Records(self.floor)
-        self.cloud = CloudWork(self.floor, f"{settings.label}-{life}-{epoch}")
-        self.reports = Reports(self.floor, self.planner)
-        self.silence = Silence(self.floor)
-        self.orders = DirectOrders(self.floor)
-        self.machine_watch = MachineWatch(self.floor, self.silence)
+        self.scheduler = SchedulerState(settings, tuning, epoch, types, now)
+        self.scheduler.zero_wall = self._zero_wall
+        self.jobs = self.scheduler.jobs
+        self.fleet = self.scheduler.fleet
+        self.planner = Planner(self.scheduler)
+        self.records = Records(self.scheduler)
+        self.cloud = CloudWork(self.scheduler, f"{settings.label}-{life}-{epoch}")
+        self.reports = Reports(self.scheduler, self.planner)
+        self.silence = Silence(self.scheduler)
+        self.orders = DirectOrders(self.scheduler)
+        self.machine_watch = MachineWatch(self.scheduler, self.silence)
         self._rented = NEVER
         self._summary_due = now
         self._memo_due = Steady(now + tuning.memo_s)
@@ -133,7 +133,7 @@
     ) -> None:
         """Takes over the records. Every recorded placement may be on its machine."""
         for item in memo_items:
-            memory.recall(self.floor, item.key, item.value)
+            memory.recall(self.scheduler, item.key, item.value)
         job_items = list(job_items)
         for item in job_items:
             self.learn_job(item, now)
@@ -164,17 +164,17 @@
         if job.ended == users.CANCELLED:
             at = asked_at(marker.value)
             asked = now if at is None else Steady(min(now, at - self._zero_wall))
-            self.floor.cancelled(job, asked, now)
+            self.scheduler.cancelled(job, asked, now)
         self.records.cleaning[job.id] = job
-        self.floor.ended(job.id, job.ended, now)
+        self.scheduler.ended(job.id, job.ended, now)
 
     def _finish_load(self, job: Job, now: Steady) -> None:
         """Once all that the records tell of the job is known."""
         self.jobs.finish_load(job)
         if job.chunks:
-            self.floor.take(self.floor.graph.begun(job, now), now)
+            self.scheduler.take(self.scheduler.graph.begun(job, now), now)
         if job.complete and job.ended is None:
-            self.floor.ending[job.id] = job
+            self.scheduler.ending[job.id] = job
 
     def _load_placements(self, loaded: list[Placement], now: Steady) -> None:
         """Whatever is recorded may be on its machine, until that is heard or given up."""
@@ -211,9 +211,9 @@
         """A job that was accepted; `elsewhere`: its list of dependencies, if not in its record."""
         if spec.id in self.jobs:
             return
-        f = self.floor
+        scheduler = self.scheduler
         arrived = Steady(min(now, at - self._zero_wall))
-        f.submitted(self.jobs.add(spec, size, arrived, elsewhere), now)
+        scheduler.submitted(self.jobs.add(spec, size, arrived, elsewhere), now)
         log.info(
             "job accepted job=%s class=%s team=%s tasks=%d cpus=%g image=%s",
             spec.id, spec.klass, spec.team, spec.tasks, spec.cpus, spec.image,
@@ -241,7 +241,7 @@
         return JobStatus(state, job.done_count, job.running, waiting)
 
     def _may_be_orphaned(self, job: Job) -> bool:
-        graph, ending = self.floor.graph, self.floor.ending.values()
+        graph, ending = self.scheduler.graph, self.scheduler.ending.values()
         doubt = graph.reading or any(j.cancelled and j.end_sent for j in ending)
         return doubt and graph.undecided(job)
 
@@ -256,9 +256,9 @@
             return users.CANCELLED  # the end of the job before it is durable
         if not job.cancelled and not job.complete:
             # Of a complete one the end is on its way, and it may be durable already: `done`.
-            self.floor.cancelled(job, now, now)
-            self.floor.ending[job_id] = job
-            self.floor.stop_all(job, now)
+            self.scheduler.cancelled(job, now, now)
+            self.scheduler.ending[job_id] = job
+            self.scheduler.stop_all(job, now)
             log.info("cancel asked job=%s", job_id)
         return Verdict.UNDECIDED
 
@@ -282,7 +282,7 @@
 
     def take_wants(self) -> dict[NodeId, list[MachineId]]:
         """By relay, the machines whose next reports are wanted here."""
-        return self.floor.take_wants()
+        return self.scheduler.take_wants()
 
     def relay_lost(self, relay: NodeId) -> None:
         """The connection to the relay is gone, and with it what was sent on it."""
@@ -317,9 +317,9 @@
     def tick(self, now: Steady) -> None:
         """What is due by the clock alone; called several times a second."""
         self.machine_watch.watch(now)
-        if now >= self.floor.rental_due and now - self._rented >= RENTAL_PACE_S:
+        if now >= self.scheduler.rental_due and now - self._rented >= RENTAL_PACE_S:
             self._rented = now
-            self.floor.rental_due = Steady(now + 1.0)
+            self.scheduler.rental_due = Steady(now + 1.0)
             self.cloud.rent(now)
         if now >= self._summary_due:
             self._summary_due = Steady(now + 10.0)
@@ -329,14 +329,14 @@
         """Whether a pass of placing is worth its cost now."""
         # While nothing can be written, nothing new can be placed, and what was written ahead is
         # all that can start: to plan anew would only take it back.
-        return not self.floor.outage and self.planner.due(now, self.records.unwritten())
+        return not self.scheduler.outage and self.planner.due(now, self.records.unwritten())
 
     def plan(self, now: Steady) -> None:
         """One pass of placing."""
         self.planner.plan(now)
 
     def _summary(self, now: Steady) -> None:
-        f = self.floor
+        scheduler = self.scheduler
         waiting: dict[str, float] = {}
         for job in self.jobs.jobs.values():
             if job.open:
@@ -344,9 +344,14 @@
                 waiting[spec.klass] = waiting.get(spec.klass, 0.0) + job.pending * spec.cpus
         log.info(
             "prediction hits=%d misses=%d unused=%d booked=%d %s",
-            f.predictor.hits, f.predictor.misses, f.predictor.unused, len(f.predictor.bookings),
-            " ".join(f"{origin.value}={tally}" for origin, tally in f.predictor.tallies.items()),
-        )  # fmt: skip
+            scheduler.predictor.hits,
+            scheduler.predictor.misses,
+            scheduler.predictor.unused,
+            len(scheduler.predictor.bookings),
+            " ".join(
+                f"{origin.value}={tally}" for origin, tally in scheduler.predictor.tallies.items()
+            ),
+        )
         up = [m for m in self.fleet.machines.values() if m.life is Life.UP]
         total = sum(m.type.cpus for m in up)
         usable = sum(m.type.cpus for m in up if m.usable)
@@ -354,7 +359,7 @@
         running = sum(job.running * job.spec.cpus for job in self.jobs.jobs.values())
         queued = sum(job.queued * job.spec.cpus for job in self.jobs.jobs.values())
         booting = sum(1 for m in self.fleet.machines.values() if m.life is Life.BOOTING)
-        want_ordinary, want_any = f.rental.targets()
+        want_ordinary, want_any = scheduler.rental.targets()
         starting: dict[str, float] = {}
         for m in up:
             for p in m.placed.values():
@@ -365,10 +370,24 @@
             "summary jobs=%d up=%d booting=%d cpus=%g usable=%g running=%g free=%g queued=%g "
             "starting=%s waiting=%s want=%.0f/%.0f work=%.0f lost=%.0f ending=%d dirty=%d "
             "cleaning=%d",
-            len(self.jobs.jobs), len(up), booting, total, usable, running, free, queued, starting,
-            waiting, want_ordinary, want_any, f.work_done, f.work_lost, len(f.ending), len(f.dirty),
+            len(self.jobs.jobs),
+            len(up),
+            booting,
+            total,
+            usable,
+            running,
+            free,
+            queued,
+            starting,
+            waiting,
+            want_ordinary,
+            want_any,
+            scheduler.work_done,
+            scheduler.work_lost,
+            len(scheduler.ending),
+            len(scheduler.dirty),
             len(self.records.cleaning),
-        )  # fmt: skip
+        )
 
     # ------------------------------------------------------------------ state service
 
@@ -384,7 +403,7 @@
         self._memo_due = Steady(now + self.tuning.memo_s)
         txn = Txn({LEAD_KEY: Revision(self.epoch)})
         # There may be more of them than a transaction takes: then they take turns.
-        records = memory.memos(self.floor)
+        records = memory.memos(self.scheduler)
         most = self.settings.txn_ops
         most = most if most_changes is None else min(most, most_changes)
         puts = memory.next_puts(records, self._memo_next, most)
@@ -395,7 +414,7 @@
     @property
     def ends_waiting(self) -> bool:
         """Whether a job has ended and its end is not durable yet."""
-        return bool(self.floor.ending)
+        return bool(self.scheduler.ending)
 
     @property
     def reread(self) -> set[str]:
@@ -424,23 +443,23 @@
 
     def take_unread(self, now: Steady, most: int) -> list[JobId]:
         """Jobs that others await and whose ends must be read."""
-        return self.floor.graph.take_unread(now, most)
+        return self.scheduler.graph.take_unread(now, most)
 
     def end_read(self, job: JobId, how: str | None, now: Steady) -> None:
         """The durable end of a job; None: there is none, or it could not be read."""
         if how is None:
-            self.floor.graph.absent(job, now)
+            self.scheduler.graph.absent(job, now)
         else:
-            self.floor.ended(job, how, now)
+            self.scheduler.ended(job, how, now)
 
     def take_finished(self) -> list[FinishedJob]:
         """Ends that became durable since the last call."""
-        out, self.floor.finished = self.floor.finished, []
+        out, self.scheduler.finished = self.scheduler.finished, []
         return out
 
     def take_start_waits(self) -> list[float]:
         """Seconds from readiness to the start, of the tasks that began since the last call."""
-        out, self.floor.start_waits = self.floor.start_waits, []
+        out, self.scheduler.start_waits = self.scheduler.start_waits, []
         return out
 
     # ------------------------------------------------------------------ cloud
--- a/src/eldercart/core/direct_orders.py
+++ b/src/eldercart/core/direct_orders.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from eldercart.core.fleet import Life, Machine
-from eldercart.core.floor import Floor
+from eldercart.core.scheduler_state import SchedulerState
 from eldercart.units import NEVER, MachineId, Session, Steady
 from eldercart.wire import workers
 
@@ -33,22 +33,22 @@
     which it obeys nobody else. It also comes before a task that is fetching its image starts. Only
     kills go this way: a launch that the network holds back would run late."""
 
-    def __init__(self, floor: Floor) -> None:
+    def __init__(self, scheduler: SchedulerState) -> None:
         """Nothing was handed out yet."""
-        self._floor = floor
-        self._ordered = floor.began  # when direct commands were handed out last
+        self._scheduler = scheduler
+        self._ordered = scheduler.began  # when direct commands were handed out last
 
     def take(self, now: Steady) -> list[Order]:
         """The orders that may be sent now."""
         orders: list[Order] = []
-        waiting = self._floor.orders
+        waiting = self._scheduler.orders
         if not waiting:
             return orders
         allowed = self._allowed(now)
         for machine_id in list(waiting):
             if len(orders) >= allowed:
                 break
-            machine = self._floor.fleet.get(machine_id)
+            machine = self._scheduler.fleet.get(machine_id)
             if machine is None or machine.life not in (Life.UP, Life.LEAVING):
                 del waiting[machine_id]
                 continue
@@ -64,7 +64,7 @@
         return orders
 
     def _allowed(self, now: Steady) -> int:
-        rate = ORDERS_RATE * max(CORE_SHARE_LEAST, self._floor.settings.core_share)
+        rate = ORDERS_RATE * max(CORE_SHARE_LEAST, self._scheduler.settings.core_share)
         return int(min(1.0, now - self._ordered) * rate)
 
     def _order(self, machine: Machine) -> Order | None:
@@ -79,8 +79,8 @@
 
     def answered(self, report: workers.Report, executed: bool, sent: Steady, now: Steady) -> None:
         """The worker's report after a direct command, or instead of it (another session)."""
-        floor = self._floor
-        machine = floor.fleet.get(report.machine)
+        scheduler = self._scheduler
+        machine = scheduler.fleet.get(report.machine)
         if machine is None:
             return
         machine.shown = now
@@ -93,17 +93,17 @@
         elif session_rose:
             # It was meant for an earlier session; once more for this one, at once.
             machine.ordered = NEVER
-            floor.orders[machine.id] = None
+            scheduler.orders[machine.id] = None
 
     def _void_absent(
         self, machine: Machine, report: workers.Report, sent: Steady, now: Steady
     ) -> None:
         """It has obeyed under this epoch, so nothing that an earlier leader sent can start a task
         any more, and what this one sent has run or was dropped."""
-        if report.epoch != self._floor.epoch or report.order <= machine.order:
+        if report.epoch != self._scheduler.epoch or report.order <= machine.order:
             return
         there = {(t.key, t.attempt) for t in report.tasks if t.state != workers.TaskState.EXITED}
         for placement in machine.being_cancelled():
             launches_over = sent - placement.job.cancelled_at >= LAUNCH_LATE_S
             if launches_over and (placement.key, placement.attempt) not in there:
-                self._floor.void(placement, now)
+                self._scheduler.void(placement, now)
--- a/src/eldercart/core/machines.py
+++ b/src/eldercart/core/machines.py
@@ -4,8 +4,8 @@
 
 from eldercart.core import placement as rules
 from eldercart.core.fleet import EPS, Life, Machine, is_being_cancelled
-from eldercart.core.floor import Floor
 from eldercart.core.jobs import Phase, Placement
+from eldercart.core.scheduler_state import SchedulerState
 from eldercart.core.silence import Silence
 from eldercart.units import Steady
 
@@ -22,12 +22,12 @@
 class MachineWatch:
     """Finds what no report tells, and gives up machines that can't be used any more."""
 
-    def __init__(self, floor: Floor, silence: Silence) -> None:
+    def __init__(self, scheduler: SchedulerState, silence: Silence) -> None:
         """The first look is due at once."""
-        self._floor = floor
+        self._scheduler = scheduler
         self._silence = silence
-        self._watch_due = floor.began
-        self._tasks_due = floor.began
+        self._watch_due = scheduler.began
+        self._tasks_due = scheduler.began
 
     def watch(self, now: Steady) -> None:
         """Looks at each machine, if it is time for that."""
@@ -39,7 +39,7 @@
             self._tasks_due = Steady(now + TASKS_S)
         patience = self._silence.patience
         self._silence.find_mute(now)
-        for machine in self._floor.fleet.machines.values():
+        for machine in self._scheduler.fleet.machines.values():
             if machine.life is not Life.LEAVING:
                 self._watch_machine(machine, patience, tasks_due, now)
             elif tasks_due:
@@ -48,8 +48,8 @@
     def _watch_leaving(self, machine: Machine) -> None:
         """Until the cloud has answered its deletion the machine may well hear."""
         if any(placement.stopping for placement in machine.placed.values()):
-            self._floor.want(machine)
-            self._floor.orders[machine.id] = None
+            self._scheduler.want(machine)
+            self._scheduler.orders[machine.id] = None
 
     def _watch_machine(
         self, machine: Machine, patience: float, tasks_due: bool, now: Steady
@@ -59,57 +59,57 @@
         if machine.life is Life.BOOTING:
             if self._silence.is_boot_late(machine, now):
                 log.info("machine late machine=%s seconds=%.1f", machine.id, now - machine.hired)
-                self._floor.doom(machine, now)
+                self._scheduler.doom(machine, now)
         elif self._silence.is_dead(machine, patience, now):
             log.info("machine silent machine=%s seconds=%.1f", machine.id, now - machine.last_heard)
-            self._floor.doom(machine, now)
+            self._scheduler.doom(machine, now)
         elif machine.quarantined and not machine.live:
-            self._floor.doom(machine, now)
+            self._scheduler.doom(machine, now)
         elif tasks_due and (machine.live or machine.queue):
             self._watch_tasks(machine, now)
 
     # -- tasks
 
     def _watch_tasks(self, machine: Machine, now: Steady) -> None:
-        floor = self._floor
+        scheduler = self._scheduler
         if machine.queue and machine.free_cpus > EPS:
-            floor.want(machine)
+            scheduler.want(machine)
         quarantine_over = now - machine.quarantined_at > QUARANTINE_S
         if machine.quarantined and quarantine_over and self._is_missed(machine):
             self._stop_all(machine, now)
         for placement in list(machine.placed.values()):
             if placement.phase is Phase.WANTED and not placement.reported:
-                floor.want(machine)  # a word to its relay may have been lost
+                scheduler.want(machine)  # a word to its relay may have been lost
             if placement.stopping:
                 self._press_stop(machine, placement, now)
                 if placement.job.cancelled and now > placement.job.kill_due:
                     log.info("kill overdue machine=%s task=%s", machine.id, placement.key)
-                    floor.doom(machine, now)
+                    scheduler.doom(machine, now)
                     return
-            elif placement.phase is Phase.RUNNING and floor.health.straggles(placement, now):
+            elif placement.phase is Phase.RUNNING and scheduler.health.straggles(placement, now):
                 self._stop_straggler(machine, placement, now)
 
     def _stop_all(self, machine: Machine, now: Steady) -> None:
         for placement in list(machine.placed.values()):
             if placement.phase is not Phase.ENDED:
-                self._floor.stop(placement, now)
+                self._scheduler.stop(placement, now)
 
     def _press_stop(self, machine: Machine, placement: Placement, now: Steady) -> None:
         """Asks for the next report, which is answered with the kill; a kill of a cancelled task
         that has had no effect for long also goes to the worker directly."""
         if placement.phase is not Phase.ENDED:
-            self._floor.want(machine)
-        late_s = ORDER_AFTER * self._floor.settings.report_s
+            self._scheduler.want(machine)
+        late_s = ORDER_AFTER * self._scheduler.settings.report_s
         if is_being_cancelled(placement) and now - placement.job.cancelled_at > late_s:
-            self._floor.orders[machine.id] = None
+            self._scheduler.orders[machine.id] = None
 
     def _stop_straggler(self, machine: Machine, placement: Placement, now: Steady) -> None:
-        floor = self._floor
+        scheduler = self._scheduler
         log.info("straggler task=%s machine=%s", placement.key, machine.id)
         placement.job.avoid(machine.id, now)
-        floor.stop(placement, now)
-        if floor.health.straggled(machine, placement.job):
-            floor.quarantine(machine, "slow", now)
+        scheduler.stop(placement, now)
+        if scheduler.health.straggled(machine, placement.job):
+            scheduler.quarantine(machine, "slow", now)
 
     def _is_missed(self, machine: Machine) -> bool:
         """Whether a task that waits would have room there. Where nothing can be rented, a long
@@ -117,8 +117,8 @@
         return any(
             rules.allowed(job.spec, machine)
             and rules.fits(job.spec, machine.free_cpus, machine.free_gpus, machine.free_memory)
-            and rules.team_room(job.spec, self._floor.fleet, self._floor.settings.teams)
-            for job in self._floor.jobs.jobs.values()
+            and rules.team_room(job.spec, self._scheduler.fleet, self._scheduler.settings.teams)
+            for job in self._scheduler.jobs.jobs.values()
             if (job.pending or job.queued) and job.open
         )
 
@@ -126,7 +126,7 @@
         """A task that can't end before the machine is taken starts again elsewhere now rather
         than after the loss, and so does one that can save when it is stopped; one that may end
         in time runs on."""
-        floor = self._floor
+        scheduler = self._scheduler
         left = taken_at - now
         for placement in list(machine.placed.values()):
             if placement.stopping or placement.phase not in DRAINED_PHASES:
@@ -135,6 +135,6 @@
                 continue
             spec = placement.job.spec
             saves = spec.checkpoint_s > 0.0 and spec.save_s < left
-            rest = floor.predictor.run_s(placement.job) - placement.ran(now)
+            rest = scheduler.predictor.run_s(placement.job) - placement.ran(now)
             if saves or rest > DRAIN_FACTOR * left:
-                floor.stop(placement, now)
+                scheduler.stop(placement, now)
--- a/src/eldercart/core/memory.py
+++ b/src/eldercart/core/memory.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from eldercart.core.floor import Floor
+from eldercart.core.scheduler_state import SchedulerState
 from eldercart.units import MachineId
 from eldercart.wire.state import TXN_BYTES, Put
 
@@ -16,13 +16,13 @@
 FILL = 0.8  # of a value's size: how the service counts bytes is its own affair
 
 
-def memos(floor: Floor) -> dict[str, Any]:
+def memos(scheduler: SchedulerState) -> dict[str, Any]:
     """Records by key, each within the value limit."""
-    most = int(floor.settings.value_bytes * FILL)
+    most = int(scheduler.settings.value_bytes * FILL)
     out: dict[str, Any] = {PACES: {}}
-    for i, paces in enumerate(_paces(floor.predictor.paces(), most)):
+    for i, paces in enumerate(_paces(scheduler.predictor.paces(), most)):
         out[f"{PACES}/{i}" if i else PACES] = paces
-    for i, images in enumerate(_images(floor, most)):
+    for i, images in enumerate(_images(scheduler, most)):
         out[f"{MEMO}images/{i}"] = images
     return out
 
@@ -61,14 +61,14 @@
         yield record
 
 
-def _images(floor: Floor, most: int) -> Iterator[dict[str, Any]]:
+def _images(scheduler: SchedulerState, most: int) -> Iterator[dict[str, Any]]:
     """What of a single machine's images does not fit into a record is left out."""
     empty = 30  # the record without any
     numbers: dict[str, int] = {}
     sizes: list[float] = []
     held: dict[str, list[int]] = {}
     used = empty
-    for m in floor.fleet.machines.values():
+    for m in scheduler.fleet.machines.values():
         if not m.images:
             continue
         known = {image: _bytes(image) + _bytes(size) for image, size in m.images.items()}
@@ -92,16 +92,16 @@
         yield {"n": list(numbers), "g": sizes, "m": held}
 
 
-def recall(floor: Floor, key: str, value: Any) -> None:
+def recall(scheduler: SchedulerState, key: str, value: Any) -> None:
     """Takes over one record; one that makes no sense is passed over."""
     try:
         if key == PACES or key.startswith(PACES + "/"):
-            floor.predictor.recall_paces(
+            scheduler.predictor.recall_paces(
                 {str(k): (float(ran), float(est)) for k, (ran, est) in value.items()}
             )
             return
         names = [(str(n), float(g)) for n, g in zip(value["n"], value["g"], strict=True)]
         for machine, held in value["m"].items():
-            floor.fleet.recall_images(MachineId(machine), dict(names[int(i)] for i in held))
+            scheduler.fleet.recall_images(MachineId(machine), dict(names[int(i)] for i in held))
     except (AttributeError, IndexError, KeyError, TypeError, ValueError):
         return
--- a/src/eldercart/core/planner.py
+++ b/src/eldercart/core/planner.py
@@ -10,8 +10,8 @@
 
 from eldercart.core import placement as rules
 from eldercart.core.fleet import EPS, Machine
-from eldercart.core.floor import Floor
 from eldercart.core.jobs import Job
+from eldercart.core.scheduler_state import SchedulerState
 from eldercart.units import Steady
 from eldercart.wire.users import JobSpec
 
@@ -26,8 +26,8 @@
 class Planner:
     """Owns the order of the last pass and what it left waiting."""
 
-    def __init__(self, floor: Floor) -> None:
-        self.f = floor
+    def __init__(self, scheduler: SchedulerState) -> None:
+        self.scheduler = scheduler
         self.waiting: list[Job] = []  # of jobs that found no room in the last pass
         self._planned = Steady(-1e9)
         self._cost = 0.0  # seconds that a pass takes, as told by the adapter
@@ -41,33 +41,33 @@
         many, to place more would only spread each freed place over more records; what was
         written ahead bridges the time."""
         since = now - self._planned
-        least = max(self.f.tuning.plan_interval_s, PACE * self._cost)
-        if unwritten > UNWRITTEN_S * self.f.settings.state_write_rps:
+        least = max(self.scheduler.tuning.plan_interval_s, PACE * self._cost)
+        if unwritten > UNWRITTEN_S * self.scheduler.settings.state_write_rps:
             least = max(least, 1.0)
-        return since >= max(1.0, least) or (self.f.plan_wanted and since >= least)
+        return since >= max(1.0, least) or (self.scheduler.plan_wanted and since >= least)
 
     def plan(self, now: Steady) -> None:
-        f = self.f
-        f.plan_wanted = False
+        scheduler = self.scheduler
+        scheduler.plan_wanted = False
         self._planned = now
         self.waiting = []
         waiting = []
-        for j in f.jobs.jobs.values():
+        for j in scheduler.jobs.jobs.values():
             if (j.queued or j.pending) and j.open:
                 if j.hold_until > now:
-                    f.plan_wanted = True
+                    scheduler.plan_wanted = True
                     continue
                 waiting.append(j)
         if not waiting:
             return
-        machines = [m for m in f.fleet.machines.values() if m.usable]
+        machines = [m for m in scheduler.fleet.machines.values() if m.usable]
         if not machines:
             return
-        f.fleet.clear_holds()
+        scheduler.fleet.clear_holds()
         self._revoke_queued(now)
         ordinary = sum(m.type.cpus for m in machines if not m.spot)
         usable = sum(m.type.cpus for m in machines)
-        used = f.fleet.used
+        used = scheduler.fleet.used
 
         def capacity(priority: int, spot: bool) -> float:
             if not spot:
@@ -75,8 +75,8 @@
             return usable - sum(cpus for above, cpus in used.items() if above > priority)
 
         ordered = rules.order_jobs(
-            waiting, f.fleet, f.settings.teams, f.promises, capacity,
-            f.predictor.run_s, f.predictor.longest_s, now,
+            waiting, scheduler.fleet, scheduler.settings.teams, scheduler.promises, capacity,
+            scheduler.predictor.run_s, scheduler.predictor.longest_s, now,
         )  # fmt: skip
         for rank, job in enumerate(ordered):
             job.rank = rank
@@ -86,7 +86,7 @@
         """Jobs that have waited too long to begin go ahead with their first tasks: of their
         priority, and after a longer wait of every other. The order alone sets the largest aside
         as long as a burst lasts, and would never come to the lowest under steady load."""
-        t = self.f.tuning
+        t = self.scheduler.tuning
         first: list[tuple[Job, int | None]] = []
         ahead: dict[int, list[tuple[Job, int | None]]] = {}
         for job in sorted(ordered, key=lambda j: (j.ready_at, j.id)):
@@ -114,15 +114,15 @@
     def _revoke_queued(self, now: Steady) -> None:
         """Takes back what was written ahead for a machine that no longer takes anything, or where
         the room has not come: it was never sent, so it may go elsewhere at once."""
-        before = now - self.f.tuning.ahead_patience_s
+        before = now - self.scheduler.tuning.ahead_patience_s
         over = [
             p
-            for m in self.f.fleet.queues.values()
+            for m in self.scheduler.fleet.queues.values()
             for p in m.queue.values()
             if p.queued_at < before or not m.usable
         ]
         for p in over:
-            self.f.void(p, now)
+            self.scheduler.void(p, now)
 
     def turn(self, number: int) -> int:
         """Where to begin among so many, each time elsewhere."""
@@ -136,7 +136,7 @@
         now: Steady,
     ) -> None:  # fmt: skip
         self.planner = planner
-        self.f = planner.f
+        self.scheduler = planner.scheduler
         self.now = now
         self.machines = machines
         self.jobs = jobs
@@ -153,18 +153,18 @@
         self._no_claim: set[tuple[Any, ...]] = set()
 
     def run(self) -> None:
-        f, now = self.f, self.now
+        scheduler, now = self.scheduler, self.now
         level: int | None = None
         keeps = self._ordinary_kept()
         ahead = self._ahead_by_priority()
-        lead = 2.5 * f.settings.report_s + 1.0
-        patience = f.tuning.preempt_wait_s
+        lead = 2.5 * scheduler.settings.report_s + 1.0
+        patience = scheduler.tuning.preempt_wait_s
         for job, cap in self.jobs:
             spec = job.spec
             if cap is None and job.priority != level:
                 for above in [p for p in ahead if p >= job.priority]:
                     for m, held in ahead.pop(above):
-                        f.fleet.hold(m, held, 1)
+                        scheduler.fleet.hold(m, held, 1)
                 level = job.priority
             shape = (spec.cpus, spec.gpus, spec.memory_gb, spec.types, spec.zone, spec.spot)
             kept = spec.spot and keeps is not None and job.priority <= keeps and cap is None
@@ -173,12 +173,14 @@
                 self._place(job, shape, kept, cap)
             if cap is None and (job.pending or job.queued):
                 self.planner.waiting.append(job)
-            left = min(job.pending, rules.team_room(spec, f.fleet, f.settings.teams))
+            left = min(
+                job.pending, rules.team_room(spec, scheduler.fleet, scheduler.settings.teams)
+            )
             if cap is not None:
                 left = min(left, cap - job.queued)
             if left <= 0 or spec.together or spec.spread:
                 continue
-            if cap is not None or now >= f.promises.preempts_from(job, lead, patience):
+            if cap is not None or now >= scheduler.promises.preempts_from(job, lead, patience):
                 left -= self._claim(job, left, shape)
             if left > 0:
                 self._write_ahead(job, left, cap is not None)
@@ -188,18 +190,18 @@
         """Room may be held for a larger task, kept for those that need ordinary machines, or left
         because something else looked better. Where nothing has ended for so long, nobody has come
         for it: a job that has waited as long takes it, whatever it was kept for."""
-        f, now = self.f, self.now
+        scheduler, now = self.scheduler, self.now
         before = now - VAIN_S
         late = [
             job
             for job, cap in self.jobs
             if cap is None
             if (job.pending or job.queued) and max(job.ready_at, job.served) <= before
-            if rules.team_room(job.spec, f.fleet, f.settings.teams) > 0
+            if rules.team_room(job.spec, scheduler.fleet, scheduler.settings.teams) > 0
         ]
         if not late:
             return
-        f.fleet.clear_holds()
+        scheduler.fleet.clear_holds()
         self.open = [
             m
             for m in self.machines
@@ -213,31 +215,33 @@
     def _ahead_by_priority(self) -> dict[int, list[tuple[Machine, JobSpec]]]:
         """What was written ahead keeps its room from jobs of the same or lower priority."""
         out: dict[int, list[tuple[Machine, JobSpec]]] = {}
-        for m in self.f.fleet.queues.values():
+        for m in self.scheduler.fleet.queues.values():
             for p in m.queue.values():
                 spec = p.job.spec
                 out.setdefault(p.job.priority, []).append((m, spec))
         return out
 
     def _place(self, job: Job, shape: tuple[Any, ...], no_ordinary: bool, cap: int | None) -> None:
-        f, now, spec = self.f, self.now, job.spec
+        scheduler, now, spec = self.scheduler, self.now, job.spec
         wanted = job.pending + job.queued if cap is None else min(cap, job.pending + job.queued)
         machines = [m for m in self.open if m.spot] if no_ordinary else self.open
-        choices = rules.choose(job, wanted, machines, f.fleet, f.settings.teams, now)
+        choices = rules.choose(
+            job, wanted, machines, scheduler.fleet, scheduler.settings.teams, now
+        )
         self._take_back(job, sum(c.number for c in choices) - job.pending)
         if not choices:
             plain = not (spec.together or spec.spread or job.bad_machines)
-            if plain and rules.team_room(spec, f.fleet, f.settings.teams) > 0:
+            if plain and rules.team_room(spec, scheduler.fleet, scheduler.settings.teams) > 0:
                 # Of those that ordinary machines are kept from, it tells nothing of the others.
                 self._full.add((*shape, True) if no_ordinary else shape)
             return
         job.served = now
         for choice in choices:
-            for index in f.jobs.next_tasks(job, choice.number):
-                p = f.jobs.place(job, index, choice.machine.id, now)
+            for index in scheduler.jobs.next_tasks(job, choice.number):
+                p = scheduler.jobs.place(job, index, choice.machine.id, now)
                 p.kept = cap is not None
-                f.fleet.occupy(choice.machine, p)
-        f.dirty[job.id] = job
+                scheduler.fleet.occupy(choice.machine, p)
+        scheduler.dirty[job.id] = job
         least = self.least
         self.open = [m for m in self.open if m.free_cpus - m.held_cpus + EPS >= least]
 
@@ -247,10 +251,10 @@
         use spot machines waits for one rather than be stopped or stand in the way."""
         free = sum(m.free_cpus for m in self.machines if not m.spot)
         top = -1
-        for job in self.f.jobs.jobs.values():
+        for job in self.scheduler.jobs.jobs.values():
             if not job.spec.spot and job.ended is None and job.ready:
                 top = max(top, job.priority)
-        wanted = self.f.rental.targets()[0] - self.f.fleet.ordinary_used
+        wanted = self.scheduler.rental.targets()[0] - self.scheduler.fleet.ordinary_used
         return top if top >= 0 and wanted >= free else None
 
     def _take_back(self, job: Job, number: int) -> None:
@@ -261,7 +265,7 @@
         queued = [p for p in job.placements() if p.queued]
         queued.sort(key=lambda p: (-p.queued_at, p.key))
         for p in queued[:number]:
-            self.f.void(p, self.now)
+            self.scheduler.void(p, self.now)
 
     def _write_ahead(self, job: Job, left: int, aged: bool) -> None:
         """Writes waiting tasks ahead, so that a report that shows room is answered with a launch
@@ -269,7 +273,7 @@
         spec = job.spec
         if spec.cpus <= 0:
             return
-        share = self.f.tuning.ahead_share
+        share = self.scheduler.tuning.ahead_share
         if self._ahead is None:
             self._ahead = self._with_room_ahead(self.machines)
         candidates = []
@@ -298,25 +302,25 @@
         self._ahead = self._with_room_ahead(self._ahead)
 
     def _with_room_ahead(self, machines: list[Machine]) -> list[Machine]:
-        share, least = self.f.tuning.ahead_share, self.least
+        share, least = self.scheduler.tuning.ahead_share, self.least
         return [m for m in machines if m.type.cpus * share - m.queued_cpus + EPS >= least]
 
     def _enqueue(self, job: Job, m: Machine, number: int, kept: bool = False) -> None:
-        f = self.f
-        for index in f.jobs.next_tasks(job, number):
-            p = f.jobs.place(job, index, m.id, self.now)
+        scheduler = self.scheduler
+        for index in scheduler.jobs.next_tasks(job, number):
+            p = scheduler.jobs.place(job, index, m.id, self.now)
             p.kept = kept
-            f.jobs.mark_queued(p, self.now)
-            f.fleet.enqueue(m, p)
-            f.fleet.hold(m, job.spec, 1)
-        f.dirty[job.id] = job
+            scheduler.jobs.mark_queued(p, self.now)
+            scheduler.fleet.enqueue(m, p)
+            scheduler.fleet.hold(m, job.spec, 1)
+        scheduler.dirty[job.id] = job
 
     def _claim(self, job: Job, left: int, shape: tuple[Any, ...]) -> int:
         """Holds room for a job that found none: first where tasks are being stopped anyway, then
         by stopping tasks of lower priority, those that lose the least work first, among some of
         the machines. Without the hold, small tasks would take each freed bit and a larger one
         would wait for ever. Returns how many tasks now wait for such room, written ahead."""
-        f, spec, now = self.f, job.spec, self.now
+        scheduler, spec, now = self.scheduler, job.spec, self.now
         if shape in self._no_claim:
             return 0
         claimed = 0
@@ -330,7 +334,9 @@
                 if n > 0:
                     self._enqueue(job, m, n)
                     claimed += n
-        if not any(cpus > EPS for below, cpus in f.fleet.used.items() if below < job.priority):
+        if not any(
+            cpus > EPS for below, cpus in scheduler.fleet.used.items() if below < job.priority
+        ):
             return claimed
         offers: list[tuple[float, str, Machine, list[Any]]] = []
         looked = 0
@@ -355,7 +361,7 @@
             claimed += 1
             for p in victims:
                 log.debug("preempted task=%s machine=%s for=%s", p.key, p.machine, job.id)
-                f.stop(p, now)
+                scheduler.stop(p, now)
             if m not in self._leaving:
                 self._leaving.append(m)
             offer = rules.cheapest_victims(job, m, now)
--- a/src/eldercart/core/reconciliation.py
+++ b/src/eldercart/core/reconciliation.py
@@ -5,9 +5,9 @@
 
 from eldercart.core import placement as rules
 from eldercart.core.fleet import EPS, Life, Machine
-from eldercart.core.floor import Floor
 from eldercart.core.jobs import Job, Phase, Placement
 from eldercart.core.planner import Planner
+from eldercart.core.scheduler_state import SchedulerState
 from eldercart.units import Steady
 from eldercart.wire import workers
 from eldercart.wire.workers import ExitCause, TaskState
@@ -32,9 +32,9 @@
 class Reconciler:
     """Brings the books into line with reports of the current epoch, each newer than the last."""
 
-    def __init__(self, floor: Floor, planner: Planner) -> None:
+    def __init__(self, scheduler: SchedulerState, planner: Planner) -> None:
         """Shares the books with the planner, whose waiting jobs keep their room."""
-        self._floor = floor
+        self._scheduler = scheduler
         self._planner = planner
         self._mark = 0  # of the report being read: what it lists carries the same
 
@@ -44,7 +44,7 @@
         self._mark += 1
         self._read_listed(machine, report, found, now)
         if machine.foreign and not found.foreign:
-            self._floor.plan_wanted = True
+            self._scheduler.plan_wanted = True
         machine.foreign = found.foreign
         if machine.live:
             self._read_absent(machine, found, now)
@@ -106,21 +106,23 @@
     def _first_listed(self, machine: Machine, placement: Placement, found: Findings) -> None:
         """The launch has had its effect, and the image is there or on its way."""
         placement.reported = True
-        self._floor.fleet.note_image(machine, placement.job.spec.image, placement.job.spec.image_gb)
+        self._scheduler.fleet.note_image(
+            machine, placement.job.spec.image, placement.job.spec.image_gb
+        )
         if placement.told:
             found.obeyed = True
             placement.told = 0
 
     def _note_state(self, placement: Placement, state: str, now: Steady) -> None:
         """The task is listed in another state than running on."""
-        floor = self._floor
+        scheduler = self._scheduler
         if state == RUNNING:
-            floor.start_waits.append(now - placement.job.ready_at)
-            floor.jobs.set_phase(placement, Phase.RUNNING, now)
+            scheduler.start_waits.append(now - placement.job.ready_at)
+            scheduler.jobs.set_phase(placement, Phase.RUNNING, now)
         elif state == SAVING:
-            floor.jobs.set_phase(placement, Phase.SAVING, now)
+            scheduler.jobs.set_phase(placement, Phase.SAVING, now)
         elif placement.phase is not Phase.FETCHING:
-            floor.jobs.set_phase(placement, Phase.FETCHING, now)
+            scheduler.jobs.set_phase(placement, Phase.FETCHING, now)
 
     def _repeat_kill(self, placement: Placement, state: str, found: Findings) -> None:
         """Told in every answer until a newer report lacks the task."""
@@ -144,28 +146,28 @@
         # job before its records are gone); to end it once more would be refused for ever.
         if job.open:
             self._failed(machine, placement, why, now)
-        self._floor.void(placement, now)
+        self._scheduler.void(placement, now)
 
     def _done(self, machine: Machine, placement: Placement, now: Steady) -> None:
-        floor = self._floor
+        scheduler = self._scheduler
         job = placement.job
         ran = placement.ran(now) if placement.since_known else 0.0
-        floor.fleet.release(machine, placement, now)
-        floor.jobs.finish(placement, now)
-        floor.dirty[job.id] = job
+        scheduler.fleet.release(machine, placement, now)
+        scheduler.jobs.finish(placement, now)
+        scheduler.dirty[job.id] = job
         if job.pending or job.queued or self._planner.waiting:
-            floor.plan_wanted = True
+            scheduler.plan_wanted = True
         job.begun = True
-        floor.work_done += ran * job.spec.cpus
-        floor.predictor.ran(job, ran)
-        if floor.health.task_done(machine, job, ran):
-            floor.quarantine(machine, "slow", now)
+        scheduler.work_done += ran * job.spec.cpus
+        scheduler.predictor.ran(job, ran)
+        if scheduler.health.task_done(machine, job, ran):
+            scheduler.quarantine(machine, "slow", now)
         if job.complete:
-            floor.ending[job.id] = job
+            scheduler.ending[job.id] = job
 
     def _failed(self, machine: Machine, placement: Placement, why: str | None, now: Steady) -> None:
         """Stopped, failed or refused: evidence against the machine or the job, if any."""
-        floor = self._floor
+        scheduler = self._scheduler
         if why == ExitCause.ERROR and not placement.stopping:
             log.info(
                 "task failed machine=%s task=%s attempt=%d",
@@ -173,19 +175,19 @@
                 placement.key,
                 placement.attempt,
             )
-            if floor.health.task_failed(machine, placement.job, now):
-                floor.quarantine(machine, "failing", now)
+            if scheduler.health.task_failed(machine, placement.job, now):
+                scheduler.quarantine(machine, "failing", now)
         elif why in (ExitCause.NO_ROOM, ExitCause.BUSY, ExitCause.UNKNOWN_TASK):
             self._start_refused(machine, placement.job, placement, why, now)
 
     def _start_refused(
         self, machine: Machine, job: Job, placement: Placement, why: str | None, now: Steady
     ) -> None:
-        floor = self._floor
+        scheduler = self._scheduler
         log.info("start refused machine=%s task=%s why=%s", machine.id, placement.key, why)
-        machine.refuse_until = Steady(now + REFUSED_REPORTS * floor.settings.report_s)
+        machine.refuse_until = Steady(now + REFUSED_REPORTS * scheduler.settings.report_s)
         if why == ExitCause.UNKNOWN_TASK:
-            job.hold_until = Steady(now + floor.tuning.error_backoff_s)
+            job.hold_until = Steady(now + scheduler.tuning.error_backoff_s)
 
     # -- what the report lacks
 
@@ -195,7 +197,7 @@
             if placement.phase is Phase.ENDED or placement.phase is Phase.PLANNED:
                 continue
             if self._is_off(machine, placement):
-                self._floor.void(placement, now)
+                self._scheduler.void(placement, now)
             else:
                 self._launch_again(placement, found)
 
@@ -219,7 +221,9 @@
             return True
         # Written ahead by an earlier leader, which would have counted it when it was launched:
         # this one has counted all of them, and together they may be more than the team may use.
-        return rules.over_limit(placement.job.spec, self._floor.fleet, self._floor.settings.teams)
+        return rules.over_limit(
+            placement.job.spec, self._scheduler.fleet, self._scheduler.settings.teams
+        )
 
     def _launch_again(self, placement: Placement, found: Findings) -> None:
         """Again if need be: absence from a newer report shows that a launch was dropped."""
@@ -236,7 +240,7 @@
         """The report has shown what room there is; what was written ahead may start at once."""
         if not machine.usable:
             return
-        teams = self._floor.settings.teams
+        teams = self._scheduler.settings.teams
         for placement in sorted(machine.queue.values(), key=_launch_order):
             if placement.phase is not Phase.WANTED or placement.key in machine.placed:
                 continue
@@ -245,7 +249,7 @@
                 return
             if not self._fits_beside_waiting(machine, placement.job):
                 continue
-            if rules.team_room(spec, self._floor.fleet, teams) < 1:
+            if rules.team_room(spec, self._scheduler.fleet, teams) < 1:
                 continue
             self._launch(machine, placement, found, now)
 
@@ -264,10 +268,10 @@
         return rules.fits(job.spec, cpus, gpus, memory) >= 1
 
     def _launch(self, machine: Machine, placement: Placement, found: Findings, now: Steady) -> None:
-        floor = self._floor
-        floor.jobs.unmark_queued(placement)
-        floor.fleet.dequeue(machine, placement)
-        floor.fleet.occupy(machine, placement)
+        scheduler = self._scheduler
+        scheduler.jobs.unmark_queued(placement)
+        scheduler.fleet.dequeue(machine, placement)
+        scheduler.fleet.occupy(machine, placement)
         placement.maybe_there = True
         placement.told = 1
         placement.job.served = now
--- a/src/eldercart/core/records.py
+++ b/src/eldercart/core/records.py
@@ -5,7 +5,6 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from eldercart.core.floor import FinishedJob, Floor
 from eldercart.core.jobs import (
     END,
     GONE,
@@ -19,6 +18,7 @@
     needs_keys,
 )
 from eldercart.core.placement_records import PlacementRecord, PlacementRecords
+from eldercart.core.scheduler_state import FinishedJob, SchedulerState
 from eldercart.election import LEAD_KEY
 from eldercart.units import ABSENT, NEVER, JobId, Revision, Steady
 from eldercart.wire import users
@@ -61,9 +61,9 @@
 class Records:
     """Owns what waits to be written and the transaction under way."""
 
-    def __init__(self, floor: Floor) -> None:
-        """The parts that all others work on are in `floor`."""
-        self.f = floor
+    def __init__(self, scheduler: SchedulerState) -> None:
+        """The parts that all others work on are in `scheduler`."""
+        self.scheduler = scheduler
         self.reread: set[str] = set()
         self.reread_under_way: set[str] = set()
         self.cleaning: dict[JobId, Job] = {}
@@ -71,22 +71,22 @@
         # Lists of dependencies of which the job's record is gone already. They are lost with the
         # leader; what then stays in the store is read by nobody.
         self.lists: dict[str, None] = {}
-        self.placement_records = PlacementRecords(floor.settings.value_bytes, floor.epoch)
+        self.placement_records = PlacementRecords(scheduler.settings.value_bytes, scheduler.epoch)
         self._txn: PendingTxn | None = None
         self._pause = NEVER
-        self._most_ops: int = floor.settings.txn_ops
+        self._most_ops: int = scheduler.settings.txn_ops
         self._most_units = ANY_UNITS  # in one transaction
         self._aside: dict[JobId, Steady] = {}
         self._unsure: set[str] = set()  # keys whose version only a reread can tell
         self.may_recut = False  # every node reads parts that were cut anew
-        self._part_tasks = chunk_size(floor.settings.value_bytes)
+        self._part_tasks = chunk_size(scheduler.settings.value_bytes)
 
     def unwritten(self) -> int:
         """Records with placements that wait to be written."""
         return len(
             {
                 c.record_key
-                for job in self.f.dirty.values()
+                for job in self.scheduler.dirty.values()
                 for c in job.chunks.values()
                 if c.dirty and c.urgent
             }
@@ -98,11 +98,11 @@
         """The next transaction of at most `ops` changes."""
         if self._txn is not None or ops < 1 or now < self._pause:
             return None
-        f = self.f
+        scheduler = self.scheduler
         if not (
-            f.ending
-            or f.orphaned
-            or f.dirty
+            scheduler.ending
+            or scheduler.orphaned
+            or scheduler.dirty
             or self.cleaning
             or self.orphans
             or self.lists
@@ -110,17 +110,17 @@
         ):
             # The last write had no answer and yet nothing is left of it: only a new one can tell
             # whether the store is back, and only a pass of placing makes one.
-            f.outage = False
+            scheduler.outage = False
             return None
         if self._aside:
             self._aside = {job: until for job, until in self._aside.items() if until > now}
         ops = min(ops, self._most_ops)
-        pending = PendingTxn(Txn({LEAD_KEY: Revision(f.epoch)}))
-        if self._add_ends(pending, f.ending, ops):
+        pending = PendingTxn(Txn({LEAD_KEY: Revision(scheduler.epoch)}))
+        if self._add_ends(pending, scheduler.ending, ops):
             self._add_chunks(pending, ops, now)
             # Nobody waits for these: they are told by the end of the job before them, and a wide
             # fan-out would hold back all placements for as long as its ends take to write.
-            self._add_ends(pending, f.orphaned, ops)
+            self._add_ends(pending, scheduler.orphaned, ops)
             self._add_cleanups(pending, ops)
             self._add_lists(pending, ops)
         if not pending.txn.writes:
@@ -158,7 +158,7 @@
                 pending.cleanups.append(job)
             else:
                 # The marker tells a later leader that this job only waits to be cleaned up.
-                at = round(job.cancelled_at + self.f.zero_wall, 2)
+                at = round(job.cancelled_at + self.scheduler.zero_wall, 2)
                 txn.writes.append(Put(GONE + job.id, {"e": how, "t": at}))
         return True
 
@@ -180,8 +180,8 @@
         """Those to be written, the most urgent first."""
         urgent: list[tuple[bool, int, int, int, Job, Chunk]] = []
         idle: list[tuple[Steady, Job, Chunk]] = []
-        for job in list(self.f.dirty.values()):
-            if job.ended is not None or job.cancelled or job.id in self.f.ending:
+        for job in list(self.scheduler.dirty.values()):
+            if job.ended is not None or job.cancelled or job.id in self.scheduler.ending:
                 # The end covers the record; what it still lists is checked against reports.
                 for c in job.chunks.values():
                     c.dirty = c.urgent = False
@@ -193,10 +193,10 @@
                 if c.urgent:
                     rank = (not job.aged, -job.priority, job.rank, c.low)
                     urgent.append((*rank, job, c))
-                elif now - c.dirty_since >= self.f.tuning.flush_done_s:
+                elif now - c.dirty_since >= self.scheduler.tuning.flush_done_s:
                     idle.append((c.dirty_since, job, c))
             if not left:
-                del self.f.dirty[job.id]
+                del self.scheduler.dirty[job.id]
         urgent.sort(key=lambda u: u[:4])
         idle.sort(key=lambda i: i[0])
         return [u[4:] for u in urgent] + [i[1:] for i in idle]
@@ -243,11 +243,11 @@
             ((job, c),) = placement_record.parts.values()
             if not self.recuts or c.tasks == 1:
                 return False  # as large as it was written before
-            self.f.dirty[job.id] = job
+            self.scheduler.dirty[job.id] = job
             most = min(self._part_tasks, (c.tasks + 1) // 2)
             parts = [
                 (job, fine)
-                for fine in self.placement_records.recut(self.f.jobs, job, c, most, False)
+                for fine in self.placement_records.recut(self.scheduler.jobs, job, c, most, False)
             ]
         else:
             self.placement_records.close(placement_record)
@@ -276,7 +276,7 @@
             txn.guards[key] = version
             txn.writes.append(Drop(key))
             pending.orphans.append((key, version))
-        if txn.writes or self.f.dirty:
+        if txn.writes or self.scheduler.dirty:
             return  # an empty placement record may be of use yet
         for placement_record in self.placement_records.empties():
             if len(txn.writes) >= ops or self._held(
@@ -310,11 +310,11 @@
     ) -> bool:  # fmt: skip
         """Returns whether this leader is deposed."""
         self._txn = None
-        self.f.outage = outcome in (Outcome.REFUSED, Outcome.UNKNOWN)
-        if self.f.outage:
+        self.scheduler.outage = outcome in (Outcome.REFUSED, Outcome.UNKNOWN)
+        if self.scheduler.outage:
             self._pause = Steady(now + WRITE_PAUSE_S)
         if outcome is Outcome.OK:
-            self._most_ops = min(self.f.settings.txn_ops, self._most_ops * 2)
+            self._most_ops = min(self.scheduler.settings.txn_ops, self._most_ops * 2)
             self._most_units = min(ANY_UNITS, self._most_units * 2)
             self._committed(pending, revision, now)
             return False
@@ -323,8 +323,8 @@
             outcome.value, failed, [w.key for w in pending.txn.writes],
         )  # fmt: skip
         for job, c, _, _ in pending.chunks:
-            self.f.jobs.touch(job, c, now, urgent=True)
-            self.f.dirty[job.id] = job
+            self.scheduler.jobs.touch(job, c, now, urgent=True)
+            self.scheduler.dirty[job.id] = job
         if outcome is Outcome.CONFLICT and LEAD_KEY in failed:
             return True
         if outcome in (Outcome.REFUSED, Outcome.MALFORMED):
@@ -356,8 +356,8 @@
             return
         if pending.placement_records and len(pending.placement_records[0].parts) > 1:
             for job, c in self.placement_records.split(pending.placement_records[0]):
-                self.f.jobs.touch(job, c, now, urgent=True)
-                self.f.dirty[job.id] = job
+                self.scheduler.jobs.touch(job, c, now, urgent=True)
+                self.scheduler.dirty[job.id] = job
             return
         if len(pending.txn.writes) > 2:
             self._most_ops = max(2, len(pending.txn.writes) // 2)
@@ -367,8 +367,8 @@
                 if c.tasks == 1:
                     break
                 # Its size may be the reason: halved until it fits, each half on its own.
-                self.placement_records.recut(self.f.jobs, job, c, (c.tasks + 1) // 2, True)
-                self.f.dirty[job.id] = job
+                self.placement_records.recut(self.scheduler.jobs, job, c, (c.tasks + 1) // 2, True)
+                self.scheduler.dirty[job.id] = job
                 return
         if not units:
             self.orphans.clear()  # nobody misses them; a later leader may try again
@@ -387,7 +387,7 @@
         self.reread.discard(key)
         self._unsure.discard(key)
         if key.startswith(END):
-            job = self.f.jobs.get(JobId(key[len(END) :]))
+            job = self.scheduler.jobs.get(JobId(key[len(END) :]))
             if job is None or job.ended is not None:
                 return
             if item is not None:
@@ -433,34 +433,34 @@
         self.lists |= dict.fromkeys(_list_keys(job))
         self.cleaning.pop(job.id, None)
         self.placement_records.drop(job)
-        self.f.jobs.remove(job)
+        self.scheduler.jobs.remove(job)
         for p in job.placements():
             self._forget(p)
 
     def _want(self, p: Placement) -> None:
-        machine = self.f.fleet.get(p.machine)
+        machine = self.scheduler.fleet.get(p.machine)
         if machine is not None:
-            self.f.want(machine)
+            self.scheduler.want(machine)
 
     def _forget(self, p: Placement) -> None:
         """What is recorded as done, or over, may be cleared on its machine."""
-        machine = self.f.fleet.get(p.machine)
+        machine = self.scheduler.fleet.get(p.machine)
         if machine is not None:
-            self.f.fleet.forget(machine, p)
-            self.f.want(machine)
+            self.scheduler.fleet.forget(machine, p)
+            self.scheduler.want(machine)
 
     def _ended(self, job: Job, how: str, now: Steady) -> None:
-        f = self.f
+        scheduler = self.scheduler
         job.ended = how
-        f.predictor.ended(job, how)
-        f.ending.pop(job.id, None)
-        f.orphaned.pop(job.id, None)
+        scheduler.predictor.ended(job, how)
+        scheduler.ending.pop(job.id, None)
+        scheduler.orphaned.pop(job.id, None)
         if how == users.CANCELLED and not job.cancelled:
-            f.cancelled(job, now, now)
-        f.stop_all(job, now)
-        f.finished.append(FinishedJob(job.id, how))
-        f.ended(job.id, how, now)
-        f.plan_wanted = True
+            scheduler.cancelled(job, now, now)
+        scheduler.stop_all(job, now)
+        scheduler.finished.append(FinishedJob(job.id, how))
+        scheduler.ended(job.id, how, now)
+        scheduler.plan_wanted = True
         log.info("job ended job=%s how=%s seconds=%.1f", job.id, how, now - job.arrived)
         if job.ran:
             log.debug(
--- a/src/eldercart/core/reports.py
+++ b/src/eldercart/core/reports.py
@@ -4,9 +4,9 @@
 
 from eldercart.core.cloudwork import unknown_type
 from eldercart.core.fleet import EPS, Life, Machine
-from eldercart.core.floor import Floor
 from eldercart.core.planner import Planner
 from eldercart.core.reconciliation import Reconciler
+from eldercart.core.scheduler_state import SchedulerState
 from eldercart.units import MachineId, NodeId, Steady
 from eldercart.wire import workers
 
@@ -16,22 +16,22 @@
 class Reports:
     """Takes reports in their order and answers them with commands."""
 
-    def __init__(self, floor: Floor, planner: Planner) -> None:
-        """Reads and changes the books of `floor`."""
-        self._floor = floor
-        self._reconciler = Reconciler(floor, planner)
+    def __init__(self, scheduler: SchedulerState, planner: Planner) -> None:
+        """Reads and changes the books of `scheduler`."""
+        self._scheduler = scheduler
+        self._reconciler = Reconciler(scheduler, planner)
 
     def on_report(
         self, report: workers.Report, now: Steady, relay: NodeId | None
     ) -> list[workers.Command] | None:
         """The commands to answer with; None: the report is overtaken and proves nothing."""
-        floor = self._floor
-        machine = floor.fleet.get(report.machine)
+        scheduler = self._scheduler
+        machine = scheduler.fleet.get(report.machine)
         if machine is None:
-            if floor.fleet.is_gone(report.machine):
+            if scheduler.fleet.is_gone(report.machine):
                 # Its deletion was answered: this is a late copy and proves nothing.
                 return None
-            if report.epoch != floor.epoch:
+            if report.epoch != scheduler.epoch:
                 # The first that is heard of it, and it may be a late copy from a machine deleted
                 # under an earlier leader. A live worker learns the epoch from this answer and
                 # shows it in its next report; a copy never can.
@@ -46,25 +46,25 @@
         machine.address = report.address
         if machine.life is Life.BOOTING:
             self._came_up(machine, now)
-        if report.epoch != floor.epoch:
+        if report.epoch != scheduler.epoch:
             self._showed_old_epoch(machine, now)
             return []
         if machine.old_epoch:
             machine.old_epoch = 0
-            floor.obedience.obeyed(machine)
+            scheduler.obedience.obeyed(machine)
         machine.last_heard = now
         self._describe(machine, report, now)
         if not machine.confirmed:
             machine.confirmed = True
-            floor.plan_wanted = True
+            scheduler.plan_wanted = True
         elif session_rose:
             self._ignored(machine, "lets its lease run out", now)
         return self._answer(machine, report, now)
 
     def _adopt(self, report: workers.Report, now: Steady) -> Machine:
         """A machine that no list or record has named yet."""
-        kind = self._floor.types.get(report.type) or unknown_type(report.type)
-        machine = self._floor.fleet.add(
+        kind = self._scheduler.types.get(report.type) or unknown_type(report.type)
+        machine = self._scheduler.fleet.add(
             report.machine, kind, report.zone, report.spot, Life.UP, now, now
         )
         log.info("machine adopted machine=%s type=%s zone=%s", machine.id, report.type, report.zone)
@@ -73,7 +73,7 @@
     def _came_up(self, machine: Machine, now: Steady) -> None:
         machine.life = Life.UP
         machine.idle_since = machine.last_heard = now
-        self._floor.plan_wanted = True
+        self._scheduler.plan_wanted = True
         log.debug("machine up machine=%s after=%.1f", machine.id, now - machine.hired)
 
     def _showed_old_epoch(self, machine: Machine, now: Steady) -> None:
@@ -85,26 +85,26 @@
 
     def _describe(self, machine: Machine, report: workers.Report, now: Steady) -> None:
         """Takes type, place and notice over from the report, which knows best."""
-        floor = self._floor
+        scheduler = self._scheduler
         if (
             machine.type.name != report.type
             or machine.zone != report.zone
             or machine.spot != report.spot
         ):
-            kind = floor.types.get(report.type) or unknown_type(report.type)
-            floor.fleet.describe(machine, kind, report.zone, report.spot)
+            kind = scheduler.types.get(report.type) or unknown_type(report.type)
+            scheduler.fleet.describe(machine, kind, report.zone, report.spot)
         if report.notice_s is not None and machine.taken_at is None:
             machine.taken_at = Steady(now + report.notice_s)
             machine.draining = True
             log.info("spot notice machine=%s seconds=%.0f", machine.id, report.notice_s)
-            floor.rental_due = now
+            scheduler.rental_due = now
 
     def _answer(
         self, machine: Machine, report: workers.Report, now: Steady
     ) -> list[workers.Command]:
         found = self._reconciler.reconcile(machine, report, now)
         if found.obeyed:
-            self._floor.obedience.obeyed(machine)
+            self._scheduler.obedience.obeyed(machine)
         elif found.ignored:
             self._ignored(machine, "does not do what it is told", now)
         machine.undelivered = False
@@ -116,25 +116,25 @@
         """An answer had no effect: one more sign that the machine does not hear."""
         if machine.undelivered:
             machine.undelivered = False
-        elif self._floor.obedience.ignored(machine, now) and machine.life is Life.UP:
+        elif self._scheduler.obedience.ignored(machine, now) and machine.life is Life.UP:
             log.info("machine deaf machine=%s why=%s", machine.id, why)
-            self._floor.doom(machine, now)
+            self._scheduler.doom(machine, now)
 
     def undelivered(self, machine_id: MachineId) -> None:
         """The last answer surely came too late; that it had no effect is no sign."""
-        machine = self._floor.fleet.get(machine_id)
+        machine = self._scheduler.fleet.get(machine_id)
         if machine is not None:
             machine.undelivered = True
 
     def relay_lost(self, relay: NodeId) -> None:
         """The connection broke: answers on their way are lost, and that is no machine's doing."""
-        for machine in self._floor.fleet.machines.values():
+        for machine in self._scheduler.fleet.machines.values():
             if machine.relay == relay:
                 machine.undelivered = True
 
     def wants_next(self, machine_id: MachineId) -> bool:
         """Whether the machine's next report is wanted even if it tells nothing new."""
-        machine = self._floor.fleet.get(machine_id)
+        machine = self._scheduler.fleet.get(machine_id)
         if machine is None or not machine.confirmed or machine.foreign:
             return True
         return bool(machine.queue) and machine.free_cpus + EPS >= min(
--- a/src/eldercart/core/floor.py
+++ b/src/eldercart/core/scheduler_state.py
@@ -1,6 +1,7 @@
 """What the parts of the leader's state machine work on together, and the few steps that all need.
 
-The books (jobs, fleet, rental, predictor) each own their data; the floor names what is due next.
+The books (jobs, fleet, rental, predictor) each own their data; the shared state names what is due
+next.
 """
 
 import logging
@@ -31,7 +32,7 @@
     how: str  # `users.DONE` or `users.CANCELLED`
 
 
-class Floor:
+class SchedulerState:
     """The leader's shared state: the books, what is due next, and steps that several parts take."""
 
     def __init__(
--- a/src/eldercart/core/silence.py
+++ b/src/eldercart/core/silence.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from eldercart.core.fleet import Life, Machine
-from eldercart.core.floor import Floor
+from eldercart.core.scheduler_state import SchedulerState
 from eldercart.units import NO_REPORT, MachineId, NodeId, ReportOrder, Steady
 
 PROBE_FROM = 0.7  # of the patience, after which a silent machine is asked directly
@@ -27,9 +27,9 @@
 class Silence:
     """Owns when each relay was heard, and the machines that are to be asked directly."""
 
-    def __init__(self, floor: Floor) -> None:
+    def __init__(self, scheduler: SchedulerState) -> None:
         """No relay was heard yet: each counts as heard now until it is."""
-        self._floor = floor
+        self._scheduler = scheduler
         self._relays: dict[NodeId, Steady] = {}  # when each was heard last
         self._probes: dict[MachineId, None] = {}
         self._mute: set[NodeId] = set()  # nodes of whose machines most fell silent together
@@ -41,7 +41,7 @@
     ) -> None:
         """The relay has answered these reports by itself: nothing has changed there."""
         self._relays[relay] = now
-        get = self._floor.fleet.machines.get
+        get = self._scheduler.fleet.machines.get
         for machine_id, order in orders:
             machine = get(machine_id)
             # An older one is a copy that came late, or has been overtaken by a forwarded report.
@@ -53,7 +53,7 @@
 
     def shown(self, machine_id: MachineId, now: Steady) -> None:
         """Asked directly, the machine answered: it lives, wherever its reports go."""
-        machine = self._floor.fleet.get(machine_id)
+        machine = self._scheduler.fleet.get(machine_id)
         if machine is not None:
             machine.shown = now
 
@@ -63,7 +63,7 @@
         while self._probes and len(probes) < PROBES:
             machine_id = next(iter(self._probes))
             del self._probes[machine_id]
-            machine = self._floor.fleet.get(machine_id)
+            machine = self._scheduler.fleet.get(machine_id)
             if machine is not None and machine.address:
                 probes.append(Probe(machine_id, machine.address))
         return probes
@@ -71,7 +71,7 @@
     def stood_still(self, seconds: float) -> None:
         """Whatever was due in that time is judged as late as if it had not been: what has waited
         is read first, and everyone has time to report anew."""
-        for machine in self._floor.fleet.machines.values():
+        for machine in self._scheduler.fleet.machines.values():
             machine.last_heard = Steady(machine.last_heard + seconds)
             machine.hired = Steady(machine.hired + seconds)
             machine.undelivered = True  # the last answer may not have left in time
@@ -83,18 +83,18 @@
     @property
     def patience(self) -> float:
         """Seconds of silence after which a machine that nothing speaks for is given up."""
-        tuning = self._floor.tuning
-        reports = float(tuning.silence_reports) * self._floor.settings.report_s
+        tuning = self._scheduler.tuning
+        reports = float(tuning.silence_reports) * self._scheduler.settings.report_s
         return max(float(tuning.silence_least_s), reports)
 
     def find_mute(self, now: Steady) -> None:
         """A node may lose its workers, and nothing else: they wait 4 s for an answer and report to
         another a second later, which can take longer than a machine's patience. A machine dies
         alone, or with others that report elsewhere."""
-        late = LATE_REPORTS * self._floor.settings.report_s
+        late = LATE_REPORTS * self._scheduler.settings.report_s
         machines: dict[NodeId, int] = {}
         silent: dict[NodeId, int] = {}
-        for machine in self._floor.fleet.machines.values():
+        for machine in self._scheduler.fleet.machines.values():
             if machine.life is Life.UP and machine.relay is not None:
                 machines[machine.relay] = machines.get(machine.relay, 0) + 1
                 if now - machine.last_heard > late:
@@ -107,9 +107,9 @@
 
     def is_boot_late(self, machine: Machine, now: Steady) -> bool:
         """Whether a machine should have reported long ago, had it booted."""
-        floor = self._floor
-        boot: float = max(floor.tuning.boot_patience * machine.type.boot_s, BOOT_LEAST_S)
-        return now - machine.hired > boot + floor.settings.list_lag_s
+        scheduler = self._scheduler
+        boot: float = max(scheduler.tuning.boot_patience * machine.type.boot_s, BOOT_LEAST_S)
+        return now - machine.hired > boot + scheduler.settings.list_lag_s
 
     def is_dead(self, machine: Machine, patience: float, now: Steady) -> bool:
         """Whether a machine's silence is taken for its death; asks it directly before that."""
@@ -125,7 +125,7 @@
         return now - machine.last_heard > self._limit(machine, patience, now)
 
     def _limit(self, machine: Machine, patience: float, now: Steady) -> float:
-        settings = self._floor.settings
+        settings = self._scheduler.settings
         if machine.taken_at is not None and now > machine.taken_at:
             return LATE_REPORTS * settings.report_s  # it was told to us that it would go
         unheard = (
--- a/src/eldercart/net/catalog.py
+++ b/src/eldercart/net/catalog.py
@@ -49,8 +49,8 @@
         what is stored. Without a token for a change, the next turn of the loop tries again."""
         node = self._node
         known = shapes(node.types)
-        node.types = dict(controller.floor.types)
-        self.stored = self.stored and shapes(controller.floor.types) == known
+        node.types = dict(controller.scheduler.types)
+        self.stored = self.stored and shapes(controller.scheduler.types) == known
         if self.stored:
             controller.cloud.catalog_changed = False
             return
@@ -66,7 +66,7 @@
         node.store.requests.force(now)
         node.store.writes.force(now)
         most_bytes = int(FILL * node.settings.value_bytes)
-        value = cloud.catalog_record(controller.floor.types, most_bytes)
+        value = cloud.catalog_record(controller.scheduler.types, most_bytes)
         txn = Txn({LEAD_KEY: Revision(controller.epoch)}, [Put(CATALOG_KEY, value)])
 
         def done(status: int | None, revision: Revision, failed: tuple[str, ...]) -> None:
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -350,7 +350,7 @@
         w.step(0.1)
         found += [
             (str(b.successor), b.image, b.cpus)
-            for b in c.floor.predictor.bookings
+            for b in c.scheduler.predictor.bookings
             if b.successor is not None
         ]
     return w, sorted(set(found))
@@ -361,7 +361,7 @@
     assert found == [("wk-c", "other", 6.0)]
     w.run(10.0)
     c = w.controller
-    assert c is not None and c.floor.predictor.hits >= 1 and not c.floor.predictor.bookings
+    assert c is not None and c.scheduler.predictor.hits >= 1 and not c.scheduler.predictor.bookings
 
 
 def test_room_is_returned_when_the_successor_is_cancelled_with_the_job_before_it() -> None:
@@ -372,13 +372,13 @@
     assert c is not None
     for _ in range(200):
         w.step(0.1)
-        if any(b.successor for b in c.floor.predictor.bookings):
+        if any(b.successor for b in c.scheduler.predictor.bookings):
             break
-    assert any(b.successor == "wk-c" for b in c.floor.predictor.bookings)
+    assert any(b.successor == "wk-c" for b in c.scheduler.predictor.bookings)
     w.cancel("wk-a")
     w.run(1.0)
-    assert not any(b.successor for b in c.floor.predictor.bookings)
-    assert c.floor.predictor.misses == 1
+    assert not any(b.successor for b in c.scheduler.predictor.bookings)
+    assert c.scheduler.predictor.misses == 1
 
 
 def until_last_task(w: World, job: str) -> None:
@@ -485,7 +485,7 @@
     w.run(6.0)
     assert w.end_in_store("wk-next") == users.DONE
     c = w.controller
-    assert c is not None and c.floor.orphaned, "not all of their ends are written yet"
+    assert c is not None and c.scheduler.orphaned, "not all of their ends are written yet"
     w.poll_all()
     finish(w)
 
@@ -664,7 +664,7 @@
 
 
 def test_the_deadline_counts_from_the_submission_all_else_from_readiness() -> None:
-    """`Promises.start_dues` and `preempts_from`, `Floor._due`."""
+    """`Promises.start_dues` and `preempts_from`, `SchedulerState._due`."""
     g = Graph()
     g.add("a")
     b = g.add("b", "a", lot="slow", dueS=100.0)
@@ -683,7 +683,7 @@
     b = c.jobs.jobs[JobId("wk-b")]
     while not b.ready:
         w.step(0.1)
-    assert b.ready_at > submitted + 5 and c.floor._due(b) == submitted + 100
+    assert b.ready_at > submitted + 5 and c.scheduler._due(b) == submitted + 100
 
 
 @pytest.mark.parametrize("needed", [True, False])
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -305,9 +305,9 @@
     assert after is not None and after is not before
     w.run(3)
     assert held.items() <= {m.id: m.images for m in after.fleet.machines.values()}.items()
-    assert after.floor.predictor.paces() == before.floor.predictor.paces() != {}
-    after.floor.predictor.recall_paces({})
-    memory.recall(after.floor, "memo/images/0", {"n": ["a"], "g": [], "m": {"n-1": [3]}})
+    assert after.scheduler.predictor.paces() == before.scheduler.predictor.paces() != {}
+    after.scheduler.predictor.recall_paces({})
+    memory.recall(after.scheduler, "memo/images/0", {"n": ["a"], "g": [], "m": {"n-1": [3]}})
 
 
 def test_task_that_is_lost_in_an_outage_does_not_resume_planning() -> None:
@@ -319,13 +319,13 @@
     w.outage_until = w.now + 30
     c = w.controller
     assert c is not None
-    c.floor.dirty.update(c.jobs.jobs)
+    c.scheduler.dirty.update(c.jobs.jobs)
     for job in c.jobs.jobs.values():
         for chunk in job.chunks.values():
             c.jobs.touch(job, chunk, Steady(w.now), urgent=True)
     w.run(1)
-    assert c.floor.outage
-    c.floor.void(
+    assert c.scheduler.outage
+    c.scheduler.void(
         next(p for m in c.fleet.machines.values() for p in m.queue.values()), Steady(w.now)
     )
     assert not c.plan_due(Steady(w.now + 5.0))
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -151,7 +151,7 @@
     w.cloud_down_until = w.now + 60.0
     w.outage_until = w.now + 0.1
     for m in list(w.controller.fleet.machines.values()):
-        w.controller.floor.doom(m, Steady(w.now))
+        w.controller.scheduler.doom(m, Steady(w.now))
     w.run(0.5)
     cancel_all(w)
     w.outage_until = w.now + 50.0
@@ -213,7 +213,7 @@
 def test_direct_command_to_a_new_session_goes_out_again_at_once() -> None:
     a = Asked()
     a.w.cancel("wk-1")
-    a.c.floor.orders[MachineId(a.machine.id)] = None
+    a.c.scheduler.orders[MachineId(a.machine.id)] = None
     now = Steady(a.w.now + 3.0)
     (order,) = a.c.take_orders(now)
     assert order.session == 1 and len(order.commands) == 1
--- a/tests/test_leading.py
+++ b/tests/test_leading.py
@@ -173,7 +173,7 @@
         spot_price=0.0, boot_s=1.0, zones=("z",),
     )  # fmt: skip
     controller = place.controller()
-    controller.floor.types = {"b": kind}
+    controller.scheduler.types = {"b": kind}
     place.leading.controller = controller
     record = CatalogRecord(place.node)
     record.store(controller)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -885,14 +885,14 @@
             jobs.place(
                 job, index, MachineId(f"n-{'long' * rng.randrange(9)}{index}"), Steady(w.now)
             )
-        w.controller.floor.dirty[job.id] = job
+        w.controller.scheduler.dirty[job.id] = job
     for _ in range(400):
         pending = w.controller.next_txn(Steady(w.now), 20)
         if pending is None:
             break
         assert w.store.txn(pending.txn.body())[0] == 200
         w.controller.txn_done(pending, Outcome.OK, Revision(w.store.revision), (), Steady(w.now))
-    assert not w.controller.floor.dirty and not w.store.too_large
+    assert not w.controller.scheduler.dirty and not w.store.too_large
     w.check_kept()
     assert {s.key for s in placement_records.by_key.values() if s.version} >= set(
         i["path"] for i in w.store.range("place/")
@@ -912,8 +912,8 @@
         m.images = {f"img-{rng.randrange(40):02d}": 1.5 for _ in range(rng.randrange(1, 7))}
     m.images = {f"an-image-with-a-long-name-{i}": 2.5 for i in range(300)}  # more than fit
     for n in range(200):
-        c.floor.predictor.recall_paces({f"a-class-of-jobs-{n}": (10.0, 12.0)})
-    records = memory.memos(c.floor)
+        c.scheduler.predictor.recall_paces({f"a-class-of-jobs-{n}": (10.0, 12.0)})
+    records = memory.memos(c.scheduler)
     assert max(len(orjson.dumps(v)) for v in records.values()) <= 0.8 * 2048
     assert len(records) > 6
     seen: dict[str, Any] = {}
@@ -925,10 +925,10 @@
     after = World(43, platform=platform(NEXT)).controller
     assert after is not None
     for key, value in records.items():
-        memory.recall(after.floor, key, value)
+        memory.recall(after.scheduler, key, value)
     for id_ in c.fleet.machines:
         after.fleet.add(id_, type_, "a", False, Life.UP, Steady(0), Steady(0))
-    assert after.floor.predictor.paces() == c.floor.predictor.paces()
+    assert after.scheduler.predictor.paces() == c.scheduler.predictor.paces()
     known = [len(m.images) for m in after.fleet.machines.values()]
     assert sum(k > 0 for k in known) == 700
     for m in list(c.fleet.machines.values())[:-1]:
@@ -951,7 +951,7 @@
     for n in range(900):
         m = c.fleet.add(MachineId(f"n-{n:06d}"), type_, "a", False, Life.UP, Steady(0), Steady(0))
         m.images = {f"registry/{'long-' * 20}{n}-{i}": 1.5 for i in range(3)}
-    records = memory.memos(c.floor)
+    records = memory.memos(c.scheduler)
     assert sum(len(orjson.dumps(v)) for v in records.values()) > 64 * 1024
     seen: dict[str, Any] = {}
     for turn in range(len(records)):
@@ -983,7 +983,7 @@
         if c.cloud.catalog_changed:
             node.leading.catalog._due = Steady(0)
             node.leading.catalog.store(c)
-    assert len(sent) == writes and node.types == c.floor.types
+    assert len(sent) == writes and node.types == c.scheduler.types
 
 
 @pytest.mark.parametrize("status", [429, 503, None])
@@ -1014,7 +1014,7 @@
         clock.now += 0.02
         node.leading.pump()
         assert node.store.writes.available(clock()) >= 0
-        assert node.types == c.floor.types, "submissions here go on being judged"
+        assert node.types == c.scheduler.types, "submissions here go on being judged"
     assert 5 <= len(sent) <= 11
     answers[0] = 200
     for _ in range(200):
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -610,7 +610,7 @@
         w.submit("wk-000009", run_s=5.0, parcels=1, cpus=6.0, loaners=False, breeds=["small"])
         w.run(2)  # until it is asked for
     elif how == "quarantine":
-        c.floor.quarantine(m, "slow", Steady(w.now))
+        c.scheduler.quarantine(m, "slow", Steady(w.now))
     # More than is written ahead of room, which would pass by what is kept.
     mine = {"run_s": 5.0, "parcels": 1, "cpus": 3.0, "urgency": "idle", "breeds": ["small"]}
     if how == "kept from its like":
@@ -724,9 +724,9 @@
     now = Steady(w.now)
     for i in range(cloud.MAX_DELETE + 20):
         other = c.fleet.add(MachineId(f"n-9{i:05d}"), m.type, "a", True, Life.UP, now, now)
-        c.floor.doom(other, now)
+        c.scheduler.doom(other, now)
     w.cancel(ONE)
-    c.floor.doom(m, now)
+    c.scheduler.doom(m, now)
     call = c.next_cloud(now)
     assert isinstance(call, Delete) and call.machines[0] == m.id
 
--- a/tests/test_prediction.py
+++ b/tests/test_prediction.py
@@ -410,7 +410,7 @@
     w = World(6, tuning={"flush_done_s": 1.0})
     c = w.controller
     assert c is not None
-    tally = c.floor.predictor.tallies[Origin.CHAIN]
+    tally = c.scheduler.predictor.tallies[Origin.CHAIN]
     booked_before_the_end = 0
     for number in range(4):
         first, second, last = (f"wk-{name}{number}" for name in "abc")
@@ -419,7 +419,7 @@
         booked = False
         while w.end_in_store(second) is None:
             w.step(0.1)
-            booked |= any(b.pipeline == (TEAM, "third") for b in c.floor.predictor.bookings)
+            booked |= any(b.pipeline == (TEAM, "third") for b in c.scheduler.predictor.bookings)
         booked_before_the_end += booked
         w.run(1.0)
         w.submit(last, parcels=3, lot="third", awaits=[second], run_s=4.0, dueS=60.0)
@@ -454,7 +454,7 @@
         while w.end_in_store(second) is None:
             w.step(0.1)
             booked += [
-                (w.now, b.cpus) for b in c.floor.predictor.bookings if b.origin is Origin.CHAIN
+                (w.now, b.cpus) for b in c.scheduler.predictor.bookings if b.origin is Origin.CHAIN
             ]
         ended = w.now
         rented = sum(m.type["cpus"] for m in w.cloud.machines.values())
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -318,7 +318,7 @@
             if shows:
                 c.shown(machine, Steady(w.now))
     assert asked > 2
-    assert (m.id in c.floor.doomed) is deleted
+    assert (m.id in c.scheduler.doomed) is deleted
 
 
 def test_copy_with_the_present_epoch_is_overtaken_by_what_a_relay_answered() -> None:
--- a/tests/test_rental.py
+++ b/tests/test_rental.py
@@ -38,8 +38,8 @@
     c = w.controller
     assert c is not None
     w.run(20)
-    assert c.floor.predictor.bookings, "a successor is guessed while submissions come"
+    assert c.scheduler.predictor.bookings, "a successor is guessed while submissions come"
     w.run(40)  # twelve usual gaps, and past the end of every booking made before
-    assert c.floor.rental.quiet
-    assert not c.floor.predictor.bookings
+    assert c.scheduler.rental.quiet
+    assert not c.scheduler.predictor.bookings
     assert not w.all_ended(), "the job it could be guessed from must still run"
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -174,7 +174,7 @@
     assert c is not None and len(w.store.range("place/")) == 1
     job = c.jobs.jobs[JobId("wk-000001")]
     c.jobs.touch(job, job.chunks[0], Steady(w.now), urgent=True)
-    c.floor.dirty[job.id] = job
+    c.scheduler.dirty[job.id] = job
     refused = c.next_txn(Steady(w.now), 20)
     assert refused is not None and len(refused.units) == 1
     c.txn_done(refused, Outcome.MALFORMED, Revision(0), (), Steady(w.now))
--- a/tests/versions/reading.py
+++ b/tests/versions/reading.py
@@ -310,7 +310,7 @@
 
 
 def _remembered(c: Controller, key: str) -> Any:
-    return _plain(c.floor.predictor.paces() if key == PACES else c.fleet._recalled)
+    return _plain(c.scheduler.predictor.paces() if key == PACES else c.fleet._recalled)
 
 
 def _controller(epoch: Epoch) -> Controller:
