--- a/src/eldercart/core/cloudwork.py
+++ b/src/eldercart/core/cloudwork.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from eldercart.core import placement as rules
-from eldercart.core.fleet import Life
+from eldercart.core.fleet import MachineState
 from eldercart.core.jobs import Phase
 from eldercart.core.rental import Hire
 from eldercart.core.scheduler_state import SchedulerState
@@ -116,7 +116,9 @@
         scheduler = self.scheduler
         scheduler.predictor.expire(now)
         boot = min(kind.boot_s for kind in scheduler.types.values())
-        fleet = sum(m.type.cpus for m in scheduler.fleet.machines.values() if m.life is Life.UP)
+        fleet = sum(
+            m.type.cpus for m in scheduler.fleet.machines.values() if m.state is MachineState.UP
+        )
         used = sum(scheduler.fleet.team_cpus.values()) + scheduler.predictor.booked(self._held)[1]
         load = used / fleet if fleet else 0.0
         ending = self._ending(boot, now)
@@ -270,7 +272,7 @@
                 if scheduler.fleet.get(machine) is None and not scheduler.fleet.is_gone(machine):
                     kind = scheduler.types[offer.type]
                     scheduler.fleet.add(
-                        machine, kind, offer.zone, offer.spot, Life.BOOTING, hire.sent, now
+                        machine, kind, offer.zone, offer.spot, MachineState.BOOTING, hire.sent, now
                     )
             log.info(
                 "rented type=%s zone=%s spot=%s asked=%d got=%d request=%s",
@@ -301,10 +303,10 @@
             if m is None:
                 kind = scheduler.types.get(item.type) or unknown_type(item.type)
                 hired = Steady(now - item.age_s)
-                life = Life.UP if item.state == cloud.UP else Life.BOOTING
+                state = MachineState.UP if item.state == cloud.UP else MachineState.BOOTING
                 # It may report to another node, or be new: it gets a full patience.
                 heard = Steady(now + scheduler.tuning.takeover_grace_s)
-                m = scheduler.fleet.add(item.id, kind, item.zone, item.spot, life, hired, heard)
+                m = scheduler.fleet.add(item.id, kind, item.zone, item.spot, state, hired, heard)
                 log.debug("machine listed machine=%s state=%s", m.id, item.state)
             elif m.zone == rules.UNKNOWN_ZONE:
                 # Known from its tasks alone: the list says what it is before it reports.
@@ -312,6 +314,6 @@
                 scheduler.fleet.describe(m, kind, item.zone, item.spot)
             if item.address and not m.address:
                 m.address = item.address
-            if item.state == cloud.FAILED and m.life is not Life.LEAVING:
+            if item.state == cloud.FAILED and m.state is not MachineState.LEAVING:
                 log.info("machine failed machine=%s", m.id)
                 scheduler.doom(m, now)
--- a/src/eldercart/core/controller.py
+++ b/src/eldercart/core/controller.py
@@ -26,7 +26,7 @@
     unknown_type,
 )
 from eldercart.core.direct_orders import DirectOrders, Order
-from eldercart.core.fleet import Life
+from eldercart.core.fleet import MachineState
 from eldercart.core.jobs import (
     GONE,
     JOB,
@@ -48,10 +48,10 @@
 from eldercart.settings import NodeSettings, Tuning
 from eldercart.units import (
     NEVER,
-    ONLY_LIFE,
+    ONLY_INCARNATION,
     Epoch,
+    IncarnationId,
     JobId,
-    LifeId,
     MachineId,
     NodeId,
     ReportOrder,
@@ -98,7 +98,7 @@
         types: dict[str, MachineType],
         now: Steady,
         wall: WallTime,
-        life: LifeId = ONLY_LIFE,
+        incarnation: IncarnationId = ONLY_INCARNATION,
     ) -> None:
         """`types`: the machine types known so far; `wall`: the time of day at `now`."""
         self.settings = settings
@@ -111,7 +111,7 @@
         self.fleet = self.scheduler.fleet
         self.planner = Planner(self.scheduler)
         self.records = Records(self.scheduler)
-        self.cloud = CloudWork(self.scheduler, f"{settings.label}-{life}-{epoch}")
+        self.cloud = CloudWork(self.scheduler, f"{settings.label}-{incarnation}-{epoch}")
         self.reports = Reports(self.scheduler, self.planner)
         self.silence = Silence(self.scheduler)
         self.orders = DirectOrders(self.scheduler)
@@ -184,7 +184,13 @@
             if m is None:
                 # Type and zone come with its report; until then it takes nothing new.
                 m = self.fleet.add(
-                    p.machine, unknown_type("?"), rules.UNKNOWN_ZONE, True, Life.UP, now, heard
+                    p.machine,
+                    unknown_type("?"),
+                    rules.UNKNOWN_ZONE,
+                    True,
+                    MachineState.UP,
+                    now,
+                    heard,
                 )
             p.stopping = p.job.ended is not None
             self.fleet.occupy(m, p)
@@ -352,13 +358,13 @@
                 f"{origin.value}={tally}" for origin, tally in scheduler.predictor.tallies.items()
             ),
         )
-        up = [m for m in self.fleet.machines.values() if m.life is Life.UP]
+        up = [m for m in self.fleet.machines.values() if m.state is MachineState.UP]
         total = sum(m.type.cpus for m in up)
         usable = sum(m.type.cpus for m in up if m.usable)
         free = sum(m.free_cpus for m in up if m.usable)
         running = sum(job.running * job.spec.cpus for job in self.jobs.jobs.values())
         queued = sum(job.queued * job.spec.cpus for job in self.jobs.jobs.values())
-        booting = sum(1 for m in self.fleet.machines.values() if m.life is Life.BOOTING)
+        booting = sum(1 for m in self.fleet.machines.values() if m.state is MachineState.BOOTING)
         want_ordinary, want_any = scheduler.rental.targets()
         starting: dict[str, float] = {}
         for m in up:
--- a/src/eldercart/core/direct_orders.py
+++ b/src/eldercart/core/direct_orders.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from eldercart.core.fleet import Life, Machine
+from eldercart.core.fleet import Machine, MachineState
 from eldercart.core.scheduler_state import SchedulerState
 from eldercart.units import NEVER, MachineId, Session, Steady
 from eldercart.wire import workers
@@ -49,7 +49,7 @@
             if len(orders) >= allowed:
                 break
             machine = self._scheduler.fleet.get(machine_id)
-            if machine is None or machine.life not in (Life.UP, Life.LEAVING):
+            if machine is None or machine.state not in (MachineState.UP, MachineState.LEAVING):
                 del waiting[machine_id]
                 continue
             if not machine.address or now - machine.ordered < ORDER_S:
--- a/src/eldercart/core/fleet.py
+++ b/src/eldercart/core/fleet.py
@@ -29,13 +29,13 @@
 GONE_KEPT = 5000  # deleted machines that are remembered
 
 
-class Life(IntEnum):
+class MachineState(IntEnum):
     """Where a machine is between its rental and its deletion."""
 
     BOOTING = 0
     UP = 1
     LEAVING = 2  # a deletion has been asked for, or must be
-    GONE = 3
+    DELETED = 3
 
 
 class Pace(NamedTuple):
@@ -53,7 +53,7 @@
     type: MachineType
     zone: str
     spot: bool
-    life: Life
+    state: MachineState
     hired: Steady
     last_heard: Steady
     address: str = ""
@@ -101,7 +101,12 @@
     @property
     def usable(self) -> bool:
         """Whether new tasks may start here."""
-        return self.life is Life.UP and self.confirmed and not self.draining and not self.foreign
+        return (
+            self.state is MachineState.UP
+            and self.confirmed
+            and not self.draining
+            and not self.foreign
+        )
 
     def being_cancelled(self) -> list[Placement]:
         """What may still run here of cancelled jobs."""
@@ -137,11 +142,11 @@
         return machine in self._gone
 
     def add(
-        self, id_: MachineId, type_: MachineType, zone: str, spot: bool, life: Life,
+        self, id_: MachineId, type_: MachineType, zone: str, spot: bool, state: MachineState,
         hired: Steady, now: Steady,
     ) -> Machine:  # fmt: skip
         """A machine that was rented, listed or reported; its room is that of its type."""
-        m = Machine(id_, type_, zone, spot, life, hired, now, idle_since=now)
+        m = Machine(id_, type_, zone, spot, state, hired, now, idle_since=now)
         m.free_cpus, m.free_gpus, m.free_memory = type_.cpus, type_.gpus, type_.memory_gb
         m.images = self._recalled.pop(id_, {})
         self.machines[id_] = m
@@ -253,7 +258,7 @@
 
     def remove(self, m: Machine) -> None:
         """The cloud said 200 to its deletion: whatever was there is gone."""
-        m.life = Life.GONE
+        m.state = MachineState.DELETED
         self.machines.pop(m.id, None)
         self.queues.pop(m.id, None)
         self._gone[m.id] = None
--- a/src/eldercart/core/machines.py
+++ b/src/eldercart/core/machines.py
@@ -3,7 +3,7 @@
 import logging
 
 from eldercart.core import placement as rules
-from eldercart.core.fleet import EPS, Life, Machine, is_being_cancelled
+from eldercart.core.fleet import EPS, Machine, MachineState, is_being_cancelled
 from eldercart.core.jobs import Phase, Placement
 from eldercart.core.scheduler_state import SchedulerState
 from eldercart.core.silence import Silence
@@ -40,7 +40,7 @@
         patience = self._silence.patience
         self._silence.find_mute(now)
         for machine in self._scheduler.fleet.machines.values():
-            if machine.life is not Life.LEAVING:
+            if machine.state is not MachineState.LEAVING:
                 self._watch_machine(machine, patience, tasks_due, now)
             elif tasks_due:
                 self._watch_leaving(machine)
@@ -56,7 +56,7 @@
     ) -> None:
         if machine.taken_at is not None:
             self._drain(machine, machine.taken_at, now)
-        if machine.life is Life.BOOTING:
+        if machine.state is MachineState.BOOTING:
             if self._silence.is_boot_late(machine, now):
                 log.info("machine late machine=%s seconds=%.1f", machine.id, now - machine.hired)
                 self._scheduler.doom(machine, now)
--- a/src/eldercart/core/reconciliation.py
+++ b/src/eldercart/core/reconciliation.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from eldercart.core import placement as rules
-from eldercart.core.fleet import EPS, Life, Machine
+from eldercart.core.fleet import EPS, Machine, MachineState
 from eldercart.core.jobs import Job, Phase, Placement
 from eldercart.core.planner import Planner
 from eldercart.core.scheduler_state import SchedulerState
@@ -214,7 +214,7 @@
                 placement.attempt,
             )
             return True
-        if machine.life is not Life.UP or machine.draining:
+        if machine.state is not MachineState.UP or machine.draining:
             return True
         if min(machine.free_cpus, machine.free_gpus, machine.free_memory) < -EPS:
             # Written ahead by an earlier leader for room that is not there: not launched.
--- a/src/eldercart/core/rental.py
+++ b/src/eldercart/core/rental.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from statistics import fmean
 
-from eldercart.core.fleet import Life, Machine
+from eldercart.core.fleet import Machine, MachineState
 from eldercart.core.jobs import Job
 from eldercart.core.placement import allowed, fits_type
 from eldercart.settings import Tuning
@@ -136,7 +136,7 @@
         supply_ordinary = supply_any = 0.0
         zones: dict[tuple[str, bool], int] = {}
         for m in machines:
-            if m.life in (Life.BOOTING, Life.UP) and not m.draining:
+            if m.state in (MachineState.BOOTING, MachineState.UP) and not m.draining:
                 supply_any += m.type.cpus
                 if not m.spot:
                     supply_ordinary += m.type.cpus
@@ -174,7 +174,7 @@
         soon = now - max(job.ready_at, job.served) < SOON_S
         for m in machines:
             if (
-                m.life in (Life.BOOTING, Life.UP)
+                m.state in (MachineState.BOOTING, MachineState.UP)
                 and not m.draining
                 and not job.avoids(m.id, now)
                 and allowed(spec, m)
@@ -243,13 +243,13 @@
         idle_s = self.tuning.idle_return_s / (3.0 if self.quiet else 1.0)
         idle = []
         for m in machines:
-            if m.life not in (Life.BOOTING, Life.UP) or m.draining:
+            if m.state not in (MachineState.BOOTING, MachineState.UP) or m.draining:
                 continue
             supply_any += m.type.cpus
             if not m.spot:
                 supply_ordinary += m.type.cpus
             if (
-                m.life is Life.UP
+                m.state is MachineState.UP
                 and m.confirmed
                 and not m.placed
                 and not m.foreign
--- a/src/eldercart/core/reports.py
+++ b/src/eldercart/core/reports.py
@@ -3,7 +3,7 @@
 import logging
 
 from eldercart.core.cloudwork import unknown_type
-from eldercart.core.fleet import EPS, Life, Machine
+from eldercart.core.fleet import EPS, Machine, MachineState
 from eldercart.core.planner import Planner
 from eldercart.core.reconciliation import Reconciler
 from eldercart.core.scheduler_state import SchedulerState
@@ -44,7 +44,7 @@
         machine.order = report.order
         machine.relay = relay
         machine.address = report.address
-        if machine.life is Life.BOOTING:
+        if machine.state is MachineState.BOOTING:
             self._came_up(machine, now)
         if report.epoch != scheduler.epoch:
             self._showed_old_epoch(machine, now)
@@ -65,13 +65,13 @@
         """A machine that no list or record has named yet."""
         kind = self._scheduler.types.get(report.type) or unknown_type(report.type)
         machine = self._scheduler.fleet.add(
-            report.machine, kind, report.zone, report.spot, Life.UP, now, now
+            report.machine, kind, report.zone, report.spot, MachineState.UP, now, now
         )
         log.info("machine adopted machine=%s type=%s zone=%s", machine.id, report.type, report.zone)
         return machine
 
     def _came_up(self, machine: Machine, now: Steady) -> None:
-        machine.life = Life.UP
+        machine.state = MachineState.UP
         machine.idle_since = machine.last_heard = now
         self._scheduler.plan_wanted = True
         log.debug("machine up machine=%s after=%.1f", machine.id, now - machine.hired)
@@ -116,7 +116,7 @@
         """An answer had no effect: one more sign that the machine does not hear."""
         if machine.undelivered:
             machine.undelivered = False
-        elif self._scheduler.obedience.ignored(machine, now) and machine.life is Life.UP:
+        elif self._scheduler.obedience.ignored(machine, now) and machine.state is MachineState.UP:
             log.info("machine deaf machine=%s why=%s", machine.id, why)
             self._scheduler.doom(machine, now)
 
--- a/src/eldercart/core/scheduler_state.py
+++ b/src/eldercart/core/scheduler_state.py
@@ -7,7 +7,7 @@
 import logging
 from typing import NamedTuple
 
-from eldercart.core.fleet import Fleet, Life, Machine
+from eldercart.core.fleet import Fleet, Machine, MachineState
 from eldercart.core.graph import DependencyGraph, Effect
 from eldercart.core.health import Health, Obedience
 from eldercart.core.jobs import Job, JobBook, Phase, Placement
@@ -163,7 +163,7 @@
     def want(self, m: Machine) -> None:
         """There is something to tell the machine: its next report should come here."""
         # One that waits for its deletion, too: the cloud may be out, and a cancelled task be there.
-        if not m.wanted and m.life in (Life.UP, Life.LEAVING):
+        if not m.wanted and m.state in (MachineState.UP, MachineState.LEAVING):
             m.wanted = True
             self._wants[m.id] = m
 
@@ -179,7 +179,7 @@
 
     def doom(self, m: Machine, now: Steady) -> None:
         """The machine is to be deleted, and nothing new starts there."""
-        m.life = Life.LEAVING
+        m.state = MachineState.LEAVING
         m.draining = True
         self.doomed[m.id] = None
         self.rental_due = now
--- a/src/eldercart/core/silence.py
+++ b/src/eldercart/core/silence.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from eldercart.core.fleet import Life, Machine
+from eldercart.core.fleet import Machine, MachineState
 from eldercart.core.scheduler_state import SchedulerState
 from eldercart.units import NO_REPORT, MachineId, NodeId, ReportOrder, Steady
 
@@ -95,7 +95,7 @@
         machines: dict[NodeId, int] = {}
         silent: dict[NodeId, int] = {}
         for machine in self._scheduler.fleet.machines.values():
-            if machine.life is Life.UP and machine.relay is not None:
+            if machine.state is MachineState.UP and machine.relay is not None:
                 machines[machine.relay] = machines.get(machine.relay, 0) + 1
                 if now - machine.last_heard > late:
                     silent[machine.relay] = silent.get(machine.relay, 0) + 1
--- a/src/eldercart/election/__init__.py
+++ b/src/eldercart/election/__init__.py
@@ -12,10 +12,10 @@
 from eldercart.units import (
     ABSENT,
     NEVER,
-    ONLY_LIFE,
+    ONLY_INCARNATION,
     Epoch,
+    IncarnationId,
     LeaseId,
-    LifeId,
     NodeId,
     Revision,
     Steady,
@@ -47,7 +47,7 @@
 class OpenHold:
     """Open a lease of that many seconds in the state service."""
 
-    life_s: float
+    ttl_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,16 +78,21 @@
     """One action is in flight at a time: `next_action`, carry it out, report its result."""
 
     def __init__(
-        self, label: NodeId, hold_s: float, drift_margin: float, life: LifeId = ONLY_LIFE
+        self,
+        label: NodeId,
+        hold_s: float,
+        drift_margin: float,
+        incarnation: IncarnationId = ONLY_INCARNATION,
     ) -> None:
         """A follower. The hold lives for `hold_s` seconds; the share `drift_margin` of them is not
         counted on, for the clocks' sake."""
         self.label = label
-        self.life = life  # of this start: a claim of an earlier one may still be carried out
+        # of this start: a claim of an earlier one may still be carried out
+        self.incarnation = incarnation
         self.role = Role.FOLLOWER
         self.epoch = Epoch(0)
         self.leader: NodeId | None = None
-        self._life = hold_s
+        self._lease_s = hold_s
         self._usable = hold_s * (1 - drift_margin)
         self._hold: LeaseId | None = None
         self._deadline = NEVER
@@ -121,7 +126,7 @@
         it had decided before: another one may run tasks there by now. In an outage of the state
         service, which answers and refuses (last at `refused_at`), nobody else is elected; if it
         refuses this node alone, the peers soon tell of the new epoch."""
-        refused = self.role is Role.LEADER and refused_at >= now - self._life
+        refused = self.role is Role.LEADER and refused_at >= now - self._lease_s
         return refused or self.within_lease(now)
 
     # -- inputs
@@ -158,7 +163,7 @@
         hold = self._hold
         self._step_down(now)
         self._stale_hold = hold
-        self._back_at = Steady(now + RESIGNED_HOLDS * self._life)
+        self._back_at = Steady(now + RESIGNED_HOLDS * self._lease_s)
 
     def retire(self, now: Steady) -> None:
         """Gives the hold up for good: this node is about to end."""
@@ -191,10 +196,10 @@
             return DropHold(self._stale_hold)
         if self._absent and now >= self._back_at:
             if self._hold is None or now >= self._deadline:
-                return OpenHold(self._life)
+                return OpenHold(self._lease_s)
             txn = Txn(
                 {LEAD_KEY: ABSENT},
-                [Put(LEAD_KEY, {"node": self.label, "life": self.life}, self._hold)],
+                [Put(LEAD_KEY, {"node": self.label, "life": self.incarnation}, self._hold)],
             )
             return Claim(txn)
         if now >= self._read_due:
@@ -204,7 +209,7 @@
     def failed(self, action: Action, now: Steady) -> None:
         """No answer, 429 or 503: not carried out, or nobody knows."""
         self._busy = False
-        pause = self._life / FAILED_PARTS
+        pause = self._lease_s / FAILED_PARTS
         if isinstance(action, TouchHold):
             self._touch_due = Steady(now + pause)
         elif isinstance(action, Claim):
@@ -223,18 +228,18 @@
         self._busy = False
         self._absent = item is None
         # The watch on the key is the usual alarm; this is the backstop if it hangs.
-        self._read_due = Steady(now + self._life / READ_PARTS)
+        self._read_due = Steady(now + self._lease_s / READ_PARTS)
         if item is None:
             self.leader = None
             return
         node = item.value.get("node") if isinstance(item.value, dict) else None
         if node == self.label:
-            mine = isinstance(item.value, dict) and item.value.get("life") == self.life
+            mine = isinstance(item.value, dict) and item.value.get("life") == self.incarnation
             held = self._hold is not None and item.lease == self._hold
             if mine and held and now < self._deadline:
                 self._lead(Epoch(item.version), now)  # a claim whose response was lost
             elif item.lease is not None:
-                # Left by an earlier life of this process: nobody leads under it any more.
+                # Left by an earlier incarnation of this process: nobody leads under it any more.
                 self._stale_hold = item.lease
             return
         self.leader = NodeId(node) if isinstance(node, str) else None
@@ -251,7 +256,7 @@
         self._busy = False
         if alive:
             self._deadline = Steady(self._sent + self._usable)
-            self._touch_due = Steady(self._sent + self._life / RENEWAL_PARTS)
+            self._touch_due = Steady(self._sent + self._lease_s / RENEWAL_PARTS)
             return False
         self._step_down(now)
         return True
--- a/src/eldercart/net/leading.py
+++ b/src/eldercart/net/leading.py
@@ -58,7 +58,7 @@
         """Whether this node leads and has read the records."""
         return self.controller is not None and self.node.election.role is Role.LEADER
 
-    # -- life
+    # -- terms
 
     def begin(self) -> None:
         """Elected: read all records, then act."""
@@ -87,7 +87,7 @@
         self.catalog.stored = bool(records.catalog)
         controller = Controller(
             node.settings, node.tuning, epoch, dict(node.types), now, WallTime(time.time()),
-            node.life,
+            node.incarnation,
         )  # fmt: skip
         resolved = resolve_all(records.jobs, records.dependency_lists)
         controller.load(resolved.whole, records.placements, records.gone, now, records.memos)
--- a/src/eldercart/net/links.py
+++ b/src/eldercart/net/links.py
@@ -31,7 +31,7 @@
         made: Callable[["Channel"], None] | None = None,
         lost: Callable[["Channel"], None] | None = None,
     ) -> None:  # fmt: skip
-        """`frame` gets each message; `made` and `lost` are told of the connection's life."""
+        """`frame` gets each message; `made` and `lost` are told of the connection's state."""
         self._frame = frame
         self._made = made
         self._lost = lost
--- a/src/eldercart/net/node.py
+++ b/src/eldercart/net/node.py
@@ -20,7 +20,7 @@
 from eldercart.net.server import JsonFactory, JsonRequest, listen
 from eldercart.net.store import Store
 from eldercart.settings import NodeSettings, Tuning
-from eldercart.units import NEVER, Epoch, LifeId, Steady
+from eldercart.units import NEVER, Epoch, IncarnationId, Steady
 from eldercart.wire import Malformed, cloud
 from eldercart.wire.cloud import MachineType
 from eldercart.wire.state import Item
@@ -59,10 +59,12 @@
         self.settings = settings
         self.tuning = tuning
         self.clock = steady
-        self.life = LifeId(secrets.token_hex(4))
+        self.incarnation = IncarnationId(secrets.token_hex(4))
         self.meters = Meters()
         self.store = Store(settings, steady)
-        self.election = Election(settings.label, tuning.hold_s, tuning.drift_margin, self.life)
+        self.election = Election(
+            settings.label, tuning.hold_s, tuning.drift_margin, self.incarnation
+        )
         self.types: dict[str, MachineType] = {}
         self.front = Front(self)
         self.leading = Leading(self)
@@ -83,7 +85,10 @@
         self._port = listen(self.settings.front, self._requests)
         links.listen(self.settings.mesh, self.relaying.exchange)
         log.info(
-            "started label=%s zone=%s life=%s", self.settings.label, self.settings.zone, self.life
+            "started label=%s zone=%s incarnation=%s",
+            self.settings.label,
+            self.settings.zone,
+            self.incarnation,
         )
         self._tick()
 
--- a/src/eldercart/net/store.py
+++ b/src/eldercart/net/store.py
@@ -186,7 +186,7 @@
 
         self._call(b"POST", "/txn", txn.body(), TIMEOUT_S, got)
 
-    def open_hold(self, life_ms: int, done: Callable[[LeaseId | None], None]) -> None:
+    def open_hold(self, ttl_ms: int, done: Callable[[LeaseId | None], None]) -> None:
         """A new lease; `done(None)` if none was given."""
 
         def got(status: int | None, data: bytes) -> None:
@@ -196,7 +196,7 @@
                 done(None)
 
         self.requests.force(self._clock())
-        self._call(b"POST", "/holds", b'{"lifeMs":%d}' % life_ms, 1.0, got)
+        self._call(b"POST", "/holds", b'{"lifeMs":%d}' % ttl_ms, 1.0, got)
 
     def touch_hold(self, hold: LeaseId, done: Callable[[bool | None], None]) -> None:
         """True: alive; False: ended; None: nobody knows."""
--- a/src/eldercart/units.py
+++ b/src/eldercart/units.py
@@ -10,7 +10,7 @@
 MachineId = NewType("MachineId", str)
 NodeId = NewType("NodeId", str)
 LeaseId = NewType("LeaseId", int)
-LifeId = NewType("LifeId", str)  # one start of one process
+IncarnationId = NewType("IncarnationId", str)  # one start of one process
 
 Epoch = NewType("Epoch", int)  # the fencing token that workers compare
 Revision = NewType("Revision", int)  # a key's version in the state service; 0: absent
@@ -20,7 +20,7 @@
 Steady = NewType("Steady", float)  # seconds of this process's steady clock
 WallTime = NewType("WallTime", float)  # seconds of the time of day
 
-ONLY_LIFE = LifeId("0")  # for what is never started twice, as in tests
+ONLY_INCARNATION = IncarnationId("0")  # for what is never started twice, as in tests
 ABSENT = Revision(0)
 NO_EPOCH = Epoch(0)
 NO_ATTEMPT = Attempt(0)
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -15,7 +15,7 @@
     Role,
     TouchHold,
 )
-from eldercart.units import LeaseId, LifeId, NodeId, Revision, Steady
+from eldercart.units import IncarnationId, LeaseId, NodeId, Revision, Steady
 from eldercart.wire.state import parse_item
 from standins import StoreSim, orjson
 
@@ -30,14 +30,14 @@
         self.store = StoreSim()
         self.expires: dict[int, float] = {}
         self.now = 100.0
-        self.lives = 0
+        self.starts = 0
         self.later: list[tuple[float, int, Any]] = []
         self.number = 0
         self.nodes = [self.start(i) for i in range(nodes)]
 
     def start(self, i: int) -> Election:
-        self.lives += 1
-        return Election(NodeId(f"n{i}"), HOLD_S, 0.02, LifeId(f"life{self.lives}"))
+        self.starts += 1
+        return Election(NodeId(f"n{i}"), HOLD_S, 0.02, IncarnationId(f"start{self.starts}"))
 
     def restart(self, i: int) -> None:
         """Back within a fraction of a second; what the old process asked for is still under way."""
@@ -92,10 +92,10 @@
         match action:
             case ReadLead():
                 return self.store.item(LEAD_KEY)
-            case OpenHold(life):
+            case OpenHold(ttl_s):
                 self.store.next_hold += 1
-                self.store.holds[self.store.next_hold] = life
-                self.expires[self.store.next_hold] = self.now + life
+                self.store.holds[self.store.next_hold] = ttl_s
+                self.expires[self.store.next_hold] = self.now + ttl_s
                 return self.store.next_hold
             case TouchHold(hold):
                 if hold in self.expires:
@@ -139,12 +139,12 @@
     assert len(leaders) == 1
     item = b.store.item(LEAD_KEY)
     assert item is not None and item["stamp"] == leaders[0].epoch
-    assert item["v"]["life"] == leaders[0].life
+    assert item["v"]["life"] == leaders[0].incarnation
 
 
 def test_claim_of_an_earlier_start_is_not_taken_for_ones_own() -> None:
     """Its response was lost with the process; the record carries its label, not its start."""
-    e = Election(NodeId("n0"), HOLD_S, 0.02, LifeId("new"))
+    e = Election(NodeId("n0"), HOLD_S, 0.02, IncarnationId("new"))
     now = Steady(0.0)
     e.next_action(now)
     value = {"path": "lead", "v": {"node": "n0", "life": "old"}, "stamp": 9, "tether": 4}
@@ -152,9 +152,9 @@
     assert e.role is Role.FOLLOWER and e.next_action(now) == DropHold(LeaseId(4))
 
 
-@pytest.mark.parametrize(("life", "role"), [("new", Role.LEADER), ("old", Role.FOLLOWER)])
-def test_own_hold_under_another_start_does_not_make_a_leader(life: str, role: Role) -> None:
-    e = Election(NodeId("n0"), HOLD_S, 0.02, LifeId("new"))
+@pytest.mark.parametrize(("incarnation", "role"), [("new", Role.LEADER), ("old", Role.FOLLOWER)])
+def test_own_hold_under_another_start_does_not_make_a_leader(incarnation: str, role: Role) -> None:
+    e = Election(NodeId("n0"), HOLD_S, 0.02, IncarnationId("new"))
     now = Steady(0.0)
     e.next_action(now)
     e.read(None, now)
@@ -165,6 +165,6 @@
     e.failed(claim, now)
     later = Steady(0.5)
     e.next_action(later)
-    value = {"path": "lead", "v": {"node": "n0", "life": life}, "stamp": 9, "tether": 4}
+    value = {"path": "lead", "v": {"node": "n0", "life": incarnation}, "stamp": 9, "tether": 4}
     e.read(parse_item(orjson.dumps(value)), later)
     assert e.role is role
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -201,7 +201,7 @@
     if answered:
         election.claimed(Revision(9), NOW)
     else:
-        claim = {"node": "n", "life": election.life}
+        claim = {"node": "n", "life": election.incarnation}
         election.read(Item("lead", claim, Revision(9), LeaseId(4)), NOW)
     assert election.role is Role.LEADER
     election.retire(NOW)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -11,7 +11,7 @@
 
 from eldercart.core import memory
 from eldercart.core.controller import Controller, Outcome
-from eldercart.core.fleet import Life
+from eldercart.core.fleet import MachineState
 from eldercart.core.jobs import JobBook, Phase, chunk_size, job_record, parse_job_record
 from eldercart.core.placement_records import PlacementRecords
 from eldercart.election import Claim, Election, OpenHold, ReadLead, TouchHold
@@ -24,9 +24,9 @@
 from eldercart.settings.platform import NodeSettings, parse_platform
 from eldercart.units import (
     Epoch,
+    IncarnationId,
     JobId,
     LeaseId,
-    LifeId,
     MachineId,
     NodeId,
     Revision,
@@ -507,7 +507,7 @@
 
 def claiming() -> tuple[Election, Steady]:
     """A node that is about to claim the leader key, on a lease of three seconds."""
-    e = Election(NodeId("n0"), 3.0, 0.02, LifeId("x"))
+    e = Election(NodeId("n0"), 3.0, 0.02, IncarnationId("x"))
     now = Steady(10.0)
     assert isinstance(e.next_action(now), ReadLead)
     e.read(None, now)
@@ -907,7 +907,7 @@
     type_ = cloud.parse_catalog(CATALOG)["small"]
     for n in range(700):
         m = c.fleet.add(
-            MachineId(f"n-{n:06d}"), type_, "a", False, Life.UP, Steady(0), Steady(0)
+            MachineId(f"n-{n:06d}"), type_, "a", False, MachineState.UP, Steady(0), Steady(0)
         )  # fmt: skip
         m.images = {f"img-{rng.randrange(40):02d}": 1.5 for _ in range(rng.randrange(1, 7))}
     m.images = {f"an-image-with-a-long-name-{i}": 2.5 for i in range(300)}  # more than fit
@@ -927,7 +927,7 @@
     for key, value in records.items():
         memory.recall(after.scheduler, key, value)
     for id_ in c.fleet.machines:
-        after.fleet.add(id_, type_, "a", False, Life.UP, Steady(0), Steady(0))
+        after.fleet.add(id_, type_, "a", False, MachineState.UP, Steady(0), Steady(0))
     assert after.scheduler.predictor.paces() == c.scheduler.predictor.paces()
     known = [len(m.images) for m in after.fleet.machines.values()]
     assert sum(k > 0 for k in known) == 700
@@ -949,7 +949,9 @@
     assert c is not None
     type_ = cloud.parse_catalog(CATALOG)["small"]
     for n in range(900):
-        m = c.fleet.add(MachineId(f"n-{n:06d}"), type_, "a", False, Life.UP, Steady(0), Steady(0))
+        m = c.fleet.add(
+            MachineId(f"n-{n:06d}"), type_, "a", False, MachineState.UP, Steady(0), Steady(0)
+        )
         m.images = {f"registry/{'long-' * 20}{n}-{i}": 1.5 for i in range(3)}
     records = memory.memos(c.scheduler)
     assert sum(len(orjson.dumps(v)) for v in records.values()) > 64 * 1024
@@ -1055,7 +1057,13 @@
     assert c is not None
     for n in range(900):
         m = c.fleet.add(
-            MachineId(f"n-{n:06d}"), types["small"], "a", False, Life.UP, Steady(0), Steady(0)
+            MachineId(f"n-{n:06d}"),
+            types["small"],
+            "a",
+            False,
+            MachineState.UP,
+            Steady(0),
+            Steady(0),
         )
         m.images = {f"registry/{'long-' * 5}{n}-{i}": 1.5 for i in range(3)}
     for _ in range(1000):
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -9,11 +9,11 @@
 import pytest
 
 from eldercart.core.controller import Delete, JobStatus, Outcome, PendingTxn, Verdict
-from eldercart.core.fleet import Life
+from eldercart.core.fleet import MachineState
 from eldercart.core.jobs import Phase
 from eldercart.election import Claim, DropHold, Election, OpenHold, ReadLead, Role
 from eldercart.net.front import Front
-from eldercart.units import JobId, LeaseId, LifeId, MachineId, NodeId, Revision, Steady
+from eldercart.units import IncarnationId, JobId, LeaseId, MachineId, NodeId, Revision, Steady
 from eldercart.wire import cloud, state, workers
 from relayworld import RelayWorld
 from standins import CATALOG, StoreSim, WorkerSim
@@ -276,14 +276,14 @@
     """The claim of the earlier start is carried out after the return: under it nobody leads."""
     store = StoreSim()
     claim: bytes | None = None
-    node, now = Election(NodeId("n0"), 2.0, 0.02, LifeId("old")), 0.0
-    for life in ("old", "new"):
-        node = Election(NodeId("n0"), 2.0, 0.02, LifeId(life))
+    node, now = Election(NodeId("n0"), 2.0, 0.02, IncarnationId("old")), 0.0
+    for incarnation in ("old", "new"):
+        node = Election(NodeId("n0"), 2.0, 0.02, IncarnationId(incarnation))
         began = now
         while now < began + 8.0:
             now = round(now + 0.1, 3)
             at = Steady(now)
-            if life == "new" and claim is not None and now >= began + late_s:
+            if incarnation == "new" and claim is not None and now >= began + late_s:
                 store.txn(claim)
                 claim = None
             action = node.next_action(at)
@@ -298,14 +298,14 @@
                 store.end_hold(action.hold)
                 node.dropped(at)
             elif isinstance(action, Claim):
-                if life == "old":
+                if incarnation == "old":
                     claim = action.txn.body()
                     break  # killed while it is under way
                 status, answer = store.txn(action.txn.body())
                 node.claimed(Revision(answer["ledgerRev"]) if status == 200 else None, at)
             if node.role is Role.LEADER:
                 value, version, _ = store.keys["lead"]
-                assert value["life"] == life == "new" and node.epoch == version
+                assert value["life"] == incarnation == "new" and node.epoch == version
                 break
     assert node.role is Role.LEADER
 
@@ -601,7 +601,7 @@
     w.submit(ONE, run_s=500.0, parcels=1, cpus=5.0, loaners=how[:4] != "kept", breeds=["small"])
     w.run(16)
     c = leader(w)
-    (m,) = [m for m in c.fleet.machines.values() if m.life is Life.UP]
+    (m,) = [m for m in c.fleet.machines.values() if m.state is MachineState.UP]
     assert m.live == 1 and (how[:4] != "kept" or not m.spot)
     if how == "a larger one waits":
         w.submit("wk-000009", run_s=5.0, parcels=4, cpus=4.0, urgency="urgent", loaners=False)
@@ -687,7 +687,7 @@
         m.hangs_until = w.now + 8.0
     w.run(cancel_at)
     if cancel_at > 8.0:
-        assert all(c.fleet.machines[MachineId(m.id)].life is Life.LEAVING for m in hung)
+        assert all(c.fleet.machines[MachineId(m.id)].state is MachineState.LEAVING for m in hung)
         w.run(4)
     w.cancel(ONE)
     if word_lost:
@@ -709,7 +709,7 @@
     w.cloud_down_until = w.now + 25.0
     hung.hangs_until = w.now + 8.5
     w.run(8)
-    assert leader(w).fleet.machines[MachineId(hung.id)].life is Life.LEAVING and hung.on()
+    assert leader(w).fleet.machines[MachineId(hung.id)].state is MachineState.LEAVING and hung.on()
     finish(w)
     assert w.told == {ONE: "done", TWO: "done"}
 
@@ -723,7 +723,7 @@
     (m,) = [m for m in c.fleet.machines.values() if m.live]
     now = Steady(w.now)
     for i in range(cloud.MAX_DELETE + 20):
-        other = c.fleet.add(MachineId(f"n-9{i:05d}"), m.type, "a", True, Life.UP, now, now)
+        other = c.fleet.add(MachineId(f"n-9{i:05d}"), m.type, "a", True, MachineState.UP, now, now)
         c.scheduler.doom(other, now)
     w.cancel(ONE)
     c.scheduler.doom(m, now)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -9,7 +9,7 @@
 
 from eldercart.cli import main, parser
 from eldercart.core import placement as rules
-from eldercart.core.fleet import Fleet, Life
+from eldercart.core.fleet import Fleet, MachineState
 from eldercart.core.jobs import Job, JobBook
 from eldercart.core.prediction import Predictor
 from eldercart.core.rental import Rental
@@ -243,7 +243,7 @@
     assert e.role is Role.LEADER and e.epoch == 9
 
 
-def test_key_of_an_earlier_life_is_given_up() -> None:
+def test_key_of_an_earlier_incarnation_is_given_up() -> None:
     """Restarted within a fraction of a second: the old hold would keep everybody waiting."""
     e = Election(NodeId("n0"), 3.0, 0.02)
     e.next_action(Steady(0.0))
@@ -389,7 +389,7 @@
     kind = cloud.parse_catalog(CATALOG)["big"]
     now = Steady(0.0)
     busy, idle = (
-        fleet.add(MachineId(n), kind, "b", True, Life.UP, now, now) for n in ("n-1", "n-2")
+        fleet.add(MachineId(n), kind, "b", True, MachineState.UP, now, now) for n in ("n-1", "n-2")
     )
     spec = users.parse_submission(submission("wk-000001", kit="one", imageGb=3.0))
     p = book.place(book.add(spec, 100, now), 0, busy.id, now)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -9,8 +9,8 @@
 from eldercart.core.relay import Answer, Forward, Overtaken, Redirect, Relay, Share, shares
 from eldercart.units import (
     Epoch,
+    IncarnationId,
     JobId,
-    LifeId,
     MachineId,
     NodeId,
     ReportOrder,
@@ -348,9 +348,9 @@
     """A node that is back at once may lead under its label again; a name is never used twice, or
     the cloud would answer with the machines of the old request."""
     names = []
-    for life in ("aaaa", "bbbb"):
+    for incarnation in ("aaaa", "bbbb"):
         w = RelayWorld(8)
-        w.life = LifeId(life)
+        w.incarnation = IncarnationId(incarnation)
         w.elect()
         w.submit("wk-000001")
         c = w.controller
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,7 +8,7 @@
 import pytest
 
 from eldercart.core.controller import JobStatus, Outcome, Verdict
-from eldercart.core.fleet import Fleet, Life
+from eldercart.core.fleet import Fleet, MachineState
 from eldercart.core.jobs import Phase
 from eldercart.units import JobId, Revision, Steady
 from eldercart.wire import cloud
@@ -346,6 +346,6 @@
     w.run(3)
     assert c.fleet.ordinary_used == 12.0
     kind = next(iter(cloud.parse_catalog(orjson.loads(orjson.dumps(CATALOG))).values()))
-    m = next(m for m in c.fleet.machines.values() if m.live and m.life is Life.UP)
+    m = next(m for m in c.fleet.machines.values() if m.live and m.state is MachineState.UP)
     c.fleet.describe(m, kind, m.zone, True)
     assert same(kept(c.fleet), recompute(c.fleet))
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -7,12 +7,12 @@
 import pytest
 
 from eldercart.core.controller import ListPage, Outcome
-from eldercart.core.fleet import Life
+from eldercart.core.fleet import MachineState
 from eldercart.core.relay import Redirect
 from eldercart.election import LEAD_KEY, Election
 from eldercart.net.links import Link
 from eldercart.settings.platform import Endpoint
-from eldercart.units import Epoch, LeaseId, LifeId, MachineId, NodeId, Revision, Steady
+from eldercart.units import Epoch, IncarnationId, LeaseId, MachineId, NodeId, Revision, Steady
 from eldercart.wire import workers
 from relayworld import RelayWorld
 from test_core import finish
@@ -32,12 +32,14 @@
     w.submit("wk-000001", run_s=200.0, parcels=20)
     c = w.controller
     assert c is not None
-    while not (c.fleet.machines and any(m.life is Life.UP for m in c.fleet.machines.values())):
+    while not (
+        c.fleet.machines and any(m.state is MachineState.UP for m in c.fleet.machines.values())
+    ):
         w.step(0.1)
     booting = next(iter(w.cloud.machines.values()))
     booting.boots_at = w.now + 500.0
     late = c.fleet.machines[MachineId(booting.id)]
-    late.life = Life.BOOTING
+    late.state = MachineState.BOOTING
     w.run(3)
     assert not c.scheduler.doomed
     w.now += 60.0
@@ -169,7 +171,7 @@
     ],
 )
 def test_orders_to_the_cloud_need_the_hold(at: float, refused_at: float, allowed: bool) -> None:
-    e = Election(NodeId("n0"), 3.0, 0.02, LifeId("x"))
+    e = Election(NodeId("n0"), 3.0, 0.02, IncarnationId("x"))
     e.next_action(Steady(0.0))
     e.read(None, Steady(0.0))
     e.next_action(Steady(0.0))
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -6,7 +6,7 @@
 from eldercart.election import Election, ReadLead
 from eldercart.net import electing
 from eldercart.net.electing import Electing
-from eldercart.units import LifeId, NodeId, Revision, Steady
+from eldercart.units import IncarnationId, NodeId, Revision, Steady
 
 
 def test_watch_goes_on_from_what_a_list_tells(monkeypatch: Any) -> None:
@@ -17,7 +17,7 @@
         watch=lambda key, after, wait_s, done: asked.append((after, done)),
         range=lambda key, done: done([], Revision(50_000)),
     )
-    election = Election(NodeId("n0"), 2.0, 0.02, LifeId("x"))
+    election = Election(NodeId("n0"), 2.0, 0.02, IncarnationId("x"))
     node = SimpleNamespace(store=store, election=election, clock=lambda: Steady(7.0))
     monkeypatch.setattr(
         electing, "reactor", SimpleNamespace(callLater=lambda _, what, *args: what(*args))
--- a/tests/versions/mixed.py
+++ b/tests/versions/mixed.py
@@ -39,7 +39,7 @@
         self.led.append(new)
         if new:
             return super().new_controller(epoch)
-        old = OldController(self.earlier, self.platform, CATALOG, epoch, self.now, self.life)
+        old = OldController(self.earlier, self.platform, CATALOG, epoch, self.now, self.incarnation)
         return EarlierLeader(old, epoch)
 
     def new_relay(self, i: int) -> Any:
--- a/tests/versions/reading.py
+++ b/tests/versions/reading.py
@@ -29,9 +29,9 @@
 from eldercart.units import (
     Attempt,
     Epoch,
+    IncarnationId,
     JobId,
     LeaseId,
-    LifeId,
     MachineId,
     NodeId,
     ReportOrder,
@@ -177,7 +177,7 @@
 
 def lead_record() -> dict[str, Any]:
     """As a claim of the leader key writes it."""
-    e = Election(NodeId("drover-1"), 3.0, 0.02, LifeId("life-1"))
+    e = Election(NodeId("drover-1"), 3.0, 0.02, IncarnationId("life-1"))
     e.read(None, NOW)
     e.next_action(NOW)
     e.opened(LeaseId(4), NOW)
--- a/tests/world.py
+++ b/tests/world.py
@@ -21,7 +21,7 @@
 from eldercart.election import LEAD_KEY
 from eldercart.settings import load_tuning
 from eldercart.settings.platform import parse_platform
-from eldercart.units import ABSENT, ONLY_LIFE, Epoch, Revision, Steady, WallTime
+from eldercart.units import ABSENT, ONLY_INCARNATION, Epoch, Revision, Steady, WallTime
 from eldercart.wire import cloud, state, users, workers
 from standins import CATALOG, CloudSim, StoreSim, WorkerSim
 
@@ -79,7 +79,7 @@
         self.deaf: set[str] = set()  # machines that no answer or command reaches
         self.orders = 0  # direct commands that arrived
         self.cloud_down_until = -1.0
-        self.life = ONLY_LIFE
+        self.incarnation = ONLY_INCARNATION
         self.controller: Controller | None = None
         self.elect()
 
@@ -108,7 +108,7 @@
     def new_controller(self, epoch: Epoch) -> Any:
         return Controller(
             self.settings, self.tuning, epoch, cloud.parse_catalog(CATALOG), Steady(self.now),
-            WallTime(self.now), self.life,
+            WallTime(self.now), self.incarnation,
         )  # fmt: skip
 
     def submit(self, job: str, run_s: float = 6.0, parts: int = 0, **changes: Any) -> None:
