--- a/src/eldercart/core/fleet.py
+++ b/src/eldercart/core/fleet.py
@@ -68,9 +68,9 @@
     free_cpus: float = 0.0
     free_gpus: float = 0.0
     free_memory: float = 0.0
-    held_cpus: float = 0.0  # of the free room, what this pass keeps for jobs placed before
-    held_gpus: float = 0.0
-    held_memory: float = 0.0
+    reserved_cpus: float = 0.0  # of the free room, reserved in this pass for jobs placed before
+    reserved_gpus: float = 0.0
+    reserved_memory: float = 0.0
     leaving_cpus: float = 0.0  # taken by tasks that are being stopped
     leaving_gpus: float = 0.0
     leaving_memory: float = 0.0
@@ -130,7 +130,7 @@
         self.used: dict[int, float] = {}  # CPUs placed, by priority
         self.ordinary_used = 0.0  # CPUs of jobs that may use nothing else, on ordinary machines
         self.queues: dict[MachineId, Machine] = {}  # machines with tasks written ahead
-        self._held: list[Machine] = []
+        self._with_reservations: list[Machine] = []
         self._recalled: dict[MachineId, dict[str, float]] = {}  # images, by an earlier leader
 
     def get(self, machine: MachineId) -> Machine | None:
@@ -237,19 +237,19 @@
             m.queued_cpus = 0.0
             self.queues.pop(m.id, None)
 
-    def clear_holds(self) -> None:
+    def clear_reservations(self) -> None:
         """Gives all held room back; see `hold`."""
-        for m in self._held:
-            m.held_cpus = m.held_gpus = m.held_memory = 0.0
-        self._held.clear()
-
-    def hold(self, m: Machine, spec: JobSpec, number: int) -> None:
-        """Keeps room for so many tasks of the job until `clear_holds`."""
-        if not m.held_cpus and not m.held_memory and not m.held_gpus:
-            self._held.append(m)
-        m.held_cpus += spec.cpus * number
-        m.held_gpus += spec.gpus * number
-        m.held_memory += spec.memory_gb * number
+        for m in self._with_reservations:
+            m.reserved_cpus = m.reserved_gpus = m.reserved_memory = 0.0
+        self._with_reservations.clear()
+
+    def reserve(self, m: Machine, spec: JobSpec, number: int) -> None:
+        """Keeps room for so many tasks of the job until `clear_reservations`."""
+        if not m.reserved_cpus and not m.reserved_memory and not m.reserved_gpus:
+            self._with_reservations.append(m)
+        m.reserved_cpus += spec.cpus * number
+        m.reserved_gpus += spec.gpus * number
+        m.reserved_memory += spec.memory_gb * number
 
     def forget(self, m: Machine, p: Placement) -> None:
         """The machine lists the task no more."""
--- a/src/eldercart/core/health.py
+++ b/src/eldercart/core/health.py
@@ -63,7 +63,7 @@
             return True
         pause = min(MAX_BACKOFF_S, self._backoff * 2 ** min(job.errors - 1, 8))
         if len(job.bad_machines) > 1:
-            job.hold_until = Steady(now + pause)
+            job.backoff_until = Steady(now + pause)
         return len(m.failed_jobs) >= self._jobs
 
     def task_done(self, m: Machine, job: Job, ran_s: float) -> bool:
--- a/src/eldercart/core/jobs.py
+++ b/src/eldercart/core/jobs.py
@@ -155,7 +155,7 @@
         self.unreadable = False  # a record of it can't be read: nothing of it may start
         self.ended: str | None = None
         self.errors = 0
-        self.hold_until = NEVER
+        self.backoff_until = NEVER
         self.bad_machines: dict[MachineId, Steady] = {}  # where it fared badly: avoided until
         self.served = NEVER  # when it was last given room
         self.ran: list[float] = []  # run times seen, for comparison
--- a/src/eldercart/core/placement.py
+++ b/src/eldercart/core/placement.py
@@ -62,12 +62,12 @@
 
 
 def room(spec: JobSpec, m: Machine) -> int:
-    """Beside everything that may run there and what is held for jobs placed before."""
+    """Beside everything that may run there and what is reserved for jobs placed before."""
     return fits(
         spec,
-        m.free_cpus - m.held_cpus,
-        m.free_gpus - m.held_gpus,
-        m.free_memory - m.held_memory,
+        m.free_cpus - m.reserved_cpus,
+        m.free_gpus - m.reserved_gpus,
+        m.free_memory - m.reserved_memory,
     )
 
 
@@ -75,9 +75,9 @@
     """The same once everything that is being stopped has gone."""
     return fits(
         spec,
-        m.free_cpus - m.held_cpus + m.leaving_cpus,
-        m.free_gpus - m.held_gpus + m.leaving_gpus,
-        m.free_memory - m.held_memory + m.leaving_memory,
+        m.free_cpus - m.reserved_cpus + m.leaving_cpus,
+        m.free_gpus - m.reserved_gpus + m.leaving_gpus,
+        m.free_memory - m.reserved_memory + m.leaving_memory,
     )
 
 
@@ -325,9 +325,9 @@
         if not (p.stopping or p.kept) and p.phase is not Phase.ENDED
     ]
     candidates.sort(key=lambda c: c[:2])
-    cpus = m.free_cpus - m.held_cpus + m.leaving_cpus
-    gpus = m.free_gpus - m.held_gpus + m.leaving_gpus
-    memory = m.free_memory - m.held_memory + m.leaving_memory
+    cpus = m.free_cpus - m.reserved_cpus + m.leaving_cpus
+    gpus = m.free_gpus - m.reserved_gpus + m.leaving_gpus
+    memory = m.free_memory - m.reserved_memory + m.leaving_memory
     victims: list[Placement] = []
     lost = 0.0
     for work, _, p in candidates:
--- a/src/eldercart/core/planner.py
+++ b/src/eldercart/core/planner.py
@@ -54,7 +54,7 @@
         waiting = []
         for j in scheduler.jobs.jobs.values():
             if (j.queued or j.pending) and j.open:
-                if j.hold_until > now:
+                if j.backoff_until > now:
                     scheduler.plan_wanted = True
                     continue
                 waiting.append(j)
@@ -63,7 +63,7 @@
         machines = [m for m in scheduler.fleet.machines.values() if m.usable]
         if not machines:
             return
-        scheduler.fleet.clear_holds()
+        scheduler.fleet.clear_reservations()
         self._revoke_queued(now)
         ordinary = sum(m.type.cpus for m in machines if not m.spot)
         usable = sum(m.type.cpus for m in machines)
@@ -163,8 +163,8 @@
             spec = job.spec
             if cap is None and job.priority != level:
                 for above in [p for p in ahead if p >= job.priority]:
-                    for m, held in ahead.pop(above):
-                        scheduler.fleet.hold(m, held, 1)
+                    for m, reserved in ahead.pop(above):
+                        scheduler.fleet.reserve(m, reserved, 1)
                 level = job.priority
             shape = (spec.cpus, spec.gpus, spec.memory_gb, spec.types, spec.zone, spec.spot)
             kept = spec.spot and keeps is not None and job.priority <= keeps and cap is None
@@ -201,7 +201,7 @@
         ]
         if not late:
             return
-        scheduler.fleet.clear_holds()
+        scheduler.fleet.clear_reservations()
         self.open = [
             m
             for m in self.machines
@@ -243,7 +243,7 @@
                 scheduler.fleet.occupy(choice.machine, p)
         scheduler.dirty[job.id] = job
         least = self.least
-        self.open = [m for m in self.open if m.free_cpus - m.held_cpus + EPS >= least]
+        self.open = [m for m in self.open if m.free_cpus - m.reserved_cpus + EPS >= least]
 
     def _ordinary_kept(self) -> int | None:
         """Whether ordinary machines are kept for jobs that may use nothing else, and up to which
@@ -312,13 +312,13 @@
             p.kept = kept
             scheduler.jobs.mark_queued(p, self.now)
             scheduler.fleet.enqueue(m, p)
-            scheduler.fleet.hold(m, job.spec, 1)
+            scheduler.fleet.reserve(m, job.spec, 1)
         scheduler.dirty[job.id] = job
 
     def _claim(self, job: Job, left: int, shape: tuple[Any, ...]) -> int:
         """Holds room for a job that found none: first where tasks are being stopped anyway, then
         by stopping tasks of lower priority, those that lose the least work first, among some of
-        the machines. Without the hold, small tasks would take each freed bit and a larger one
+        the machines. Without the lease, small tasks would take each freed bit and a larger one
         would wait for ever. Returns how many tasks now wait for such room, written ahead."""
         scheduler, spec, now = self.scheduler, job.spec, self.now
         if shape in self._no_claim:
--- a/src/eldercart/core/reconciliation.py
+++ b/src/eldercart/core/reconciliation.py
@@ -187,7 +187,7 @@
         log.info("start refused machine=%s task=%s why=%s", machine.id, placement.key, why)
         machine.refuse_until = Steady(now + REFUSED_REPORTS * scheduler.settings.report_s)
         if why == ExitCause.UNKNOWN_TASK:
-            job.hold_until = Steady(now + scheduler.tuning.error_backoff_s)
+            job.backoff_until = Steady(now + scheduler.tuning.error_backoff_s)
 
     # -- what the report lacks
 
--- a/src/eldercart/core/relay.py
+++ b/src/eldercart/core/relay.py
@@ -33,10 +33,10 @@
 
 
 def spare_s(cancel_s: float, lease_s: float, grant_s: float, drift_margin: float) -> float:
-    """For how long after the end of its hold a leader may go on granting although somebody else may
-    have been elected, whom it can't hear.
+    """For how long after the end of its lease a leader may go on granting although somebody else
+    may have been elected, whom it can't hear.
 
-    That other leader may have confirmed a cancellation to a user as soon as this one's hold had
+    That other leader may have confirmed a cancellation to a user as soon as this one's lease had
     ended. Its tasks must be gone `cancel_s` later even if they are on a machine whose worker is
     answered under this one's epoch all the time, and the store can't tell anybody. From the last
     contact this node answers for a grant, a relay that asked at the end of that for another one,
@@ -46,7 +46,11 @@
 
 
 def contact(
-    hold_seen: Steady, hold_until: Steady, heard: Collection[Steady], spare: float, now: Steady
+    lease_confirmed_at: Steady,
+    lease_until: Steady,
+    heard: Collection[Steady],
+    spare: float,
+    now: Steady,
 ) -> Steady:
     """From when a leader's own grant counts, which those of its relays hang on: the latest time at
     which it was sure that no other node led, or at which that does no harm yet. `heard`: for each
@@ -57,8 +61,8 @@
     then to hear the rest extends the grant by `spare` at the most."""
     if not heard:
         return now
-    bounded = Steady(min(max(heard), hold_until + max(0.0, spare)))
-    return max(hold_seen, min(heard), bounded)
+    bounded = Steady(min(max(heard), lease_until + max(0.0, spare)))
+    return max(lease_confirmed_at, min(heard), bounded)
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/eldercart/core/rental.py
+++ b/src/eldercart/core/rental.py
@@ -93,7 +93,7 @@
         ordinary = booked[0]
         by_team: dict[str, float] = {}
         for job in jobs:
-            if not job.ready or job.cancelled or job.hold_until > now:
+            if not job.ready or job.cancelled or job.backoff_until > now:
                 continue
             spec = job.spec
             waiting = job.pending + job.queued
--- a/src/eldercart/election/__init__.py
+++ b/src/eldercart/election/__init__.py
@@ -1,6 +1,6 @@
 """Leadership, as a state machine without I/O.
 
-The leader key in the state service hangs on a short lease there (the "hold"). Creating the key
+The leader key in the state service hangs on a short lease there. Creating the key
 is the election; the key's version is the epoch, which workers compare as their fencing token and
 on which every write of the leader is guarded. Versions only grow, so epochs do.
 """
@@ -24,7 +24,7 @@
 
 LEAD_KEY = "lead"
 
-# Parts of the hold's life.
+# Parts of the lease's life.
 FAILED_PARTS = 16  # one is the pause after an action that was not carried out
 RENEWAL_PARTS = 5  # one is the time from a renewal to the next
 READ_PARTS = 2  # one is the time between two reads of the leader key, besides the watch on it
@@ -44,24 +44,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OpenHold:
+class OpenLease:
     """Open a lease of that many seconds in the state service."""
 
     ttl_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class TouchHold:
+class RenewLease:
     """Renew the lease."""
 
-    hold: LeaseId
+    lease: LeaseId
 
 
 @dataclass(frozen=True, slots=True)
-class DropHold:
+class RevokeLease:
     """End the lease, and with it the leader key on it."""
 
-    hold: LeaseId
+    lease: LeaseId
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
     txn: Txn
 
 
-Action = ReadLead | OpenHold | TouchHold | DropHold | Claim
+Action = ReadLead | OpenLease | RenewLease | RevokeLease | Claim
 
 
 class Election:
@@ -80,27 +80,27 @@
     def __init__(
         self,
         label: NodeId,
-        hold_s: float,
+        lease_s: float,
         drift_margin: float,
         incarnation: IncarnationId = ONLY_INCARNATION,
     ) -> None:
-        """A follower. The hold lives for `hold_s` seconds; the share `drift_margin` of them is not
-        counted on, for the clocks' sake."""
+        """A follower. The leader's lease lasts for `hold_s` seconds; the share `drift_margin` of
+        them is not counted on, for the clocks' sake."""
         self.label = label
         # of this start: a claim of an earlier one may still be carried out
         self.incarnation = incarnation
         self.role = Role.FOLLOWER
         self.epoch = Epoch(0)
         self.leader: NodeId | None = None
-        self._lease_s = hold_s
-        self._usable = hold_s * (1 - drift_margin)
-        self._hold: LeaseId | None = None
+        self._lease_s = lease_s
+        self._usable = lease_s * (1 - drift_margin)
+        self._lease: LeaseId | None = None
         self._deadline = NEVER
         self._sent = Steady(0)
         self._read_due = NEVER
-        self._touch_due = NEVER
+        self._renewal_due = NEVER
         self._absent = False  # the last read found no leader key
-        self._stale_hold: LeaseId | None = None
+        self._stale_lease: LeaseId | None = None
         self._busy = False
         self._back_at = NEVER
 
@@ -111,18 +111,18 @@
         return self.role is Role.LEADER and now < self._deadline
 
     @property
-    def hold_until(self) -> Steady:
+    def lease_until(self) -> Steady:
         """Until when no other node can have been elected."""
         return self._deadline
 
     @property
-    def hold_seen(self) -> Steady:
+    def lease_confirmed_at(self) -> Steady:
         """When the renewal was sent that the store confirmed last."""
         return Steady(self._deadline - self._usable)
 
     def may_order(self, now: Steady, refused_at: Steady) -> bool:
         """Whether the cloud may be asked for machines or deletions. Nothing guards those calls as
-        the leader key guards a write, so a leader that slept past its hold must not carry out what
+        the leader key guards a write, so a leader that slept past its lease must not carry out what
         it had decided before: another one may run tasks there by now. In an outage of the state
         service, which answers and refuses (last at `refused_at`), nobody else is elected; if it
         refuses this node alone, the peers soon tell of the new epoch."""
@@ -157,23 +157,23 @@
             self._step_down(now)
 
     def resign(self, now: Steady) -> None:
-        """Gives the hold up for one that can do more, and stands back for a while."""
+        """Gives the lease up for one that can do more, and stands back for a while."""
         if self.role is not Role.LEADER:
             return
-        hold = self._hold
+        lease = self._lease
         self._step_down(now)
-        self._stale_hold = hold
+        self._stale_lease = lease
         self._back_at = Steady(now + RESIGNED_HOLDS * self._lease_s)
 
     def retire(self, now: Steady) -> None:
-        """Gives the hold up for good: this node is about to end."""
+        """Gives the lease up for good: this node is about to end."""
         self.resign(now)
         self._back_at = Steady(math.inf)
 
     @property
     def hands_over(self) -> bool:
-        """Whether a hold that was given up has still to be dropped."""
-        return self._stale_hold is not None
+        """Whether a lease that was given up has still to be dropped."""
+        return self._stale_lease is not None
 
     def next_action(self, now: Steady) -> Action | None:
         """What is to be carried out now; its outcome must be handed in before the next."""
@@ -189,17 +189,17 @@
 
     def _choose(self, now: Steady) -> Action | None:
         if self.role is Role.LEADER:
-            if now >= self._touch_due and self._hold is not None:
-                return TouchHold(self._hold)
+            if now >= self._renewal_due and self._lease is not None:
+                return RenewLease(self._lease)
             return None
-        if self._stale_hold is not None:
-            return DropHold(self._stale_hold)
+        if self._stale_lease is not None:
+            return RevokeLease(self._stale_lease)
         if self._absent and now >= self._back_at:
-            if self._hold is None or now >= self._deadline:
-                return OpenHold(self._lease_s)
+            if self._lease is None or now >= self._deadline:
+                return OpenLease(self._lease_s)
             txn = Txn(
                 {LEAD_KEY: ABSENT},
-                [Put(LEAD_KEY, {"node": self.label, "life": self.incarnation}, self._hold)],
+                [Put(LEAD_KEY, {"node": self.label, "life": self.incarnation}, self._lease)],
             )
             return Claim(txn)
         if now >= self._read_due:
@@ -210,14 +210,14 @@
         """No answer, 429 or 503: not carried out, or nobody knows."""
         self._busy = False
         pause = self._lease_s / FAILED_PARTS
-        if isinstance(action, TouchHold):
-            self._touch_due = Steady(now + pause)
+        if isinstance(action, RenewLease):
+            self._renewal_due = Steady(now + pause)
         elif isinstance(action, Claim):
             # It may have been applied or may be yet: the key itself must tell.
             self._absent = False
             self._read_due = Steady(now + pause)
-        elif isinstance(action, DropHold):
-            self._stale_hold = None
+        elif isinstance(action, RevokeLease):
+            self._stale_lease = None
             self._read_due = Steady(now + pause)
         else:
             self._absent = False
@@ -235,28 +235,28 @@
         node = item.value.get("node") if isinstance(item.value, dict) else None
         if node == self.label:
             mine = isinstance(item.value, dict) and item.value.get("life") == self.incarnation
-            held = self._hold is not None and item.lease == self._hold
+            held = self._lease is not None and item.lease == self._lease
             if mine and held and now < self._deadline:
                 self._lead(Epoch(item.version), now)  # a claim whose response was lost
             elif item.lease is not None:
                 # Left by an earlier incarnation of this process: nobody leads under it any more.
-                self._stale_hold = item.lease
+                self._stale_lease = item.lease
             return
         self.leader = NodeId(node) if isinstance(node, str) else None
         self.epoch = max(self.epoch, Epoch(item.version))
 
-    def opened(self, hold: LeaseId, now: Steady) -> None:
+    def opened(self, lease: LeaseId, now: Steady) -> None:
         """The lease was opened; it counts from before the request was sent."""
         self._busy = False
-        self._hold = hold
+        self._lease = lease
         self._deadline = Steady(self._sent + self._usable)
 
-    def touched(self, alive: bool, now: Steady) -> bool:
+    def renewed(self, alive: bool, now: Steady) -> bool:
         """Returns whether the node is deposed by this."""
         self._busy = False
         if alive:
             self._deadline = Steady(self._sent + self._usable)
-            self._touch_due = Steady(self._sent + self._lease_s / RENEWAL_PARTS)
+            self._renewal_due = Steady(self._sent + self._lease_s / RENEWAL_PARTS)
             return False
         self._step_down(now)
         return True
@@ -264,16 +264,16 @@
     def dropped(self, now: Steady) -> None:
         """The lease that was left over has ended."""
         self._busy = False
-        self._stale_hold = None
+        self._stale_lease = None
         self._read_due = now
 
-    def claimed(self, revision: Revision | None, now: Steady, hold_lost: bool = False) -> None:
-        """The claim's answer; None: somebody else holds the key, or the hold has ended."""
+    def claimed(self, revision: Revision | None, now: Steady, lease_lost: bool = False) -> None:
+        """The claim's answer; None: somebody else holds the key, or the lease has ended."""
         self._busy = False
         self._absent = False
         if revision is None:
-            if hold_lost:
-                self._hold = None
+            if lease_lost:
+                self._lease = None
             self._read_due = now
             return
         self._lead(Epoch(revision), now)
@@ -283,12 +283,12 @@
         self.epoch = epoch
         self.leader = self.label
         self._absent = False
-        self._touch_due = now
+        self._renewal_due = now
 
     def _step_down(self, now: Steady) -> None:
         self.role = Role.FOLLOWER
         self.leader = None
-        self._hold = None
+        self._lease = None
         self._deadline = NEVER
         self._read_due = now
         self._absent = False
--- a/src/eldercart/net/electing.py
+++ b/src/eldercart/net/electing.py
@@ -9,11 +9,11 @@
     LEAD_KEY,
     Action,
     Claim,
-    DropHold,
-    OpenHold,
+    OpenLease,
     ReadLead,
+    RenewLease,
+    RevokeLease,
     Role,
-    TouchHold,
 )
 from eldercart.units import LeaseId, Revision, Steady
 from eldercart.wire.state import Item
@@ -49,31 +49,31 @@
                 return
             case ReadLead():
                 store.get(LEAD_KEY, lambda ok, item: self._read(action, ok, item))
-            case OpenHold(life_s):
-                store.open_hold(int(life_s * 1000), lambda hold: self._opened(action, hold))
-            case TouchHold(hold):
-                store.touch_hold(hold, lambda alive: self._touched(action, alive))
-            case DropHold(hold):
-                store.drop_hold(hold, lambda ok: self._dropped(action, ok))
+            case OpenLease(life_s):
+                store.open_lease(int(life_s * 1000), lambda lease: self._opened(action, lease))
+            case RenewLease(lease):
+                store.renew_lease(lease, lambda alive: self._touched(action, alive))
+            case RevokeLease(lease):
+                store.revoke_lease(lease, lambda ok: self._dropped(action, ok))
             case Claim(txn):
                 store.requests.force(now)
                 store.writes.force(now)
                 store.txn(txn, lambda status, rev, failed: self._claimed(action, status, rev))
 
-    def _opened(self, action: Action, hold: LeaseId | None) -> None:
+    def _opened(self, action: Action, lease: LeaseId | None) -> None:
         election, clock = self.node.election, self.node.clock
-        if hold is None:
+        if lease is None:
             election.failed(action, clock())
         else:
-            election.opened(hold, clock())
+            election.opened(lease, clock())
             self._act(clock())
 
     def _touched(self, action: Action, alive: bool | None) -> None:
         election, clock = self.node.election, self.node.clock
         if alive is None:
             election.failed(action, clock())
-        elif election.touched(alive, clock()):
-            self.node.leading.end("hold ended")
+        elif election.renewed(alive, clock()):
+            self.node.leading.end("lease ended")
 
     def _dropped(self, action: Action, ok: bool) -> None:
         election, clock = self.node.election, self.node.clock
@@ -104,7 +104,7 @@
             e.claimed(revision, now)
             self.node.leading.begin()
         elif status in (400, 409):
-            e.claimed(None, now, hold_lost=status == 400)
+            e.claimed(None, now, lease_lost=status == 400)
             self._act(now)
         else:
             e.failed(action, now)
--- a/src/eldercart/net/greetings.py
+++ b/src/eldercart/net/greetings.py
@@ -108,7 +108,7 @@
         label = node.settings.label
         # Counted from the asking: what a peer said may have waited here while this node slept.
         since = contact(
-            node.election.hold_seen, node.election.hold_until,
+            node.election.lease_confirmed_at, node.election.lease_until,
             [link.answered for link in self._links.values()], self._spare_s, now,
         )  # fmt: skip
         self._share_out(now)
--- a/src/eldercart/net/node.py
+++ b/src/eldercart/net/node.py
@@ -120,7 +120,7 @@
 
     def _stood_still(self, seconds: float) -> None:
         """Nothing was read meanwhile, so nobody's silence in that time is theirs. (What this node
-        may say by its hold or its grant is judged by the clock, which ran on.)"""
+        may say by its lease or its grant is judged by the clock, which ran on.)"""
         log.info("stood still seconds=%.2f", seconds)
         self.relaying.stood_still(seconds)
         self.leading.stood_still(seconds)
--- a/src/eldercart/net/store.py
+++ b/src/eldercart/net/store.py
@@ -186,7 +186,7 @@
 
         self._call(b"POST", "/txn", txn.body(), TIMEOUT_S, got)
 
-    def open_hold(self, ttl_ms: int, done: Callable[[LeaseId | None], None]) -> None:
+    def open_lease(self, ttl_ms: int, done: Callable[[LeaseId | None], None]) -> None:
         """A new lease; `done(None)` if none was given."""
 
         def got(status: int | None, data: bytes) -> None:
@@ -198,19 +198,19 @@
         self.requests.force(self._clock())
         self._call(b"POST", "/holds", b'{"lifeMs":%d}' % ttl_ms, 1.0, got)
 
-    def touch_hold(self, hold: LeaseId, done: Callable[[bool | None], None]) -> None:
+    def renew_lease(self, lease: LeaseId, done: Callable[[bool | None], None]) -> None:
         """True: alive; False: ended; None: nobody knows."""
 
         def got(status: int | None, _: bytes) -> None:
             done(True if status == 200 else False if status == 404 else None)
 
         self.requests.force(self._clock())
-        self._call(b"POST", f"/holds/{hold}/touch", b"{}", 1.0, got)
+        self._call(b"POST", f"/holds/{lease}/touch", b"{}", 1.0, got)
 
-    def drop_hold(self, hold: LeaseId, done: Callable[[bool], None]) -> None:
+    def revoke_lease(self, lease: LeaseId, done: Callable[[bool], None]) -> None:
         """Ends a lease; `done(True)` once it surely has ended."""
         self.requests.force(self._clock())
-        self._call(b"DELETE", f"/holds/{hold}", None, 1.0, lambda s, _: done(s in (200, 204, 404)))
+        self._call(b"DELETE", f"/holds/{lease}", None, 1.0, lambda s, _: done(s in (200, 204, 404)))
 
     def watch(
         self,
--- a/src/eldercart/net/user_answers.py
+++ b/src/eldercart/net/user_answers.py
@@ -35,7 +35,7 @@
             waiter(how)
 
     def tell(self, number: int, job: JobId) -> peers.Told:
-        """The leader's answer; only within its hold is a state that may change told."""
+        """The leader's answer; only within its lease is a state that may change told."""
         node = self._node
         how = node.front.final_of(job)
         if how is not None:
--- a/tests/relayworld.py
+++ b/tests/relayworld.py
@@ -15,7 +15,7 @@
 from world import World
 
 GIVE_UP_S = 4.0
-HOLD_S = 3.0
+LEADER_LEASE_S = 3.0
 RPC_S = 0.2
 REPLY_S = 3.0
 
@@ -86,12 +86,12 @@
             self.elect()
 
     def sleep(self, i: int, seconds: float) -> None:
-        """Node `i` stands still. If it leads, another does once its hold has ended; what it knew
+        """Node `i` stands still. If it leads, another does once its lease has ended; what it knew
         and what it was granted are kept aside, for a look at what it does when it wakes."""
         self.asleep = i
         end = self.now + seconds
         if i == self.leader:
-            self.run(min(seconds, HOLD_S))
+            self.run(min(seconds, LEADER_LEASE_S))
             if self.now < end - 1e-6:
                 self.stale_relay = self.relays[i]
                 self.stale_order = ReportOrder(Session(1), 10**6)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -22,9 +22,9 @@
     def __init__(self) -> None:
         self.revision = 0
         self.keys: dict[str, tuple[Any, int, int | None]] = {}
-        self.holds: dict[int, float] = {}
+        self.leases: dict[int, float] = {}
         self.log: list[tuple[int, dict[str, Any]]] = []
-        self.next_hold = 1
+        self.next_lease = 1
         self.value_bytes = self.txn_ops = 10**9
         self.too_large = 0  # transactions refused for their size
 
@@ -42,7 +42,7 @@
         failed = [
             g["path"] for g in obj["guards"] if self.keys.get(g["path"], (0, 0, 0))[1] != g["stamp"]
         ]
-        if any(w.get("tether") not in (None, *self.holds) for w in obj["writes"]):
+        if any(w.get("tether") not in (None, *self.leases) for w in obj["writes"]):
             return 400, {"error": "no such lease"}
         if failed:
             return 409, {"failed": failed, "ledgerRev": self.revision}
@@ -61,19 +61,19 @@
     def item(self, key: str) -> dict[str, Any] | None:
         if key not in self.keys:
             return None
-        value, version, hold = self.keys[key]
+        value, version, lease = self.keys[key]
         out: dict[str, Any] = {"path": key, "v": value, "stamp": version}
-        if hold is not None:
-            out["tether"] = hold
+        if lease is not None:
+            out["tether"] = lease
         return out
 
     def range(self, prefix: str) -> list[dict[str, Any]]:
         return [i for k in sorted(self.keys) if k.startswith(prefix) and (i := self.item(k))]
 
-    def end_hold(self, hold: int) -> bool:
-        if self.holds.pop(hold, None) is None:
+    def end_lease(self, lease: int) -> bool:
+        if self.leases.pop(lease, None) is None:
             return False
-        for key in [k for k, (_, _, h) in self.keys.items() if h == hold]:
+        for key in [k for k, (_, _, h) in self.keys.items() if h == lease]:
             self.revision += 1
             del self.keys[key]
             self.log.append((self.revision, {"delete": key, "stamp": self.revision}))
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -207,7 +207,7 @@
 
 
 def test_urgent_work_is_not_starved_by_small_tasks() -> None:
-    """Single CPUs freed one by one never add up to a larger task unless room is held."""
+    """Single CPUs freed one by one never add up to a larger task unless room is reserved."""
     w = World(11, capacity=2)
     w.submit("wk-000001", cpus=1.0, parcels=200, urgency="idle", run_s=8.0)
     w.run(20)
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -8,22 +8,22 @@
 from eldercart.election import (
     LEAD_KEY,
     Claim,
-    DropHold,
     Election,
-    OpenHold,
+    OpenLease,
     ReadLead,
+    RenewLease,
+    RevokeLease,
     Role,
-    TouchHold,
 )
 from eldercart.units import IncarnationId, LeaseId, NodeId, Revision, Steady
 from eldercart.wire.state import parse_item
 from standins import StoreSim, orjson
 
-HOLD_S = 3.0
+LEADER_LEASE_S = 3.0
 
 
 class Booth:
-    """Nodes, their requests under way, and holds that end when nobody renews them."""
+    """Nodes, their requests under way, and leases that end when nobody renews them."""
 
     def __init__(self, seed: int, nodes: int) -> None:
         self.rng = random.Random(seed)
@@ -37,7 +37,7 @@
 
     def start(self, i: int) -> Election:
         self.starts += 1
-        return Election(NodeId(f"n{i}"), HOLD_S, 0.02, IncarnationId(f"start{self.starts}"))
+        return Election(NodeId(f"n{i}"), LEADER_LEASE_S, 0.02, IncarnationId(f"start{self.starts}"))
 
     def restart(self, i: int) -> None:
         """Back within a fraction of a second; what the old process asked for is still under way."""
@@ -51,9 +51,9 @@
         end = self.now + seconds
         while self.now < end:
             self.now += 0.05
-            for hold in [h for h, t in self.expires.items() if t < self.now]:
-                del self.expires[hold]
-                self.store.end_hold(hold)
+            for lease in [h for h, t in self.expires.items() if t < self.now]:
+                del self.expires[lease]
+                self.store.end_lease(lease)
             due = sorted(x for x in self.later if x[0] <= self.now)
             self.later = [x for x in self.later if x[0] > self.now]
             for _, _, what in due:
@@ -92,18 +92,18 @@
         match action:
             case ReadLead():
                 return self.store.item(LEAD_KEY)
-            case OpenHold(ttl_s):
-                self.store.next_hold += 1
-                self.store.holds[self.store.next_hold] = ttl_s
-                self.expires[self.store.next_hold] = self.now + ttl_s
-                return self.store.next_hold
-            case TouchHold(hold):
-                if hold in self.expires:
-                    self.expires[hold] = self.now + HOLD_S
-                return hold in self.expires
-            case DropHold(hold):
-                self.expires.pop(hold, None)
-                self.store.end_hold(hold)
+            case OpenLease(ttl_s):
+                self.store.next_lease += 1
+                self.store.leases[self.store.next_lease] = ttl_s
+                self.expires[self.store.next_lease] = self.now + ttl_s
+                return self.store.next_lease
+            case RenewLease(lease):
+                if lease in self.expires:
+                    self.expires[lease] = self.now + LEADER_LEASE_S
+                return lease in self.expires
+            case RevokeLease(lease):
+                self.expires.pop(lease, None)
+                self.store.end_lease(lease)
                 return True
             case Claim(txn):
                 return self.store.txn(txn.body())
@@ -114,18 +114,18 @@
         match action:
             case ReadLead():
                 e.read(None if done is None else parse_item(orjson.dumps(done)), now)
-            case OpenHold():
+            case OpenLease():
                 e.opened(LeaseId(done), now)
-            case TouchHold():
-                e.touched(done, now)
-            case DropHold():
+            case RenewLease():
+                e.renewed(done, now)
+            case RevokeLease():
                 e.dropped(now)
             case Claim():
                 status, answer = done
                 if status == 200:
                     e.claimed(Revision(answer["ledgerRev"]), now)
                 else:
-                    e.claimed(None, now, hold_lost=status == 400)
+                    e.claimed(None, now, lease_lost=status == 400)
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -134,7 +134,7 @@
     for _ in range(12):
         b.run(b.rng.uniform(0.1, 1.5))
         b.restart(b.rng.randrange(len(b.nodes)))
-    b.run(4 * HOLD_S)
+    b.run(4 * LEADER_LEASE_S)
     leaders = [e for e in b.nodes if e.role is Role.LEADER]
     assert len(leaders) == 1
     item = b.store.item(LEAD_KEY)
@@ -144,17 +144,17 @@
 
 def test_claim_of_an_earlier_start_is_not_taken_for_ones_own() -> None:
     """Its response was lost with the process; the record carries its label, not its start."""
-    e = Election(NodeId("n0"), HOLD_S, 0.02, IncarnationId("new"))
+    e = Election(NodeId("n0"), LEADER_LEASE_S, 0.02, IncarnationId("new"))
     now = Steady(0.0)
     e.next_action(now)
     value = {"path": "lead", "v": {"node": "n0", "life": "old"}, "stamp": 9, "tether": 4}
     e.read(parse_item(orjson.dumps(value)), now)
-    assert e.role is Role.FOLLOWER and e.next_action(now) == DropHold(LeaseId(4))
+    assert e.role is Role.FOLLOWER and e.next_action(now) == RevokeLease(LeaseId(4))
 
 
 @pytest.mark.parametrize(("incarnation", "role"), [("new", Role.LEADER), ("old", Role.FOLLOWER)])
-def test_own_hold_under_another_start_does_not_make_a_leader(incarnation: str, role: Role) -> None:
-    e = Election(NodeId("n0"), HOLD_S, 0.02, IncarnationId("new"))
+def test_own_lease_under_another_start_does_not_make_a_leader(incarnation: str, role: Role) -> None:
+    e = Election(NodeId("n0"), LEADER_LEASE_S, 0.02, IncarnationId("new"))
     now = Steady(0.0)
     e.next_action(now)
     e.read(None, now)
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -79,14 +79,14 @@
                 item = store.item(unquote(url.path[6:]))
                 return (200, item) if item else (404, {"ledgerRev": store.revision})
             if url.path == "/holds":
-                store.next_hold += 1
-                store.holds[store.next_hold] = 0.0
-                return 200, {"tether": store.next_hold}
+                store.next_lease += 1
+                store.leases[store.next_lease] = 0.0
+                return 200, {"tether": store.next_lease}
             match = re.fullmatch(r"/holds/(\d+)(/touch)?", url.path)
-            hold = int(match[1]) if match else 0
+            lease = int(match[1]) if match else 0
             if method == "DELETE":
-                return (200, {}) if store.end_hold(hold) else (404, {})
-            return (200, {}) if hold in store.holds else (404, {})
+                return (200, {}) if store.end_lease(lease) else (404, {})
+            return (200, {}) if lease in store.leases else (404, {})
 
     def follow(self, query: dict[str, str]) -> tuple[int, Any]:
         end = time.monotonic() + int(query["waitMs"]) / 1000
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -15,7 +15,7 @@
 import orjson
 import pytest
 
-from eldercart.election import Claim, DropHold, Election, OpenHold, ReadLead, Role, TouchHold
+from eldercart.election import Claim, Election, OpenLease, ReadLead, RenewLease, RevokeLease, Role
 from eldercart.units import LeaseId, NodeId, Revision, Steady
 from eldercart.wire.state import Item
 from test_end_to_end import LIMIT_S, Region, Service, call, until
@@ -172,7 +172,7 @@
 def elected() -> Election:
     election = Election(NodeId("n"), 3.0, 0.02)
     election.read(None, NOW)
-    assert isinstance(election.next_action(NOW), OpenHold)
+    assert isinstance(election.next_action(NOW), OpenLease)
     election.opened(LeaseId(4), NOW)
     assert isinstance(election.next_action(NOW), Claim)
     return election
@@ -183,7 +183,7 @@
     election.claimed(Revision(9), NOW)
     election.retire(NOW)
     assert election.role is Role.FOLLOWER and election.hands_over
-    assert election.next_action(NOW) == DropHold(LeaseId(4))
+    assert election.next_action(NOW) == RevokeLease(LeaseId(4))
     election.dropped(NOW)
     assert not election.hands_over
     assert isinstance(election.next_action(NOW), ReadLead)
@@ -205,15 +205,15 @@
         election.read(Item("lead", claim, Revision(9), LeaseId(4)), NOW)
     assert election.role is Role.LEADER
     election.retire(NOW)
-    assert election.next_action(NOW) == DropHold(LeaseId(4))
+    assert election.next_action(NOW) == RevokeLease(LeaseId(4))
 
 
 def test_a_retired_leader_waits_for_its_renewal() -> None:
-    """One action is under way at a time; then the hold goes."""
+    """One action is under way at a time; then the lease goes."""
     election = elected()
     election.claimed(Revision(9), NOW)
-    assert isinstance(election.next_action(NOW), TouchHold)
+    assert isinstance(election.next_action(NOW), RenewLease)
     election.retire(NOW)
     assert election.next_action(NOW) is None
-    election.touched(True, NOW)
-    assert election.next_action(NOW) == DropHold(LeaseId(4))
+    election.renewed(True, NOW)
+    assert election.next_action(NOW) == RevokeLease(LeaseId(4))
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -20,7 +20,7 @@
 from test_core import finish
 from world import PLATFORM, World
 
-HOLD = (100.0, 102.0)  # when the last renewal was sent, and until when it holds
+LEADER_LEASE = (100.0, 102.0)  # when the last renewal was sent, and until when it holds
 
 
 @pytest.mark.parametrize(
@@ -39,7 +39,7 @@
 def test_what_a_leaders_grant_counts_from(
     name: str, heard: list[float], spare: float, now: float, expected: float
 ) -> None:
-    seen, until = HOLD
+    seen, until = LEADER_LEASE
     got = contact(Steady(seen), Steady(until), [Steady(h) for h in heard], spare, Steady(now))
     assert got == expected, name
 
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize("lease_s", [5.0, 10.0, 14.0])
 @pytest.mark.parametrize("share", [0.2, 0.4, 0.6])
 def test_spare_leaves_time_for_two_grants_and_a_lease(lease_s: float, share: float) -> None:
-    """The worst case step by step: cancelled as the hold ends, the last contact at the end of the
+    """The worst case step by step: cancelled as the lease ends, the last contact at the end of the
     spare time, a relay that asks as that grant ends, a worker answered as its grant ends."""
     cancel_s, drift, grant_s = 34.0, 0.02, share * lease_s
     spare = spare_s(cancel_s, lease_s, grant_s, drift)
@@ -241,7 +241,9 @@
         self.seen: list[int] = []
         settings = parse_platform(platform)
         tuning = load_tuning()
-        election = SimpleNamespace(epoch=5, leader="drover-0", hold_seen=99.0, hold_until=101.0)
+        election = SimpleNamespace(
+            epoch=5, leader="drover-0", lease_confirmed_at=99.0, lease_until=101.0
+        )
         store = SimpleNamespace(
             failing_since=None, lend=lambda n, now: 0, lent=lambda n, now: None,
             reduced_rates=SimpleNamespace(
@@ -287,7 +289,7 @@
     ("name", "answers", "until"),
     [
         # A grant is 4 s here (0.4 of a lease of 10 s, less the drift), spare 30 s of `cancel_s`
-        # less a lease, two grants and a second, less the drift: 10.2 s after the hold ends at 101.
+        # less a lease, two grants and a second, less the drift: 10.2 s after the lease ends at 101.
         ("nobody is heard", [], 103.0),
         ("every node is heard all the time", ["drover-1", "drover-2"], 150.0),
         ("one of two is heard all the time", ["drover-1"], 115.12),
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -14,7 +14,7 @@
 from eldercart.core.fleet import MachineState
 from eldercart.core.jobs import JobBook, Phase, chunk_size, job_record, parse_job_record
 from eldercart.core.placement_records import PlacementRecords
-from eldercart.election import Claim, Election, OpenHold, ReadLead, TouchHold
+from eldercart.election import Claim, Election, OpenLease, ReadLead, RenewLease
 from eldercart.net.buckets import Bucket
 from eldercart.net.front import RETRY_S
 from eldercart.net.node import Node
@@ -511,7 +511,7 @@
     now = Steady(10.0)
     assert isinstance(e.next_action(now), ReadLead)
     e.read(None, now)
-    assert isinstance(e.next_action(now), OpenHold)
+    assert isinstance(e.next_action(now), OpenLease)
     e.opened(LeaseId(1), now)
     return e, now
 
@@ -532,10 +532,10 @@
     """The 400 that says so would come back for each claim on that lease."""
     e, now = claiming()
     assert isinstance(e.next_action(now), Claim)
-    e.claimed(None, now, hold_lost=True)
+    e.claimed(None, now, lease_lost=True)
     assert isinstance(e.next_action(now), ReadLead)
     e.read(None, now)
-    assert isinstance(e.next_action(now), OpenHold)
+    assert isinstance(e.next_action(now), OpenLease)
 
 
 def test_refused_renewal_is_repeated_while_the_hold_lasts() -> None:
@@ -545,7 +545,7 @@
     tries = []
     while e.within_lease(now):
         action = e.next_action(now)
-        if isinstance(action, TouchHold):
+        if isinstance(action, RenewLease):
             tries.append(now)
             e.failed(action, now)
         now = Steady(now + 0.01)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -11,7 +11,7 @@
 from eldercart.core.controller import Delete, JobStatus, Outcome, PendingTxn, Verdict
 from eldercart.core.fleet import MachineState
 from eldercart.core.jobs import Phase
-from eldercart.election import Claim, DropHold, Election, OpenHold, ReadLead, Role
+from eldercart.election import Claim, Election, OpenLease, ReadLead, RevokeLease, Role
 from eldercart.net.front import Front
 from eldercart.units import IncarnationId, JobId, LeaseId, MachineId, NodeId, Revision, Steady
 from eldercart.wire import cloud, state, workers
@@ -290,12 +290,12 @@
             if isinstance(action, ReadLead):
                 found = store.item("lead")
                 node.read(None if found is None else state.parse_item(orjson.dumps(found)), at)
-            elif isinstance(action, OpenHold):
-                store.next_hold += 1
-                store.holds[store.next_hold] = now
-                node.opened(LeaseId(store.next_hold), at)
-            elif isinstance(action, DropHold):
-                store.end_hold(action.hold)
+            elif isinstance(action, OpenLease):
+                store.next_lease += 1
+                store.leases[store.next_lease] = now
+                node.opened(LeaseId(store.next_lease), at)
+            elif isinstance(action, RevokeLease):
+                store.end_lease(action.lease)
                 node.dropped(at)
             elif isinstance(action, Claim):
                 if incarnation == "old":
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -13,7 +13,7 @@
 from eldercart.core.jobs import Job, JobBook
 from eldercart.core.prediction import Predictor
 from eldercart.core.rental import Rental
-from eldercart.election import Claim, DropHold, Election, OpenHold, ReadLead, Role, TouchHold
+from eldercart.election import Claim, Election, OpenLease, ReadLead, RenewLease, RevokeLease, Role
 from eldercart.net.buckets import Bucket
 from eldercart.net.node import could_serve
 from eldercart.settings import BadSettings, load_tuning
@@ -162,15 +162,15 @@
 
 # -- election
 
-HOLD = LeaseId(5)
+LEADER_LEASE = LeaseId(5)
 
 
 def elected(now: float = 0.0) -> Election:
     e = Election(NodeId("n0"), 3.0, 0.02)
     assert isinstance(e.next_action(Steady(now)), ReadLead)
     e.read(None, Steady(now))
-    assert isinstance(e.next_action(Steady(now)), OpenHold)
-    e.opened(HOLD, Steady(now + 0.1))
+    assert isinstance(e.next_action(Steady(now)), OpenLease)
+    e.opened(LEADER_LEASE, Steady(now + 0.1))
     assert isinstance(e.next_action(Steady(now + 0.1)), Claim)
     e.claimed(Revision(7), Steady(now + 0.2))
     return e
@@ -180,8 +180,8 @@
     e = elected()
     assert e.role is Role.LEADER and e.epoch == 7
     assert e.within_lease(Steady(2.9)) and not e.within_lease(Steady(2.95))
-    assert isinstance(e.next_action(Steady(1.0)), TouchHold)
-    e.touched(True, Steady(1.9))  # a slow answer extends from when it was asked
+    assert isinstance(e.next_action(Steady(1.0)), RenewLease)
+    e.renewed(True, Steady(1.9))  # a slow answer extends from when it was asked
     assert e.within_lease(Steady(3.9)) and not e.within_lease(Steady(3.95))
 
 
@@ -191,18 +191,18 @@
     assert action is not None
     e.failed(action, Steady(2.0))
     assert e.role is Role.LEADER and not e.within_lease(Steady(5.0))
-    assert isinstance(e.next_action(Steady(5.0)), TouchHold)
-    e.touched(True, Steady(5.1))
+    assert isinstance(e.next_action(Steady(5.0)), RenewLease)
+    e.renewed(True, Steady(5.1))
     assert e.within_lease(Steady(5.2))
 
 
-@pytest.mark.parametrize("how", ["hold ended", "higher epoch", "write refused"])
+@pytest.mark.parametrize("how", ["lease ended", "higher epoch", "write refused"])
 def test_steps_down(how: str) -> None:
     e = elected()
     now = Steady(1.0)
-    if how == "hold ended":
-        assert isinstance(e.next_action(now), TouchHold)
-        assert e.touched(False, now)
+    if how == "lease ended":
+        assert isinstance(e.next_action(now), RenewLease)
+        assert e.renewed(False, now)
     elif how == "higher epoch":
         assert not e.saw_epoch(Epoch(7), now)
         assert e.saw_epoch(Epoch(8), now)
@@ -213,18 +213,18 @@
 
 
 def test_leader_that_hears_nobody_stands_back() -> None:
-    """It keeps its hold through the store alone, and nobody else could lead."""
+    """It keeps its lease through the store alone, and nobody else could lead."""
     e = elected()
     e.resign(Steady(1.0))
     assert e.role is Role.FOLLOWER
-    assert e.next_action(Steady(1.0)) == DropHold(HOLD)
+    assert e.next_action(Steady(1.0)) == RevokeLease(LEADER_LEASE)
     e.dropped(Steady(1.1))
     assert isinstance(e.next_action(Steady(1.1)), ReadLead)
     e.read(None, Steady(1.2))
     assert e.next_action(Steady(1.3)) is None, "somebody else first"
     assert isinstance(e.next_action(Steady(3.0)), ReadLead)
     e.read(None, Steady(3.0))
-    assert isinstance(e.next_action(Steady(11.0)), OpenHold), "nobody else came"
+    assert isinstance(e.next_action(Steady(11.0)), OpenLease), "nobody else came"
 
 
 def test_claim_with_lost_answer_is_found_by_reading() -> None:
@@ -233,23 +233,23 @@
     e.next_action(now)
     e.read(None, now)
     e.next_action(now)
-    e.opened(HOLD, now)
+    e.opened(LEADER_LEASE, now)
     claim = e.next_action(now)
     assert isinstance(claim, Claim)
     e.failed(claim, now)
     later = Steady(0.5)
     assert isinstance(e.next_action(later), ReadLead)
-    e.read(Item("lead", {"node": "n0", "life": "0"}, Revision(9), HOLD), later)
+    e.read(Item("lead", {"node": "n0", "life": "0"}, Revision(9), LEADER_LEASE), later)
     assert e.role is Role.LEADER and e.epoch == 9
 
 
 def test_key_of_an_earlier_incarnation_is_given_up() -> None:
-    """Restarted within a fraction of a second: the old hold would keep everybody waiting."""
+    """Restarted within a fraction of a second: the old lease would keep everybody waiting."""
     e = Election(NodeId("n0"), 3.0, 0.02)
     e.next_action(Steady(0.0))
     e.read(Item("lead", {"node": "n0"}, Revision(9), LeaseId(3)), Steady(0.0))
     assert e.role is Role.FOLLOWER
-    assert e.next_action(Steady(0.0)) == DropHold(LeaseId(3))
+    assert e.next_action(Steady(0.0)) == RevokeLease(LeaseId(3))
 
 
 def test_another_leader_is_left_alone() -> None:
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -117,7 +117,7 @@
 @pytest.mark.parametrize("pause_s", [1.0, 2.9, 6.0, 12.0, 40.0])
 @pytest.mark.parametrize("twice", [False, True])
 def test_leader_that_stood_still(pause_s: float, twice: bool) -> None:
-    """Others elect when its hold has ended; what it decided before can't be carried out any more,
+    """Others elect when its lease has ended; what it decided before can't be carried out any more,
     and no machine is lost to its sleep."""
     w = RelayWorld(7, capacity=8)
     w.submit("wk-000001", run_s=150.0, parcels=24)
@@ -164,13 +164,13 @@
 @pytest.mark.parametrize(
     ("at", "refused_at", "allowed"),
     [
-        (1.0, -1e9, True),  # within its hold
+        (1.0, -1e9, True),  # within its lease
         (20.0, -1e9, False),  # it slept: another may lead by now
         (20.0, 19.0, True),  # the store is down, and refuses everybody
         (20.0, 10.0, False),
     ],
 )
-def test_orders_to_the_cloud_need_the_hold(at: float, refused_at: float, allowed: bool) -> None:
+def test_orders_to_the_cloud_need_the_lease(at: float, refused_at: float, allowed: bool) -> None:
     e = Election(NodeId("n0"), 3.0, 0.02, IncarnationId("x"))
     e.next_action(Steady(0.0))
     e.read(None, Steady(0.0))
--- a/tests/world.py
+++ b/tests/world.py
@@ -87,8 +87,8 @@
 
     def elect(self) -> None:
         """A new leader; whatever the old one held in memory is lost."""
-        self.store.end_hold(1)
-        self.store.holds[1] = 1e9
+        self.store.end_lease(1)
+        self.store.leases[1] = 1e9
         body = state.Txn(
             {LEAD_KEY: ABSENT}, [state.Put(LEAD_KEY, {"node": "x"}, state.LeaseId(1))]
         ).body()
