--- a/src/eldercart/core/cloudwork.py
+++ b/src/eldercart/core/cloudwork.py
@@ -6,7 +6,7 @@
 from eldercart.core import placement as rules
 from eldercart.core.fleet import MachineState
 from eldercart.core.jobs import Phase
-from eldercart.core.rental import Hire
+from eldercart.core.rental import RentalRequest
 from eldercart.core.scheduler_state import SchedulerState
 from eldercart.units import NEVER, JobId, MachineId, Steady
 from eldercart.wire import Malformed, cloud
@@ -22,7 +22,7 @@
 class Rent:
     """Rent machines, under the request's name."""
 
-    hire: Hire
+    rental_request: RentalRequest
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,7 +68,7 @@
         self._busy: set[str] = set()
         self._renting = 0
         self._pause = NEVER
-        self._hires: list[Hire] = []
+        self._rental_requests: list[RentalRequest] = []
         self._list_due = scheduler.began
         self._list_after: MachineId | None = None
         self._list_seen = False
@@ -98,7 +98,7 @@
                 if (zone := rules.bound_to(j, scheduler.fleet)) is not None
                 or not all(rules.fits_type(j.spec, kind) for kind in scheduler.types.values())
             ]
-            self._hires += scheduler.rental.plan(
+            self._rental_requests += scheduler.rental.plan(
                 machines, scheduler.types, choosy, self._prefix, now
             )
         for m in scheduler.rental.surplus(machines, now):
@@ -177,12 +177,12 @@
         if (not scheduler.types or now >= self._catalog_due) and "catalog" not in self._busy:
             self._busy.add("catalog")
             return GetCatalog()
-        if self._hires and self._renting < RENTALS:
+        if self._rental_requests and self._renting < RENTALS:
             self._renting += 1
-            hire = self._hires.pop(0)
-            if not hire.sent:
-                hire.sent = now
-            return Rent(hire)
+            rental_request = self._rental_requests.pop(0)
+            if not rental_request.sent:
+                rental_request.sent = now
+            return Rent(rental_request)
         if now >= self._list_due and "list" not in self._busy:
             self._busy.add("list")
             return ListPage(self._list_after)
@@ -210,8 +210,8 @@
                     for machine in machines:
                         self._deleted(machine, now)
                 self._busy.discard("delete")
-            case Rent(hire):
-                self._rented(hire, status, body, now)
+            case Rent(rental_request):
+                self._rented(rental_request, status, body, now)
                 self._renting -= 1
             case ListPage():
                 if status == 200:
@@ -263,36 +263,49 @@
             scheduler.void(p, now)
         scheduler.fleet.remove(m)
 
-    def _rented(self, hire: Hire, status: int | None, body: bytes, now: Steady) -> None:
-        scheduler, offer = self.scheduler, hire.offer
+    def _rented(
+        self, rental_request: RentalRequest, status: int | None, body: bytes, now: Steady
+    ) -> None:
+        scheduler, offer = self.scheduler, rental_request.offer
         if status == 200:
             machines = cloud.parse_rented(body)
-            scheduler.rental.hires.pop(hire.request, None)
+            scheduler.rental.rental_requests.pop(rental_request.name, None)
             for machine in machines:
                 if scheduler.fleet.get(machine) is None and not scheduler.fleet.is_gone(machine):
                     kind = scheduler.types[offer.type]
                     scheduler.fleet.add(
-                        machine, kind, offer.zone, offer.spot, MachineState.BOOTING, hire.sent, now
+                        machine,
+                        kind,
+                        offer.zone,
+                        offer.spot,
+                        MachineState.BOOTING,
+                        rental_request.sent,
+                        now,
                     )
             log.info(
                 "rented type=%s zone=%s spot=%s asked=%d got=%d request=%s",
-                offer.type, offer.zone, offer.spot, hire.number, len(machines), hire.request,
-            )  # fmt: skip
-            if len(machines) < hire.number:
+                offer.type,
+                offer.zone,
+                offer.spot,
+                rental_request.number,
+                len(machines),
+                rental_request.name,
+            )
+            if len(machines) < rental_request.number:
                 scheduler.rental.refuse(offer, now)
             scheduler.rental_due = now
         elif status == 503 and no_capacity(body):
-            scheduler.rental.hires.pop(hire.request, None)
+            scheduler.rental.rental_requests.pop(rental_request.name, None)
             scheduler.rental.refuse(offer, now)
             scheduler.rental_due = now
             log.info("refused type=%s zone=%s spot=%s", offer.type, offer.zone, offer.spot)
         elif status == 400:
-            scheduler.rental.hires.pop(hire.request, None)
+            scheduler.rental.rental_requests.pop(rental_request.name, None)
             scheduler.rental.refuse(offer, now)
-            log.error("rental malformed request=%s", hire.request)
+            log.error("rental malformed request=%s", rental_request.name)
         else:
             # Nobody knows whether it was carried out: the same name gets the same answer.
-            self._hires.append(hire)
+            self._rental_requests.append(rental_request)
 
     def _listed(self, listed: list[cloud.ListedMachine], now: Steady) -> None:
         scheduler = self.scheduler
@@ -302,11 +315,13 @@
             m = scheduler.fleet.get(item.id)
             if m is None:
                 kind = scheduler.types.get(item.type) or unknown_type(item.type)
-                hired = Steady(now - item.age_s)
+                rented_at = Steady(now - item.age_s)
                 state = MachineState.UP if item.state == cloud.UP else MachineState.BOOTING
                 # It may report to another node, or be new: it gets a full patience.
                 heard = Steady(now + scheduler.tuning.takeover_grace_s)
-                m = scheduler.fleet.add(item.id, kind, item.zone, item.spot, state, hired, heard)
+                m = scheduler.fleet.add(
+                    item.id, kind, item.zone, item.spot, state, rented_at, heard
+                )
                 log.debug("machine listed machine=%s state=%s", m.id, item.state)
             elif m.zone == rules.UNKNOWN_ZONE:
                 # Known from its tasks alone: the list says what it is before it reports.
--- a/src/eldercart/core/fleet.py
+++ b/src/eldercart/core/fleet.py
@@ -54,7 +54,7 @@
     zone: str
     spot: bool
     state: MachineState
-    hired: Steady
+    rented_at: Steady
     last_heard: Steady
     address: str = ""
     relay: NodeId | None = None  # the node that heard it last
@@ -143,10 +143,10 @@
 
     def add(
         self, id_: MachineId, type_: MachineType, zone: str, spot: bool, state: MachineState,
-        hired: Steady, now: Steady,
+        rented_at: Steady, now: Steady,
     ) -> Machine:  # fmt: skip
         """A machine that was rented, listed or reported; its room is that of its type."""
-        m = Machine(id_, type_, zone, spot, state, hired, now, idle_since=now)
+        m = Machine(id_, type_, zone, spot, state, rented_at, now, idle_since=now)
         m.free_cpus, m.free_gpus, m.free_memory = type_.cpus, type_.gpus, type_.memory_gb
         m.images = self._recalled.pop(id_, {})
         self.machines[id_] = m
--- a/src/eldercart/core/machines.py
+++ b/src/eldercart/core/machines.py
@@ -58,7 +58,9 @@
             self._drain(machine, machine.taken_at, now)
         if machine.state is MachineState.BOOTING:
             if self._silence.is_boot_late(machine, now):
-                log.info("machine late machine=%s seconds=%.1f", machine.id, now - machine.hired)
+                log.info(
+                    "machine late machine=%s seconds=%.1f", machine.id, now - machine.rented_at
+                )
                 self._scheduler.doom(machine, now)
         elif self._silence.is_dead(machine, patience, now):
             log.info("machine silent machine=%s seconds=%.1f", machine.id, now - machine.last_heard)
--- a/src/eldercart/core/rental.py
+++ b/src/eldercart/core/rental.py
@@ -53,8 +53,8 @@
 
 
 @dataclass(slots=True)
-class Hire:
-    request: str
+class RentalRequest:
+    name: str
     offer: Offer
     number: int
     sent: Steady = CLOCK_ZERO
@@ -69,7 +69,7 @@
     ordinary: Demand = field(init=False)
     any: Demand = field(init=False)
     refused: dict[Offer, Steady] = field(default_factory=dict)
-    hires: dict[str, Hire] = field(default_factory=dict)
+    rental_requests: dict[str, RentalRequest] = field(default_factory=dict)
     _counter: int = 0
     _last_arrival: Steady | None = None
     _gap: float = 0.0  # mean seconds between submissions, recent ones weighing more
@@ -129,7 +129,7 @@
         choosy: list[tuple[Job, str | None]],
         prefix: str,
         now: Steady,
-    ) -> list[Hire]:
+    ) -> list[RentalRequest]:
         """What to rent now. `choosy` are waiting jobs that not every machine suits, with the
         zone they are bound to: the sums below may be met by machines of which none does."""
         machines = list(machines)
@@ -141,33 +141,40 @@
                 if not m.spot:
                     supply_ordinary += m.type.cpus
                 zones[m.zone, m.spot] = zones.get((m.zone, m.spot), 0) + 1
-        for hire in self.hires.values():
-            cpus = types[hire.offer.type].cpus * hire.number
+        for rental_request in self.rental_requests.values():
+            cpus = types[rental_request.offer.type].cpus * rental_request.number
             supply_any += cpus
-            if not hire.offer.spot:
+            if not rental_request.offer.spot:
                 supply_ordinary += cpus
         want_ordinary, want_any = self.targets()
-        hires: list[Hire] = []
+        rental_requests: list[RentalRequest] = []
         for job, zone in choosy:
-            got = self._rent_for(job, zone, machines, types, zones, prefix, now, hires)
+            got = self._rent_for(job, zone, machines, types, zones, prefix, now, rental_requests)
             supply_any += got
             if not job.spec.spot:
                 supply_ordinary += got
         short = want_ordinary - supply_ordinary
         if short > 0:
-            got = self._rent(short, False, types, zones, prefix, now, hires)
+            got = self._rent(short, False, types, zones, prefix, now, rental_requests)
             supply_any += got
         short = want_any - supply_any
         if short > 0:
-            short -= self._rent(short, True, types, zones, prefix, now, hires)
+            short -= self._rent(short, True, types, zones, prefix, now, rental_requests)
             if short > 0:
-                self._rent(short, False, types, zones, prefix, now, hires)
-        return hires
+                self._rent(short, False, types, zones, prefix, now, rental_requests)
+        return rental_requests
 
     def _rent_for(
-        self, job: Job, zone: str | None, machines: list[Machine], types: dict[str, MachineType],
-        zones: dict[tuple[str, bool], int], prefix: str, now: Steady, hires: list[Hire],
-    ) -> float:  # fmt: skip
+        self,
+        job: Job,
+        zone: str | None,
+        machines: list[Machine],
+        types: dict[str, MachineType],
+        zones: dict[tuple[str, bool], int],
+        prefix: str,
+        now: Steady,
+        rental_requests: list[RentalRequest],
+    ) -> float:
         spec = job.spec
         short = spec.cpus * (job.pending + job.queued)
         # What is in use comes free, mostly soon. Long tasks may hold all of a zone, though.
@@ -190,20 +197,28 @@
                 and fits_type(spec, types[offer.type])
             )
 
-        for hire in self.hires.values():
-            if suits(hire.offer):
-                short -= types[hire.offer.type].cpus * hire.number
+        for rental_request in self.rental_requests.values():
+            if suits(rental_request.offer):
+                short -= types[rental_request.offer.type].cpus * rental_request.number
         got = 0.0
         for spot in (True, False) if spec.spot else (False,):
             if short - got > 0:
-                got += self._rent(short - got, spot, types, zones, prefix, now, hires, suits)
+                got += self._rent(
+                    short - got, spot, types, zones, prefix, now, rental_requests, suits
+                )
         return got
 
     def _rent(
-        self, cpus: float, spot: bool, types: dict[str, MachineType],
-        zones: dict[tuple[str, bool], int], prefix: str, now: Steady, hires: list[Hire],
+        self,
+        cpus: float,
+        spot: bool,
+        types: dict[str, MachineType],
+        zones: dict[tuple[str, bool], int],
+        prefix: str,
+        now: Steady,
+        rental_requests: list[RentalRequest],
         suits: Callable[[Offer], bool] | None = None,
-    ) -> float:  # fmt: skip
+    ) -> float:
         """Asks for the cheapest offer that no recent refusal speaks against, one zone a time."""
         offers = []
         for kind in types.values():
@@ -215,7 +230,7 @@
                 if suits is not None and not suits(offer):
                     continue
                 if self.refused.get(offer, Steady(-1e9)) > now or any(
-                    h.offer == offer for h in self.hires.values()
+                    h.offer == offer for h in self.rental_requests.values()
                 ):
                     continue
                 # A machine that boots late is worth less to those who wait.
@@ -230,9 +245,9 @@
             same = sum(1 for o in offers[i:] if o[0] == cost)
             number = min(MAX_RENT, max(1, math.ceil(left / kind.cpus / same)))
             self._counter += 1
-            hire = Hire(f"{prefix}-{self._counter}", offer, number)
-            self.hires[hire.request] = hire
-            hires.append(hire)
+            rental_request = RentalRequest(f"{prefix}-{self._counter}", offer, number)
+            self.rental_requests[rental_request.name] = rental_request
+            rental_requests.append(rental_request)
             got += number * kind.cpus
         return got
 
--- a/src/eldercart/core/reports.py
+++ b/src/eldercart/core/reports.py
@@ -74,7 +74,7 @@
         machine.state = MachineState.UP
         machine.idle_since = machine.last_heard = now
         self._scheduler.plan_wanted = True
-        log.debug("machine up machine=%s after=%.1f", machine.id, now - machine.hired)
+        log.debug("machine up machine=%s after=%.1f", machine.id, now - machine.rented_at)
 
     def _showed_old_epoch(self, machine: Machine, now: Steady) -> None:
         """The worker has not seen this epoch: an older leader's response may still be obeyed, so
--- a/src/eldercart/core/silence.py
+++ b/src/eldercart/core/silence.py
@@ -73,7 +73,7 @@
         is read first, and everyone has time to report anew."""
         for machine in self._scheduler.fleet.machines.values():
             machine.last_heard = Steady(machine.last_heard + seconds)
-            machine.hired = Steady(machine.hired + seconds)
+            machine.rented_at = Steady(machine.rented_at + seconds)
             machine.undelivered = True  # the last answer may not have left in time
         for relay, heard in self._relays.items():
             self._relays[relay] = Steady(heard + seconds)
@@ -109,7 +109,7 @@
         """Whether a machine should have reported long ago, had it booted."""
         scheduler = self._scheduler
         boot: float = max(scheduler.tuning.boot_patience * machine.type.boot_s, BOOT_LEAST_S)
-        return now - machine.hired > boot + scheduler.settings.list_lag_s
+        return now - machine.rented_at > boot + scheduler.settings.list_lag_s
 
     def is_dead(self, machine: Machine, patience: float, now: Steady) -> bool:
         """Whether a machine's silence is taken for its death; asks it directly before that."""
--- a/src/eldercart/net/cloud_calls.py
+++ b/src/eldercart/net/cloud_calls.py
@@ -49,10 +49,10 @@
                 leading.pump_soon()
 
         match call:
-            case Rent(hire):
-                offer = hire.offer
+            case Rent(rental_request):
+                offer = rental_request.offer
                 body = cloud.rent_body(
-                    hire.request, offer.type, offer.zone, offer.spot, hire.number
+                    rental_request.name, offer.type, offer.zone, offer.spot, rental_request.number
                 )
                 self._client.request(b"POST", "/machines", body, ANSWER_S, done)
             case Delete(machines):
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -360,7 +360,7 @@
             c.tick(Steady(w.now))
             call = c.next_cloud(Steady(w.now))
             if isinstance(call, Rent):
-                names.append(call.hire.request)
+                names.append(call.rental_request.name)
                 break
             if call is not None:
                 body = CATALOG if isinstance(call, GetCatalog) else w.cloud.list(w.now)
--- a/tests/world.py
+++ b/tests/world.py
@@ -246,9 +246,11 @@
         match call:
             case None:
                 return
-            case Rent(hire):
-                o = hire.offer
-                body = cloud.rent_body(hire.request, o.type, o.zone, o.spot, hire.number)
+            case Rent(rental_request):
+                o = rental_request.offer
+                body = cloud.rent_body(
+                    rental_request.name, o.type, o.zone, o.spot, rental_request.number
+                )
                 status, answer = self.cloud.rent(body, self.now)
             case Delete(machines):
                 status, answer = self.cloud.delete(cloud.delete_body(list(machines)))
