--- a/src/eldercart/core/graph.py
+++ b/src/eldercart/core/graph.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class _Unread:
+class _UnreadEnd:
     due: Steady
     pause: float = AGAIN_S
 
@@ -46,7 +46,8 @@
         self._due = due
         # Job -> those that wait for its end. Only ends that are outstanding have an entry.
         self._dependents: dict[JobId, dict[JobId, Job]] = {}
-        self._unread: dict[JobId, _Unread] = {}  # awaited, but not in the book: ended, most likely
+        # awaited, but not in the book: ended, most likely
+        self._unread: dict[JobId, _UnreadEnd] = {}
 
     def dependents(self, job: JobId) -> Iterable[Job]:
         """The jobs that wait for the end of this one."""
@@ -70,7 +71,7 @@
             job.awaited.add(name)
             self._dependents.setdefault(name, {})[job.id] = job
             if before is None:
-                self._unread[name] = _Unread(now)
+                self._unread[name] = _UnreadEnd(now)
         self._settle(job, now, effect)
         for after in self.dependents(job.id):  # which came before it, as from a take-over
             job.priority = max(job.priority, after.priority)
--- a/src/eldercart/core/jobs.py
+++ b/src/eldercart/core/jobs.py
@@ -85,7 +85,7 @@
     priority: int = 0  # the job's when it was placed
     kept: bool = False  # the first of a job that waited too long: not stopped for others
     mark: int = 0  # of the last report that listed it
-    told: int = 0  # launches or kills of it that went out without effect so far
+    unacknowledged: int = 0  # launches or kills of it that went out without effect so far
 
     def ran(self, now: Steady) -> float:
         """Seconds of running, as seen here."""
--- a/src/eldercart/core/planner.py
+++ b/src/eldercart/core/planner.py
@@ -80,7 +80,7 @@
         )  # fmt: skip
         for rank, job in enumerate(ordered):
             job.rank = rank
-        _Pass(self, machines, self._with_aged(ordered, now), now).run()
+        _PlanningPass(self, machines, self._with_aged(ordered, now), now).run()
 
     def _with_aged(self, ordered: list[Job], now: Steady) -> list[tuple[Job, int | None]]:
         """Jobs that have waited too long to begin go ahead with their first tasks: of their
@@ -130,7 +130,7 @@
         return (self._turn * 7) % max(1, number)
 
 
-class _Pass:
+class _PlanningPass:
     def __init__(
         self, planner: Planner, machines: list[Machine], jobs: list[tuple[Job, int | None]],
         now: Steady,
--- a/src/eldercart/core/prediction.py
+++ b/src/eldercart/core/prediction.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class StreamedJob:
     """One job of a stream: its path, and what is known of its end and its successor."""
 
     job: JobId
@@ -66,7 +66,7 @@
 
     table: dict[Path, SubEntry] = field(default_factory=dict)
     recent: deque[str] = field(default_factory=deque)
-    seen: deque[Seen] = field(default_factory=deque)
+    seen: deque[StreamedJob] = field(default_factory=deque)
     cpus: dict[str, float] = field(default_factory=dict)  # image -> usual size of its jobs
     spot: bool = True
 
@@ -147,7 +147,7 @@
         stream.recent.append(spec.image)
         while len(stream.recent) > self._tuning.path_length:
             stream.recent.popleft()
-        stream.seen.append(Seen(job.id, tuple(stream.recent)))
+        stream.seen.append(StreamedJob(job.id, tuple(stream.recent)))
         while len(stream.seen) > KEEP:
             stream.seen.popleft()
         size = spec.cpus * spec.tasks
@@ -166,7 +166,7 @@
                 self._count(stream, seen)
                 return
 
-    def _count(self, stream: Stream, seen: Seen) -> None:
+    def _count(self, stream: Stream, seen: StreamedJob) -> None:
         """Updated only with what has really happened, once both ends of the edge are known."""
         if seen.counted or seen.outcome is None or seen.successor is None:
             return
--- a/src/eldercart/core/reconciliation.py
+++ b/src/eldercart/core/reconciliation.py
@@ -109,9 +109,9 @@
         self._scheduler.fleet.note_image(
             machine, placement.job.spec.image, placement.job.spec.image_gb
         )
-        if placement.told:
+        if placement.unacknowledged:
             found.obeyed = True
-            placement.told = 0
+            placement.unacknowledged = 0
 
     def _note_state(self, placement: Placement, state: str, now: Steady) -> None:
         """The task is listed in another state than running on."""
@@ -128,9 +128,9 @@
         """Told in every answer until a newer report lacks the task."""
         if state == SAVING:
             found.obeyed = True
-        elif placement.told:
+        elif placement.unacknowledged:
             found.ignored = True
-        placement.told += 1
+        placement.unacknowledged += 1
         # A cancelled job's work is of no use; otherwise let the task save.
         grace_s = 0.0 if placement.job.cancelled else placement.job.spec.save_s
         found.commands.append(workers.Kill(placement.key, placement.attempt, grace_s))
@@ -227,11 +227,11 @@
 
     def _launch_again(self, placement: Placement, found: Findings) -> None:
         """Again if need be: absence from a newer report shows that a launch was dropped."""
-        if placement.told > 0:
+        if placement.unacknowledged > 0:
             found.ignored = True
         placement.since_known = True
         placement.maybe_there = True
-        placement.told += 1
+        placement.unacknowledged += 1
         found.commands.append(workers.Launch(placement.key, placement.attempt))
 
     # -- what was written ahead
@@ -273,7 +273,7 @@
         scheduler.fleet.dequeue(machine, placement)
         scheduler.fleet.occupy(machine, placement)
         placement.maybe_there = True
-        placement.told = 1
+        placement.unacknowledged = 1
         placement.job.served = now
         found.commands.append(workers.Launch(placement.key, placement.attempt))
 
--- a/src/eldercart/core/relay.py
+++ b/src/eldercart/core/relay.py
@@ -93,14 +93,14 @@
 
 
 @dataclass(slots=True)
-class Known:
+class RelayedMachine:
     """What this relay knows of one machine."""
 
     order: ReportOrder
     seen: Steady
     base: Any = None  # the tasks as the leader took them last; None: the next report goes to it
     notice: bool = False
-    told: Epoch = NO_EPOCH  # the epoch last answered with, here
+    answered_epoch: Epoch = NO_EPOCH  # the epoch last answered with, here
 
 
 class Relay:
@@ -117,7 +117,7 @@
         self._linked = NEVER  # when the leader was last heard on the connection to it
         self._most: int | None = None
         self._spare: NodeId | None = None
-        self._known: dict[MachineId, Known] = {}
+        self._known: dict[MachineId, RelayedMachine] = {}
         self._heard: dict[MachineId, ReportOrder] = {}
         self._sent_on: dict[MachineId, Steady] = {}
         self._sweep_due = NEVER
@@ -185,14 +185,14 @@
         if known is None:
             if self._crowded(machine, now):
                 return Redirect(self._spare)
-            known = self._known[machine] = Known(order, now)
+            known = self._known[machine] = RelayedMachine(order, now)
         elif order.session != known.order.session:
             known.base = None
         known.order = order
         known.seen = now
-        if epoch < self.epoch and known.told != self.epoch:
+        if epoch < self.epoch and known.answered_epoch != self.epoch:
             # It learns the epoch first; what it reports under the old one proves nothing.
-            known.told = self.epoch
+            known.answered_epoch = self.epoch
             return Answer(self.epoch)
         unchanged = (
             epoch == self.epoch
@@ -218,7 +218,7 @@
         leads = self.leader if epoch <= self.epoch else None
         return Redirect(None if leads == self.label else leads)
 
-    def _without_leader(self, machine: MachineId, known: Known, now: Steady) -> Decision:
+    def _without_leader(self, machine: MachineId, known: RelayedMachine, now: Steady) -> Decision:
         """The worker has something to tell, and the leader can't be told it from here."""
         if now - self._linked > self._grant_s / UNLINKED_PARTS and self.leader != self.label:
             # The leader may well be there for it.
--- a/src/eldercart/net/acceptance_check.py
+++ b/src/eldercart/net/acceptance_check.py
@@ -29,7 +29,7 @@
 
     ALL = "all"  # every job was accepted
     NOT_ALL = "not all"  # one was not, as of a fresh read
-    UNTOLD = "untold"  # no tokens, no answer, no time
+    UNDETERMINED = "untold"  # no tokens, no answer, no time
 
 
 class AcceptanceCheck:
@@ -71,7 +71,7 @@
     def _unknown(self, jobs: Iterable[JobId]) -> list[JobId]:
         return [job for job in jobs if not self._dependencies.was_accepted(job)]
 
-    def _got_told(self, job: JobId, told: peers.Told | None) -> None:
+    def _got_told(self, job: JobId, told: peers.JobReply | None) -> None:
         if told is not None and told.verdict not in (peers.UNKNOWN, peers.NOT_LEADER):
             self._dependencies.accepted(job)
         self._leader_answered()
@@ -88,13 +88,13 @@
         if len(self._left) <= MANY_REQUESTS * self._jobs_per_request():
             self._send_guards()
         elif store.requests.available(self._node.clock(), FOR_ACCEPTING) < 1:
-            self._finish(Accepted.UNTOLD)
+            self._finish(Accepted.UNDETERMINED)
         else:
             self._dependencies.read_ends(self._left, self._got_ends)
 
     def _got_ends(self, ends: dict[JobId, str] | None) -> None:
         if ends is None:
-            self._finish(Accepted.UNTOLD)
+            self._finish(Accepted.UNDETERMINED)
         else:
             self._left = [job for job in self._left if job not in ends]
             self._send_guards()
@@ -111,7 +111,7 @@
             guards = {prefix + job: ABSENT for job in batch for prefix in (JOB, END)}
             self._node.store.txn(Txn(guards), partial(self._got_guards, batch))
         if self._open == 0 and (self._failed or not self._left):
-            self._finish(Accepted.UNTOLD if self._failed else Accepted.ALL)
+            self._finish(Accepted.UNDETERMINED if self._failed else Accepted.ALL)
 
     def _may_send(self) -> bool:
         return (
--- a/src/eldercart/net/ancestor_search.py
+++ b/src/eldercart/net/ancestor_search.py
@@ -30,7 +30,7 @@
 
     CANCELLED = "cancelled"  # one of them has a durable cancellation
     NOT_CANCELLED = "not cancelled"
-    UNTOLD = "untold"  # no tokens, no answer, no time
+    UNDETERMINED = "untold"  # no tokens, no answer, no time
 
 
 class AncestorSearch:
@@ -64,7 +64,7 @@
         if self._cancelled:
             self._done(Ancestors.CANCELLED)
         elif self._failed:
-            self._done(Ancestors.UNTOLD)
+            self._done(Ancestors.UNDETERMINED)
         elif self._unchecked:
             self._check_ends()
         elif self._ended:
@@ -97,7 +97,7 @@
         number = 0 if now > self._until else max(0, min(wanted, allowed))
         self._open = number
         if number == 0:
-            self._done(Ancestors.UNTOLD)
+            self._done(Ancestors.UNDETERMINED)
         return number
 
     def _request_over(self) -> None:
--- a/src/eldercart/net/forwarding.py
+++ b/src/eldercart/net/forwarding.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class Held:
+class PendingReport:
     """A report handed to the leader, and its worker's connection."""
 
     request: JsonRequest
@@ -44,7 +44,7 @@
         self._relay = relay
         self._links = links
         self._numbers = numbers
-        self._held: dict[int, Held] = {}
+        self._pending_reports: dict[int, PendingReport] = {}
         self._given_up: OrderedDict[int, MachineId] = OrderedDict()
         self._batch: list[tuple[int, bytes]] = []
         self._flush_soon = CoalescedCall(FLUSH_S, self._flush)
@@ -70,7 +70,7 @@
             case Redirect(to):
                 self._redirect(request, epoch, to, now)
             case Forward():
-                self._forward(Held(request, head, Steady(now + REPORT_S)), body, obj, now)
+                self._forward(PendingReport(request, head, Steady(now + REPORT_S)), body, obj, now)
             case _:
                 request.reply(503, users.error_body("overtaken"), 1)
 
@@ -83,37 +83,41 @@
         to = None if to == node.settings.label else to
         request.reply(421, workers.redirect_body(to))
 
-    def _forward(self, held: Held, body: bytes, obj: dict[str, Any], now: Steady) -> None:
+    def _forward(
+        self, pending: PendingReport, body: bytes, obj: dict[str, Any], now: Steady
+    ) -> None:
         if self._node.leader_service.acts:
-            self._hand_in(held, obj, now)
+            self._hand_in(pending, obj, now)
             return
         # It goes on as it came: the leader reads it, and takes a malformed one for none.
         number = next(self._numbers)
-        self._held[number] = held
+        self._pending_reports[number] = pending
         self._batch.append((number, body))
         self._flush_soon()
 
-    def _hand_in(self, held: Held, obj: dict[str, Any], now: Steady) -> None:
+    def _hand_in(self, pending: PendingReport, obj: dict[str, Any], now: Steady) -> None:
         """This node leads: the report needs no connection."""
         leader_service = self._node.leader_service
         try:
             report = workers.parse_report(obj)
         except Malformed as err:
-            _refuse(held.request, err)
+            _refuse(pending.request, err)
             return
         calls, again = leader_service.take_report(report, self._node.settings.label, now)
-        self._reply(held, calls, again)
+        self._reply(pending, calls, again)
         leader_service.pump_soon()
 
-    def _reply(self, held: Held, calls: list[dict[str, Any]] | None, again: bool) -> None:
-        head = held.head
+    def _reply(
+        self, pending: PendingReport, calls: list[dict[str, Any]] | None, again: bool
+    ) -> None:
+        head = pending.head
         if calls is None:
             self._relay.overtaken(head.machine, head.order)
-            held.request.reply(503, users.error_body("overtaken"), 1)
+            pending.request.reply(503, users.error_body("overtaken"), 1)
             return
-        again = again or bool(calls) or held.request.gone
+        again = again or bool(calls) or pending.request.gone
         self._relay.answered(head.machine, head.order, head.notice, head.tasks, again)
-        held.request.reply(200, workers.calls_body(self._relay.epoch, calls))
+        pending.request.reply(200, workers.calls_body(self._relay.epoch, calls))
 
     # -- towards the leader
 
@@ -128,20 +132,20 @@
 
     def _give_up_batch(self, batch: list[tuple[int, bytes]], now: Steady) -> None:
         for number, _ in batch:
-            held = self._held.pop(number, None)
-            if held is not None:
-                self._give_up(held, now)
+            pending = self._pending_reports.pop(number, None)
+            if pending is not None:
+                self._give_up(pending, now)
 
     def answered(self, link: Link, answers: list[peers.Answer]) -> None:
         """The leader's answers; it is told which of them came too late to be passed on."""
         dropped: list[MachineId] = []
         for answer in answers:
-            held = self._held.pop(answer.number, None)
-            if held is not None:
-                late = held.request.gone and answer.calls
-                self._reply(held, answer.calls, answer.again)
+            pending = self._pending_reports.pop(answer.number, None)
+            if pending is not None:
+                late = pending.request.gone and answer.calls
+                self._reply(pending, answer.calls, answer.again)
                 if late:
-                    dropped.append(held.head.machine)
+                    dropped.append(pending.head.machine)
             elif answer.number in self._given_up:
                 dropped.append(self._given_up.pop(answer.number))
         if dropped:
@@ -152,25 +156,25 @@
         if link.label != self._relay.leader:
             return
         self._relay.unlinked()
-        for number in list(self._held):
-            self._give_up(self._held.pop(number), now)
+        for number in list(self._pending_reports):
+            self._give_up(self._pending_reports.pop(number), now)
 
     def time_out(self, now: Steady) -> None:
         """Gives up the reports whose workers won't wait any longer."""
-        for number in [n for n, held in self._held.items() if held.until <= now]:
-            held = self._held.pop(number)
-            self._given_up[number] = held.head.machine
+        for number in [n for n, pending in self._pending_reports.items() if pending.until <= now]:
+            pending = self._pending_reports.pop(number)
+            self._given_up[number] = pending.head.machine
             while len(self._given_up) > GIVEN_UP_KEPT:
                 self._given_up.popitem(last=False)
-            self._give_up(held, now)
+            self._give_up(pending, now)
 
-    def _give_up(self, held: Held, now: Steady) -> None:
+    def _give_up(self, pending: PendingReport, now: Steady) -> None:
         """No answer from the leader: under a grant the worker's lease lives on all the same."""
-        self._relay.want(held.head.machine)
+        self._relay.want(pending.head.machine)
         if self._relay.holds_grant(now):
-            held.request.reply(200, workers.calls_body(self._relay.epoch, []))
+            pending.request.reply(200, workers.calls_body(self._relay.epoch, []))
         else:
-            held.request.reply(503, users.error_body("no leader now"), 1)
+            pending.request.reply(503, users.error_body("no leader now"), 1)
 
 
 def _refuse(request: JsonRequest, err: Malformed) -> None:
--- a/src/eldercart/net/job_states.py
+++ b/src/eldercart/net/job_states.py
@@ -24,7 +24,7 @@
 class StateHandlers:
     """What follows from the answer; one of them is called, once."""
 
-    found: Callable[[peers.Told], Any]
+    found: Callable[[peers.JobReply], Any]
     absent: Callable[[], Any]  # never accepted, as of a fresh read
     failed: Callable[[int], Any]  # nobody can tell now; seconds after which to ask again
 
@@ -51,7 +51,7 @@
             self.read(job, handlers)
 
     def _leader_answered(
-        self, job: JobId, handlers: StateHandlers, told: peers.Told | None
+        self, job: JobId, handlers: StateHandlers, told: peers.JobReply | None
     ) -> None:
         if told is None or told.verdict in (peers.NOT_LEADER, peers.UNKNOWN):
             self.read(job, handlers)
@@ -127,7 +127,7 @@
 
     def _got_ancestors(self, ancestors: Ancestors) -> None:
         match ancestors:
-            case Ancestors.UNTOLD:
+            case Ancestors.UNDETERMINED:
                 self._fail()
             case Ancestors.CANCELLED:
                 self._find(users.CANCELLED)
@@ -141,5 +141,5 @@
         self._handlers.failed(RETRY_S)
 
 
-def _told(state: str) -> peers.Told:
-    return peers.Told(0, state, 0, 0)
+def _told(state: str) -> peers.JobReply:
+    return peers.JobReply(0, state, 0, 0)
--- a/src/eldercart/net/questions.py
+++ b/src/eldercart/net/questions.py
@@ -16,11 +16,11 @@
 POLL_S = 0.8  # for which the answer to a poll is waited for
 CANCEL_S = 2.0  # for which the answer to a cancellation is waited for
 
-ToldAnswer = Callable[[peers.Told | None], None]  # None: the leader has not answered
+ToldAnswer = Callable[[peers.JobReply | None], None]  # None: the leader has not answered
 
 
 @dataclass(slots=True)
-class Question:
+class PendingQuestion:
     """Asked over the connection to `link`, answered with None from `until` on."""
 
     answer: ToldAnswer
@@ -36,7 +36,7 @@
         self._node = node
         self._links = links
         self._numbers = numbers
-        self._open: dict[int, Question] = {}
+        self._open: dict[int, PendingQuestion] = {}
         self._polls: list[tuple[int, str]] = []
         self._flush_soon = CoalescedCall(FLUSH_S, self._flush)
 
@@ -62,7 +62,7 @@
     def _ask(self, link: Link, answer: ToldAnswer, wait_s: float) -> int:
         number = next(self._numbers)
         until = Steady(self._node.clock() + wait_s)
-        self._open[number] = Question(answer, link.label, until)
+        self._open[number] = PendingQuestion(answer, link.label, until)
         return number
 
     def _flush(self) -> None:
@@ -74,7 +74,7 @@
                 for number, _ in asked:
                     self._close(number, None)
 
-    def answered(self, answers: list[peers.Told]) -> None:
+    def answered(self, answers: list[peers.JobReply]) -> None:
         """The leader's answers."""
         for told in answers:
             self._close(told.number, told)
@@ -89,7 +89,7 @@
         for number in [n for n, question in self._open.items() if question.until <= now]:
             self._close(number, None)
 
-    def _close(self, number: int, told: peers.Told | None) -> None:
+    def _close(self, number: int, told: peers.JobReply | None) -> None:
         question = self._open.pop(number, None)
         if question is not None:
             question.answer(told)
--- a/src/eldercart/net/relay_service.py
+++ b/src/eldercart/net/relay_service.py
@@ -34,7 +34,7 @@
         numbers = count(1)  # of frames and their items, shared by all parts
         self.relay = Relay(settings.label, grant_s, tuning.drift_margin)
         self.links = {
-            m.label: Link(m.label, m.endpoint, self._told, self._down, node.clock)
+            m.label: Link(m.label, m.endpoint, self._on_answer, self._down, node.clock)
             for m in settings.members
         }
         self.exchange = Exchange(
@@ -70,7 +70,7 @@
         self.questions.link_lost(link)
         self.forwarding.link_lost(link, self.node.clock())
 
-    def _told(self, link: Link, frame: dict[str, Any]) -> None:
+    def _on_answer(self, link: Link, frame: dict[str, Any]) -> None:
         """A peer that this node connected to answers."""
         kind = peers.kind_of(frame)
         if kind == peers.GREETED:
@@ -150,7 +150,7 @@
 
 def _teller(channel: Channel, number: int) -> Callable[[str], None]:
     def tell(verdict: str) -> None:
-        channel.send(peers.states(peers.CANCELLED, [peers.Told(number, verdict, 0, 0)]))
+        channel.send(peers.states(peers.CANCELLED, [peers.JobReply(number, verdict, 0, 0)]))
 
     return tell
 
--- a/src/eldercart/net/submissions.py
+++ b/src/eldercart/net/submissions.py
@@ -156,7 +156,7 @@
         if accepted is Accepted.NOT_ALL:
             refusal = Refusal(422, "awaits a job that was never accepted")
             self._submissions.refuse_unless_known(self._request, self._spec.id, refusal)
-        elif accepted is Accepted.UNTOLD or self._late():
+        elif accepted is Accepted.UNDETERMINED or self._late():
             self._refuse_untold()
         elif self._dependencies.fits(self._spec):
             self._submissions.store(self._request, self._spec)
--- a/src/eldercart/net/user_answers.py
+++ b/src/eldercart/net/user_answers.py
@@ -34,21 +34,21 @@
         for waiter in self._waiting.pop(job, ()):
             waiter(how)
 
-    def tell(self, number: int, job: JobId) -> peers.Told:
+    def tell(self, number: int, job: JobId) -> peers.JobReply:
         """The leader's answer; only within its lease is a state that may change told."""
         node = self._node
         how = node.user_service.final_of(job)
         if how is not None:
-            return peers.Told(number, how, 0, 0)
+            return peers.JobReply(number, how, 0, 0)
         controller = node.leader_service.controller
         if controller is None or not node.election.within_lease(node.clock()):
-            return peers.Told(number, peers.NOT_LEADER, 0, 0)
+            return peers.JobReply(number, peers.NOT_LEADER, 0, 0)
         status = controller.status(job)
         if isinstance(status, JobStatus):
             waiting = status.waiting[: users.MAX_TOLD]
-            return peers.Told(number, status.state, status.done, status.running, waiting)
+            return peers.JobReply(number, status.state, status.done, status.running, waiting)
         undecided = status is Verdict.UNDECIDED
-        return peers.Told(number, peers.UNDECIDED if undecided else peers.UNKNOWN, 0, 0)
+        return peers.JobReply(number, peers.UNDECIDED if undecided else peers.UNKNOWN, 0, 0)
 
     def cancel(self, job: JobId, answer: Callable[[str], None]) -> None:
         """Calls `answer` once: with the job's durable end, or with a verdict of `peers`."""
--- a/src/eldercart/net/user_service.py
+++ b/src/eldercart/net/user_service.py
@@ -113,7 +113,7 @@
         self._submissions.submit(request)
 
     def _poll(self, request: JsonRequest, job: JobId) -> None:
-        def found(told: peers.Told) -> None:
+        def found(told: peers.JobReply) -> None:
             body = users.state_body(job, told.verdict, told.done, told.running, told.waiting)
             request.reply(200, body)
 
@@ -128,7 +128,7 @@
         def answered(verdict: str) -> None:
             self._cancel_answered(request, job, verdict)
 
-        def told(answer: peers.Told | None) -> None:
+        def told(answer: peers.JobReply | None) -> None:
             answered(peers.NOT_LEADER if answer is None else answer.verdict)
 
         state = self._finals.get(job)
--- a/src/eldercart/wire/peers.py
+++ b/src/eldercart/wire/peers.py
@@ -93,7 +93,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class JobReply:
     """The leader's answer about one job.
 
     `verdict` is the job's state, or UNKNOWN, UNDECIDED or NOT_LEADER."""
@@ -259,12 +259,12 @@
     return [(number, job) for number, job in _pairs(frame) if isinstance(job, str)]
 
 
-def states(kind: str, items: list[Told]) -> bytes:
+def states(kind: str, items: list[JobReply]) -> bytes:
     """The frame of answers to polls, or to a cancellation."""
     return orjson.dumps({"k": kind, "i": [_told(t) for t in items]})
 
 
-def _told(t: Told) -> dict[str, Any]:
+def _told(t: JobReply) -> dict[str, Any]:
     """An earlier version skips what a job waits for, and never tells it."""
     value: dict[str, Any] = {"n": t.number, "v": t.verdict, "d": t.done, "r": t.running}
     if t.waiting:
@@ -272,10 +272,10 @@
     return value
 
 
-def parse_states(frame: dict[str, Any]) -> list[Told]:
+def parse_states(frame: dict[str, Any]) -> list[JobReply]:
     """The answers to polls, or to a cancellation."""
     return [
-        Told(
+        JobReply(
             count(i, "n"), text(i, "v"), count(i, "d"), count(i, "r"),
             texts(i, "w") if i.get("w") is not None else (),
         )
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -232,11 +232,11 @@
         )  # fmt: skip
         self.front = self.node.user_service = UserService(cast(Any, self.node))
 
-    def _poll(self, job: JobId, answer: Callable[[peers.Told | None], None]) -> bool:
+    def _poll(self, job: JobId, answer: Callable[[peers.JobReply | None], None]) -> bool:
         if self.told is None:
             return False
         self.asked.append(job)
-        told = peers.Told(1, self.told.get(job, peers.UNKNOWN), 0, 0)
+        told = peers.JobReply(1, self.told.get(job, peers.UNKNOWN), 0, 0)
         self.store.answers.append(lambda: answer(told))
         return True
 
@@ -260,7 +260,7 @@
         """This node leads now, and knows these."""
         self.node.leader_service.controller = SimpleNamespace(jobs=told)
         self.node.leader_service.user_answers = SimpleNamespace(
-            tell=lambda number, job: peers.Told(number, told.get(job, peers.UNKNOWN), 0, 0)
+            tell=lambda number, job: peers.JobReply(number, told.get(job, peers.UNKNOWN), 0, 0)
         )
 
     def know(self, job: str, awaits: tuple[str, ...] = ()) -> None:
@@ -765,8 +765,8 @@
 
 
 def test_the_answer_tells_some_that_it_waits_for() -> None:
-    told = peers.Told(3, "pending", 0, 0, ("wk-1", "wk-2"))
-    plain = peers.Told(4, "pending", 0, 0)
+    told = peers.JobReply(3, "pending", 0, 0, ("wk-1", "wk-2"))
+    plain = peers.JobReply(4, "pending", 0, 0)
     frame = peers.parse(peers.states(peers.STATES, [told, plain]))
     assert peers.parse_states(frame) == [told, plain]
     assert set(frame["i"][1]) == {"n", "v", "d", "r"}, "as the earlier version writes it"
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -11,7 +11,7 @@
 from eldercart.core.graph import DependencyGraph
 from eldercart.core.jobs import Job, JobBook
 from eldercart.core.placement import Promises, cheapest_victims, order_jobs
-from eldercart.core.planner import _Pass
+from eldercart.core.planner import _PlanningPass
 from eldercart.units import FOREVER, JobId, Revision, Steady
 from eldercart.wire import peers, users
 from eldercart.wire.state import Drop
@@ -604,7 +604,8 @@
 @pytest.mark.parametrize("shape", ["deep", "wide"])
 def test_all_downstream_is_told_in_time_however_far(shape: str, trouble: str) -> None:
     """From the confirmation on `DependencyGraph._orphan` makes hundreds of jobs `aborted` at once,
-    whatever becomes of their own ends; the next leader finds them by `_Unread` and by the ends."""
+    whatever becomes of their own ends; the next leader finds them by `_UnreadEnd` and by the
+    ends."""
     w = World(13, **({"txn_lost": 0.3} if "late" in trouble else {}))
     number = 250
     w.submit("wk-root", parcels=2, run_s=60.0)
@@ -847,7 +848,7 @@
     place.node.leader_service.controller = c
     place.node.leader_service.pump_soon = lambda: None
     place.node.leader_service.user_answers = SimpleNamespace(
-        tell=lambda number, job: peers.Told(number, peers.UNKNOWN, 0, 0)
+        tell=lambda number, job: peers.JobReply(number, peers.UNKNOWN, 0, 0)
     )
     body = submission("wk-last", awaits=before)
     assert place.submit(body).status == 201
@@ -869,14 +870,15 @@
 
 
 def test_no_ordinary_machines_are_kept_for_a_job_that_waits() -> None:
-    """`_Pass._ordinary_kept`: up to the priority of jobs that may start, not of those that wait."""
+    """`_PlanningPass._ordinary_kept`: up to the priority of jobs that may start, not of those that
+    wait."""
     w = World(23)
     w.submit("wk-a", parcels=50, urgency="idle", loaners=False, run_s=60.0)
     w.submit("wk-b", parcels=50, urgency="urgent", loaners=False, awaits=["wk-c"], run_s=5.0)
     w.jobs["wk-c"] = submission("wk-c")
     c = w.controller
     assert c is not None
-    assert _Pass(c.planner, [], [], Steady(w.now))._ordinary_kept() == 0
+    assert _PlanningPass(c.planner, [], [], Steady(w.now))._ordinary_kept() == 0
 
 
 @pytest.mark.parametrize("needed", [True, False])
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -274,7 +274,7 @@
         g = peers.Greeted(
             7, values["epoch"], values["leads"], False, 0, None, 0, ready=values["ready"]
         )
-        self.r._told(link, peers.parse(peers.greeted(g)))
+        self.r._on_answer(link, peers.parse(peers.greeted(g)))
 
     def grants(self, at: float) -> bool:
         """Whether a relay that asks now is granted anything."""
--- a/tests/versions/reading.py
+++ b/tests/versions/reading.py
@@ -83,13 +83,13 @@
 )
 _REPORT = b'{"wagon":"n-000001","address":"10.1.0.1:9000","stint":1,"tally":8,"parcels":[]}'
 _TOLD = [
-    peers.Told(1, users.PENDING, 0, 0),
-    peers.Told(2, users.RUNNING, 5, 12),
-    peers.Told(3, users.DONE, 40, 0),
-    peers.Told(4, users.CANCELLED, 3, 0),
-    peers.Told(5, peers.UNKNOWN, 0, 0),
-    peers.Told(6, peers.UNDECIDED, 0, 0),
-    peers.Told(7, peers.NOT_LEADER, 0, 0),
+    peers.JobReply(1, users.PENDING, 0, 0),
+    peers.JobReply(2, users.RUNNING, 5, 12),
+    peers.JobReply(3, users.DONE, 40, 0),
+    peers.JobReply(4, users.CANCELLED, 3, 0),
+    peers.JobReply(5, peers.UNKNOWN, 0, 0),
+    peers.JobReply(6, peers.UNDECIDED, 0, 0),
+    peers.JobReply(7, peers.NOT_LEADER, 0, 0),
 ]
 
 FRAMES: dict[str, Callable[[], bytes]] = {
@@ -123,7 +123,10 @@
     ),
     "states with what is awaited": lambda: peers.states(
         peers.STATES,
-        [peers.Told(1, users.PENDING, 0, 0, ("wk-a", "wk-b")), peers.Told(2, users.DONE, 1, 0)],
+        [
+            peers.JobReply(1, users.PENDING, 0, 0, ("wk-a", "wk-b")),
+            peers.JobReply(2, users.DONE, 1, 0),
+        ],
     ),
 }
 
@@ -206,7 +209,7 @@
     return dict(zip(names, values, strict=True))
 
 
-def _told(t: peers.Told) -> dict[str, Any]:
+def _told(t: peers.JobReply) -> dict[str, Any]:
     return _named(old_fields.READ_TOLD, t.number, t.verdict, t.done, t.running, t.waiting)
 
 
