--- a/src/eldercart/core/graph.py
+++ b/src/eldercart/core/graph.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from eldercart.core.jobs import Job, JobBook
+from eldercart.core.jobs import Job, JobRegistry
 from eldercart.units import FOREVER, JobId, Steady
 from eldercart.wire.users import CANCELLED
 
@@ -37,7 +37,7 @@
     """Owns who waits for whom, and each job's priority and due time as those after it need them."""
 
     def __init__(
-        self, jobs: JobBook, rest_s: Callable[[Job], float], due: Callable[[Job], Steady]
+        self, jobs: JobRegistry, rest_s: Callable[[Job], float], due: Callable[[Job], Steady]
     ) -> None:
         """`rest_s`: how long a job is estimated to take once it is ready; `due`: when by its own
         deadline it should be done."""
@@ -46,7 +46,7 @@
         self._due = due
         # Job -> those that wait for its end. Only ends that are outstanding have an entry.
         self._dependents: dict[JobId, dict[JobId, Job]] = {}
-        # awaited, but not in the book: ended, most likely
+        # awaited, but not in the job registry: ended, most likely
         self._unread: dict[JobId, _UnreadEnd] = {}
 
     def dependents(self, job: JobId) -> Iterable[Job]:
@@ -56,7 +56,7 @@
     # -- inputs
 
     def add(self, job: Job, now: Steady) -> Effect:
-        """A job that has come into the book."""
+        """A job that has come into the job registry."""
         self._unread.pop(job.id, None)
         effect = Effect()
         if job.ready:
@@ -88,7 +88,7 @@
         return effect
 
     def ended(self, job: JobId, how: str, now: Steady) -> Effect:
-        """The durable end of a job, in the book or not."""
+        """The durable end of a job, in the job registry or not."""
         effect = Effect()
         self._unread.pop(job, None)
         waiting = self._dependents.pop(job, {})
--- a/src/eldercart/core/jobs.py
+++ b/src/eldercart/core/jobs.py
@@ -116,7 +116,7 @@
 
 
 class Job:
-    """One job. Only the job book changes it."""
+    """One job. Only the job registry changes it."""
 
     def __init__(
         self, spec: JobSpec, size: int, arrived: Steady, elsewhere: ListReference | None = None
@@ -243,7 +243,7 @@
         return {"a": chunk.attempt, "d": ranges, "r": running}
 
 
-class JobBook:
+class JobRegistry:
     """Owns the jobs."""
 
     def __init__(self, size: int) -> None:
@@ -252,11 +252,11 @@
         self.jobs: dict[JobId, Job] = {}
 
     def __contains__(self, job: JobId) -> bool:
-        """Whether the job is in the book."""
+        """Whether the job is in the job registry."""
         return job in self.jobs
 
     def get(self, job: JobId) -> Job | None:
-        """The job, if it is in the book."""
+        """The job, if it is in the job registry."""
         return self.jobs.get(job)
 
     def add(
--- a/src/eldercart/core/placement_records.py
+++ b/src/eldercart/core/placement_records.py
@@ -19,7 +19,7 @@
 
 import orjson
 
-from eldercart.core.jobs import PLACE, Chunk, Job, JobBook, Placement
+from eldercart.core.jobs import PLACE, Chunk, Job, JobRegistry, Placement
 from eldercart.units import ABSENT, Attempt, Epoch, JobId, Revision, Steady
 from eldercart.wire import Malformed
 from eldercart.wire.state import Item
@@ -73,7 +73,7 @@
     return attempt if type(attempt) is int else float("inf")
 
 
-def _mark_unreadable(jobs: JobBook) -> None:
+def _mark_unreadable(jobs: JobRegistry) -> None:
     for job in jobs.jobs.values():
         job.unreadable = True
 
@@ -130,7 +130,9 @@
         self._closed[placement_record.key] = placement_record
         self._open.pop(placement_record.key, None)
 
-    def recut(self, jobs: JobBook, job: Job, chunk: Chunk, most: int, alone: bool) -> list[Chunk]:
+    def recut(
+        self, jobs: JobRegistry, job: Job, chunk: Chunk, most: int, alone: bool
+    ) -> list[Chunk]:
         """A part that is too large by itself is cut anew; the old one stays where it is, since
         until the finer ones are written it is all that the store has."""
         placement_record = self.by_key.get(chunk.record_key or "")
@@ -217,7 +219,7 @@
             size += len(orjson.dumps(unread)) + 1
         return {"p": parts}, size
 
-    def load(self, items: Iterable[Item], jobs: JobBook, now: Steady) -> list[Placement]:
+    def load(self, items: Iterable[Item], jobs: JobRegistry, now: Steady) -> list[Placement]:
         """Takes over the records of earlier leaders. A part that is on two placement records was
         moved: it counts as the one with the higher attempt has it, and of equals the newer. (The
         placement record's version alone may mislead: a copy of the first write of a placement
@@ -237,7 +239,7 @@
                 self._open[placement_record.key] = placement_record
         return loaded
 
-    def _load_sheet(self, item: Item, jobs: JobBook, found: PartsFound) -> None:
+    def _load_sheet(self, item: Item, jobs: JobRegistry, found: PartsFound) -> None:
         placement_record = PlacementRecord(item.key, self._bytes, item.version)
         parts = item.value.get("p") if isinstance(item.value, dict) else None
         of_job = item.key[len(PLACE) :].rpartition("/")
@@ -261,7 +263,7 @@
                 _mark_unreadable(jobs)
 
     def _find_part(
-        self, placement_record: PlacementRecord, part: Any, jobs: JobBook, found: PartsFound
+        self, placement_record: PlacementRecord, part: Any, jobs: JobRegistry, found: PartsFound
     ) -> None:
         """Keeps the part if it counts more than the copy of it that was found before."""
         name, number, value = part
@@ -283,7 +285,9 @@
         self.cuts_found = True
         return number, number + tasks
 
-    def _load_job(self, jobs: JobBook, job: Job, copies: Copies, now: Steady) -> list[Placement]:
+    def _load_job(
+        self, jobs: JobRegistry, job: Job, copies: Copies, now: Steady
+    ) -> list[Placement]:
         loaded: list[Placement] = []
         told: dict[int, tuple[int, int]] = {}  # of finer parts, by first task
         for span in sorted(copies, key=lambda s: (s[1] - s[0], s)):
--- a/src/eldercart/core/reconciliation.py
+++ b/src/eldercart/core/reconciliation.py
@@ -1,4 +1,5 @@
-"""A report's tasks against the books: what has changed, and what the machine is told to do."""
+"""A report's tasks against the recorded state: what has changed, and what the machine is told to
+do."""
 
 import logging
 from dataclasses import dataclass, field
@@ -30,10 +31,11 @@
 
 
 class Reconciler:
-    """Brings the books into line with reports of the current epoch, each newer than the last."""
+    """Brings the recorded state into line with reports of the current epoch, each newer than the
+    last."""
 
     def __init__(self, scheduler: SchedulerState, planner: Planner) -> None:
-        """Shares the books with the planner, whose waiting jobs keep their room."""
+        """Shares the recorded state with the planner, whose waiting jobs keep their room."""
         self._scheduler = scheduler
         self._planner = planner
         self._mark = 0  # of the report being read: what it lists carries the same
--- a/src/eldercart/core/reports.py
+++ b/src/eldercart/core/reports.py
@@ -17,7 +17,7 @@
     """Takes reports in their order and answers them with commands."""
 
     def __init__(self, scheduler: SchedulerState, planner: Planner) -> None:
-        """Reads and changes the books of `scheduler`."""
+        """Reads and changes the recorded state of `scheduler`."""
         self._scheduler = scheduler
         self._reconciler = Reconciler(scheduler, planner)
 
--- a/src/eldercart/core/scheduler_state.py
+++ b/src/eldercart/core/scheduler_state.py
@@ -1,6 +1,6 @@
 """What the parts of the leader's state machine work on together, and the few steps that all need.
 
-The books (jobs, fleet, rental, predictor) each own their data; the shared state names what is due
+The parts (jobs, fleet, rental, predictor) each own their data; the shared state names what is due
 next.
 """
 
@@ -10,7 +10,7 @@
 from eldercart.core.fleet import Fleet, Machine, MachineState
 from eldercart.core.graph import DependencyGraph, Effect
 from eldercart.core.health import Health, Obedience
-from eldercart.core.jobs import Job, JobBook, Phase, Placement
+from eldercart.core.jobs import Job, JobRegistry, Phase, Placement
 from eldercart.core.placement import Promises
 from eldercart.core.prediction import Predictor
 from eldercart.core.rental import Rental
@@ -33,18 +33,19 @@
 
 
 class SchedulerState:
-    """The leader's shared state: the books, what is due next, and steps that several parts take."""
+    """The leader's shared state: the recorded state, what is due next, and steps that several parts
+    take."""
 
     def __init__(
         self, settings: NodeSettings, tuning: Tuning, epoch: Epoch, types: dict[str, MachineType],
         now: Steady,
     ) -> None:  # fmt: skip
-        """Empty books of a leadership that begins at `now`, with the machine types known so far."""
+        """Empty state of a leadership that begins at `now`, with the machine types known so far."""
         self.settings = settings
         self.tuning = tuning
         self.epoch = epoch
         self.types = types
-        self.jobs = JobBook(0)
+        self.jobs = JobRegistry(0)
         self.fleet = Fleet()
         self.promises = Promises(settings.waits, settings.finishes, settings.deadlines)
         self.rental = Rental(tuning, settings.teams)
@@ -79,14 +80,14 @@
         return FOREVER if deadline is None else Steady(job.arrived + deadline)
 
     def submitted(self, job: Job, now: Steady) -> None:
-        """A job has come into the book."""
+        """A job has come into the job registry."""
         effect = self.graph.add(job, now)
         if not job.orphaned:
             self.predictor.submitted(job, self.graph.dependents(job.id))
         self.take(effect, now)
 
     def ended(self, job: JobId, how: str, now: Steady) -> None:
-        """A durable end: of a job in the book, or of one that others await."""
+        """A durable end: of a job in the job registry, or of one that others await."""
         self.predictor.chain_ended(job, how, now)
         self.take(self.graph.ended(job, how, now), now)
 
--- a/src/eldercart/net/store_work.py
+++ b/src/eldercart/net/store_work.py
@@ -71,7 +71,7 @@
             self._read_end(controller, job)
 
     def _read_end(self, controller: Controller, job: JobId) -> None:
-        """How a job ended that others await and that is not in the book any more."""
+        """How a job ended that others await and that is not in the job registry any more."""
         node = self._node
         how = node.user_service.final_of(job)
         if how is not None:
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -9,7 +9,7 @@
 from eldercart.core.controller import JobStatus, Outcome, Verdict
 from eldercart.core.fleet import Fleet
 from eldercart.core.graph import DependencyGraph
-from eldercart.core.jobs import Job, JobBook
+from eldercart.core.jobs import Job, JobRegistry
 from eldercart.core.placement import Promises, cheapest_victims, order_jobs
 from eldercart.core.planner import _PlanningPass
 from eldercart.units import FOREVER, JobId, Revision, Steady
@@ -21,12 +21,12 @@
 
 
 class Graph:
-    """A graph with a book, by short names."""
+    """A graph with a job registry, by short names."""
 
     def __init__(self) -> None:
-        self.book = JobBook(0)
+        self.registry = JobRegistry(0)
         self.graph = DependencyGraph(
-            self.book,
+            self.registry,
             lambda job: job.spec.estimate_s,
             lambda job: Steady(job.arrived + (job.spec.deadline_s or FOREVER)),
         )
@@ -40,17 +40,17 @@
 
     def add(self, name: str, *awaits: str, **changes: Any) -> Job:
         body = submission(f"wk-{name}", awaits=[f"wk-{a}" for a in awaits], **changes)
-        job = self.book.add(users.parse_submission(body), 50, Steady(self.now))
+        job = self.registry.add(users.parse_submission(body), 50, Steady(self.now))
         self._took(self.graph.add(job, Steady(self.now)))
         return job
 
     def end(self, name: str, how: str = users.DONE) -> None:
-        job = self.book.get(JobId(f"wk-{name}"))
+        job = self.registry.get(JobId(f"wk-{name}"))
         if job is not None:
             job.ended = how
         self._took(self.graph.ended(JobId(f"wk-{name}"), how, Steady(self.now)))
         if job is not None:
-            self.book.remove(job)
+            self.registry.remove(job)
 
     def unread(self) -> set[str]:
         return {j[3:] for j in self.graph.take_unread(Steady(self.now), 10**6)}
@@ -185,7 +185,7 @@
 
     g.graph._rest_s = rest_s
     g.add("last", *before, urgency="urgent", dueS=10_000.0)
-    first = g.book.jobs[JobId("wk-0-0")]
+    first = g.registry.jobs[JobId("wk-0-0")]
     assert first.priority == 2 and first.due == 10_000 - 1 - 2 * (2.0 ** (layers - 30) - 2.0**-29)
     if leaves:
         g.end("last", users.CANCELLED)
@@ -202,7 +202,7 @@
 @pytest.mark.parametrize(
     ("name", "steps", "undecided"),
     [
-        ("all in the book", [("add", "a"), ("add", "b", "a")], False),
+        ("all in the registry", [("add", "a"), ("add", "b", "a")], False),
         ("an end is not read", [("add", "b", "a")], True),
         ("an end far up is not read", [("add", "b", "a"), ("add", "c", "b")], True),
         ("read", [("add", "b", "a"), ("add", "c", "b"), ("done", "a")], False),
@@ -387,8 +387,8 @@
     assert c is not None
     for _ in range(600):
         w.step(0.1)
-        book = c.jobs.get(JobId(job))
-        if book is None or book.done_count >= book.spec.tasks - 1:
+        registry = c.jobs.get(JobId(job))
+        if registry is None or registry.done_count >= registry.spec.tasks - 1:
             return
     raise AssertionError("never came to its last task")
 
@@ -555,7 +555,7 @@
 def test_lists_are_dropped_again_after_a_write_that_failed(
     outcome: Outcome, failed: tuple[str, ...]
 ) -> None:
-    """Only a transaction that was carried out takes a list off the books."""
+    """Only a transaction that was carried out takes a list off the records."""
     w = World(0)
     w.store.keys["end/wk-a"] = ({"e": users.CANCELLED, "n": 1}, 1, None)
     w.jobs["wk-a"] = submission("wk-a")
@@ -810,8 +810,8 @@
 
 @pytest.mark.parametrize("how", [users.DONE, users.CANCELLED])
 def test_a_job_that_waits_to_be_cleaned_up_has_ended_for_those_after_it(how: str) -> None:
-    """`DependencyGraph.add`: it is in the book, but the end is what counts; `_load_ended` for those
-    that a new leader loads before it finds the marker."""
+    """`DependencyGraph.add`: it is in the job registry, but the end is what counts; `_load_ended`
+    for those that a new leader loads before it finds the marker."""
     g = Graph()
     a = g.add("a")
     g.add("b", "a")
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -12,7 +12,7 @@
 from eldercart.core import memory
 from eldercart.core.controller import Controller, Outcome
 from eldercart.core.fleet import MachineState
-from eldercart.core.jobs import JobBook, Phase, chunk_size, job_record, parse_job_record
+from eldercart.core.jobs import JobRegistry, Phase, chunk_size, job_record, parse_job_record
 from eldercart.core.placement_records import PlacementRecords
 from eldercart.election import Claim, Election, OpenLease, ReadLead, RenewLease
 from eldercart.net.buckets import Bucket
@@ -620,8 +620,8 @@
 JOB = JobId("wk-000001")
 
 
-def book(tasks: int, size: int) -> tuple[JobBook, Any]:
-    jobs = JobBook(0)
+def registry(tasks: int, size: int) -> tuple[JobRegistry, Any]:
+    jobs = JobRegistry(0)
     spec = users.parse_submission(submission(JOB, parcels=tasks))
     return jobs, jobs.add(spec, size, Steady(0))
 
@@ -682,7 +682,7 @@
 def test_finest_part_counts(
     placement_records: list[Any], run: dict[int, int], done: set[int], attempts: dict[int, int]
 ) -> None:
-    jobs, job = book(25, 10)
+    jobs, job = registry(25, 10)
     store = PlacementRecords(32768, Epoch(50))
     items = [
         Item(f"place/1-{i}", {"p": p}, Revision(10 + i)) for i, p in enumerate(placement_records)
@@ -710,7 +710,7 @@
     [{"n": "3"}, {"n": 0}, {"n": -1}, {"n": 1.5}, {"n": True}, {"n": 99}, {"n": 3, "a": None}],
 )
 def test_unreadable_finer_part_starts_nothing(value: dict[str, Any]) -> None:
-    jobs, job = book(25, 10)
+    jobs, job = registry(25, 10)
     record = {"a": 1, "d": [], "r": []} | value
     items = [Item("place/1-1", {"p": [part(0, 1, [], []), [JOB, 0, record]]}, Revision(5))]
     placement_records = PlacementRecords(32768, Epoch(50))
@@ -743,7 +743,7 @@
 
 def test_all_finer_chunks_wait_to_be_written() -> None:
     """Together they take the place of the coarse one: what it had not told yet must not be lost."""
-    jobs, job = book(25, 10)
+    jobs, job = registry(25, 10)
     for index in jobs.next_tasks(job, 8):
         jobs.place(job, index, MachineId("n-1"), Steady(1))
     for p in job.placements():
@@ -766,7 +766,7 @@
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.tasks, self.size = self.rng.choice([(40, 50), (120, 50), (130, 40)])
-        self.jobs, self.job = book(self.tasks, self.size)
+        self.jobs, self.job = registry(self.tasks, self.size)
         self.placement_records = PlacementRecords(2048, Epoch(1))
         self.stored: dict[str, Any] = {}
         # Writes under way, with the version they are guarded on.
@@ -845,7 +845,7 @@
     def take_over(self, now: Steady) -> None:
         self.epoch += 1
         self.late.clear()  # they were guarded on the leader's key, too
-        self.jobs, self.job = book(self.tasks, self.size)
+        self.jobs, self.job = registry(self.tasks, self.size)
         self.placement_records = PlacementRecords(2048, Epoch(self.epoch))
         items = [Item(k, v, Revision(r)) for k, (v, r) in self.stored.items()]
         self.placement_records.load(items, self.jobs, now)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -10,7 +10,7 @@
 from eldercart.cli import main, parser
 from eldercart.core import placement as rules
 from eldercart.core.fleet import Fleet, MachineState
-from eldercart.core.jobs import Job, JobBook
+from eldercart.core.jobs import Job, JobRegistry
 from eldercart.core.prediction import Predictor
 from eldercart.core.rental import Rental
 from eldercart.election import Claim, Election, OpenLease, ReadLead, RenewLease, RevokeLease, Role
@@ -329,7 +329,7 @@
 
 
 def test_order_of_jobs() -> None:
-    book, fleet = JobBook(100), Fleet()
+    registry, fleet = JobRegistry(100), Fleet()
     teams = parse_platform(PLATFORM).teams
     rows: list[dict[str, Any]] = [
         {"urgency": "idle", "crew": "t1"},
@@ -339,10 +339,10 @@
     ]
     for i, changes in enumerate(rows):
         spec = users.parse_submission(submission(f"wk-{i:06d}", **changes))
-        book.add(spec, 100, Steady(0.0))
+        registry.add(spec, 100, Steady(0.0))
     fleet.team_cpus["t2"] = 40.0
     ordered = rules.order_jobs(
-        list(book.jobs.values()), fleet, teams, NONE,
+        list(registry.jobs.values()), fleet, teams, NONE,
         lambda p, s: 100.0, lambda j: 6.0, lambda j: 6.0, Steady(1.0),
     )  # fmt: skip
     assert [j.id[-1] for j in ordered] == ["3", "2", "1", "0"]
@@ -350,12 +350,12 @@
 
 def test_overload_sets_the_largest_aside() -> None:
     """By promise alone the large job would come first and make the three small ones late."""
-    book = JobBook(100)
+    registry = JobRegistry(100)
     for i, tasks in enumerate((400, 10, 10, 10)):
         body = submission(f"wk-{i:06d}", parcels=tasks, dueS=40.0 + i)
-        book.add(users.parse_submission(body), 100, Steady(0.0))
+        registry.add(users.parse_submission(body), 100, Steady(0.0))
     ordered = rules.order_jobs(
-        list(book.jobs.values()), Fleet(), parse_platform(PLATFORM).teams, NONE,
+        list(registry.jobs.values()), Fleet(), parse_platform(PLATFORM).teams, NONE,
         lambda p, s: 16.0, lambda j: 6.0, lambda j: 6.0, Steady(1.0),
     )  # fmt: skip
     assert [j.id[-1] for j in ordered] == ["1", "2", "3", "0"]
@@ -365,7 +365,7 @@
 def test_jobs_for_ordinary_machines_are_judged_by_those() -> None:
     """Seen on a rough day: a burst of urgent arrays that may use nothing else found a large fleet
     of spot machines, so none was set aside, and all were late together."""
-    book = JobBook(100)
+    registry = JobRegistry(100)
     rows: list[dict[str, Any]] = [
         {"parcels": 400, "dueS": 40.0},
         {"parcels": 10, "dueS": 41.0},
@@ -374,9 +374,9 @@
     ]
     for i, changes in enumerate(rows):
         body = submission(f"wk-{i:06d}", **({"loaners": False} | changes))
-        book.add(users.parse_submission(body), 100, Steady(0.0))
+        registry.add(users.parse_submission(body), 100, Steady(0.0))
     ordered = rules.order_jobs(
-        list(book.jobs.values()), Fleet(), parse_platform(PLATFORM).teams, NONE,
+        list(registry.jobs.values()), Fleet(), parse_platform(PLATFORM).teams, NONE,
         lambda p, spot: 1000.0 if spot else 16.0, lambda j: 6.0, lambda j: 6.0, Steady(1.0),
     )  # fmt: skip
     assert [j.id[-1] for j in ordered] == ["1", "2", "0", "3"]
@@ -385,14 +385,14 @@
 
 def test_fetches_on_one_machine_share_its_rate() -> None:
     """A machine that fetches already is a worse place for a task that must fetch another image."""
-    book, fleet = JobBook(100), Fleet()
+    registry, fleet = JobRegistry(100), Fleet()
     kind = cloud.parse_catalog(CATALOG)["big"]
     now = Steady(0.0)
     busy, idle = (
         fleet.add(MachineId(n), kind, "b", True, MachineState.UP, now, now) for n in ("n-1", "n-2")
     )
     spec = users.parse_submission(submission("wk-000001", kit="one", imageGb=3.0))
-    p = book.place(book.add(spec, 100, now), 0, busy.id, now)
+    p = registry.place(registry.add(spec, 100, now), 0, busy.id, now)
     fleet.occupy(busy, p)
     other = users.parse_submission(submission("wk-000002", kit="two", imageGb=2.0))
     assert rules.preference(other, busy) > rules.preference(other, idle)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -103,9 +103,9 @@
     }  # fmt: skip
     alone = {r["found"]["path"].partition("/")[0] for r in samples["records"]}
     assert alone == {"job", "end", "gone", "memo", "catalog", "lead"}
-    books = [s["read"]["jobs"].values() for s in samples["stores"]]
-    assert any(j["placed"] and j["done"] and len(j["attempts"]) > 1 for b in books for j in b)
-    assert any(j["ended"] == users.CANCELLED for b in books for j in b)
+    registries = [s["read"]["jobs"].values() for s in samples["stores"]]
+    assert any(j["placed"] and j["done"] and len(j["attempts"]) > 1 for b in registries for j in b)
+    assert any(j["ended"] == users.CANCELLED for b in registries for j in b)
     parts = [i["v"]["p"] for s in samples["stores"] for i in s["store"] if is_placement_record(i)]
     assert any(len(p) > 1 for p in parts)
     remembered = [s["read"]["remembered"] for s in samples["stores"]]
@@ -125,9 +125,9 @@
     assert any(told.get("w") for f in frames if f["k"] == peers.STATES for told in f["i"])
     assert any(len(r["found"]["v"]["s"]) > 18 for r in samples["records"] if is_job(r["found"]))
     assert any(found["lists"] for found in samples["lists"])
-    books = [job for s in samples["stores"] for job in s["read"]["jobs"].values()]
-    assert any(job["awaited"] and not job["ready"] for job in books)
-    assert any(not job["awaited"] and job["ready"] for job in books)
+    registries = [job for s in samples["stores"] for job in s["read"]["jobs"].values()]
+    assert any(job["awaited"] and not job["ready"] for job in registries)
+    assert any(not job["awaited"] and job["ready"] for job in registries)
     parts = [
         p
         for s in samples["stores"]
@@ -353,7 +353,7 @@
     *plain, with_chains = theirs["stores"]
     assert plain == without(ours["stores"][:-1])
     check_taken_over(plain)
-    assert with_chains == plain[0], "it keeps the jobs that await others out of its book"
+    assert with_chains == plain[0], "it keeps the jobs that await others out of its registry"
 
 
 def test_what_is_written_is_read_with_chains(written: list[Store], chained: list[Store]) -> None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,6 +1,6 @@
 """A seeded world that drives the pure core: lost, late and repeated messages, leaders that
 change, machines that hang or go. It checks the rules at every step, with its own eyes: from the
-workers' tasks and the store's keys, never from the controller's books."""
+workers' tasks and the store's keys, never from the controller's state."""
 
 import random
 from collections import Counter
