--- a/src/eldercart/core/fleet.py
+++ b/src/eldercart/core/fleet.py
@@ -85,9 +85,9 @@
     paces: list[Pace] = field(default_factory=list)  # of the last tasks done here
     good_since_fault: int = 0
     refuse_until: Steady = NEVER
-    # Whether it does what it is told; see `health.Obedience`.
-    unheeded: int = 0
-    told_since: Steady = CLOCK_ZERO
+    # Whether it carries out commands; see `health.Responsiveness`.
+    ignored_answers: int = 0
+    ignored_since: Steady = CLOCK_ZERO
     old_epoch: int = 0  # reports that showed an older epoch although one was answered
     undelivered: bool = False  # the last answer surely came too late
     # Whether it was asked directly, because nothing was heard of it, and answered.
--- a/src/eldercart/core/health.py
+++ b/src/eldercart/core/health.py
@@ -20,11 +20,11 @@
 RUNS_KNOWN = 3  # run times of a job before one more is compared with them
 
 
-class Obedience:
-    """Evidence that a machine talks but doesn't hear. Its silence is no sign, for reports keep
-    coming; but launches and kills have no effect, its session rises although it was answered, or
-    it goes on showing an old epoch. One lost answer, or a change of leader, condemns nobody: the
-    signs must follow each other, over some time, with nothing obeyed in between."""
+class Responsiveness:
+    """Evidence that a machine reports but doesn't carry out commands. Its silence is no sign, for
+    reports keep coming; but launches and kills have no effect, its session rises although it was
+    answered, or it goes on showing an old epoch. One lost answer, or a change of leader, condemns
+    nobody: the signs must follow each other, over some time, with nothing obeyed in between."""
 
     def __init__(self, answers: int, least_s: float) -> None:
         """So many answers without effect condemn, if they span `least_s` seconds."""
@@ -33,14 +33,14 @@
 
     def ignored(self, m: Machine, now: Steady) -> bool:
         """An answer that may have arrived had no effect; returns whether that is enough."""
-        if m.unheeded == 0:
-            m.told_since = now
-        m.unheeded += 1
-        return m.unheeded >= self._answers and now - m.told_since >= self._least
+        if m.ignored_answers == 0:
+            m.ignored_since = now
+        m.ignored_answers += 1
+        return m.ignored_answers >= self._answers and now - m.ignored_since >= self._least
 
     def obeyed(self, m: Machine) -> None:
         """Something that the machine was told has had its effect."""
-        m.unheeded = 0
+        m.ignored_answers = 0
 
 
 class Health:
--- a/src/eldercart/core/reports.py
+++ b/src/eldercart/core/reports.py
@@ -51,7 +51,7 @@
             return []
         if machine.old_epoch:
             machine.old_epoch = 0
-            scheduler.obedience.obeyed(machine)
+            scheduler.responsiveness.obeyed(machine)
         machine.last_heard = now
         self._describe(machine, report, now)
         if not machine.confirmed:
@@ -104,7 +104,7 @@
     ) -> list[workers.Command]:
         found = self._reconciler.reconcile(machine, report, now)
         if found.obeyed:
-            self._scheduler.obedience.obeyed(machine)
+            self._scheduler.responsiveness.obeyed(machine)
         elif found.ignored:
             self._ignored(machine, "does not do what it is told", now)
         machine.undelivered = False
@@ -116,8 +116,11 @@
         """An answer had no effect: one more sign that the machine does not hear."""
         if machine.undelivered:
             machine.undelivered = False
-        elif self._scheduler.obedience.ignored(machine, now) and machine.state is MachineState.UP:
-            log.info("machine deaf machine=%s why=%s", machine.id, why)
+        elif (
+            self._scheduler.responsiveness.ignored(machine, now)
+            and machine.state is MachineState.UP
+        ):
+            log.info("machine unresponsive machine=%s why=%s", machine.id, why)
             self._scheduler.doom(machine, now)
 
     def undelivered(self, machine_id: MachineId) -> None:
--- a/src/eldercart/core/scheduler_state.py
+++ b/src/eldercart/core/scheduler_state.py
@@ -9,7 +9,7 @@
 
 from eldercart.core.fleet import Fleet, Machine, MachineState
 from eldercart.core.graph import DependencyGraph, Effect
-from eldercart.core.health import Health, Obedience
+from eldercart.core.health import Health, Responsiveness
 from eldercart.core.jobs import Job, JobRegistry, Phase, Placement
 from eldercart.core.placement import Promises
 from eldercart.core.prediction import Predictor
@@ -51,7 +51,7 @@
         self.rental = Rental(tuning, settings.teams)
         self.predictor = Predictor(tuning)
         self.health = Health(tuning.quarantine_jobs, tuning.error_backoff_s)
-        self.obedience = Obedience(tuning.unheeded_answers, settings.lease_s / 2)
+        self.responsiveness = Responsiveness(tuning.unheeded_answers, settings.lease_s / 2)
         self.began = now
         self.zero_wall = 0.0  # time of day at steady zero, good to the settings' bound
         self.plan_wanted = True
--- a/src/eldercart/core/silence.py
+++ b/src/eldercart/core/silence.py
@@ -11,7 +11,8 @@
 PROBE_S = 2.0  # between two such questions
 PROBES = 4  # handed out at once
 CUT_LEASES = 5.0  # for which a machine is left alone that shows itself, but not through its relay
-MUTE_SHARE, MUTE_LEAST = 0.5, 4  # of a node's machines, whose silence together is the node's
+# of a node's machines, whose silence together is the node's
+UNREACHABLE_SHARE, UNREACHABLE_LEAST = 0.5, 4
 LATE_REPORTS = 1.5  # report intervals after which a report is late
 UNHEARD_S = 2.0  # without a word from a relay, after which its machines' silence may be its own
 BOOT_LEAST_S = 10.0  # granted to any type of machine
@@ -32,7 +33,8 @@
         self._scheduler = scheduler
         self._relays: dict[NodeId, Steady] = {}  # when each was heard last
         self._probes: dict[MachineId, None] = {}
-        self._mute: set[NodeId] = set()  # nodes of whose machines most fell silent together
+        # nodes of whose machines most fell silent together
+        self._unreachable_nodes: set[NodeId] = set()
 
     # -- who was heard
 
@@ -99,10 +101,10 @@
                 machines[machine.relay] = machines.get(machine.relay, 0) + 1
                 if now - machine.last_heard > late:
                     silent[machine.relay] = silent.get(machine.relay, 0) + 1
-        self._mute = {
+        self._unreachable_nodes = {
             node
             for node, number in silent.items()
-            if number >= max(MUTE_LEAST, MUTE_SHARE * machines[node])
+            if number >= max(UNREACHABLE_LEAST, UNREACHABLE_SHARE * machines[node])
         }
 
     def is_boot_late(self, machine: Machine, now: Steady) -> bool:
@@ -136,7 +138,7 @@
             # lets go of it within its grant; one that can't reach this node, but the store,
             # goes on answering what is unchanged.
             return patience + settings.lease_s * (CUT_LEASES if unheard else 1.0)
-        if unheard or machine.relay in self._mute:
+        if unheard or machine.relay in self._unreachable_nodes:
             # Its node is silent, or hears no worker: it needs time to find another.
             return patience + settings.lease_s / 2
         return patience
--- a/tests/relayworld.py
+++ b/tests/relayworld.py
@@ -53,7 +53,7 @@
         self.number = 0
         self.cut: set[int] = set()  # nodes that reach neither store nor peers
         self.shared_out = True  # workers are sent on to other nodes by their numbers
-        self.mute: set[int] = set()  # nodes that no worker reaches
+        self.unreachable_nodes: set[int] = set()  # nodes that no worker reaches
         self.asleep: int | None = None  # a node that does not run at all
         self.silent: set[str] = set()  # machines that reach no node; they can be asked directly
         self.cut_zone: str | None = None  # its machines reach the nodes in `cut` alone
@@ -185,7 +185,7 @@
 
     def arrive(self, w: WorkerSim, f: Flight, at: int) -> None:
         """At a node: the report itself, or a copy of it that nobody waits for any more."""
-        if at == self.asleep or at in self.mute:
+        if at == self.asleep or at in self.unreachable_nodes:
             return
         if w.zone == self.cut_zone and at not in self.cut:
             return
@@ -265,7 +265,7 @@
     def answer(self, w: WorkerSim, f: Flight, body: bytes) -> None:
         if self.flights.get(w.id) is not f:
             return  # a copy's, or too late: the worker does not wait for it any more
-        if self.chance("answer_lost") or w.id in self.deaf:
+        if self.chance("answer_lost") or w.id in self.unresponsive:
             return
         if "answer_slow" in self.faults and self.chance("answer_slow"):
             # The link holds it up, longer than the worker waits or not, and the machine with it.
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -50,11 +50,11 @@
     w = RelayWorld(41, capacity=6)
     w.submit(ONE, run_s=40.0, parcels=12)
     w.run(16)
-    mute = busy(w)[:2]
-    w.silent = {m.id for m in mute}
+    silenced = busy(w)[:2]
+    w.silent = {m.id for m in silenced}
     w.run(for_s)
     w.silent.clear()
-    assert [m.gone for m in mute] == [deleted, deleted]
+    assert [m.gone for m in silenced] == [deleted, deleted]
     w.run(5)
     w.left_waiting_s = WAIT_S
     finish(w)
@@ -66,11 +66,11 @@
     w = RelayWorld(42, capacity=6)
     w.submit(ONE, run_s=200.0, parcels=12)
     w.run(16)
-    mute = {m.id for m in busy(w)}
+    silenced = {m.id for m in busy(w)}
     if at < 0:
         w.cancel(ONE)
         w.run(-at)
-    w.silent = mute
+    w.silent = silenced
     w.run(max(0.0, at))
     w.cancel(ONE)
     gone_within_cancel_s(w)
@@ -183,25 +183,26 @@
 # -- a leader ends while machines can't be reached, or don't hear the new one
 
 
-@pytest.mark.parametrize("how", ["hang", "deaf", "deaf for good", "silent"])
+@pytest.mark.parametrize("how", ["hang", "unresponsive", "unresponsive for good", "silent"])
 def test_take_over_while_machines_are_out_of_reach(how: str) -> None:
-    """Long tasks stay where they are as long as nothing disproves them; the deaf are replaced."""
+    """Long tasks stay where they are as long as nothing disproves them; the unresponsive are
+    replaced."""
     w = RelayWorld(46, capacity=5)
     w.submit(ONE, run_s=60.0, parcels=12)
     w.run(18)
     out = busy(w)[:2]
     names = {m.id for m in out}
-    w.deaf = names if how.startswith("deaf") else set()
+    w.unresponsive = names if how.startswith("unresponsive") else set()
     w.silent = names if how == "silent" else set()
     for m in out:
         m.hangs_until = w.now + 7.0 if how == "hang" else -1.0
     w.crash(w.leader)
     w.run(7)
-    if how == "deaf for good":
+    if how == "unresponsive for good":
         w.run(60)
         assert all(m.gone for m in out)
     else:
-        w.deaf, w.silent = set(), set()
+        w.unresponsive, w.silent = set(), set()
         assert not any(m.gone for m in out)
     finish(w)
     if how == "hang":
@@ -253,14 +254,14 @@
     w.cancel("wk-000090")
     w.run(1)
     ever = set(w.cloud.machines)
-    w.asleep, w.mute = w.leader, set(range(w.nodes))
+    w.asleep, w.unreachable_nodes = w.leader, set(range(w.nodes))
     w.run(gap)
-    w.asleep, w.mute = None, set()
+    w.asleep, w.unreachable_nodes = None, set()
     for i in range(w.nodes):
         w.crash(i)
-    w.mute = {i for i in range(w.nodes) if i != w.leader}  # the others come later
+    w.unreachable_nodes = {i for i in range(w.nodes) if i != w.leader}  # the others come later
     w.run(4)
-    w.mute = set()
+    w.unreachable_nodes = set()
     w.run(4)
     c = leader(w)
     assert not [n for n in ever & set(w.cloud.machines) if c.fleet.is_gone(MachineId(n))]
@@ -734,7 +735,7 @@
 # -- a team at its limit
 
 
-@pytest.mark.parametrize("how", ["hang", "deaf", "silent"])
+@pytest.mark.parametrize("how", ["hang", "unresponsive", "silent"])
 @pytest.mark.parametrize("seed", [1, 2])
 def test_team_at_its_limit_when_the_leader_changes(how: str, seed: int) -> None:
     """Some of its machines can't be asked and its job is called off: all that may run there
@@ -747,7 +748,7 @@
     assert on * 2.0 == limit
     out = busy(w)[:2]
     names = {m.id for m in out}
-    w.deaf = names if how == "deaf" else set()
+    w.unresponsive = names if how == "unresponsive" else set()
     w.silent = names if how == "silent" else set()
     for m in out:
         m.hangs_until = w.now + 30.0 if how == "hang" else -1.0
@@ -758,7 +759,7 @@
     w.run(8)
     w.crash(w.leader)
     w.run(25)
-    w.deaf, w.silent = set(), set()
+    w.unresponsive, w.silent = set(), set()
     w.left_waiting_s = WAIT_S
     finish(w)
     assert w.told == {ONE: "aborted", TWO: "done"}
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -233,7 +233,7 @@
     assert sum(w.at[name] == at for name in before) >= 4
     for name in before:
         w.reports_due[name] = w.now + 1.25 * w.settings.report_s
-    w.mute.add(at)
+    w.unreachable_nodes.add(at)
     w.run(15)
     assert before <= set(w.cloud.machines), "a healthy machine was deleted"
     finish(w)
@@ -246,7 +246,7 @@
     w.submit("wk-000001", run_s=30.0, parcels=16)
     w.run(14)
     victim = next(m for m in w.cloud.machines.values() if m.on())
-    w.deaf.add(victim.id)
+    w.unresponsive.add(victim.id)
     w.submit("wk-000002", run_s=30.0, parcels=16)
     w.run(60)
     assert victim.gone
--- a/tests/versions/mixed.py
+++ b/tests/versions/mixed.py
@@ -92,7 +92,9 @@
             return
         for machine, body in c.old.old_orders(now):
             w = self.cloud.machines.get(MachineId(machine))
-            down = w is None or self.now < max(w.boots_at, w.hangs_until) or w.id in self.deaf
+            down = (
+                w is None or self.now < max(w.boots_at, w.hangs_until) or w.id in self.unresponsive
+            )
             if w is None or down or self.chance("order_lost"):
                 continue
             status, report = w.orders(body)
--- a/tests/world.py
+++ b/tests/world.py
@@ -76,7 +76,7 @@
         self.waiting: dict[str, tuple[int, float]] = {}  # job -> tasks that got on, since when
         self.left_waiting_s: float | None = None  # how long none may wait beside free room
         self.outage_until = -1.0
-        self.deaf: set[str] = set()  # machines that no answer or command reaches
+        self.unresponsive: set[str] = set()  # machines that no answer or command reaches
         self.orders = 0  # direct commands that arrived
         self.cloud_down_until = -1.0
         self.incarnation = ONLY_INCARNATION
@@ -162,7 +162,9 @@
         """Commands that go straight to the workers."""
         for order in c.take_orders(now):
             w = self.cloud.machines.get(order.machine)
-            down = w is None or self.now < max(w.boots_at, w.hangs_until) or w.id in self.deaf
+            down = (
+                w is None or self.now < max(w.boots_at, w.hangs_until) or w.id in self.unresponsive
+            )
             if w is None or down or self.chance("order_lost"):
                 continue
             status, report = w.orders(workers.order_body(c.epoch, order.session, order.commands))
