--- a/src/eldercart/core/cloudwork.py
+++ b/src/eldercart/core/cloudwork.py
@@ -103,7 +103,7 @@
             )
         for m in scheduler.rental.surplus(machines, now):
             log.info("machine returned machine=%s idle=%.0f", m.id, now - m.idle_since)
-            scheduler.doom(m, now)
+            scheduler.request_deletion(m, now)
 
     def _held(self, job_id: JobId) -> float:
         job = self.scheduler.jobs.get(job_id)
@@ -167,13 +167,13 @@
         if now < self._pause:
             return None
         scheduler = self.scheduler
-        if scheduler.doomed and "delete" not in self._busy:
+        if scheduler.deletions_due and "delete" not in self._busy:
             self._busy.add("delete")
-            doomed = list(scheduler.doomed)
-            if len(doomed) > cloud.MAX_DELETE:
+            deletions_due = list(scheduler.deletions_due)
+            if len(deletions_due) > cloud.MAX_DELETE:
                 # Time is short where a cancelled task may still be.
-                doomed.sort(key=lambda machine: not self._holds_cancelled(machine))
-            return Delete(tuple(doomed[: cloud.MAX_DELETE]))
+                deletions_due.sort(key=lambda machine: not self._holds_cancelled(machine))
+            return Delete(tuple(deletions_due[: cloud.MAX_DELETE]))
         if (not scheduler.types or now >= self._catalog_due) and "catalog" not in self._busy:
             self._busy.add("catalog")
             return GetCatalog()
@@ -246,12 +246,12 @@
 
     def _deleted(self, machine: MachineId, now: Steady) -> None:
         scheduler = self.scheduler
-        scheduler.doomed.pop(machine, None)
+        scheduler.deletions_due.pop(machine, None)
         m = scheduler.fleet.get(machine)
         if m is None:
             return
         placed = [*m.placed.values(), *m.queue.values()]
-        log.info("machine gone machine=%s tasks=%d", machine, len(placed))
+        log.info("machine deleted machine=%s tasks=%d", machine, len(placed))
         for p in placed:
             job = p.job
             if (
@@ -271,7 +271,7 @@
             machines = cloud.parse_rented(body)
             scheduler.rental.rental_requests.pop(rental_request.name, None)
             for machine in machines:
-                if scheduler.fleet.get(machine) is None and not scheduler.fleet.is_gone(machine):
+                if scheduler.fleet.get(machine) is None and not scheduler.fleet.is_deleted(machine):
                     kind = scheduler.types[offer.type]
                     scheduler.fleet.add(
                         machine,
@@ -310,7 +310,7 @@
     def _listed(self, listed: list[cloud.ListedMachine], now: Steady) -> None:
         scheduler = self.scheduler
         for item in listed:
-            if scheduler.fleet.is_gone(item.id):
+            if scheduler.fleet.is_deleted(item.id):
                 continue
             m = scheduler.fleet.get(item.id)
             if m is None:
@@ -331,4 +331,4 @@
                 m.address = item.address
             if item.state == cloud.FAILED and m.state is not MachineState.LEAVING:
                 log.info("machine failed machine=%s", m.id)
-                scheduler.doom(m, now)
+                scheduler.request_deletion(m, now)
--- a/src/eldercart/core/fleet.py
+++ b/src/eldercart/core/fleet.py
@@ -124,7 +124,7 @@
     def __init__(self) -> None:
         """No machines yet."""
         self.machines: dict[MachineId, Machine] = {}
-        self._gone: dict[MachineId, None] = {}  # a late list or report may still name them
+        self._deleted: dict[MachineId, None] = {}  # a late list or report may still name them
         self.team_cpus: dict[str, float] = {}
         self.team_gpus: dict[str, float] = {}
         self.used: dict[int, float] = {}  # CPUs placed, by priority
@@ -137,9 +137,9 @@
         """The machine, unless it is gone or was never heard of."""
         return self.machines.get(machine)
 
-    def is_gone(self, machine: MachineId) -> bool:
+    def is_deleted(self, machine: MachineId) -> bool:
         """Whether the machine was deleted, as far back as is remembered."""
-        return machine in self._gone
+        return machine in self._deleted
 
     def add(
         self, id_: MachineId, type_: MachineType, zone: str, spot: bool, state: MachineState,
@@ -257,13 +257,13 @@
             del m.placed[p.key]
 
     def remove(self, m: Machine) -> None:
-        """The cloud said 200 to its deletion: whatever was there is gone."""
+        """The cloud said 200 to its deletion: whatever was there has ended."""
         m.state = MachineState.DELETED
         self.machines.pop(m.id, None)
         self.queues.pop(m.id, None)
-        self._gone[m.id] = None
-        while len(self._gone) > GONE_KEPT:
-            del self._gone[next(iter(self._gone))]
+        self._deleted[m.id] = None
+        while len(self._deleted) > GONE_KEPT:
+            del self._deleted[next(iter(self._deleted))]
 
     def note_image(self, m: Machine, image: str, size_gb: float) -> None:
         """The machine uses the image; those that its cache can't hold any more are forgotten."""
--- a/src/eldercart/core/jobs.py
+++ b/src/eldercart/core/jobs.py
@@ -182,7 +182,7 @@
         self.bad_machines[machine] = Steady(now + AVOID_S)
 
     def avoids(self, machine: MachineId, now: Steady) -> bool:
-        """Not for ever: the others may be full, or gone."""
+        """Not for ever: the others may be full, or deleted."""
         return bool(self.bad_machines) and self.bad_machines.get(machine, NEVER) > now
 
     def note_run(self, seconds: float) -> None:
@@ -268,7 +268,7 @@
         return job
 
     def remove(self, job: Job) -> None:
-        """Its record is gone."""
+        """Its record is deleted."""
         self.jobs.pop(job.id, None)
 
     def load_chunk(
--- a/src/eldercart/core/machines.py
+++ b/src/eldercart/core/machines.py
@@ -61,12 +61,12 @@
                 log.info(
                     "machine late machine=%s seconds=%.1f", machine.id, now - machine.rented_at
                 )
-                self._scheduler.doom(machine, now)
+                self._scheduler.request_deletion(machine, now)
         elif self._silence.is_dead(machine, patience, now):
             log.info("machine silent machine=%s seconds=%.1f", machine.id, now - machine.last_heard)
-            self._scheduler.doom(machine, now)
+            self._scheduler.request_deletion(machine, now)
         elif machine.quarantined and not machine.live:
-            self._scheduler.doom(machine, now)
+            self._scheduler.request_deletion(machine, now)
         elif tasks_due and (machine.live or machine.queue):
             self._watch_tasks(machine, now)
 
@@ -86,7 +86,7 @@
                 self._press_stop(machine, placement, now)
                 if placement.job.cancelled and now > placement.job.kill_due:
                     log.info("kill overdue machine=%s task=%s", machine.id, placement.key)
-                    scheduler.doom(machine, now)
+                    scheduler.request_deletion(machine, now)
                     return
             elif placement.phase is Phase.RUNNING and scheduler.health.straggles(placement, now):
                 self._stop_straggler(machine, placement, now)
--- a/src/eldercart/core/placement.py
+++ b/src/eldercart/core/placement.py
@@ -72,7 +72,7 @@
 
 
 def room_soon(spec: JobSpec, m: Machine) -> int:
-    """The same once everything that is being stopped has gone."""
+    """The same once everything that is being stopped has ended."""
     return fits(
         spec,
         m.free_cpus - m.reserved_cpus + m.leaving_cpus,
@@ -261,7 +261,7 @@
     next promise, then age.
 
     When more is asked than can be done, order of promises alone would make everything late
-    together. So each level is gone through by promise, and when one cannot be kept any more the
+    together. So each level is ordered by promise, and when one cannot be kept any more the
     job with the most work so far is set aside behind those that can be (the rule of Moore and
     Hodgson, which leaves the fewest late). What can be done is judged by the machines that a job
     may use: against the whole fleet, a crowd of jobs that need ordinary machines would seem to
--- a/src/eldercart/core/placement_records.py
+++ b/src/eldercart/core/placement_records.py
@@ -157,7 +157,8 @@
         chunk.record_key, chunk.reserved = placement_record.key, need
 
     def drop(self, job: Job) -> None:
-        """The job's own record is gone: what a placement record still says of it counts no more."""
+        """The job's own record is deleted: what a placement record still says of it counts no
+        more."""
         for chunk in job.chunks.values():
             placement_record = self.by_key.get(chunk.record_key or "")
             chunk.record_key = None
--- a/src/eldercart/core/reconciliation.py
+++ b/src/eldercart/core/reconciliation.py
@@ -145,7 +145,7 @@
             self._done(machine, placement, now)
             return
         # If its job isn't open, its end is decided or even durable (a new leader may load such a
-        # job before its records are gone); to end it once more would be refused for ever.
+        # job before its records are deleted); to end it once more would be refused for ever.
         if job.open:
             self._failed(machine, placement, why, now)
         self._scheduler.void(placement, now)
--- a/src/eldercart/core/records.py
+++ b/src/eldercart/core/records.py
@@ -68,7 +68,7 @@
         self.reread_under_way: set[str] = set()
         self.cleaning: dict[JobId, Job] = {}
         self.orphans: list[tuple[str, Revision]] = []
-        # Lists of dependencies of which the job's record is gone already. They are lost with the
+        # Lists of dependencies of which the job's record is deleted already. They are lost with the
         # leader; what then stays in the store is read by nobody.
         self.lists: dict[str, None] = {}
         self.placement_records = PlacementRecords(scheduler.settings.value_bytes, scheduler.epoch)
@@ -335,7 +335,7 @@
                 self._split(pending, now)
             return False
         # An earlier try of one of these writes was applied, or this one may be: only the keys
-        # themselves can tell their versions. An orphan's conflict means that it is gone.
+        # themselves can tell their versions. An orphan's conflict means that it is deleted.
         self._unsure.update(
             placement_record.key
             for placement_record in (*pending.placement_records, *pending.dropped)
@@ -429,7 +429,7 @@
             self._forget(p)
 
     def _cleaned_up(self, job: Job) -> None:
-        """The job's record is gone, and so is what other records say of it."""
+        """The job's record is deleted, and so is what other records say of it."""
         self.lists |= dict.fromkeys(_list_keys(job))
         self.cleaning.pop(job.id, None)
         self.placement_records.drop(job)
--- a/src/eldercart/core/relay.py
+++ b/src/eldercart/core/relay.py
@@ -37,7 +37,7 @@
     may have been elected, whom it can't hear.
 
     That other leader may have confirmed a cancellation to a user as soon as this one's lease had
-    ended. Its tasks must be gone `cancel_s` later even if they are on a machine whose worker is
+    ended. Its tasks must have ended `cancel_s` later even if they are on a machine whose worker is
     answered under this one's epoch all the time, and the store can't tell anybody. From the last
     contact this node answers for a grant, a relay that asked at the end of that for another one,
     and the worker kills its tasks a lease after the report that was answered last."""
@@ -244,7 +244,7 @@
             self._drop(machine)
 
     def unlinked(self) -> None:
-        """The connection to the leader is gone, and with it what the leader may have wanted."""
+        """The connection to the leader is lost, and with it what the leader may have wanted."""
         for known in self._known.values():
             known.base = None
 
--- a/src/eldercart/core/reports.py
+++ b/src/eldercart/core/reports.py
@@ -28,7 +28,7 @@
         scheduler = self._scheduler
         machine = scheduler.fleet.get(report.machine)
         if machine is None:
-            if scheduler.fleet.is_gone(report.machine):
+            if scheduler.fleet.is_deleted(report.machine):
                 # Its deletion was answered: this is a late copy and proves nothing.
                 return None
             if report.epoch != scheduler.epoch:
@@ -121,7 +121,7 @@
             and machine.state is MachineState.UP
         ):
             log.info("machine unresponsive machine=%s why=%s", machine.id, why)
-            self._scheduler.doom(machine, now)
+            self._scheduler.request_deletion(machine, now)
 
     def undelivered(self, machine_id: MachineId) -> None:
         """The last answer surely came too late; that it had no effect is no sign."""
--- a/src/eldercart/core/scheduler_state.py
+++ b/src/eldercart/core/scheduler_state.py
@@ -21,7 +21,7 @@
 
 log = logging.getLogger("eldercart.controller")
 
-TAKEOVER_REPORTS = 3  # report intervals for machines to show that tasks are gone
+TAKEOVER_REPORTS = 3  # report intervals for machines to show that tasks have ended
 KILL_SHARE, KILL_LAST = 0.6, 0.8  # of `cancel_s`: the rest is left for the deletion
 
 
@@ -60,7 +60,7 @@
         self.dirty: dict[JobId, Job] = {}
         self.ending: dict[JobId, Job] = {}  # complete or cancelled, end not yet durable
         self.orphaned: dict[JobId, Job] = {}  # cancelled with a job before them, end not written
-        self.doomed: dict[MachineId, None] = {}
+        self.deletions_due: dict[MachineId, None] = {}
         self.orders: dict[MachineId, None] = {}  # machines to be told directly what to kill
         self.finished: list[FinishedJob] = []  # newly durable ends, for waiting answers
         self.graph = DependencyGraph(self.jobs, self._rest_s, self._due)
@@ -152,7 +152,7 @@
     def cancelled(self, job: Job, at: Steady, now: Steady) -> None:
         """Its user asked at `at`, and the time for its tasks to go runs from then on, through any
         number of leaders. One that takes over late lets the machines show first that the tasks
-        are gone, as far as there is time."""
+        have ended, as far as there is time."""
         s = self.settings
         job.cancelled = True
         job.cancelled_at = at
@@ -178,11 +178,11 @@
         self._wants.clear()
         return out
 
-    def doom(self, m: Machine, now: Steady) -> None:
+    def request_deletion(self, m: Machine, now: Steady) -> None:
         """The machine is to be deleted, and nothing new starts there."""
         m.state = MachineState.LEAVING
         m.draining = True
-        self.doomed[m.id] = None
+        self.deletions_due[m.id] = None
         self.rental_due = now
 
     def quarantine(self, m: Machine, why: str, now: Steady) -> None:
--- a/src/eldercart/net/forwarding.py
+++ b/src/eldercart/net/forwarding.py
@@ -115,7 +115,7 @@
             self._relay.overtaken(head.machine, head.order)
             pending.request.reply(503, users.error_body("overtaken"), 1)
             return
-        again = again or bool(calls) or pending.request.gone
+        again = again or bool(calls) or pending.request.disconnected
         self._relay.answered(head.machine, head.order, head.notice, head.tasks, again)
         pending.request.reply(200, workers.calls_body(self._relay.epoch, calls))
 
@@ -142,7 +142,7 @@
         for answer in answers:
             pending = self._pending_reports.pop(answer.number, None)
             if pending is not None:
-                late = pending.request.gone and answer.calls
+                late = pending.request.disconnected and answer.calls
                 self._reply(pending, answer.calls, answer.again)
                 if late:
                     dropped.append(pending.head.machine)
--- a/src/eldercart/net/leader_service.py
+++ b/src/eldercart/net/leader_service.py
@@ -90,7 +90,9 @@
             node.incarnation,
         )  # fmt: skip
         resolved = resolve_all(records.jobs, records.dependency_lists)
-        controller.load(resolved.whole, records.placements, records.gone, now, records.memos)
+        controller.load(
+            resolved.whole, records.placements, records.cleanup_markers, now, records.memos
+        )
         gc.collect()
         gc.freeze()
         self.controller = controller
--- a/src/eldercart/net/server.py
+++ b/src/eldercart/net/server.py
@@ -20,7 +20,7 @@
 class JsonRequest(http.Request):
     """One request. `reply` may be called later; a peer that has left is not answered."""
 
-    gone = False
+    disconnected = False
     too_long = False
 
     def gotLength(self, length: int | None) -> None:
@@ -61,7 +61,7 @@
 
     def connectionLost(self, reason: Any) -> None:
         """The peer has left: nothing is sent any more."""
-        self.gone = True
+        self.disconnected = True
         self.channel.factory.unanswered.discard(self)
         super().connectionLost(reason)
 
@@ -74,7 +74,7 @@
         self, status: int, body: bytes, retry_after: int | None = None, close: bool = False
     ) -> None:
         """Answers, once; `close` ends the connection afterwards."""
-        if self.gone or self.finished:
+        if self.disconnected or self.finished:
             return
         self.channel.factory.unanswered.discard(self)
         if close or self.channel.factory.ending:
--- a/src/eldercart/net/takeover.py
+++ b/src/eldercart/net/takeover.py
@@ -26,7 +26,7 @@
     catalog: list[Item]
     jobs: list[Item]
     placements: list[Item]
-    gone: list[Item]
+    cleanup_markers: list[Item]
     memos: list[Item]
     dependency_lists: list[Item]  # read only if a job record refers to one
     jobs_revision: Revision  # as of which the job records were read
@@ -79,7 +79,7 @@
                 catalog=read[CATALOG_KEY],
                 jobs=read[JOB],
                 placements=read[PLACE],
-                gone=read[CLEANUP],
+                cleanup_markers=read[CLEANUP],
                 memos=read[MEMO],
                 dependency_lists=read.get(DEPENDENCY_LISTS, []),
                 jobs_revision=self._jobs_revision,
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -103,7 +103,7 @@
     epoch: int = 0
     tasks: dict[str, TaskSim] = field(default_factory=dict)
     answered: float = 0.0
-    gone: bool = False
+    deleted: bool = False
     hangs_until: float = -1.0
     faulty: bool = False
     pace: float = 1.0
@@ -214,7 +214,7 @@
         for name in orjson.loads(body)["wagons"]:
             machine = self.machines.pop(name, None)
             if machine is not None:
-                machine.gone = True
+                machine.deleted = True
         return 200, {}
 
     def list(self, now: float) -> dict[str, Any]:
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -712,7 +712,7 @@
 
 
 def test_a_cancelled_job_whose_record_is_still_there_counts_as_cancelled() -> None:
-    """Its record goes only once its tasks are gone; and the ends known here are bounded."""
+    """Its record goes only once its tasks have ended; and the ends known here are bounded."""
     place = Place()
     place.node.tuning = load_tuning(values={"final_cache": 100})
     place.front = place.node.user_service = UserService(cast(Any, place.node))
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -97,8 +97,8 @@
     while w.now < victim.hangs_until:
         w.run(0.1)
         elsewhere = {k for m in w.cloud.machines.values() if m is not victim for k in m.on()}
-        assert victim.gone or not held & elsewhere
-    assert victim.gone is (hang_s > 30)
+        assert victim.deleted or not held & elsewhere
+    assert victim.deleted is (hang_s > 30)
     finish(w)
 
 
@@ -311,7 +311,7 @@
 
 
 def test_task_that_is_lost_in_an_outage_does_not_resume_planning() -> None:
-    """Seen on reading: each task proven gone made the leader forget that nothing can be written,
+    """Seen on reading: each task proven absent made the leader forget that nothing can be written,
     and plan anew what could only be taken back."""
     w = World(19, capacity=2)
     w.submit("wk-000001", run_s=30.0, parcels=40)
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -151,7 +151,7 @@
     w.cloud_down_until = w.now + 60.0
     w.outage_until = w.now + 0.1
     for m in list(w.controller.fleet.machines.values()):
-        w.controller.scheduler.doom(m, Steady(w.now))
+        w.controller.scheduler.request_deletion(m, Steady(w.now))
     w.run(0.5)
     cancel_all(w)
     w.outage_until = w.now + 50.0
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -54,7 +54,7 @@
     w.silent = {m.id for m in silenced}
     w.run(for_s)
     w.silent.clear()
-    assert [m.gone for m in silenced] == [deleted, deleted]
+    assert [m.deleted for m in silenced] == [deleted, deleted]
     w.run(5)
     w.left_waiting_s = WAIT_S
     finish(w)
@@ -174,7 +174,7 @@
             w.cloud.delete(b'{"wagons":["%s"]}' % m.id.encode())
     # What stands in the other zone is as much as is asked for.
     name = b'{"hire":"x","breed":"small","yard":"%s","loaners":false,"number":3}' % other.encode()
-    assert lost.gone and w.cloud.rent(name, w.now - 60.0)[0] == 200
+    assert lost.deleted and w.cloud.rent(name, w.now - 60.0)[0] == 200
     w.run(40)
     where = {w.cloud.machines[p.machine].zone for p in job.placements()}
     assert where == {at.zone} and job.pending == 0, "no room was rented where it may run"
@@ -200,10 +200,10 @@
     w.run(7)
     if how == "unresponsive for good":
         w.run(60)
-        assert all(m.gone for m in out)
+        assert all(m.deleted for m in out)
     else:
         w.unresponsive, w.silent = set(), set()
-        assert not any(m.gone for m in out)
+        assert not any(m.deleted for m in out)
     finish(w)
     if how == "hang":
         assert all(w.starts[key] == 1 for key in w.starts), "a task was moved for nothing"
@@ -245,7 +245,7 @@
 @pytest.mark.parametrize("gap", [0.0, 0.4, 1.0, 14.0])
 @pytest.mark.parametrize("seed", [1, 2])
 def test_all_controllers_end_and_one_returns(gap: float, seed: int) -> None:
-    """At once, and (14 s) after all leases have run out: what was on the machines is gone then,
+    """At once, and (14 s) after all leases have run out: what was on the machines has ended then,
     and only their own newer reports say so."""
     w = RelayWorld(seed, capacity=8, txn_twice=0.3, txn_lost=0.1, report_twice=0.3)
     submit_all(w)
@@ -264,7 +264,7 @@
     w.unreachable_nodes = set()
     w.run(4)
     c = leader(w)
-    assert not [n for n in ever & set(w.cloud.machines) if c.fleet.is_gone(MachineId(n))]
+    assert not [n for n in ever & set(w.cloud.machines) if c.fleet.is_deleted(MachineId(n))]
     w.run(10)
     w.left_waiting_s = WAIT_S
     finish(w)
@@ -725,9 +725,9 @@
     now = Steady(w.now)
     for i in range(cloud.MAX_DELETE + 20):
         other = c.fleet.add(MachineId(f"n-9{i:05d}"), m.type, "a", True, MachineState.UP, now, now)
-        c.scheduler.doom(other, now)
+        c.scheduler.request_deletion(other, now)
     w.cancel(ONE)
-    c.scheduler.doom(m, now)
+    c.scheduler.request_deletion(m, now)
     call = c.next_cloud(now)
     assert isinstance(call, Delete) and call.machines[0] == m.id
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -249,7 +249,7 @@
     w.unresponsive.add(victim.id)
     w.submit("wk-000002", run_s=30.0, parcels=16)
     w.run(60)
-    assert victim.gone
+    assert victim.deleted
     finish(w)
     assert w.told == {"wk-000001": "done", "wk-000002": "done"}
 
@@ -318,7 +318,7 @@
             if shows:
                 c.shown(machine, Steady(w.now))
     assert asked > 2
-    assert (m.id in c.scheduler.doomed) is deleted
+    assert (m.id in c.scheduler.deletions_due) is deleted
 
 
 def test_copy_with_the_present_epoch_is_overtaken_by_what_a_relay_answered() -> None:
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -41,7 +41,7 @@
     late = c.fleet.machines[MachineId(booting.id)]
     late.state = MachineState.BOOTING
     w.run(3)
-    assert not c.scheduler.doomed
+    assert not c.scheduler.deletions_due
     w.now += 60.0
     if noticed:
         c.stood_still(60.0)
@@ -49,8 +49,8 @@
     for _ in range(int(then_silent / 0.5)):
         w.now += 0.5
         c.tick(Steady(w.now))
-    assert bool(c.scheduler.doomed) is deleted
-    assert (late.id in c.scheduler.doomed) is deleted
+    assert bool(c.scheduler.deletions_due) is deleted
+    assert (late.id in c.scheduler.deletions_due) is deleted
 
 
 def test_overdue_kill_is_not_excused() -> None:
@@ -69,7 +69,7 @@
     for _ in range(4):
         w.now += 0.5
         c.tick(Steady(w.now))
-    assert m.id in c.scheduler.doomed
+    assert m.id in c.scheduler.deletions_due
 
 
 @pytest.mark.parametrize(
@@ -111,7 +111,7 @@
         call = c.next_cloud(Steady(w.now))
         if isinstance(call, ListPage):
             c.cloud_done(call, 200, orjson.dumps(listed), Steady(w.now))
-    assert (MachineId(name) in c.scheduler.doomed) is deleted
+    assert (MachineId(name) in c.scheduler.deletions_due) is deleted
 
 
 @pytest.mark.parametrize("pause_s", [1.0, 2.9, 6.0, 12.0, 40.0])
@@ -132,7 +132,7 @@
             now = Steady(w.now)
             old.stood_still(pause_s)
             old.tick(now)
-            judged = [m for m in old.scheduler.doomed if old.fleet.machines[m].live]
+            judged = [m for m in old.scheduler.deletions_due if old.fleet.machines[m].live]
             assert not judged, "it judged by its own sleep"
             pending = old.next_txn(now, 20)
             if pending is not None:
