--- a/src/eldercart/core/cloudwork.py
+++ b/src/eldercart/core/cloudwork.py
@@ -91,7 +91,7 @@
         machines = scheduler.fleet.machines.values()
         # After a take-over the fleet is not known yet: renting now would double it.
         if now - scheduler.began > 2 * scheduler.settings.list_lag_s or self._list_seen:
-            choosy = [
+            constrained = [
                 (j, zone)
                 for j in scheduler.jobs.jobs.values()
                 if (j.pending or j.queued) and j.open
@@ -99,7 +99,7 @@
                 or not all(rules.fits_type(j.spec, kind) for kind in scheduler.types.values())
             ]
             self._rental_requests += scheduler.rental.plan(
-                machines, scheduler.types, choosy, self._prefix, now
+                machines, scheduler.types, constrained, self._prefix, now
             )
         for m in scheduler.rental.surplus(machines, now):
             log.info("machine returned machine=%s idle=%.0f", m.id, now - m.idle_since)
@@ -259,7 +259,7 @@
                 and p.ran(now) > 0
                 and scheduler.predictor.run_s(job) >= scheduler.tuning.shy_s
             ):
-                job.shy = job.fresh >= job.spec.tasks
+                job.prefers_ordinary = job.fresh >= job.spec.tasks
             scheduler.void(p, now)
         scheduler.fleet.remove(m)
 
--- a/src/eldercart/core/jobs.py
+++ b/src/eldercart/core/jobs.py
@@ -151,7 +151,8 @@
         self.aged = False  # has waited so long that it goes ahead, see `planner.Planner`
         self.end_sent = False  # its end may be in the store, and may be told elsewhere
         self.end_unsure = False  # a write of it may still be applied late
-        self.shy = False  # lost work to the cloud: what is started again prefers ordinary machines
+        # lost work to the cloud: what is started again prefers ordinary machines
+        self.prefers_ordinary = False
         self.unreadable = False  # a record of it can't be read: nothing of it may start
         self.ended: str | None = None
         self.errors = 0
--- a/src/eldercart/core/placement.py
+++ b/src/eldercart/core/placement.py
@@ -140,7 +140,9 @@
     return sum(gb for name, gb in found.items() if name != image)
 
 
-def preference(spec: JobSpec, m: Machine, shy: bool = False) -> tuple[bool, float, float, float]:
+def preference(
+    spec: JobSpec, m: Machine, prefers_ordinary: bool = False
+) -> tuple[bool, float, float, float]:
     """Lower is better. Ordinary machines are left for jobs that may use nothing else; then a
     cached image (as reports and starts have shown) or the shortest fetch; then the cheaper type,
     so that the dearer ones come free and are returned; then the fullest machine, so that whole
@@ -152,7 +154,7 @@
         fetch = (spec.image_gb + being_fetched(m, spec.image)) / max(kind.fetch_gb_per_s, 1e-3)
     price = kind.spot_price if m.spot else kind.price
     return (
-        m.spot if shy else spec.spot and not m.spot,
+        m.spot if prefers_ordinary else spec.spot and not m.spot,
         fetch,
         price / max(kind.cpus, 1.0),
         m.free_cpus,
@@ -172,7 +174,7 @@
     if wanted <= 0:
         return []
     candidates = [
-        (preference(spec, m, job.shy), m.id, m, n)
+        (preference(spec, m, job.prefers_ordinary), m.id, m, n)
         for m in machines
         if m.refuse_until <= now
         and allowed(spec, m)
--- a/src/eldercart/core/planner.py
+++ b/src/eldercart/core/planner.py
@@ -168,7 +168,7 @@
                 level = job.priority
             shape = (spec.cpus, spec.gpus, spec.memory_gb, spec.types, spec.zone, spec.spot)
             kept = spec.spot and keeps is not None and job.priority <= keeps and cap is None
-            kept = kept and not job.shy
+            kept = kept and not job.prefers_ordinary
             if self.open and shape not in self._full and (*shape, kept) not in self._full:
                 self._place(job, shape, kept, cap)
             if cap is None and (job.pending or job.queued):
--- a/src/eldercart/core/rental.py
+++ b/src/eldercart/core/rental.py
@@ -105,7 +105,7 @@
             by_team[spec.team] = by_team.get(spec.team, 0.0) + cpus
             if not spec.spot:
                 ordinary += cpus
-            elif job.shy:
+            elif job.prefers_ordinary:
                 ordinary += spec.cpus * (job.pending + job.queued)
         # Peaks are remembered because more work like it will come. When submissions have stopped,
         # by their own usual pace, it will not: the fleet shrinks to what is left to do.
@@ -126,11 +126,11 @@
         self,
         machines: Iterable[Machine],
         types: dict[str, MachineType],
-        choosy: list[tuple[Job, str | None]],
+        constrained: list[tuple[Job, str | None]],
         prefix: str,
         now: Steady,
     ) -> list[RentalRequest]:
-        """What to rent now. `choosy` are waiting jobs that not every machine suits, with the
+        """What to rent now. `constrained` are waiting jobs that not every machine suits, with the
         zone they are bound to: the sums below may be met by machines of which none does."""
         machines = list(machines)
         supply_ordinary = supply_any = 0.0
@@ -148,7 +148,7 @@
                 supply_ordinary += cpus
         want_ordinary, want_any = self.targets()
         rental_requests: list[RentalRequest] = []
-        for job, zone in choosy:
+        for job, zone in constrained:
             got = self._rent_for(job, zone, machines, types, zones, prefix, now, rental_requests)
             supply_any += got
             if not job.spec.spot:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -617,7 +617,7 @@
     if how == "kept from its like":
         w.submit("wk-000000", **mine)
     w.submit(TWO, **mine)
-    c.jobs.jobs[TWO].shy = how == "kept from its like"
+    c.jobs.jobs[TWO].prefers_ordinary = how == "kept from its like"
     if how == "avoided":
         c.jobs.jobs[TWO].avoid(m.id, Steady(w.now))
     w.left_waiting_s = WAIT_S
