--- a/src/eldercart/core/jobs.py
+++ b/src/eldercart/core/jobs.py
@@ -141,7 +141,7 @@
         self.cuts: dict[int, list[int]] = {}  # by number of the chunk cut anew: where parts begin
         self.fresh = 0  # the first task never placed
         self.again: list[int] = []  # tasks to place once more
-        self.late = False  # set aside: its promises can't be kept any more
+        self.late = False  # deferred: its promises can't be kept any more
         self.rank = 0  # its place in the last pass's order
         self.queued = 0  # tasks written ahead of free room
         self.cancelled = False  # asked for; durable once `ended` is set
--- a/src/eldercart/core/placement.py
+++ b/src/eldercart/core/placement.py
@@ -264,7 +264,7 @@
 
     When more is asked than can be done, order of promises alone would make everything late
     together. So each level is ordered by promise, and when one cannot be kept any more the
-    job with the most work so far is set aside behind those that can be (the rule of Moore and
+    job with the most work so far is deferred behind those that can be (the rule of Moore and
     Hodgson, which leaves the fewest late). What can be done is judged by the machines that a job
     may use: against the whole fleet, a crowd of jobs that need ordinary machines would seem to
     be in time until all of them are late. `capacity(priority, spot)` tells the CPUs."""
@@ -293,7 +293,7 @@
                 dated.append((due, job.ready_at, job.id, seconds, job))
         dated.sort(key=lambda entry: entry[:3])
         kept: list[tuple[float, float, str, Job]] = []  # a heap, the most work first
-        set_aside: set[str] = set()
+        deferred: set[str] = set()
         above = begun[False] + (begun[True] if spot else 0.0)
         total = above / cpus
         for when, began, name, work, candidate in dated:
@@ -303,8 +303,8 @@
                 dropped = heapq.heappop(kept)
                 total += dropped[0]
                 late.append((-dropped[0], dropped[1], dropped[2], dropped[3]))
-                set_aside.add(dropped[2])
-        ordered += [e[4] for e in dated if e[2] not in set_aside]
+                deferred.add(dropped[2])
+        ordered += [e[4] for e in dated if e[2] not in deferred]
         late.sort(key=lambda e: e[:3])
         ordered += [e[3] for e in late]
         for dated_entry in dated:
--- a/src/eldercart/core/planner.py
+++ b/src/eldercart/core/planner.py
@@ -84,7 +84,7 @@
 
     def _with_aged(self, ordered: list[Job], now: Steady) -> list[tuple[Job, int | None]]:
         """Jobs that have waited too long to begin go ahead with their first tasks: of their
-        priority, and after a longer wait of every other. The order alone sets the largest aside
+        priority, and after a longer wait of every other. The order alone defers the largest
         as long as a burst lasts, and would never come to the lowest under steady load."""
         t = self.scheduler.tuning
         first: list[tuple[Job, int | None]] = []
--- a/src/eldercart/core/records.py
+++ b/src/eldercart/core/records.py
@@ -28,7 +28,8 @@
 
 WRITE_PAUSE_S = 0.25  # after a write that was not carried out
 ANY_UNITS = 1000  # ends and placement records, more than a transaction holds
-ASIDE_S = 20.0  # for which a job is left alone whose record the store refuses for what it is
+# for which a job is left alone whose record the store refuses for what it is
+REFUSED_PAUSE_S = 20.0
 
 
 class Outcome(Enum):
@@ -76,7 +77,7 @@
         self._pause = NEVER
         self._most_ops: int = scheduler.settings.txn_ops
         self._most_units = ANY_UNITS  # in one transaction
-        self._aside: dict[JobId, Steady] = {}
+        self._refused_until: dict[JobId, Steady] = {}
         self._unsure: set[str] = set()  # keys whose version only a reread can tell
         self.may_recut = False  # every node reads parts that were cut anew
         self._part_tasks = chunk_size(scheduler.settings.value_bytes)
@@ -112,8 +113,10 @@
             # whether the store is back, and only a pass of placing makes one.
             scheduler.outage = False
             return None
-        if self._aside:
-            self._aside = {job: until for job, until in self._aside.items() if until > now}
+        if self._refused_until:
+            self._refused_until = {
+                job: until for job, until in self._refused_until.items() if until > now
+            }
         ops = min(ops, self._most_ops)
         pending = PendingTxn(Txn({LEAD_KEY: Revision(scheduler.epoch)}))
         if self._add_ends(pending, scheduler.ending, ops):
@@ -141,7 +144,7 @@
         tokens, or each token would go to a placement as it came."""
         txn = pending.txn
         for job in jobs.values():
-            if job.id in self._aside or self._held(pending, job.id, END + job.id):
+            if job.id in self._refused_until or self._held(pending, job.id, END + job.id):
                 continue
             how = users.CANCELLED if job.cancelled else users.DONE
             if len(txn.writes) + 2 > ops:
@@ -210,10 +213,10 @@
         key = placement_record.key
         if len(txn.writes) >= ops:
             return False
-        aside = placement_record.alone and any(
-            job.id in self._aside for job, _ in placement_record.parts.values()
+        refused = placement_record.alone and any(
+            job.id in self._refused_until for job, _ in placement_record.parts.values()
         )
-        if aside or self._held(pending, key, key):
+        if refused or self._held(pending, key, key):
             return True
         record, size = self.placement_records.record(placement_record)
         if size > self.placement_records.most and self._relieve(placement_record, keys):
@@ -266,7 +269,7 @@
             if len(txn.writes) + 2 > ops:
                 return
             there = any(p.phase is not Phase.ENDED for p in job.placements())
-            if there or job.id in self._aside or self._held(pending, job.id, JOB + job.id):
+            if there or job.id in self._refused_until or self._held(pending, job.id, JOB + job.id):
                 continue
             txn.writes += [Drop(JOB + job.id), Drop(CLEANUP + job.id)]
             pending.cleanups.append(job)
@@ -380,7 +383,7 @@
             self.placement_records.isolate(placement_record)
         for job in [*at_fault, *pending.cleanups]:
             log.error("record refused job=%s", job.id)
-            self._aside[job.id] = Steady(now + ASIDE_S)
+            self._refused_until[job.id] = Steady(now + REFUSED_PAUSE_S)
 
     def reread_done(self, key: str, item: Item | None, now: Steady) -> None:
         """The key as a fresh read has it; None: it is absent."""
--- a/src/eldercart/core/scheduler_state.py
+++ b/src/eldercart/core/scheduler_state.py
@@ -186,7 +186,7 @@
         self.rental_due = now
 
     def quarantine(self, m: Machine, why: str, now: Steady) -> None:
-        """Nothing new starts on the machine, unless too many others are set aside as well."""
+        """Nothing new starts on the machine, unless too many others are deferred as well."""
         if m.quarantined:
             return
         out = sum(1 for other in self.fleet.machines.values() if other.quarantined)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -364,7 +364,7 @@
 
 def test_jobs_for_ordinary_machines_are_judged_by_those() -> None:
     """Seen on a rough day: a burst of urgent arrays that may use nothing else found a large fleet
-    of spot machines, so none was set aside, and all were late together."""
+    of spot machines, so none was deferred, and all were late together."""
     registry = JobRegistry(100)
     rows: list[dict[str, Any]] = [
         {"parcels": 400, "dueS": 40.0},
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -209,7 +209,7 @@
 
 @pytest.mark.parametrize("largest", [{"crew": "t1"}, {"urgency": "idle"}, {"lot": "quick"}])
 def test_largest_jobs_begin_under_a_lasting_overload(largest: dict[str, Any]) -> None:
-    """Four times what the fleet can do, for minutes. Order alone would set the largest aside, and
+    """Four times what the fleet can do, for minutes. Order alone would defer the largest, and
     the lowest priority behind all else, for as long as that lasts."""
     w = World(21, capacity=2, tuning={"starve_s": 30.0, "starve_below_s": 40.0})
     # The first jobs fill the machines; what arrives later finds no room.
