--- a/src/eldercart/core/controller.py
+++ b/src/eldercart/core/controller.py
@@ -118,8 +118,8 @@
         self.machine_watch = MachineWatch(self.scheduler, self.silence)
         self._rented = NEVER
         self._summary_due = now
-        self._memo_due = Steady(now + tuning.memo_s)
-        self._memo_next = 0  # of the records of memory, the one whose turn it is
+        self._memory_due = Steady(now + tuning.memo_s)
+        self._memory_next = 0  # of the records of memory, the one whose turn it is
 
     # ------------------------------------------------------------------ take-over
 
@@ -129,10 +129,10 @@
         place_items: Iterable[Item],
         cleanup_items: Iterable[Item],
         now: Steady,
-        memo_items: Iterable[Item] = (),
+        memory_items: Iterable[Item] = (),
     ) -> None:
         """Takes over the records. Every recorded placement may be on its machine."""
-        for item in memo_items:
+        for item in memory_items:
             memory.recall(self.scheduler, item.key, item.value)
         job_items = list(job_items)
         for item in job_items:
@@ -401,19 +401,19 @@
         """The next transaction of at most `ops` changes, if none is under way; see `txn_done`."""
         return self.records.next_txn(now, ops)
 
-    def next_memo(self, now: Steady, most_changes: int | None = None) -> Txn | None:
+    def next_memory_txn(self, now: Steady, most_changes: int | None = None) -> Txn | None:
         """Now and then, a transaction that keeps what was learned, of at most so many changes;
         nobody waits for its outcome."""
-        if now < self._memo_due:
+        if now < self._memory_due:
             return None
-        self._memo_due = Steady(now + self.tuning.memo_s)
+        self._memory_due = Steady(now + self.tuning.memo_s)
         txn = Txn({LEAD_KEY: Revision(self.epoch)})
         # There may be more of them than a transaction takes: then they take turns.
-        records = memory.memos(self.scheduler)
+        records = memory.memory_records(self.scheduler)
         most = self.settings.txn_ops
         most = most if most_changes is None else min(most, most_changes)
-        puts = memory.next_puts(records, self._memo_next, most)
-        self._memo_next = (self._memo_next + len(puts)) % len(records)
+        puts = memory.next_puts(records, self._memory_next, most)
+        self._memory_next = (self._memory_next + len(puts)) % len(records)
         txn.writes += puts
         return txn
 
--- a/src/eldercart/core/memory.py
+++ b/src/eldercart/core/memory.py
@@ -11,19 +11,19 @@
 from eldercart.units import MachineId
 from eldercart.wire.state import TXN_BYTES, Put
 
-MEMO = "memo/"
-PACES = MEMO + "paces"
+MEMORY = "memo/"
+PACES = MEMORY + "paces"
 FILL = 0.8  # of a value's size: how the service counts bytes is its own affair
 
 
-def memos(scheduler: SchedulerState) -> dict[str, Any]:
+def memory_records(scheduler: SchedulerState) -> dict[str, Any]:
     """Records by key, each within the value limit."""
     most = int(scheduler.settings.value_bytes * FILL)
     out: dict[str, Any] = {PACES: {}}
     for i, paces in enumerate(_paces(scheduler.predictor.paces(), most)):
         out[f"{PACES}/{i}" if i else PACES] = paces
     for i, images in enumerate(_images(scheduler, most)):
-        out[f"{MEMO}images/{i}"] = images
+        out[f"{MEMORY}images/{i}"] = images
     return out
 
 
--- a/src/eldercart/net/cloud_calls.py
+++ b/src/eldercart/net/cloud_calls.py
@@ -28,7 +28,7 @@
         self._client = HttpClient(settings.cloud, CONNECT_S, CONNECTIONS)
         self._tokens = Bucket(rate, max(1.0, rate), node.clock())
 
-    def pump(self, controller: Controller, now: Steady) -> None:
+    def process_events(self, controller: Controller, now: Steady) -> None:
         """Sends what the controller asks for while this node may order anything at all."""
         node = self._node
         if not node.election.may_order(now, node.store.refused_at):
@@ -46,7 +46,7 @@
         def done(status: int | None, data: bytes) -> None:
             if leader_service.controller is controller:
                 controller.cloud_done(call, status, data, self._node.clock())
-                leader_service.pump_soon()
+                leader_service.process_events_soon()
 
         match call:
             case Rent(rental_request):
--- a/src/eldercart/net/forwarding.py
+++ b/src/eldercart/net/forwarding.py
@@ -105,7 +105,7 @@
             return
         calls, again = leader_service.take_report(report, self._node.settings.label, now)
         self._reply(pending, calls, again)
-        leader_service.pump_soon()
+        leader_service.process_events_soon()
 
     def _reply(
         self, pending: PendingReport, calls: list[dict[str, Any]] | None, again: bool
--- a/src/eldercart/net/job_records.py
+++ b/src/eldercart/net/job_records.py
@@ -72,7 +72,7 @@
             if isinstance(event, Item):
                 self.learn(event)
         if events:
-            self._node.leader_service.pump_soon()
+            self._node.leader_service.process_events_soon()
 
     def _reread(self, controller: Controller) -> None:
         """More has changed than the state service keeps: reads all records and watches on."""
@@ -133,7 +133,7 @@
         self._resolving.discard(job)
         if self._node.user_service.final_of(job) is None:
             controller.learn_job(whole, self._node.clock())
-            self._node.leader_service.pump_soon()
+            self._node.leader_service.process_events_soon()
 
 
 def refers_to_list(item: Item) -> bool:
--- a/src/eldercart/net/leader_service.py
+++ b/src/eldercart/net/leader_service.py
@@ -25,7 +25,7 @@
 log = logging.getLogger("eldercart.node")
 
 UNHEARD_S = 5.0  # without a word from any peer or worker, after which a leader hands over
-PUMP_S = 0.02  # in which events gather before what follows from them is looked for
+EVENTS_PAUSE_S = 0.02  # in which events gather before what follows from them is looked for
 
 
 class ReportAnswer(NamedTuple):
@@ -49,7 +49,7 @@
         self._store_work = StoreWork(node)
         self._cloud_calls = CloudCalls(node)
         self._worker_calls = WorkerCalls(node)
-        self.pump_soon = CoalescedCall(PUMP_S, self.pump)
+        self.process_events_soon = CoalescedCall(EVENTS_PAUSE_S, self.process_events)
         self._began = node.clock()
         self.heard_at = node.clock()  # when a worker reported last, here or to a relay
 
@@ -91,7 +91,7 @@
         )  # fmt: skip
         resolved = resolve_all(records.jobs, records.dependency_lists)
         controller.load(
-            resolved.whole, records.placements, records.cleanup_markers, now, records.memos
+            resolved.whole, records.placements, records.cleanup_markers, now, records.memory_records
         )
         gc.collect()
         gc.freeze()
@@ -100,7 +100,7 @@
         self.job_records.watch(controller, records.jobs_revision)
         for item in resolved.missing:
             self.job_records.learn(item)
-        self.pump()
+        self.process_events()
 
     def end(self, why: str) -> None:
         """Leadership is over, or may be: nothing more is done in its name."""
@@ -126,7 +126,7 @@
         controller.tick(now)
         if controller.plan_due(now):
             self._plan(controller, now)
-        self.pump()
+        self.process_events()
 
     def _plan(self, controller: Controller, now: Steady) -> None:
         controller.plan(now)
@@ -150,7 +150,7 @@
 
     # -- what follows from events
 
-    def pump(self) -> None:
+    def process_events(self) -> None:
         """Carries out what the controller has to do now, as far as limits allow."""
         controller = self.controller
         if controller is None:
@@ -158,11 +158,11 @@
         node = self.node
         now = node.clock()
         self._tell_finished(controller)
-        self._store_work.pump(controller, now)
-        self._worker_calls.pump(controller, now)
+        self._store_work.process_events(controller, now)
+        self._worker_calls.process_events(controller, now)
         if controller.cloud.catalog_changed:
             self.catalog.store(controller)
-        self._cloud_calls.pump(controller, now)
+        self._cloud_calls.process_events(controller, now)
         wants = controller.take_wants()
         if wants:
             node.relay_service.send_wants(wants)
--- a/src/eldercart/net/relay_service.py
+++ b/src/eldercart/net/relay_service.py
@@ -123,7 +123,7 @@
                 for number, obj in items[start : start + peers.BATCH_ITEMS]
             ]
             channel.send(peers.answers(answers))
-        leader_service.pump_soon()
+        leader_service.process_events_soon()
 
     def _answer_polls(self, channel: Channel, frame: dict[str, Any]) -> None:
         tell = self.node.leader_service.user_answers.tell
--- a/src/eldercart/net/store_work.py
+++ b/src/eldercart/net/store_work.py
@@ -33,7 +33,7 @@
         """Uses the node's client of the state service and its tokens."""
         self._node = node
 
-    def pump(self, controller: Controller, now: Steady) -> None:
+    def process_events(self, controller: Controller, now: Steady) -> None:
         """Starts what is due, in the order of its urgency."""
         self._reread_records(controller, now)
         self._read_ends(controller, now)
@@ -82,7 +82,7 @@
             if not self._serves(controller):
                 return
             controller.end_read(job, None if item is None else end_of(item.value), node.clock())
-            node.leader_service.pump_soon()
+            node.leader_service.process_events_soon()
 
         node.store.get(END + job, done)
 
@@ -111,7 +111,7 @@
             if controller.txn_done(pending, outcome, revision, failed, answered_at):
                 node.deposed("write refused by the leader key")
             else:
-                node.leader_service.pump()
+                node.leader_service.process_events()
 
         node.store.txn(pending.txn, done)
 
@@ -120,11 +120,11 @@
         spare = store.writes.available(now, FOR_MEMORY)
         if spare < 1:
             return
-        memo = controller.next_memo(now, spare)
-        if memo is not None:
+        memory_txn = controller.next_memory_txn(now, spare)
+        if memory_txn is not None:
             store.requests.force(now)
-            store.writes.force(now, len(memo.writes))
-            store.txn(memo, lambda status, revision, failed: None)
+            store.writes.force(now, len(memory_txn.writes))
+            store.txn(memory_txn, lambda status, revision, failed: None)
 
 
 def _outcome_of(status: int | None, pending: PendingTxn) -> Outcome:
--- a/src/eldercart/net/submissions.py
+++ b/src/eldercart/net/submissions.py
@@ -232,7 +232,7 @@
         if controller is not None:
             now = self._node.clock()
             controller.add_job(self._spec, self._chunk, self._at, now, self._where)
-            self._node.leader_service.pump_soon()
+            self._node.leader_service.process_events_soon()
 
     def _known_already(self, ended: bool) -> None:
         if ended:
--- a/src/eldercart/net/takeover.py
+++ b/src/eldercart/net/takeover.py
@@ -7,7 +7,7 @@
 from twisted.internet import reactor as _reactor
 
 from eldercart.core.jobs import CLEANUP, DEPENDENCY_LISTS, JOB, PLACE
-from eldercart.core.memory import MEMO
+from eldercart.core.memory import MEMORY
 from eldercart.net.catalog import CATALOG_KEY
 from eldercart.net.job_records import refers_to_list
 from eldercart.net.store import Store
@@ -27,7 +27,7 @@
     jobs: list[Item]
     placements: list[Item]
     cleanup_markers: list[Item]
-    memos: list[Item]
+    memory_records: list[Item]
     dependency_lists: list[Item]  # read only if a job record refers to one
     jobs_revision: Revision  # as of which the job records were read
 
@@ -40,7 +40,7 @@
         self._store = store
         self._done = done
         self._abandoned = False
-        self._prefixes = [CATALOG_KEY, JOB, PLACE, CLEANUP, MEMO]
+        self._prefixes = [CATALOG_KEY, JOB, PLACE, CLEANUP, MEMORY]
         self._read: dict[str, list[Item]] = {}
         self._jobs_revision = ABSENT
 
@@ -80,7 +80,7 @@
                 jobs=read[JOB],
                 placements=read[PLACE],
                 cleanup_markers=read[CLEANUP],
-                memos=read[MEMO],
+                memory_records=read[MEMORY],
                 dependency_lists=read.get(DEPENDENCY_LISTS, []),
                 jobs_revision=self._jobs_revision,
             )
--- a/src/eldercart/net/user_answers.py
+++ b/src/eldercart/net/user_answers.py
@@ -90,7 +90,7 @@
         waiter = AnswerOnce(answer)
         self._waiting.setdefault(job, []).append(waiter)
         reactor.callLater(CANCEL_WAIT_S, waiter, peers.UNDECIDED)
-        self._node.leader_service.pump()
+        self._node.leader_service.process_events()
 
 
 class AnswerOnce:
--- a/src/eldercart/net/worker_calls.py
+++ b/src/eldercart/net/worker_calls.py
@@ -28,7 +28,7 @@
         connections = max(CONNECTIONS_LEAST, node.settings.sockets // SOCKETS_SHARE)
         self._client = WorkerClient(connections)
 
-    def pump(self, controller: Controller, now: Steady) -> None:
+    def process_events(self, controller: Controller, now: Steady) -> None:
         """Sends the probes and the direct commands that are due."""
         for machine, address in controller.take_probes():
             self._probe(controller, machine, address)
@@ -54,7 +54,7 @@
                 node.saw_epoch(report.epoch, "a worker has seen a higher epoch")
             else:
                 controller.ordered(report, status == EXECUTED, sent, node.clock())
-                node.leader_service.pump_soon()
+                node.leader_service.process_events_soon()
 
         body = workers.order_body(controller.epoch, order.session, order.commands)
         self._ask(controller, order.machine, order.address, "/orders", body, told)
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -822,7 +822,7 @@
         self.leader_service = self.place.node.leader_service = LeaderService(
             cast(Any, self.place.node)
         )
-        self.leader_service.pump_soon = cast(Any, lambda: None)
+        self.leader_service.process_events_soon = cast(Any, lambda: None)
         self.leader_service.controller = cast(
             Any, SimpleNamespace(jobs=self.learned, learn_job=self._learn)
         )
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -846,7 +846,7 @@
     c = w.controller
     assert c is not None
     place.node.leader_service.controller = c
-    place.node.leader_service.pump_soon = lambda: None
+    place.node.leader_service.process_events_soon = lambda: None
     place.node.leader_service.user_answers = SimpleNamespace(
         tell=lambda number, job: peers.JobReply(number, peers.UNKNOWN, 0, 0)
     )
--- a/tests/test_leading.py
+++ b/tests/test_leading.py
@@ -13,7 +13,7 @@
 from eldercart.core.controller import GetCatalog, Outcome
 from eldercart.core.direct_orders import Order
 from eldercart.core.jobs import CLEANUP, DEPENDENCY_LISTS, JOB, PLACE
-from eldercart.core.memory import MEMO
+from eldercart.core.memory import MEMORY
 from eldercart.net import job_records, takeover
 from eldercart.net.catalog import CATALOG_KEY, CatalogRecord
 from eldercart.net.cloud_calls import CloudCalls
@@ -49,7 +49,9 @@
             txn=lambda txn, done: keep(done),
             watch=lambda key, after, wait_s, done: keep(done),
         )  # fmt: skip
-        self.leader_service = SimpleNamespace(controller=None, pump=Mock(), pump_soon=Mock())
+        self.leader_service = SimpleNamespace(
+            controller=None, process_events=Mock(), process_events_soon=Mock()
+        )
         self.node = cast(
             Any,
             SimpleNamespace(
@@ -72,7 +74,7 @@
         """One that asks for nothing yet."""
         controller = Mock(reread=set(), reread_under_way=set(), epoch=Epoch(7), jobs={})
         controller.take_unread.return_value = []
-        controller.next_txn.return_value = controller.next_memo.return_value = None
+        controller.next_txn.return_value = controller.next_memory_txn.return_value = None
         controller.next_cloud.return_value = None
         controller.take_probes.return_value = controller.take_orders.return_value = []
         controller.txn_done.return_value = False
@@ -81,19 +83,19 @@
 
 def reread(place: Place, controller: Any) -> tuple[Any, tuple[Any, ...]]:
     controller.reread.add("place/1-1")
-    StoreWork(place.node).pump(controller, NOW)
+    StoreWork(place.node).process_events(controller, NOW)
     return controller.reread_done, (True, None)
 
 
 def end(place: Place, controller: Any) -> tuple[Any, tuple[Any, ...]]:
     controller.take_unread.return_value = [JobId("wk-1")]
-    StoreWork(place.node).pump(controller, NOW)
+    StoreWork(place.node).process_events(controller, NOW)
     return controller.end_read, (True, None)
 
 
 def write(place: Place, controller: Any) -> tuple[Any, tuple[Any, ...]]:
     controller.next_txn.return_value = SimpleNamespace(txn=Txn({}))
-    StoreWork(place.node).pump(controller, NOW)
+    StoreWork(place.node).process_events(controller, NOW)
     return controller.txn_done, (200, Revision(3), ())
 
 
@@ -101,7 +103,7 @@
     controller.next_cloud.side_effect = [GetCatalog(), None]
     calls = CloudCalls(place.node)
     calls._client = Mock(request=lambda *args: place.answers.append(args[-1]))
-    calls.pump(controller, NOW)
+    calls.process_events(controller, NOW)
     return controller.cloud_done, (200, b"{}")
 
 
@@ -109,7 +111,7 @@
     controller.take_probes.return_value = [(MachineId("n-1"), "a:1")]
     calls = WorkerCalls(place.node)
     calls._client = Mock(request=lambda *args: place.answers.append(args[-1]))
-    calls.pump(controller, NOW)
+    calls.process_events(controller, NOW)
     return controller.shown, (200, REPORT)
 
 
@@ -117,7 +119,7 @@
     controller.take_orders.return_value = [Order(MachineId("n-1"), "a:1", Session(1), ())]
     calls = WorkerCalls(place.node)
     calls._client = Mock(request=lambda *args: place.answers.append(args[-1]))
-    calls.pump(controller, NOW)
+    calls.process_events(controller, NOW)
     return controller.ordered, (200, REPORT)
 
 
@@ -149,7 +151,10 @@
     assert taken.called is (later == "it leads on")
     if later != "it leads on":
         assert not place.answers, "nothing more is asked in its name"
-        assert not place.leader_service.pump.called and not place.leader_service.pump_soon.called
+        assert (
+            not place.leader_service.process_events.called
+            and not place.leader_service.process_events_soon.called
+        )
 
 
 @pytest.mark.parametrize(
@@ -222,7 +227,7 @@
     that was accepted between two reads would never be heard of."""
     monkeypatch.setattr(takeover, "refers_to_list", lambda item: listed)
     reading = Reading(monkeypatch)
-    wanted = [CATALOG_KEY, JOB, PLACE, CLEANUP, MEMO] + ([DEPENDENCY_LISTS] if listed else [])
+    wanted = [CATALOG_KEY, JOB, PLACE, CLEANUP, MEMORY] + ([DEPENDENCY_LISTS] if listed else [])
     for number, prefix in enumerate(wanted):
         assert not reading.done
         items = [job_item()] if prefix == JOB else []
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -913,12 +913,12 @@
     m.images = {f"an-image-with-a-long-name-{i}": 2.5 for i in range(300)}  # more than fit
     for n in range(200):
         c.scheduler.predictor.recall_paces({f"a-class-of-jobs-{n}": (10.0, 12.0)})
-    records = memory.memos(c.scheduler)
+    records = memory.memory_records(c.scheduler)
     assert max(len(orjson.dumps(v)) for v in records.values()) <= 0.8 * 2048
     assert len(records) > 6
     seen: dict[str, Any] = {}
     for turn in range(len(records) // 6 + 1):
-        txn = c.next_memo(Steady(w.now + 2 + 2 * turn))
+        txn = c.next_memory_txn(Steady(w.now + 2 + 2 * turn))
         assert txn is not None and len(txn.writes) <= 6
         seen |= {put.key: put.value for put in txn.writes if isinstance(put, Put)}
     assert seen == records, "each has had its turn"
@@ -953,11 +953,11 @@
             MachineId(f"n-{n:06d}"), type_, "a", False, MachineState.UP, Steady(0), Steady(0)
         )
         m.images = {f"registry/{'long-' * 20}{n}-{i}": 1.5 for i in range(3)}
-    records = memory.memos(c.scheduler)
+    records = memory.memory_records(c.scheduler)
     assert sum(len(orjson.dumps(v)) for v in records.values()) > 64 * 1024
     seen: dict[str, Any] = {}
     for turn in range(len(records)):
-        txn = c.next_memo(Steady(w.now + 2 + 2 * turn), spare)
+        txn = c.next_memory_txn(Steady(w.now + 2 + 2 * turn), spare)
         assert txn is not None and 1 <= len(txn.writes) <= min(ops, spare or ops)
         assert len(txn.body()) <= 64 * 1024
         seen |= {put.key: put.value for put in txn.writes if isinstance(put, Put)}
@@ -1014,14 +1014,14 @@
     began = clock.now = clock.now + 60.0
     while clock.now < began + 10.0:
         clock.now += 0.02
-        node.leader_service.pump()
+        node.leader_service.process_events()
         assert node.store.writes.available(clock()) >= 0
         assert node.types == c.scheduler.types, "submissions here go on being judged"
     assert 5 <= len(sent) <= 11
     answers[0] = 200
     for _ in range(200):
         clock.now += 0.02
-        node.leader_service.pump()
+        node.leader_service.process_events()
     assert sent[-1] < began + 11.5 and not c.cloud.catalog_changed, "stored once, and left alone"
 
 
@@ -1068,10 +1068,10 @@
         m.images = {f"registry/{'long-' * 5}{n}-{i}": 1.5 for i in range(3)}
     for _ in range(1000):
         clock.now += 0.02
-        node.leader_service.pump()
+        node.leader_service.process_events()
         assert node.store.writes.available(clock()) >= 0
-    memos = [w for writes in sent for w in writes if w.get("put", "").startswith(memory.MEMO)]
-    assert len(memos) > 3 and max(len(writes) for writes in sent) < 18
+    memories = [w for writes in sent for w in writes if w.get("put", "").startswith(memory.MEMORY)]
+    assert len(memories) > 3 and max(len(writes) for writes in sent) < 18
 
 
 def test_leader_stores_a_catalogue_that_fits() -> None:
@@ -1081,7 +1081,7 @@
     c = node.leader_service.controller
     assert c is not None
     c.cloud.catalog_changed = True
-    node.leader_service.pump()
+    node.leader_service.process_events()
     puts = [w for writes in sent for w in writes if w.get("put") == "catalog"]
     assert len(orjson.dumps(cloud.catalog_record(types))) > 2048
     assert len(puts) == 1 and len(orjson.dumps(puts[0]["v"])) <= 2048
--- a/tests/versions/adapters.py
+++ b/tests/versions/adapters.py
@@ -80,9 +80,9 @@
 
     def load(
         self, jobs: Iterable[Item], places: Iterable[Item], gone: Iterable[Item], now: Steady,
-        memos: Iterable[Item] = (),
+        memories: Iterable[Item] = (),
     ) -> None:  # fmt: skip
-        lists = [[listed(item) for item in items] for items in (jobs, places, gone, memos)]
+        lists = [[listed(item) for item in items] for items in (jobs, places, gone, memories)]
         self.old.old_load(lists[0], lists[1], lists[2], now, lists[3])
 
     def add_job(self, spec: JobSpec, size: int, at: WallTime, now: Steady) -> None:
@@ -122,7 +122,7 @@
     def end_read(self, job: JobId, how: str | None, now: Steady) -> None:
         self.old.old_end_read(job, how, now)
 
-    def next_memo(self, now: Steady) -> Written | None:
+    def next_memory_txn(self, now: Steady) -> Written | None:
         found = self.old.old_memo(now)
         return None if found is None else Written(found)
 
--- a/tests/versions/reading.py
+++ b/tests/versions/reading.py
@@ -329,14 +329,14 @@
     def of(prefix: str) -> list[Item]:
         return [i for i in items if i.key.startswith(prefix)]
 
-    memos = of("memo/")
-    c.load(of(JOB), of(PLACE), of("gone/"), NOW, memos)
+    memories = of("memo/")
+    c.load(of(JOB), of(PLACE), of("gone/"), NOW, memories)
     placement_records = c.records.placement_records.by_key.values()
     jobs = {job.id: _job(job) for job in sorted(c.jobs.jobs.values(), key=lambda j: j.id)}
     on = {m.id: sorted(m.placed) for m in sorted(c.fleet.machines.values(), key=_id)}
     unread = sum(len(s.unread) for s in placement_records)
     orphans = sorted(key for key, _ in c.records.orphans)
-    remembered = [_remembered(c, item.key) for item in memos]
+    remembered = [_remembered(c, item.key) for item in memories]
     return dict(_plain(_named(old_fields.READ_TAKEN_OVER, jobs, on, unread, orphans, remembered)))
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -193,9 +193,9 @@
             for job in c.take_unread(now, 20):
                 found = self.store.item(f"end/{job}")
                 c.end_read(job, None if found is None else end_of(found["v"]), now)
-        memo = c.next_memo(now)
-        if memo is not None and not down:
-            self.store.txn(memo.body())
+        memory_txn = c.next_memory_txn(now)
+        if memory_txn is not None and not down:
+            self.store.txn(memory_txn.body())
         pending = c.next_txn(now, 20)
         if pending is None:
             return
