--- a/src/eldercart/core/controller.py
+++ b/src/eldercart/core/controller.py
@@ -316,9 +316,9 @@
 
     # ------------------------------------------------------------------ time
 
-    def stood_still(self, seconds: float) -> None:
+    def stalled(self, seconds: float) -> None:
         """This process did not run for so long: the silence meanwhile was its own."""
-        self.silence.stood_still(seconds)
+        self.silence.stalled(seconds)
 
     def tick(self, now: Steady) -> None:
         """What is due by the clock alone; called several times a second."""
--- a/src/eldercart/core/silence.py
+++ b/src/eldercart/core/silence.py
@@ -70,7 +70,7 @@
                 probes.append(Probe(machine_id, machine.address))
         return probes
 
-    def stood_still(self, seconds: float) -> None:
+    def stalled(self, seconds: float) -> None:
         """Whatever was due in that time is judged as late as if it had not been: what has waited
         is read first, and everyone has time to report anew."""
         for machine in self._scheduler.fleet.machines.values():
--- a/src/eldercart/net/leader_service.py
+++ b/src/eldercart/net/leader_service.py
@@ -134,12 +134,12 @@
         controller.planner.cost(took)
         self.node.meters.add("plan", took)
 
-    def stood_still(self, seconds: float) -> None:
+    def stalled(self, seconds: float) -> None:
         """Nobody's silence meanwhile was their own. Whether this node still leads only the state
         service can tell: another may have been elected."""
         self.heard_at = Steady(self.heard_at + seconds)
         if self.controller is not None:
-            self.controller.stood_still(seconds)
+            self.controller.stalled(seconds)
 
     def _unheard(self, controller: Controller, now: Steady) -> bool:
         """Whether the store alone can be reached: another node would then lead better."""
--- a/src/eldercart/net/links.py
+++ b/src/eldercart/net/links.py
@@ -111,7 +111,7 @@
             d = creator.connectTCP(self._endpoint.host, self._endpoint.port, timeout=CONNECT_S)
             d.addErrback(self._failed)
 
-    def stood_still(self, seconds: float) -> None:
+    def stalled(self, seconds: float) -> None:
         """What the peer said meanwhile waits to be read: it was not silent."""
         self._heard = Steady(self._heard + seconds)
 
--- a/src/eldercart/net/node.py
+++ b/src/eldercart/net/node.py
@@ -30,7 +30,7 @@
 log = logging.getLogger("eldercart.node")
 
 TICK_S = 0.1
-STANDSTILL_S = 0.5  # by which a turn of the loop is late when the process did not run
+STALL_S = 0.5  # by which a turn of the loop is late when the process did not run
 ALONE_S = 3.0  # of refusals by the store before a node counts as refused alone
 SERVED_S = 3.0  # for which a peer's word counts that the store serves it
 TYPES_AGAIN_S = 1.0  # before the stored machine types are asked for again
@@ -109,8 +109,8 @@
         self.lag = (1.0 - LAG_WEIGHT) * self.lag + LAG_WEIGHT * behind
         self.meters.add("loop_lag", behind)
         self._last_tick = now
-        if behind > STANDSTILL_S:
-            self._stood_still(behind)
+        if behind > STALL_S:
+            self._stalled(behind)
         self.election_service.tick(now)
         self.relay_service.tick(now)
         self.leader_service.tick(now)
@@ -123,12 +123,12 @@
         if now >= self._load_due:
             self._log_load(now)
 
-    def _stood_still(self, seconds: float) -> None:
+    def _stalled(self, seconds: float) -> None:
         """Nothing was read meanwhile, so nobody's silence in that time is theirs. (What this node
         may say by its lease or its grant is judged by the clock, which ran on.)"""
-        log.info("stood still seconds=%.2f", seconds)
-        self.relay_service.stood_still(seconds)
-        self.leader_service.stood_still(seconds)
+        log.info("stalled seconds=%.2f", seconds)
+        self.relay_service.stalled(seconds)
+        self.leader_service.stalled(seconds)
 
     def _log_load(self, now: Steady) -> None:
         cpu = time.process_time()
--- a/src/eldercart/net/relay_service.py
+++ b/src/eldercart/net/relay_service.py
@@ -58,10 +58,10 @@
             self.forwarding.time_out(now)
             self.questions.time_out(now)
 
-    def stood_still(self, seconds: float) -> None:
+    def stalled(self, seconds: float) -> None:
         """This process did not run for so long: its peers were not silent meanwhile."""
         for link in self.links.values():
-            link.stood_still(seconds)
+            link.stalled(seconds)
 
     # -- on connections that this node made
 
--- a/tests/relayworld.py
+++ b/tests/relayworld.py
@@ -86,7 +86,7 @@
             self.elect()
 
     def sleep(self, i: int, seconds: float) -> None:
-        """Node `i` stands still. If it leads, another does once its lease has ended; what it knew
+        """Node `i` stalls. If it leads, another does once its lease has ended; what it knew
         and what it was granted are kept for a look at what it does when it wakes."""
         self.asleep = i
         end = self.now + seconds
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -1,4 +1,4 @@
-"""A process that stands still while its clocks run on: it judges nobody by that time, and claims
+"""A process that stalls while its clocks run on: it judges nobody by that time, and claims
 nothing by it."""
 
 from typing import Any
@@ -23,9 +23,7 @@
     ("noticed", "then_silent", "deleted"),
     [(True, 0.0, False), (False, 0.0, True), (True, 20.0, True)],
 )
-def test_own_standstill_is_nobodys_silence(
-    noticed: bool, then_silent: float, deleted: bool
-) -> None:
+def test_own_stall_is_nobodys_silence(noticed: bool, then_silent: float, deleted: bool) -> None:
     """The first look after a standstill finds every machine long unheard, and one that boots long
     overdue. They have their full time from now on, and no more than that."""
     w = World(4, capacity=4)
@@ -44,7 +42,7 @@
     assert not c.scheduler.deletions_due
     w.now += 60.0
     if noticed:
-        c.stood_still(60.0)
+        c.stalled(60.0)
     c.tick(Steady(w.now))
     for _ in range(int(then_silent / 0.5)):
         w.now += 0.5
@@ -65,7 +63,7 @@
     w.cancel("wk-000001")
     pause = w.settings.cancel_s * 0.7
     w.now += pause
-    c.stood_still(pause)
+    c.stalled(pause)
     for _ in range(4):
         w.now += 0.5
         c.tick(Steady(w.now))
@@ -130,7 +128,7 @@
         if pause_s > 3.0:
             assert w.controller is not old
             now = Steady(w.now)
-            old.stood_still(pause_s)
+            old.stalled(pause_s)
             old.tick(now)
             judged = [m for m in old.scheduler.deletions_due if old.fleet.machines[m].live]
             assert not judged, "it judged by its own sleep"
@@ -182,9 +180,9 @@
 
 
 @pytest.mark.parametrize(
-    ("silent_s", "stood_still_s", "lost"), [(2.0, 0.0, False), (4.0, 0.0, True), (4.0, 3.9, False)]
+    ("silent_s", "stalled_s", "lost"), [(2.0, 0.0, False), (4.0, 0.0, True), (4.0, 3.9, False)]
 )
-def test_link_after_a_standstill(silent_s: float, stood_still_s: float, lost: bool) -> None:
+def test_link_after_a_stall(silent_s: float, stalled_s: float, lost: bool) -> None:
     """What the peer said meanwhile waits to be read."""
     closed: list[Any] = []
 
@@ -198,6 +196,6 @@
     now = [Steady(10.0)]
     link = Link(NodeId("n1"), Endpoint("", 0), lambda *_: None, closed.append, lambda: now[0])
     link._opened(Opened())  # type: ignore[arg-type]
-    link.stood_still(stood_still_s)
+    link.stalled(stalled_s)
     link.check(2.5, Steady(10.0 + silent_s))
     assert bool(closed) is lost
