--- a/src/eldercart/net/node.py
+++ b/src/eldercart/net/node.py
@@ -41,7 +41,7 @@
 
 def could_serve(ready: bool, failing_s: float, peer_served_ago_s: float) -> bool:
     """Whether users should come here. In an outage of the store every node is as good as the
-    next, and turning all away would only shut the door for longer afterwards; a node that the
+    next, and turning all away would only last longer afterwards; a node that the
     store refuses while its peers are served should be left out."""
     alone = failing_s >= ALONE_S and peer_served_ago_s < SERVED_S
     return ready and not alone
--- a/tests/relayworld.py
+++ b/tests/relay_world.py
@@ -11,7 +11,7 @@
 from eldercart.core.relay import Answer, Forward, Redirect, Relay, Share, shares
 from eldercart.units import Epoch, MachineId, NodeId, ReportOrder, Session, Steady
 from eldercart.wire import workers
-from standins import WorkerSim
+from simulators import WorkerSim
 from world import World
 
 GIVE_UP_S = 4.0
--- a/tests/standins.py
+++ b/tests/simulators.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the state service, the cloud and the workers, without sockets or clocks."""
+"""Simulators of the state service, the cloud and the workers, without sockets or clocks."""
 
 import random
 from dataclasses import dataclass, field
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -30,7 +30,7 @@
 from eldercart.units import JobId, Revision, Steady
 from eldercart.wire import Malformed, cloud, peers, users
 from eldercart.wire.state import Drop, Item, Put, Txn
-from standins import CATALOG, StoreSim
+from simulators import CATALOG, StoreSim
 from test_end_to_end import Region, Service, call, service, until
 from world import PLATFORM, submission
 
@@ -123,7 +123,7 @@
 
 
 class StoreCalls:
-    """`net.store.Store` over the stand-in. Answers come in turn, when the test lets them."""
+    """`net.store.Store` over the simulator. Answers come in turn, when the test lets them."""
 
     def __init__(self, tokens: int) -> None:
         self.sim = StoreSim()
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -230,7 +230,7 @@
     assert g.graph.undecided(b)
 
 
-# ---------------------------------------------------------------- in the stand-in world
+# ---------------------------------------------------------------- in the simulated world
 
 ROUGH = {"txn_lost": 0.15, "txn_twice": 0.1, "report_lost": 0.05, "answer_lost": 0.05,
          "cloud_lost": 0.1}  # fmt: skip
@@ -504,7 +504,7 @@
     faults: dict[str, Any], seed: int, how: str
 ) -> None:
     """`Records._add_lists`. Under every change of leader a record is there only with its list (the
-    stand-in world asserts it when it elects), and what no record referred to stays."""
+    simulated world asserts it when it elects), and what no record referred to stays."""
     w = World(seed, **faults)
     w.submit("wk-a", parcels=2, run_s=3.0)
     w.submit("wk-b", parcels=2, run_s=3.0)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The core in the stand-in world: each row is a trouble that a guard in the core answers."""
+"""The core in the simulated world: each row is a trouble that a guard in the core answers."""
 
 from typing import Any
 
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -1,4 +1,4 @@
-"""Several elections against the stand-in store: late requests, nodes that are back at once."""
+"""Several elections against the simulated store: late requests, nodes that are back at once."""
 
 import random
 from typing import Any
@@ -17,12 +17,12 @@
 )
 from eldercart.units import IncarnationId, LeaseId, NodeId, Revision, Steady
 from eldercart.wire.state import parse_item
-from standins import StoreSim, orjson
+from simulators import StoreSim, orjson
 
 LEADER_LEASE_S = 3.0
 
 
-class Booth:
+class ElectionWorld:
     """Nodes, their requests under way, and leases that end when nobody renews them."""
 
     def __init__(self, seed: int, nodes: int) -> None:
@@ -130,7 +130,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_nodes_that_restart_in_turn_end_with_one_leader(seed: int) -> None:
-    b = Booth(seed, 2 + seed % 2 * 3)
+    b = ElectionWorld(seed, 2 + seed % 2 * 3)
     for _ in range(12):
         b.run(b.rng.uniform(0.1, 1.5))
         b.restart(b.rng.randrange(len(b.nodes)))
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""One node as a real process on loopback, with stand-ins behind real sockets.
+"""One node as a real process on loopback, with simulators behind real sockets.
 
 No verdict hangs on how long anything takes: each wait ends when its condition holds."""
 
@@ -21,7 +21,7 @@
 import pytest
 
 from eldercart.cli import main
-from standins import CATALOG, CloudSim, StoreSim
+from simulators import CATALOG, CloudSim, StoreSim
 from world import PLATFORM, submission
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -15,8 +15,8 @@
 from eldercart.settings.platform import parse_platform
 from eldercart.units import Epoch, JobId, MachineId, NodeId, Revision, Steady
 from eldercart.wire import peers, workers
-from relayworld import RelayWorld
-from standins import WorkerSim
+from relay_world import RelayWorld
+from simulators import WorkerSim
 from test_core import finish
 from world import PLATFORM, World
 
@@ -160,7 +160,7 @@
     w.run(30.0)
 
 
-class Asked:
+class CancelledTaskFixture:
     """A leader with one machine on which a cancelled task runs."""
 
     def __init__(self) -> None:
@@ -201,7 +201,7 @@
 def test_what_the_answer_to_a_direct_command_proves(
     name: str, executed: bool, after: float, changes: dict[str, object], clean: bool
 ) -> None:
-    a = Asked()
+    a = CancelledTaskFixture()
     a.w.cancel("wk-1")
     assert a.stopping()
     now = Steady(a.w.now + after)
@@ -211,7 +211,7 @@
 
 
 def test_direct_command_to_a_new_session_goes_out_again_at_once() -> None:
-    a = Asked()
+    a = CancelledTaskFixture()
     a.w.cancel("wk-1")
     a.c.scheduler.orders[MachineId(a.machine.id)] = None
     now = Steady(a.w.now + 3.0)
@@ -226,7 +226,7 @@
     assert a.c.take_orders(Steady(now + 0.7)) == []
 
 
-class Here:
+class RelayServiceFixture:
     """The relaying part of a node with two peers, without sockets."""
 
     def __init__(self) -> None:
@@ -298,7 +298,7 @@
 def test_a_leader_that_the_store_refuses_grants_for_so_long(
     name: str, answers: list[str], until: float
 ) -> None:
-    here = Here()
+    here = RelayServiceFixture()
     here.node.store.failing_since = Steady(100.0)
     last = 0.0
     for tenths in range(1000, 1500):
@@ -321,7 +321,7 @@
 def test_who_vouches_that_nobody_else_leads(
     name: str, changes: dict[str, Any], holds: bool
 ) -> None:
-    here = Here()
+    here = RelayServiceFixture()
     here.node.store.failing_since = Steady(100.0)
     for tenths in range(1000, 1400):
         at = tenths / 10
@@ -332,7 +332,7 @@
 
 
 def test_an_answer_that_waited_while_this_node_slept_proves_nothing() -> None:
-    here = Here()
+    here = RelayServiceFixture()
     here.node.store.failing_since = Steady(100.0)
     here.greeted("drover-1", 100.0, 130.0)
     here.greeted("drover-2", 100.0, 130.0)
@@ -341,7 +341,7 @@
 
 
 def test_the_word_of_a_higher_epoch_ends_the_grant_and_asks_for_another() -> None:
-    here = Here()
+    here = RelayServiceFixture()
     here.leader_service.acts = False
     here.r.relay.granted(Epoch(5), NodeId("drover-1"), Steady(100.0), Steady(100.0))
     link = here.r.links[NodeId("drover-2")]
@@ -360,11 +360,11 @@
     short = spare_s(18.0, 10.0, 4.0, 0.02)
     assert short < 0
     with caplog.at_level("WARNING"):
-        Here()
+        RelayServiceFixture()
     assert not caplog.records
     platform = orjson.loads(orjson.dumps(PLATFORM))
     platform["settings"]["workers"]["cancel_s"] = 18.0
-    settings, here = parse_platform(platform), Here()
+    settings, here = parse_platform(platform), RelayServiceFixture()
     here.node.settings = settings
     with caplog.at_level("WARNING"):
         RelayService(here.node)  # type: ignore[arg-type]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -35,7 +35,7 @@
 )
 from eldercart.wire import cloud, peers, users
 from eldercart.wire.state import Item, Put, Txn
-from standins import CATALOG
+from simulators import CATALOG
 from test_acceptance import Place
 from world import PLATFORM, World, submission
 
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from relayworld import RelayWorld
+from relay_world import RelayWorld
 from test_core import finish
 
 MACHINES = 240
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -15,8 +15,8 @@
 from eldercart.net.user_service import UserService
 from eldercart.units import IncarnationId, JobId, LeaseId, MachineId, NodeId, Revision, Steady
 from eldercart.wire import cloud, state, workers
-from relayworld import RelayWorld
-from standins import CATALOG, StoreSim, WorkerSim
+from relay_world import RelayWorld
+from simulators import CATALOG, StoreSim, WorkerSim
 from test_core import finish, submit_all
 from world import PLATFORM, World, submission
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -21,7 +21,7 @@
 from eldercart.units import Epoch, LeaseId, MachineId, NodeId, Revision, Steady
 from eldercart.wire import cloud, users
 from eldercart.wire.state import Item
-from standins import CATALOG
+from simulators import CATALOG
 from world import PLATFORM, submission
 
 
--- a/tests/test_prediction.py
+++ b/tests/test_prediction.py
@@ -399,7 +399,7 @@
     assert c.predictor.booked(lambda job: 4.0 if job == "wk-b-1" else 0.0) == (0.0, 8.0)
 
 
-# ---------------------------------------------------------------- in the stand-in world
+# ---------------------------------------------------------------- in the simulated world
 
 
 def test_room_is_booked_for_last_jobs_that_are_submitted_late(
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -18,8 +18,8 @@
     Steady,
 )
 from eldercart.wire import workers
-from relayworld import RelayWorld
-from standins import CATALOG
+from relay_world import RelayWorld
+from simulators import CATALOG
 from test_core import finish, submit_all
 
 M = MachineId("n-1")
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The added rules in the stand-in world: every question is answered, nobody starves, and one job's
+"""The added rules in the simulated world: every question is answered, nobody starves, and one job's
 trouble holds back no other."""
 
 import random
@@ -12,8 +12,8 @@
 from eldercart.core.jobs import Phase
 from eldercart.units import JobId, Revision, Steady
 from eldercart.wire import cloud
-from relayworld import RelayWorld
-from standins import CATALOG
+from relay_world import RelayWorld
+from simulators import CATALOG
 from test_core import finish, submit_all
 from world import World
 
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -14,7 +14,7 @@
 from eldercart.settings.platform import Endpoint
 from eldercart.units import Epoch, IncarnationId, LeaseId, MachineId, NodeId, Revision, Steady
 from eldercart.wire import workers
-from relayworld import RelayWorld
+from relay_world import RelayWorld
 from test_core import finish
 from world import World
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Whole replacements in the stand-in world: a service of an earlier version, at work, of which the
+"""Whole replacements in the simulated world: a service of an earlier version, at work, of which the
 nodes are replaced a few at a time while troubles come.
 
 The world checks at every step `ran_twice`, `too_early`, `quota`, `wrong_place`, `ran_cancelled` and
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -24,7 +24,7 @@
 from eldercart.units import JobId
 from eldercart.wire import peers, users
 from eldercart.wire.users import ListReference
-from standins import CATALOG
+from simulators import CATALOG
 from test_core import finish, submit_all
 from versions import history, reading, record, writing
 from versions.mixed import MixedWorld
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,7 +10,7 @@
 from eldercart.settings.platform import parse_platform
 from eldercart.wire import Malformed, cloud, peers, state, users, workers
 from eldercart.wire.checks import load_enclosed, load_object
-from standins import CATALOG
+from simulators import CATALOG
 from world import PLATFORM, submission
 
 
--- a/tests/versions/adapters.py
+++ b/tests/versions/adapters.py
@@ -1,5 +1,5 @@
 """A leader and a relay of an earlier version, with the methods of this version's: what the
-stand-in world asks of either. Only plain values cross to `legacy.old_nodes`, whose methods begin
+simulated world asks of either. Only plain values cross to `legacy.old_nodes`, whose methods begin
 with `old_`.
 """
 
@@ -58,7 +58,7 @@
 
 
 class PartsAllowed:
-    """Where the stand-in world says whether all nodes read finer parts."""
+    """Where the simulated world says whether all nodes read finer parts."""
 
     def __init__(self, old: OldController) -> None:
         self._old = old
--- a/tests/versions/mixed.py
+++ b/tests/versions/mixed.py
@@ -1,4 +1,4 @@
-"""The stand-in world with nodes of an earlier version and of this one."""
+"""The simulated world with nodes of an earlier version and of this one."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -7,8 +7,8 @@
 
 from eldercart.units import Attempt, Epoch, MachineId, NodeId, Steady, TaskKey
 from eldercart.wire import workers
-from relayworld import LeaderReply, RelayWorld
-from standins import CATALOG
+from relay_world import LeaderReply, RelayWorld
+from simulators import CATALOG
 from versions.adapters import EarlierLeader, EarlierRelay
 from versions.legacy.old_nodes import OldController, OldRelay, OldVersion
 from world import PLATFORM
--- a/tests/versions/writing.py
+++ b/tests/versions/writing.py
@@ -1,4 +1,4 @@
-"""States of the store as this version's leader leaves them in the stand-in world: the same runs as
+"""States of the store as this version's leader leaves them in the simulated world: the same runs as
 `legacy.old_recording` has with an earlier version's.
 """
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -23,7 +23,7 @@
 from eldercart.settings.platform import parse_platform
 from eldercart.units import ABSENT, ONLY_INCARNATION, Epoch, Revision, Steady, WallTime
 from eldercart.wire import cloud, state, users, workers
-from standins import CATALOG, CloudSim, StoreSim, WorkerSim
+from simulators import CATALOG, CloudSim, StoreSim, WorkerSim
 
 PLATFORM: dict[str, Any] = {
     "label": "drover-0", "location": "a", "front": "127.0.0.1:1", "mesh_addr": "127.0.0.1:2",
