--- a/src/eldercart/core/placement.py
+++ b/src/eldercart/core/placement.py
@@ -7,7 +7,7 @@
 from eldercart.core.fleet import EPS, Fleet, Machine
 from eldercart.core.jobs import Job, Phase, Placement
 from eldercart.settings.platform import Team
-from eldercart.units import FOREVER, Steady
+from eldercart.units import FOREVER, MachineId, Steady
 from eldercart.wire.cloud import MachineType
 from eldercart.wire.users import JobSpec
 
@@ -15,6 +15,7 @@
 
 
 def fits_type(spec: JobSpec, kind: MachineType) -> bool:
+    """Whether one task of the job fits an empty machine of that type, where it is offered."""
     return (
         (spec.types is None or kind.name in spec.types)
         and (spec.zone is None or spec.zone in kind.zones)
@@ -82,6 +83,7 @@
 
 
 def team_room(spec: JobSpec, fleet: Fleet, teams: dict[str, Team]) -> int:
+    """How many more tasks of the job its team's limits allow."""
     team = teams.get(spec.team)
     if team is None:
         return 0
@@ -106,11 +108,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
+    """So many tasks of a job for one machine."""
+
     machine: Machine
     number: int
 
 
+# Its preference, its name to make the order total, the machine, and how many tasks it has room for.
+_Candidate = tuple[tuple[bool, float, float, float], MachineId, Machine, int]
+
+
 def in_zones(job: Job, fleet: Fleet) -> dict[str, int]:
+    """The job's tasks that may be running, by zone."""
     counts: dict[str, int] = {}
     for p in job.placements():
         if p.phase is not Phase.ENDED:
@@ -169,6 +178,8 @@
     teams: dict[str, Team],
     now: Steady,
 ) -> list[Choice]:
+    """Machines for at most `wanted` tasks of the job, the preferred ones first, within its team's
+    limits and its rules on zones."""
     spec = job.spec
     wanted = min(wanted, team_room(spec, fleet, teams))
     if wanted <= 0:
@@ -184,7 +195,6 @@
     if not candidates:
         return []
     candidates.sort(key=lambda c: c[:2])
-    zone_limit: int | None = None
     zones: dict[str, int] = {}
     if spec.together or spec.spread:
         zones = in_zones(job, fleet)
@@ -192,20 +202,29 @@
             # After a change of leader: where some of its tasks are comes with the next reports.
             return []
     if spec.together:
-        if zones:
-            only = next(iter(zones))
-        else:
-            capacity: dict[str, int] = {}
-            for _, _, m, n in candidates:
-                capacity[m.zone] = capacity.get(m.zone, 0) + n
-            only = max(capacity, key=lambda z: (min(capacity[z], wanted), z))
         # Whatever may still run counts, also where its machine is given up: it may go on.
-        candidates = [c for c in candidates if c[2].zone == only]
-    if spec.spread:
-        zone_limit = (spec.tasks + 1) // 2
+        zone = next(iter(zones)) if zones else _roomiest_zone(candidates, wanted)
+        candidates = [c for c in candidates if c[2].zone == zone]
+    zone_limit = (spec.tasks + 1) // 2 if spec.spread else None
+    return _first_choices(candidates, wanted, zones, zone_limit)
+
+
+def _roomiest_zone(candidates: list[_Candidate], wanted: int) -> str:
+    """The zone with room for the most of the wanted tasks."""
+    capacity: dict[str, int] = {}
+    for _, _, m, number in candidates:
+        capacity[m.zone] = capacity.get(m.zone, 0) + number
+    return max(capacity, key=lambda zone: (min(capacity[zone], wanted), zone))
+
+
+def _first_choices(
+    candidates: list[_Candidate], wanted: int, zones: dict[str, int], zone_limit: int | None
+) -> list[Choice]:
+    """The first candidates that hold the wanted tasks, with at most `zone_limit` tasks in a zone,
+    those that are there already (`zones`) among them."""
     chosen = []
-    for _, _, m, n in candidates:
-        take = min(n, wanted)
+    for _, _, m, number in candidates:
+        take = min(number, wanted)
         if zone_limit is not None:
             take = min(take, zone_limit - zones.get(m.zone, 0))
             if take <= 0:
@@ -344,6 +363,7 @@
 
 
 def lost_work(p: Placement, now: Steady) -> float:
+    """CPU seconds of work that stopping the task now would lose."""
     ran = p.ran(now)
     if p.job.spec.checkpoint_s > 0:
         ran = min(ran, p.job.spec.checkpoint_s)
--- a/src/eldercart/core/planner.py
+++ b/src/eldercart/core/planner.py
@@ -10,9 +10,9 @@
 
 from eldercart.core import placement as rules
 from eldercart.core.fleet import EPS, Machine
-from eldercart.core.jobs import Job
+from eldercart.core.jobs import Job, Placement
 from eldercart.core.scheduler_state import SchedulerState
-from eldercart.units import Steady
+from eldercart.units import NEVER, MachineId, Steady
 from eldercart.wire.users import JobSpec
 
 log = logging.getLogger("eldercart.controller")
@@ -23,17 +23,23 @@
 VAIN_S = 45.0  # for which room may be kept for others, or a job wait for better, in vain
 
 
+# CPU seconds lost, the machine's name to make the order total, the machine, the tasks to stop.
+_Offer = tuple[float, MachineId, Machine, list[Placement]]
+
+
 class Planner:
     """Owns the order of the last pass and what it left waiting."""
 
     def __init__(self, scheduler: SchedulerState) -> None:
+        """No pass has been made yet."""
         self.scheduler = scheduler
         self.waiting: list[Job] = []  # of jobs that found no room in the last pass
-        self._planned = Steady(-1e9)
+        self._planned = NEVER
         self._cost = 0.0  # seconds that a pass takes, as told by the adapter
         self._turn = 0
 
     def cost(self, seconds: float) -> None:
+        """The last pass took so long; the pace of the next ones follows from it."""
         self._cost = max(seconds, 0.7 * self._cost)
 
     def due(self, now: Steady, unwritten: int) -> bool:
@@ -47,6 +53,7 @@
         return since >= max(1.0, least) or (self.scheduler.plan_wanted and since >= least)
 
     def plan(self, now: Steady) -> None:
+        """One pass: places waiting tasks in the order of their jobs."""
         scheduler = self.scheduler
         scheduler.plan_wanted = False
         self._planned = now
@@ -316,57 +323,75 @@
         scheduler.dirty[job.id] = job
 
     def _claim(self, job: Job, left: int, shape: tuple[Any, ...]) -> int:
-        """Holds room for a job that found none: first where tasks are being stopped anyway, then
+        """Reserves room for a job that found none: first where tasks are being stopped anyway, then
         by stopping tasks of lower priority, those that lose the least work first, among some of
-        the machines. Without the lease, small tasks would take each freed bit and a larger one
-        would wait for ever. Returns how many tasks now wait for such room, written ahead."""
-        scheduler, spec, now = self.scheduler, job.spec, self.now
+        the machines. Without the reservation, small tasks would take each freed bit and a larger
+        one would wait for ever. Returns how many tasks now wait for such room, written ahead."""
         if shape in self._no_claim:
             return 0
-        claimed = 0
         if self._leaving is None:
             self._leaving = [m for m in self.machines if m.leaving_cpus > EPS]
-        for m in self._leaving:
-            if claimed >= left:
-                return claimed
-            if rules.allowed(spec, m) and not job.avoids(m.id, self.now):
-                n = min(rules.room_soon(spec, m), left - claimed)
-                if n > 0:
-                    self._enqueue(job, m, n)
-                    claimed += n
-        if not any(
-            cpus > EPS for below, cpus in scheduler.fleet.used.items() if below < job.priority
-        ):
+        claimed = self._claim_leaving(job, left, self._leaving)
+        if claimed >= left or not _runs_below(self.scheduler.fleet.used, job):
             return claimed
-        offers: list[tuple[float, str, Machine, list[Any]]] = []
+        offers = self._offers(job, OFFERS + 2 * (left - claimed))
+        claimed += self._preempt(job, left - claimed, offers, self._leaving)
+        if claimed == 0 and not job.bad_machines:
+            self._no_claim.add(shape)
+        return claimed
+
+    def _claim_leaving(self, job: Job, left: int, leaving: list[Machine]) -> int:
+        """Reserves room that tasks being stopped will free; returns for how many tasks."""
+        claimed = 0
+        for m in leaving:
+            if claimed >= left:
+                break
+            if rules.allowed(job.spec, m) and not job.avoids(m.id, self.now):
+                number = min(rules.room_soon(job.spec, m), left - claimed)
+                if number > 0:
+                    self._enqueue(job, m, number)
+                    claimed += number
+        return claimed
+
+    def _offers(self, job: Job, most: int) -> list[_Offer]:
+        """What at most so many machines would lose by making room for one task; a heap."""
+        offers: list[_Offer] = []
         looked = 0
         number = len(self.machines)
         start = self.planner.turn(number)
         for i in range(number):
             m = self.machines[(start + i) % number]
-            if not any(c > EPS for below, c in m.by_priority.items() if below < job.priority):
+            if not _runs_below(m.by_priority, job):
                 continue
-            if not rules.allowed(spec, m) or job.avoids(m.id, now):
+            if not rules.allowed(job.spec, m) or job.avoids(m.id, self.now):
                 continue
-            offer = rules.cheapest_victims(job, m, now)
-            if offer is not None:
-                offers.append((offer[0], m.id, m, offer[1]))
+            self._add_offer(offers, job, m)
             looked += 1
-            if looked >= OFFERS + 2 * (left - claimed):
+            if looked >= most:
                 break
-        heapq.heapify(offers)
+        return offers
+
+    def _add_offer(self, offers: list[_Offer], job: Job, m: Machine) -> None:
+        offer = rules.cheapest_victims(job, m, self.now)
+        if offer is not None:
+            heapq.heappush(offers, (offer[0], m.id, m, offer[1]))
+
+    def _preempt(self, job: Job, left: int, offers: list[_Offer], leaving: list[Machine]) -> int:
+        """Takes the cheapest offers; returns for how many tasks others are being stopped."""
+        claimed = 0
         while claimed < left and offers:
             _, _, m, victims = heapq.heappop(offers)
             self._enqueue(job, m, 1)
             claimed += 1
             for p in victims:
                 log.debug("preempted task=%s machine=%s for=%s", p.key, p.machine, job.id)
-                scheduler.stop(p, now)
-            if m not in self._leaving:
-                self._leaving.append(m)
-            offer = rules.cheapest_victims(job, m, now)
-            if offer is not None:
-                heapq.heappush(offers, (offer[0], m.id, m, offer[1]))
-        if claimed == 0 and not job.bad_machines:
-            self._no_claim.add(shape)
+                self.scheduler.stop(p, self.now)
+            if m not in leaving:
+                leaving.append(m)
+            self._add_offer(offers, job, m)
         return claimed
+
+
+def _runs_below(cpus_by_priority: dict[int, float], job: Job) -> bool:
+    """Whether anything of lower priority than the job runs there."""
+    return any(cpus > EPS for below, cpus in cpus_by_priority.items() if below < job.priority)
--- a/src/eldercart/core/rental.py
+++ b/src/eldercart/core/rental.py
@@ -11,7 +11,7 @@
 from eldercart.core.placement import allowed, fits_type
 from eldercart.settings import Tuning
 from eldercart.settings.platform import Team
-from eldercart.units import CLOCK_ZERO, Steady
+from eldercart.units import CLOCK_ZERO, NEVER, Steady
 from eldercart.wire.cloud import MAX_RENT, MachineType
 
 SAMPLE_S = 1.0  # between two figures of the window
@@ -30,6 +30,7 @@
     level: float = 0.0
 
     def update(self, cpus: float, at: Steady, memory_s: float) -> None:
+        """So many CPUs are asked for now; the window is `memory_s` seconds long."""
         if self._samples and at - self._samples[-1][0] < SAMPLE_S:
             self._samples[-1] = (self._samples[-1][0], max(cpus, self._samples[-1][1]))
         else:
@@ -47,6 +48,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Offer:
+    """What the cloud rents: machines of a type, in a zone, spot or ordinary."""
+
     type: str
     zone: str
     spot: bool
@@ -54,6 +57,8 @@
 
 @dataclass(slots=True)
 class RentalRequest:
+    """A request for machines, under the name that makes its repetition safe."""
+
     name: str
     offer: Offer
     number: int
@@ -76,20 +81,24 @@
     quiet: bool = False  # submissions have stopped
 
     def __post_init__(self) -> None:
+        """Makes the two demands from the settings."""
         self.ordinary = Demand(self.tuning.ordinary_spread)
         self.any = Demand(self.tuning.demand_spread)
 
     def arrived(self, now: Steady) -> None:
+        """A job has come: the usual pace of submissions is learned from it."""
         if self._last_arrival is not None:
             gap = now - self._last_arrival
             self._gap = gap if self._gap == 0.0 else 0.9 * self._gap + 0.1 * gap
         self._last_arrival = now
 
     def pause_excused(self, now: Steady) -> None:
+        """That no job has come lately tells nothing: none could be accepted."""
         if self._last_arrival is not None:
             self._last_arrival = now
 
     def measure(self, jobs: Iterable[Job], booked: tuple[float, float], now: Steady) -> None:
+        """Takes the demand of now; `booked`: CPUs of soft bookings, ordinary ones and all."""
         ordinary = booked[0]
         by_team: dict[str, float] = {}
         for job in jobs:
@@ -116,10 +125,12 @@
         self.any.update(sum(by_team.values()) + booked[1], now, memory)
 
     def targets(self) -> tuple[float, float]:
+        """The CPUs to have: of ordinary machines, and of all."""
         share = 1.0 + self.tuning.headroom_share
         return self.ordinary.level, self.any.level * share
 
     def refuse(self, offer: Offer, now: Steady) -> None:
+        """The cloud had no more of it: it is not asked again for a while."""
         self.refused[offer] = Steady(now + self.tuning.refusal_s)
 
     def plan(
@@ -229,7 +240,7 @@
                 offer = Offer(kind.name, zone, spot)
                 if suits is not None and not suits(offer):
                     continue
-                if self.refused.get(offer, Steady(-1e9)) > now or any(
+                if self.refused.get(offer, NEVER) > now or any(
                     h.offer == offer for h in self.rental_requests.values()
                 ):
                     continue
--- a/src/eldercart/net/catalog.py
+++ b/src/eldercart/net/catalog.py
@@ -40,6 +40,7 @@
     """Writes the leader's catalogue to the state service when its shape has changed."""
 
     def __init__(self, node: "Node") -> None:
+        """Assumes that what the node knows is stored, until a take-over tells otherwise."""
         self._node = node
         self.stored = True  # the types that this node knows, as far as it can tell
         self._due = NEVER  # the next write goes out no earlier
--- a/src/eldercart/net/ending.py
+++ b/src/eldercart/net/ending.py
@@ -28,6 +28,7 @@
     """Refuses what is new, waits for what is under way, and gives the leadership up at once."""
 
     def __init__(self, node: "Node") -> None:
+        """The node serves until `begin`."""
         self.node = node
         self.begun = False
         self._until = Steady(math.inf)
@@ -40,6 +41,7 @@
             log.info("no handler for SIGTERM: %s", err)
 
     def begin(self) -> None:
+        """Starts the end, once."""
         if self.begun:
             return
         log.info("ends on request")
--- a/src/eldercart/net/node.py
+++ b/src/eldercart/net/node.py
@@ -100,6 +100,7 @@
             self._port.stopListening()
 
     def requests_under_way(self) -> list[JsonRequest]:
+        """Requests of users and workers that are not answered yet."""
         return list(self._requests.unanswered)
 
     def _tick(self) -> None:
