--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -1,7 +1,7 @@
 """Submissions that await others: what is accepted, what is stored, what is told."""
 
 import dataclasses
-from collections import deque
+from collections import Counter, deque
 from collections.abc import Callable
 from types import SimpleNamespace
 from typing import Any, cast
@@ -686,6 +686,49 @@
     assert (repeat.status, repeat.answer["standing"]) == (200, state)
 
 
+@pytest.mark.parametrize("root", [None, users.DONE, users.CANCELLED])
+@pytest.mark.parametrize("levels", [1, 2, 3, 4])
+def test_where_many_ways_meet_each_ancestor_is_asked_for_once(
+    levels: int, root: str | None, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Two jobs a level, and each awaits both before it: 2 to the `levels` ways lead up. Without
+    the memory of whom it has seen, the search goes each of them."""
+    place = Place()
+    place.know("wk-root")
+    before: tuple[str, ...] = ("wk-root",)
+    for i in range(levels):
+        for side in "ab":
+            place.know(f"wk-{i}{side}", before)
+        before = (f"wk-{i}a", f"wk-{i}b")
+    place.know("wk-last", before)
+    if root is not None:
+        place.ended("wk-root", root)
+    ends: Counter[str] = Counter()
+    records: Counter[str] = Counter()
+    txn, get = place.store.txn, place.store.get
+
+    def count_ends(sent: Txn, done: Any) -> None:
+        ends.update(key for key in sent.guards if key.startswith(END))
+        txn(sent, done)
+
+    def count_records(key: str, done: Any) -> None:
+        records[key] += 1
+        get(key, done)
+
+    monkeypatch.setattr(place.store, "txn", count_ends)
+    monkeypatch.setattr(place.store, "get", count_records)
+    asking = Asking({})
+    place.front._poll(cast(Any, asking), JobId("wk-last"))
+    for _ in range(200):  # not more: a search that never ends is a failure, not a test that hangs
+        if place.store.answers:
+            place.store.answers.popleft()()
+    assert not place.store.answers, "it goes on and on"
+    expected = "aborted" if root == users.CANCELLED else "pending"
+    assert (asking.status, asking.answer["standing"]) == (200, expected)
+    assert len(ends) == 2 * levels + 1 and set(ends.values()) == {1}
+    assert set(records.values()) == {1}
+
+
 def test_a_repeat_at_a_node_that_knows_nothing_tells_the_cancellation() -> None:
     """The job's record is there without an end, and its user may have been told all the same."""
     place = Place()
--- a/tests/test_leading.py
+++ b/tests/test_leading.py
@@ -10,19 +10,21 @@
 
 import pytest
 
-from eldercart.core.controller import GetCatalog, Outcome
+from eldercart.core.controller import GetCatalog, JobStatus, Outcome, Verdict
 from eldercart.core.direct_orders import Order
 from eldercart.core.jobs import CLEANUP, DEPENDENCY_LISTS, JOB, PLACE
 from eldercart.core.memory import MEMORY
+from eldercart.election import Election
 from eldercart.net import job_records, takeover
 from eldercart.net.catalog import CATALOG_KEY, CatalogRecord
 from eldercart.net.cloud_calls import CloudCalls
 from eldercart.net.job_records import JobRecords
 from eldercart.net.store_work import StoreWork
 from eldercart.net.takeover import StoredRecords, TakeOver
+from eldercart.net.user_answers import UserAnswers
 from eldercart.net.worker_calls import WorkerCalls
-from eldercart.units import Epoch, JobId, MachineId, Revision, Session, Steady
-from eldercart.wire import users
+from eldercart.units import Epoch, JobId, LeaseId, MachineId, NodeId, Revision, Session, Steady
+from eldercart.wire import peers, users
 from eldercart.wire.state import Item, Txn
 
 NOW = Steady(5.0)
@@ -277,3 +279,50 @@
     records.learn(job_item())
     place.answers.pop()([], Revision(5))
     assert new.learn_job.called and not old.learn_job.called
+
+
+# -- what it tells users
+
+RUNNING = JobStatus(users.RUNNING, 3, 1)
+
+
+@pytest.mark.parametrize(
+    ("name", "after", "renewed", "leads", "final", "status", "verdict"),
+    [
+        ("within its lease", 2.9, False, True, None, RUNNING, users.RUNNING),
+        ("does not know it", 2.9, False, True, None, Verdict.UNKNOWN_JOB, peers.UNKNOWN),
+        ("can't tell", 2.9, False, True, None, Verdict.UNDECIDED, peers.UNDECIDED),
+        ("its lease has ended", 2.95, False, True, None, RUNNING, peers.NOT_LEADER),
+        ("ended, and it knows no such job", 2.95, False, True, None, Verdict.UNKNOWN_JOB,
+         peers.NOT_LEADER),
+        ("its lease is renewed", 2.95, True, True, None, RUNNING, users.RUNNING),
+        ("the renewed one has ended", 5.5, True, True, None, RUNNING, peers.NOT_LEADER),
+        ("does not lead", 1.0, False, False, None, RUNNING, peers.NOT_LEADER),
+        ("an end does not change any more", 9.0, False, True, users.DONE, RUNNING, users.DONE),
+        ("nor where nobody leads", 9.0, False, False, users.CANCELLED, RUNNING, users.CANCELLED),
+    ],
+)  # fmt: skip
+def test_a_leader_tells_what_may_change_only_within_its_lease(
+    name: str, after: float, renewed: bool, leads: bool, final: str | None,
+    status: JobStatus | Verdict, verdict: str,
+) -> None:  # fmt: skip
+    """Another node may lead afterwards and have told of an end: `running` would go back on that.
+    The lease is one of 3 s, less the drift of 2 %, and counts from when it was asked for."""
+    election = Election(NodeId("n"), 3.0, 0.02)
+    election.read(None, NOW)
+    election.next_action(NOW)
+    election.opened(LeaseId(4), NOW)
+    election.next_action(NOW)
+    election.claimed(Revision(9), Steady(NOW + 0.2))
+    if renewed:
+        election.next_action(Steady(NOW + 2.0))
+        election.renewed(True, Steady(NOW + 2.3))
+    controller = SimpleNamespace(status=lambda job: status) if leads else None
+    node = SimpleNamespace(
+        clock=lambda: Steady(NOW + after), election=election,
+        user_service=SimpleNamespace(final_of=lambda job: final),
+        leader_service=SimpleNamespace(controller=controller),
+    )  # fmt: skip
+    told = UserAnswers(cast(Any, node)).tell(7, JobId("wk-1"))
+    assert (told.number, told.verdict) == (7, verdict), name
+    assert (told.done, told.running) == ((3, 1) if verdict == users.RUNNING else (0, 0)), name
