--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -2,7 +2,7 @@
 
 import random
 from types import SimpleNamespace
-from typing import Any
+from typing import Any, cast
 
 import pytest
 
@@ -12,6 +12,7 @@
 from eldercart.core.jobs import Job, JobRegistry
 from eldercart.core.placement import Promises, cheapest_victims, order_jobs
 from eldercart.core.planner import _PlanningPass
+from eldercart.net.user_answers import UserAnswers
 from eldercart.units import FOREVER, JobId, Revision, Steady
 from eldercart.wire import peers, users
 from eldercart.wire.state import Drop
@@ -835,6 +836,48 @@
     finish(w)
 
 
+@pytest.mark.parametrize(
+    ("confirmed", "name"),
+    [
+        ("before the election", "wk-a"),
+        ("before the election", "wk-b"),
+        ("by this leader", "wk-b"),  # which knows no more of wk-a than its end
+    ],
+)
+def test_the_leader_tells_a_repeat_of_what_a_cancellation_reaches(
+    confirmed: str, name: str
+) -> None:
+    """The job came after the cancellation was durable and its own end is not written yet: the
+    leader tells `aborted` from what it knows, without a read."""
+    w = World(27)
+    w.submit("wk-a", parcels=1, run_s=60.0)
+    w.submit("wk-b", parcels=1, awaits=["wk-a"], run_s=1.0)
+    if confirmed == "by this leader":
+        w.cancel("wk-a")
+        while w.end_in_store("wk-a") is None and w.now < 200.0:
+            w.step(0.1)
+        assert w.end_in_store("wk-a") == users.CANCELLED
+    else:
+        w.store.keys["end/wk-a"] = ({"e": users.CANCELLED, "n": 1}, 9, None)
+        w.store.keys["gone/wk-a"] = ({"e": users.CANCELLED, "t": w.now}, 9, None)
+        w.elect()
+    w.submit("wk-late", parcels=1, awaits=[name], run_s=1.0)
+    c = w.controller
+    assert c is not None
+    late = c.jobs.get(JobId("wk-late"))
+    assert JobId(name) in c.jobs and late is not None and late.ended is None
+    place = Place()
+    place.node.leader_service.controller = c
+    place.node.election = SimpleNamespace(within_lease=lambda now: True)
+    place.node.leader_service.user_answers = UserAnswers(cast(Any, place.node))
+    body = submission("wk-late", awaits=[name])
+    for asking in (place.submit(body), place.poll("wk-late")):
+        assert (asking.status, asking.answer["standing"]) == (200, users.CANCELLED)
+    assert not place.store.asked
+    w.poll_all()
+    finish(w)
+
+
 def test_the_leader_deletes_the_lists_that_it_accepted_itself() -> None:
     """`UserService._accept` tells the controller where the list is, as a record that is read does.
     After the deletion a repeated submission and a look-up are answered by the end that is left."""
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -354,6 +354,94 @@
     assert here.r.relay.holds_grant(Steady(102.4)) and not here.r.relay.holds_grant(Steady(102.6))
 
 
+class RelayingFixture(RelayServiceFixture):
+    """A node that does not lead; what it holds for users and workers, and what they get."""
+
+    LEADER = NodeId("drover-1")
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.leader_service.acts = False
+        self.node.election.leader = self.LEADER
+        self.answers: list[Any] = []
+        self.link = self.r.links[self.LEADER]
+        transport = SimpleNamespace(disconnecting=False, doWrite=lambda: None)
+        self.channel: Any = SimpleNamespace(transport=transport, send=lambda data: None)
+        self.link._opened(self.channel)
+        self.link._heard = Steady(200.0)  # its silence is another matter
+        self.grant(100.0)
+
+    def grant(self, asked: float) -> None:
+        """For 3.92 s from when it was asked for."""
+        self.r.relay.granted(Epoch(5), self.LEADER, Steady(asked), Steady(asked))
+
+    def hold(self, what: str, at: float, flushed: bool) -> None:
+        """A poll, a cancellation or a worker's report, on its way to the leader."""
+        self.now = at
+        if what == "report":
+            body = b'{"wagon":"n-1","stint":1,"tally":2,"whip":5,"recallS":null,"parcels":[]}'
+            request: Any = SimpleNamespace(
+                body=lambda: body, disconnected=False,
+                reply=lambda status, body, retry=None: self.answers.append((status, retry)),
+            )  # fmt: skip
+            self.r.forwarding.report(request)
+        else:
+            ask = self.r.questions.poll if what == "poll" else self.r.questions.cancel
+            assert ask(JobId("wk-1"), self.answers.append)
+        if flushed:
+            self.flush()
+
+    def flush(self) -> None:
+        self.r.questions._flush()
+        self.r.forwarding._flush()
+
+
+LEASE_LIVES, COME_BACK = (200, None), (503, 1)  # what a worker gets, with a grant and without
+
+
+@pytest.mark.parametrize(
+    ("what", "how", "at", "answer"),
+    [
+        ("poll", "link breaks", 100.3, None),
+        ("cancel", "link breaks", 100.3, None),
+        ("report", "link breaks", 101.0, LEASE_LIVES),
+        ("report", "link breaks after the grant", 104.0, COME_BACK),
+        ("poll", "time is over", 102.31, None),
+        ("cancel", "time is over", 103.51, None),
+        ("report", "time is over", 104.51, COME_BACK),
+        ("report", "time is over under a new grant", 104.51, LEASE_LIVES),
+        ("poll", "no link to send it on", 101.6, None),
+        ("report", "no link to send it on", 101.6, LEASE_LIVES),
+        ("report", "no link to send it on, nor a grant", 104.0, COME_BACK),
+    ],
+)
+def test_what_is_held_for_the_leader_is_answered_at_once(
+    what: str, how: str, at: float, answer: Any
+) -> None:
+    """When the link breaks, and when its time is over (0.8 s for a poll, 2 s for a cancellation,
+    3 s for a report; looked for each 0.2 s), whatever the leader does, and once."""
+    here = RelayingFixture()
+    here.hold(what, 101.5 if at > 101.5 else at - 0.2, flushed="no link" not in how)
+    if "new grant" in how:
+        here.grant(104.0)
+    here.tick(at - 0.21 if at > 101.7 else here.now)
+    assert not here.answers, "the leader may answer yet"
+    here.now = at
+    if "breaks" in how:
+        here.link._closed(here.channel)
+    elif "no link" in how:
+        # Another one leads by now, whom this node does not reach; the old link stands.
+        here.node.election.leader = here.r.relay.leader = NodeId("drover-2")
+        here.flush()
+    else:
+        here.tick(at)
+    assert here.answers == [answer]
+    here.link._closed(here.channel)
+    here.flush()
+    here.tick(at + 10.0)
+    assert here.answers == [answer], "answered twice"
+
+
 def test_settings_that_leave_no_time_are_said_at_the_start(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -20,13 +20,16 @@
 
 from eldercart.core.controller import Controller, Verdict
 from eldercart.core.jobs import dependency_list_prefix, job_record
-from eldercart.core.relay import Relay
-from eldercart.units import JobId
+from eldercart.core.relay import Answer, Decision, Forward, Redirect, Relay
+from eldercart.units import Epoch, JobId, MachineId, NodeId, ReportOrder, Session, Steady
 from eldercart.wire import peers, users
 from eldercart.wire.users import ListReference
 from simulators import CATALOG
 from test_core import finish, submit_all
+from test_gap import RelayServiceFixture
 from versions import history, reading, record, writing
+from versions.adapters import EarlierRelay
+from versions.legacy.old_nodes import OldRelay
 from versions.mixed import MixedWorld
 from world import submission
 
@@ -438,6 +441,69 @@
         self.cloud.rent = recorded  # type: ignore[method-assign]
 
 
+GREETED_FRAMES = ("greeted by the leader", "greeted by another")
+GRANT_S = 4.0 * 0.98  # from when it was asked for, less the drift
+
+
+def relays_decision(relay: Relay | EarlierRelay, number: int) -> Decision:
+    """On a second report of machine `number` with nothing new, if the leader took the first."""
+    machine, epoch, now = MachineId(f"n-{number}"), Epoch(9), Steady(101.0)
+    order = ReportOrder(Session(1), 1)
+    first = relay.report(machine, order, epoch, False, [], now, True)
+    if not isinstance(first, Forward):
+        return first
+    relay.answered(machine, order, False, [], False)
+    return relay.report(machine, ReportOrder(Session(1), 2), epoch, False, [], now, True)
+
+
+def check_granted(relay: Relay | EarlierRelay) -> None:
+    """As the frame "greeted by the leader" says: epoch 9, 50 workers at most, others to drover-2;
+    asked for at 100."""
+    assert relay.epoch == 9
+    assert relay.holds_grant(Steady(100.0 + GRANT_S - 0.01))
+    assert not relay.holds_grant(Steady(100.0 + GRANT_S + 0.01))
+    found = [relays_decision(relay, i) for i in range(51)]
+    assert found == [Answer(Epoch(9))] * 50 + [Redirect(NodeId("drover-2"))]
+
+
+@each_version
+def test_a_relay_takes_a_grant_of_an_earlier_leader(short: str) -> None:
+    """Without it the workers at a new node would end their tasks while an old one leads. What only
+    another node says grants nothing."""
+    frames = history.samples(short)["frames"]
+    for name in GREETED_FRAMES:
+        here = RelayServiceFixture()
+        here.leader_service.acts = False
+        told: list[tuple[str, int]] = []
+        here.node.election.heard_leader = lambda *leader, told=told: told.append(leader)
+        link = here.r.links[NodeId("drover-1")]
+        link.asked[17] = Steady(100.0)
+        here.now = 100.5
+        here.r._on_answer(link, peers.parse(frames[name]["data"].encode()))
+        if name == GREETED_FRAMES[0]:
+            assert told == [("drover-1", 9)] and here.r.relay.leader == "drover-1"
+            check_granted(here.r.relay)
+        else:
+            assert not told and not here.r.relay.holds_grant(Steady(100.5))
+
+
+@each_version
+def test_an_earlier_relay_takes_a_grant_of_this_leader(short: str) -> None:
+    """The other way round: the frame is read by that version's own code, and its relay acts so."""
+    frames = {name: reading.FRAMES[name]().decode() for name in GREETED_FRAMES}
+    asked = {"frames": frames, "records": [], "stores": [], "lists": []}
+    read = asked_of(short, asked)["frames"]
+    assert [read[name]["leads"] for name in GREETED_FRAMES] == [True, False]
+    told = read[GREETED_FRAMES[0]]
+    label = NodeId("drover-3")
+    relay = EarlierRelay(OldRelay(history.earlier(short), label, 4.0, 0.02), label)
+    assert (told["number"], told["lent"]) == (17, 2)
+    relay.granted(
+        told["epoch"], NodeId("drover-1"), Steady(100.0), Steady(100.5), told["most"], told["spare"]
+    )
+    check_granted(relay)
+
+
 @each_version
 @pytest.mark.parametrize("faults", TROUBLES, ids=lambda f: " ".join(f) or "quiet")
 def test_leaders_of_both_versions_in_turn(short: str, faults: dict[str, Any]) -> None:
