--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -189,20 +189,26 @@
         end = w.now + 400
         while not w.all_ended() and w.now < end:
             w.watch(1)
-            w.check_kept()
+            self.check_kept()
         w.watch(3)
         cancelled = {job for job in w.jobs if {job, *w.before(job)} & w.cancelled_at.keys()}
         for job in w.jobs:
             expected = users.CANCELLED if job in cancelled else users.DONE
             assert w.end_in_store(job) == expected, f"lost: {job}"
         assert bool(cancelled) is self.case.cancels
-        assert w.led[0] is False and w.led[-1] is True
+        self.check_led()
         if self.case.falls is not None:
             self.check_fallen()
         if self.calm:
             again = {task: n for task, n in w.starts.items() if n > 1}
             assert not again, "a replacement alone makes no task run again"
 
+    def check_kept(self) -> None:
+        self.w.check_kept()
+
+    def check_led(self) -> None:
+        assert self.w.led[0] is False and self.w.led[-1] is True
+
     def check_fallen(self) -> None:
         """Nothing was refused for its size, and nothing larger is written."""
         w = self.w
@@ -217,6 +223,102 @@
     Upgrade(short, case, seed=len(case.name)).run()
 
 
+class WayBack(Upgrade):
+    """All nodes have this version, with chains open, and get the earlier one again."""
+
+    def __init__(self, short: str, case: Case, seed: int) -> None:
+        super().__init__(short, case, seed)
+        self.w.replaced = set(range(self.w.nodes))
+        for i in range(self.w.nodes):
+            self.w.crash(i)
+        assert self.w.led[-1] is True and self.chains
+
+    def batches(self) -> Iterator[list[int]]:
+        """Who is put back next, as the leader stands then."""
+        while left := sorted(self.w.replaced):
+            self.rng.shuffle(left)
+            leads = self.w.leader
+            if leads in left and self.case.leader != ANY:
+                left.remove(leads)
+                left.insert(0 if self.case.leader == FIRST else len(left), leads)
+            yield left[: self.case.at_once]
+
+    def submit_chain(self, name: str) -> None:
+        """With one more job, whose list of dependencies is beside its record."""
+        super().submit_chain(name)
+        awaits = [f"wk-{name}{i}" for i in "abcd"]
+        self.submit(f"wk-{name}e", parcels=2, cpus=1.0, run_s=2.0, awaits=awaits)
+        self.w.submit(
+            f"wk-{name}f", parts=3, parcels=2, cpus=1.0, memGb=1.0, run_s=2.0, awaits=awaits
+        )
+
+    def run(self) -> None:
+        w, case = self.w, self.case
+        self.submit_long()
+        self.submit_some()
+        self.submit("wk-open", parcels=8, cpus=1.0, run_s=60.0)  # its chain is open to the end
+        self.w.submit(
+            "wk-listed", parts=2, parcels=2, cpus=1.0, memGb=1.0, run_s=2.0,
+            awaits=["wk-open", "wk-long", "wk-0a"],
+        )  # fmt: skip
+        w.watch(12)
+        for turn, batch in enumerate(self.batches()):
+            if case.outage and turn == 1:
+                w.outage_until = w.now + 2.2 * w.settings.lease_s
+                w.watch(3)
+                batch = [i for i in batch if i != w.leader]  # nobody could be elected
+            for i in batch:
+                w.put_back(i)
+            while w.now < w.outage_until:
+                w.watch(1)
+            assert w.store.range("needs/wk-listed/"), "it is open"
+            w.watch(self.rng.uniform(0.5, 4))
+            if case.dies and w.replaced:
+                w.crash(self.rng.choice(sorted(w.replaced)))  # it comes back new
+            self.submit_some()
+            w.watch(self.rng.uniform(0.5, 3))
+            if case.cancels:
+                self.cancel_some()
+        assert w.end_in_store("wk-listed") is None and w.led[-1] is False
+        self.submit_chain("old")
+        w.watch(2)
+        w.crash(self.rng.randrange(w.nodes))
+        w.watch(2)
+        self.check_end()
+
+    def check_kept(self) -> None:
+        """From the machines, as an earlier leader's memory is not looked into."""
+        for machine in self.w.cloud.machines.values():
+            for key, task in machine.on().items():
+                job, index = key.split("/")
+                if self.w.end_in_store(job) is None:
+                    stored = [entry for part in self.w.parts(job) for entry in part["r"]]
+                    kept = [int(index), task.attempt, machine.id] in stored
+                    assert kept, f"not kept: {key}"
+
+    def check_led(self) -> None:
+        assert self.w.led[-1] is False and True in self.w.led
+
+
+WAYS_BACK = [
+    Case("one by one"),
+    Case("two at once, leader first", at_once=2, leader=FIRST),
+    Case("leader last", leader=LAST),
+    Case("all at once", at_once=5),
+    Case("dies before its turn", dies=True, leader=LAST),
+    Case("outage in the middle", at_once=2, outage=True),
+    Case("cancelled under faults", cancels=True, faults=FAULTY),
+    Case("all together", at_once=2, dies=True, outage=True, cancels=True, faults=FAULTY),
+]
+
+
+@pytest.mark.parametrize("case", WAYS_BACK, ids=lambda case: case.name)
+def test_way_back(case: Case) -> None:
+    """To 852ab75, which reads chains and lists of dependencies; 0782287 does not, and there is no
+    way back to it while one is open."""
+    WayBack("852ab75", case, seed=len(case.name)).run()
+
+
 def test_the_table_is_of_replacements() -> None:
     """The cases bring about what their names say."""
     upgrade = Upgrade("852ab75", Case("x", at_once=2, leader=LAST), 1)
--- a/tests/versions/adapters.py
+++ b/tests/versions/adapters.py
@@ -22,7 +22,7 @@
     WallTime,
 )
 from eldercart.wire.state import Item
-from eldercart.wire.users import JobSpec
+from eldercart.wire.users import JobSpec, ListReference
 from versions.legacy.old_nodes import OldController, OldRecord, OldRelay
 
 _OUTCOMES = {
@@ -85,8 +85,11 @@
         lists = [[listed(item) for item in items] for items in (jobs, places, gone, memories)]
         self.old.old_load(lists[0], lists[1], lists[2], now, lists[3])
 
-    def add_job(self, spec: JobSpec, size: int, at: WallTime, now: Steady) -> None:
-        """It reads the record."""
+    def add_job(
+        self, spec: JobSpec, size: int, at: WallTime, now: Steady,
+        elsewhere: ListReference | None = None,
+    ) -> None:  # fmt: skip
+        """It reads the record, whole: it does not remember where its list of dependencies is."""
         record = job_record(spec, size, at)
         self.old.old_learn({"path": JOB + spec.id, "v": record, "stamp": 1}, now)
 
--- a/tests/versions/mixed.py
+++ b/tests/versions/mixed.py
@@ -112,6 +112,11 @@
         self.replaced.add(i)
         self.crash(i)
 
+    def put_back(self, i: int) -> None:
+        """The way back: the node gets the earlier version again."""
+        self.replaced.remove(i)
+        self.crash(i)
+
     @property
     def all_replaced(self) -> bool:
         return len(self.replaced) == self.nodes
