--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -24,7 +24,7 @@
 FAULTY = {"txn_lost": 0.1, "txn_twice": 0.1, "report_twice": 0.1, "answer_lost": 0.05,
           "mesh_lost": 0.05}  # fmt: skip
 FIRST, LAST, ANY = "first", "last", "any"
-AFTER_LAST, TAKING_OVER = "after the last", "while a leader takes over"
+BEFORE, AFTER_LAST, TAKING_OVER = "before", "after the last", "while a leader takes over"
 
 
 @dataclass(frozen=True)
@@ -262,6 +262,9 @@
             awaits=["wk-open", "wk-long", "wk-0a"],
         )  # fmt: skip
         w.watch(12)
+        if case.falls == BEFORE:
+            fall(w)
+            w.watch(6)
         for turn, batch in enumerate(self.batches()):
             if case.outage and turn == 1:
                 w.outage_until = w.now + 2.2 * w.settings.lease_s
@@ -308,8 +311,11 @@
     Case("dies before its turn", dies=True, leader=LAST),
     Case("outage in the middle", at_once=2, outage=True),
     Case("cancelled under faults", cancels=True, faults=FAULTY),
-    Case("all together", at_once=2, dies=True, outage=True, cancels=True, faults=FAULTY),
-]
+    Case("limits have fallen", falls=BEFORE),
+    Case("limits have fallen, leader last, under faults", falls=BEFORE, leader=LAST, faults=FAULTY),
+    Case("all together", at_once=2, dies=True, outage=True, falls=BEFORE, cancels=True,
+         faults=FAULTY),
+]  # fmt: skip
 
 
 @pytest.mark.parametrize("case", WAYS_BACK, ids=lambda case: case.name)
