--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -12,6 +12,7 @@
 new version; there is no way back to it while one is open. `test_upgrade` has whole replacements.
 """
 
+import dataclasses
 import random
 from typing import Any
 
@@ -21,12 +22,14 @@
 from eldercart.core.controller import Controller, Verdict
 from eldercart.core.jobs import dependency_list_prefix, job_record
 from eldercart.core.relay import Answer, Decision, Forward, Redirect, Relay
+from eldercart.settings.platform import parse_platform
 from eldercart.units import Epoch, JobId, MachineId, NodeId, ReportOrder, Session, Steady
 from eldercart.wire import peers, users
 from eldercart.wire.users import ListReference
 from simulators import CATALOG
 from test_core import finish, submit_all
 from test_gap import RelayServiceFixture
+from test_limits import NEXT, platform
 from versions import history, reading, record, writing
 from versions.adapters import EarlierRelay
 from versions.legacy.old_nodes import OldRelay
@@ -90,6 +93,32 @@
     assert fresh == history.samples(short), "samples are never changed: this tells of the recorder"
 
 
+@pytest.mark.parametrize(
+    ("next_", "limits"),
+    [
+        (None, (32 * 1024, 20)),
+        (NEXT, (2048, 6)),
+        ({"value_kb": 2.0}, (2048, 20)),
+        ({"txn_ops": 6, "unheard_of": "x"}, (32 * 1024, 6)),
+        ({"value_kb": 64, "txn_ops": 40}, (32 * 1024, 20)),  # they never rise
+    ],
+)
+@each_version
+def test_all_versions_start_with_the_same_settings(
+    short: str, next_: dict[str, Any] | None, limits: tuple[int, int]
+) -> None:
+    """0782287 does not know `state.next` and reads the settings as without it; 852ab75 cuts what it
+    writes by the same limits as this version, or records of either would be too large."""
+    parse = history.earlier(short).old_module("settings.platform").parse_platform
+    theirs = dataclasses.asdict(parse(platform(next_)))
+    ours = parse_platform(platform(next_))
+    assert (ours.value_bytes, ours.txn_ops) == limits
+    if short == BEFORE_CHAINS:
+        assert theirs == dataclasses.asdict(parse(platform()))
+    else:
+        assert (theirs["value_bytes"], theirs["txn_ops"]) == limits
+
+
 @each_sample("frames")
 def test_frames_are_read(short: str, name: str) -> None:
     sample = history.samples(short)["frames"][name]
