--- a/tests/test_prediction.py
+++ b/tests/test_prediction.py
@@ -465,3 +465,37 @@
             w.step(0.1)
     assert {size for _, size in booked} == {cpus}
     assert 3.0 <= ended - booked[0][0] <= 8.0, "a boot, a report and a write"
+
+
+def test_booked_room_is_used_by_tasks_that_wait() -> None:
+    """A booking names no machine and keeps nobody out: what was rented for it goes to a job that
+    came meanwhile, even of the lowest priority, and nothing more is rented for that."""
+    w = World(7, tuning={"flush_done_s": 1.0})
+    c = w.controller
+    assert c is not None
+    last = {"parcels": 20, "lot": "third", "crew": "t2", "run_s": 4.0}
+    room = 40.0
+    for number in range(2):
+        w.submit(f"wk-a{number}", parcels=1, lot="first", run_s=4.0, haulS=4.0)
+        second = f"wk-b{number}"
+        w.submit(second, parcels=1, lot="second", awaits=[f"wk-a{number}"], run_s=20.0, haulS=15.0)
+        while number == 0 and w.end_in_store(second) is None:
+            w.step(0.1)
+        if number == 0:
+            w.submit("wk-c0", awaits=[second], **last)
+            while w.end_in_store("wk-c0") is None or c.fleet.machines:
+                w.step(0.1)
+    end = w.now + 40.0
+    while w.now < end:
+        w.step(0.1)
+        up = {m.id: m.type["cpus"] for m in w.cloud.machines.values() if m.boots_at <= w.now}
+        if sum(up.values()) >= room:
+            break
+    booked = [b.cpus for b in c.scheduler.predictor.bookings if b.origin is Origin.CHAIN]
+    assert booked == [room] and sum(up.values()) >= room, "rented, and nobody has taken it"
+    w.submit("wk-other", parcels=19, lot="other", urgency="idle", run_s=20.0)
+    used: set[str] = set()
+    for _ in range(80):
+        w.step(0.1)
+        used = {k for m in w.cloud.machines.values() if m.id in up for k in m.on()}
+    assert len([key for key in used if key.startswith("wk-other/")]) == 19, "all, within 8 s"
