--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1252,6 +1252,22 @@
     assert not [k for k in large if w.store.item(k)], "nobody needs them any more"
 
 
+def test_large_placement_records_are_closed_at_take_over() -> None:
+    """Whatever changes on them moves to others from the start, not when they turn out too large."""
+    w = production(52)
+    large = {i["path"] for i in w.store.range("place/") if len(orjson.dumps(i["v"])) > 2048}
+    upgrade(w)
+    c = w.controller
+    assert c is not None
+    records, moved = c.records.placement_records, 0
+    for job in c.jobs.jobs.values():
+        for chunk in job.chunks.values():
+            if chunk.record_key in large:
+                moved += 1
+                assert records.of(job, chunk).key not in large
+    assert moved
+
+
 def test_chunks_of_new_jobs_fit_from_the_start() -> None:
     s = settings_of(NEXT)
     assert chunk_size(s.value_bytes) * 48 <= s.value_bytes
