--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -217,3 +217,19 @@
     assert election.next_action(NOW) is None
     election.renewed(True, NOW)
     assert election.next_action(NOW) == RevokeLease(LeaseId(4))
+
+
+@pytest.mark.parametrize("under_way", ["a claim", "a revocation that was refused"])
+def test_hands_over_until_the_key_is_surely_gone(under_way: str) -> None:
+    """A process that ends while its key may be there leaves the nodes without a leader until the
+    lease has run out."""
+    election = elected()
+    if under_way == "a claim":
+        election.retire(NOW)
+    else:
+        election.claimed(Revision(9), NOW)
+        election.retire(NOW)
+        revocation = election.next_action(NOW)
+        assert isinstance(revocation, RevokeLease)
+        election.failed(revocation, NOW)
+    assert election.hands_over
--- a/tests/test_leading.py
+++ b/tests/test_leading.py
@@ -12,7 +12,7 @@
 
 from eldercart.core.controller import GetCatalog, JobStatus, Outcome, Verdict
 from eldercart.core.direct_orders import Order
-from eldercart.core.jobs import CLEANUP, DEPENDENCY_LISTS, JOB, PLACE
+from eldercart.core.jobs import CLEANUP, DEPENDENCY_LISTS, JOB, PLACE, job_record
 from eldercart.core.memory import MEMORY
 from eldercart.election import Election
 from eldercart.net import job_records, takeover
@@ -24,8 +24,11 @@
 from eldercart.net.user_answers import UserAnswers
 from eldercart.net.worker_calls import WorkerCalls
 from eldercart.units import Epoch, JobId, LeaseId, MachineId, NodeId, Revision, Session, Steady
-from eldercart.wire import peers, users
+from eldercart.wire import cloud, peers, users
 from eldercart.wire.state import Item, Txn
+from simulators import CATALOG
+from test_limits import leading_node
+from world import submission
 
 NOW = Steady(5.0)
 REPORT = (
@@ -326,3 +329,21 @@
     told = UserAnswers(cast(Any, node)).tell(7, JobId("wk-1"))
     assert (told.number, told.verdict) == (7, verdict), name
     assert (told.done, told.running) == ((3, 1) if verdict == users.RUNNING else (0, 0)), name
+
+
+def test_a_marker_stays_while_the_list_of_its_job_is_not_read() -> None:
+    """Without the marker of an ended job the leader takes it for open when it has its list."""
+    node, clock, sent = leading_node(None, cloud.parse_catalog(CATALOG))
+    spec = users.parse_submission(submission("wk-000001", awaits=["wk-000000"]))
+    record = job_record(spec, 50, clock.now, users.ListReference("abc", 1))
+    marker = Item("gone/wk-000001", {"e": users.CANCELLED, "t": clock.now}, Revision(4))
+    job = Item("job/wk-000001", record, Revision(3))
+    node.leader_service._take_over(
+        Epoch(6), StoredRecords([], [job], [], [marker], [], [], Revision(5))
+    )
+    for _ in range(50):
+        clock.now += 0.1
+        node.leader_service.process_events()
+    node.leader_service.end("the test is over")
+    deleted = [write["delete"] for writes in sent for write in writes if "delete" in write]
+    assert "gone/wk-000001" not in deleted
