--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -988,15 +988,21 @@
     assert len(sent) == writes and node.types == c.scheduler.types
 
 
-@pytest.mark.parametrize("status", [429, 503, None])
-def test_catalogue_that_is_not_stored_uses_up_no_tokens(status: int | None) -> None:
-    """It is looked at in each turn of the loop. Sent again in each while the service refuses, it
-    would leave the leader without changes long after, and keep the service at its limit."""
-    node = Node(settings_of(NEXT, 5), load_tuning())
+def node_with_clock(next_: Any) -> tuple[Node, Clock]:
+    """A node with the leader's share of the limits, and the clock that it goes by."""
+    node = Node(settings_of(next_, 5), load_tuning())
     clock = Clock()
     clock.now = node.clock()  # its buckets count from there
     node.clock = node.store._clock = clock  # type: ignore[method-assign]
     node.store.set_leader(True)
+    return node, clock
+
+
+@pytest.mark.parametrize("status", [429, 503, None])
+def test_catalogue_that_is_not_stored_uses_up_no_tokens(status: int | None) -> None:
+    """It is looked at in each turn of the loop. Sent again in each while the service refuses, it
+    would leave the leader without changes long after, and keep the service at its limit."""
+    node, clock = node_with_clock(NEXT)
     sent: list[float] = []
     answers: list[int | None] = [status]
 
@@ -1027,11 +1033,7 @@
 
 def leading_node(next_: Any, types: dict[str, cloud.MachineType]) -> tuple[Node, Clock, list[Any]]:
     """A node that leads, its clock, and the transactions that a willing service gets from it."""
-    node = Node(settings_of(next_, 5), load_tuning())
-    clock = Clock()
-    clock.now = node.clock()  # its buckets count from there
-    node.clock = node.store._clock = clock  # type: ignore[method-assign]
-    node.store.set_leader(True)
+    node, clock = node_with_clock(next_)
     sent: list[Any] = []
 
     class Service:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -135,9 +135,13 @@
         self.all_new()
         self.check_end()
 
+    def left(self) -> list[int]:
+        """The nodes that are still to change their version."""
+        return [i for i in range(self.w.nodes) if i not in self.w.replaced]
+
     def batches(self) -> Iterator[list[int]]:
-        """Who is replaced next, as the leader stands then."""
-        while left := [i for i in range(self.w.nodes) if i not in self.w.replaced]:
+        """Who changes next, as the leader stands then."""
+        while left := self.left():
             self.rng.shuffle(left)
             leads = self.w.leader
             if leads in left and self.case.leader != ANY:
@@ -147,9 +151,8 @@
 
     def die(self, turn: int) -> None:
         """A node that is still to be replaced dies and comes back with what it had."""
-        left = [i for i in range(self.w.nodes) if i not in self.w.replaced]
         if self.case.dies and turn % 2 == 0:
-            i = self.rng.choice(left)
+            i = self.rng.choice(self.left())
             self.w.crash(i)
             assert isinstance(self.w.relays[i], EarlierRelay)
 
@@ -233,15 +236,9 @@
             self.w.crash(i)
         assert self.w.led[-1] is True and self.chains
 
-    def batches(self) -> Iterator[list[int]]:
-        """Who is put back next, as the leader stands then."""
-        while left := sorted(self.w.replaced):
-            self.rng.shuffle(left)
-            leads = self.w.leader
-            if leads in left and self.case.leader != ANY:
-                left.remove(leads)
-                left.insert(0 if self.case.leader == FIRST else len(left), leads)
-            yield left[: self.case.at_once]
+    def left(self) -> list[int]:
+        """The nodes that are still to be put back."""
+        return sorted(self.w.replaced)
 
     def submit_chain(self, name: str) -> None:
         """With one more job, whose list of dependencies is beside its record."""
@@ -277,7 +274,7 @@
             assert w.store.range("needs/wk-listed/"), "it is open"
             w.watch(self.rng.uniform(0.5, 4))
             if case.dies and w.replaced:
-                w.crash(self.rng.choice(sorted(w.replaced)))  # it comes back new
+                w.crash(self.rng.choice(self.left()))  # it comes back new
             self.submit_some()
             w.watch(self.rng.uniform(0.5, 3))
             if case.cancels:
