--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -15,7 +15,7 @@
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 from pathlib import Path
 from typing import Any
-from urllib.parse import parse_qs, unquote, urlsplit
+from urllib.parse import parse_qs, quote, unquote, urlsplit
 
 import orjson
 import pytest
@@ -264,3 +264,156 @@
     until(lambda: main(["status", "--server", front, "--json", "wk-000003"]) == 0)
     assert main(["status", "--server", front, "wk-000777"]) == 1
     assert main(["cancel", "--server", front, "nonsense"]) == 2
+
+
+def job(**changes: Any) -> bytes:
+    """A submission of a job that is never accepted, if the changes make it bad."""
+    return orjson.dumps(submission("wk-bad", **changes))
+
+
+def job_without(field: str) -> bytes:
+    return orjson.dumps({k: v for k, v in submission("wk-bad").items() if k != field})
+
+
+def report(**changes: Any) -> bytes:
+    """A worker's report without the fields whose change is `...`."""
+    whole = {
+        "wagon": "n-999999", "address": "10.1.0.1:9", "breed": "small", "yard": "a",
+        "loaners": True, "stint": 1, "tally": 1, "whip": 0, "recallS": None, "parcels": [],
+    } | changes  # fmt: skip
+    return orjson.dumps({k: v for k, v in whole.items() if v is not ...})
+
+
+MUST_BE_THERE = [f for f in submission("wk-bad") if f not in ("breeds", "yard", "dueS")]
+TEXTS, FLAGS = ("lot", "crew", "kit"), ("together", "spread", "loaners")
+AMOUNTS = ("cpus", "accelerators", "memGb", "imageGb", "haulS", "waypointS", "stowS")
+WRONG_FIELDS: dict[str, tuple[Any, ...]] = {
+    "nameId": (
+        None,
+        7,
+        "",
+        "job-1",
+        "wk-",
+        "wk-1/2",
+        "wk-1 ",
+        "wk-\u00e4",
+        "wk-" + "x" * 81,
+        ["wk-1"],
+    ),
+    "shape": (None, 1, "", "ensemble", ["sweep"]),
+    "urgency": (None, 1, "", "high", ["urgent"], {}),
+    "parcels": (None, 0, -1, 1.0, 1.5, True, "1", [1], 100_001, 2**63),
+    "breeds": ("small", 1, {}, [1], [None], [""], False),
+    "yard": (1, "", ["a"], False, "x" * 201),
+    "dueS": (-1, "10", True, [], {}),
+    "awaits": ("wk-1", {}, 7, False, "", [7], [None], [["wk-1"]], ["1"], ["wk-1/0"], [""]),
+    **{field: (None, 7, "", [], {}, "x" * 201) for field in TEXTS},
+    **{field: (None, 0, 1, "true", [], {}) for field in FLAGS},
+    **{field: (None, True, "1", [], {}, -0.5, 1e13) for field in AMOUNTS},
+}
+NOT_OBJECTS = (
+    b"",
+    b" ",
+    b"{",
+    b"null",
+    b"7",
+    b'"wk-1"',
+    b"[]",
+    b"[{}]",
+    b"{}{}",
+    b"\xff",
+    b"{'a':1}",
+)
+TOO_LARGE = b'{"x":"' + b"x" * 65_536 + b'"}'
+TOO_DEEP = b'{"x":' + b"[" * 2000 + b"]" * 2000 + b"}"
+DEEP = b"[" * 1021 + b"]" * 1021
+NO_IDS = ("", "x", "job-1", "wk-", "wk-1/0", "wk-%31", "wk-" + "x" * 81, "wk-\u00e4", "..")
+BAD_INPUT: list[tuple[str, str, bytes | None, int]] = [
+    # submissions
+    *(("POST", "/work", body, 400) for body in (*NOT_OBJECTS, TOO_LARGE, TOO_DEEP, b"{}")),
+    *(("POST", "/work", job_without(field), 400) for field in MUST_BE_THERE),
+    *(
+        ("POST", "/work", job(**{field: value}), 400)
+        for field, values in WRONG_FIELDS.items()
+        for value in values
+    ),
+    ("POST", "/work", job(cpus=0.0, accelerators=0.0), 400),
+    ("POST", "/work", job().replace(b'"cpus":2.0', b'"cpus":NaN'), 400),
+    ("POST", "/work", job().replace(b'"cpus":2.0', b'"cpus":1e999'), 400),
+    ("POST", "/work", job(crew="nobody"), 422),
+    ("POST", "/work", job(crew="t1", cpus=40.5), 422),
+    ("POST", "/work", job(cpus=16.5), 422),
+    ("POST", "/work", job(memGb=64.5), 422),
+    ("POST", "/work", job(accelerators=2.5), 422),
+    ("POST", "/work", job(cpus=8.5, breeds=["small"]), 422),
+    ("POST", "/work", job(accelerators=1.0, yard="a"), 422),
+    ("POST", "/work", job(breeds=[]), 422),
+    ("POST", "/work", job(breeds=["none"]), 422),
+    ("POST", "/work", job(yard="none"), 422),
+    ("POST", "/work", job(awaits=["wk-bad"]), 422),
+    ("POST", "/work", job(awaits=["wk-good", "wk-bad"]), 422),
+    ("POST", "/work", job(awaits=["wk-never"]), 422),
+    ("POST", "/work", job(awaits=["wk-good", "wk-never", "wk-good"]), 422),
+    ("POST", "/work", job(crew="nobody", awaits=[1]), 400),
+    # a job that is known already gets 200, whatever is wrong with its repeat
+    ("POST", "/work", b'{"nameId":"wk-good"}', 200),
+    ("POST", "/work", orjson.dumps(submission("wk-good", crew="nobody")), 200),
+    ("POST", "/work", orjson.dumps(submission("wk-good", cpus=4000.0)), 200),
+    ("POST", "/work", orjson.dumps(submission("wk-good", awaits="x")), 200),
+    ("POST", "/work", orjson.dumps(submission("wk-good", awaits=["wk-never"])), 200),
+    ("POST", "/work", orjson.dumps(submission("wk-good", awaits=["wk-good"])), 200),
+    # polls and cancellations
+    *(("GET", f"/work/{quote(name)}", None, 404) for name in (*NO_IDS, "wk-never", "wk-bad")),
+    *(("POST", f"/work/{quote(name)}/cancel", b"{}", 404) for name in (*NO_IDS, "wk-never")),
+    ("POST", "/work/wk-never/cancel", None, 404),
+    ("POST", "/work/wk-never/cancel", b"{", 404),
+    ("GET", "/work/wk-good?x=1", None, 200),
+    # reports
+    *(("POST", "/v1/report", body, 400) for body in (*NOT_OBJECTS, TOO_LARGE, TOO_DEEP, b"{}")),
+    *(("POST", "/v1/report", report(**{f: ...}), 400) for f in ("wagon", "stint", "tally", "whip")),
+    *(("POST", "/v1/report", report(wagon=value), 400) for value in (None, 7, "", [], "x" * 201)),
+    *(
+        ("POST", "/v1/report", report(**{field: value}), 400)
+        for field in ("stint", "tally", "whip")
+        for value in (None, -1, 1.0, "1", True, [], {})
+    ),
+    ("POST", "/v1/report", report()[:-1] + b',"tally":18446744073709551616}', 400),
+    ("POST", "/v1/report", report()[:-1] + b',"x":' + DEEP + b"}", 400),
+    # what there is not
+    *(("PUT", path, b"{}", 405) for path in ("/work", "/work/wk-good", "/work/wk-good/cancel")),
+    *(("DELETE", path, None, 405) for path in ("/work", "/work/wk-good", "/v1/report")),
+    *(("GET", path, None, 405) for path in ("/work", "/work/wk-good/cancel", "/v1/report")),
+    *(("POST", path, b"{}", 405) for path in ("/work/wk-good", "/status", "/healthz")),
+    *(("GET", path, None, 404) for path in ("/", "/work/", "/nowhere", "/v1", "/workers")),
+    *(("POST", path, b"{}", 404) for path in ("/", "/nowhere", "/v1/reports", "/submit")),
+]
+
+
+def test_bad_input_gets_its_status(service: tuple[Region, Service]) -> None:
+    """A job that lacks a field or can't run is never accepted, a job that is known never
+    refused, and nobody who sends nonsense holds up or ends anything for the others."""
+    region, node = service
+
+    def ask(method: str, path: str, body: bytes | None) -> int:
+        answers: list[int] = []
+
+        def final() -> bool:
+            answers.append(call(node.front, method, path, body)[0])
+            return answers[-1] not in (0, 503)
+
+        until(final)
+        return answers[-1]
+
+    good = submission("wk-good")
+    with region.lock:
+        region.jobs["wk-good"] = good | {"runS": 3600.0}
+    assert ask("POST", "/work", orjson.dumps(good)) in (200, 201)
+    wrong = []
+    for method, path, body, status in BAD_INPUT:
+        got = ask(method, path, body)
+        if got != status:
+            wrong.append((method, path, (body or b"")[:300], status, got))
+    assert not wrong
+    with region.lock:
+        assert [i["path"] for i in region.store.range("job/")] == ["job/wk-good"]
+        assert not region.store.range("end/") and not region.store.range("needs/")
