--- a/src/eldercart/cli/__init__.py
+++ b/src/eldercart/cli/__init__.py
@@ -8,11 +8,13 @@
 from eldercart import __version__
 from eldercart.settings import BadSettings, load_platform, load_tuning
 
+EXIT_USAGE = 2
 TUNING_VARIABLE = "ELDERCART_SETTINGS"
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
 def set_up_logging() -> None:
+    """To standard error, at the level that LOG_LEVEL names."""
     level = LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO)
     logging.basicConfig(
         stream=sys.stderr, level=level, format="%(levelname).1s %(name)s: %(message)s"
@@ -21,32 +23,33 @@
     logging.raiseExceptions = False
 
 
+def _add_settings_options(command: argparse.ArgumentParser) -> None:
+    command.add_argument("--config", required=True, metavar="FILE", help="the platform's settings")
+    command.add_argument(
+        "--settings",
+        metavar="FILE",
+        default=os.environ.get(TUNING_VARIABLE),
+        help=f"the operators' own settings (or {TUNING_VARIABLE})",
+    )
+
+
+def _add_client_options(command: argparse.ArgumentParser) -> None:
+    command.add_argument("--server", required=True, metavar="HOST:PORT", help="a node's front")
+    command.add_argument("--json", action="store_true", help="print the answer as it came")
+    command.add_argument("--timeout", type=float, default=60.0, help="seconds to try for")
+
+
 def parser() -> argparse.ArgumentParser:
-    p = argparse.ArgumentParser(prog="eldercart", description="A cluster scheduler.")
-    p.add_argument("--version", action="version", version=__version__)
-    sub = p.add_subparsers(dest="command", required=True)
-
-    def settings_options(q: argparse.ArgumentParser) -> None:
-        q.add_argument("--config", required=True, metavar="FILE", help="the platform's settings")
-        q.add_argument(
-            "--settings",
-            metavar="FILE",
-            default=os.environ.get(TUNING_VARIABLE),
-            help=f"the operators' own settings (or {TUNING_VARIABLE})",
-        )
-
-    serve = sub.add_parser("serve", help="run a controller node")
-    settings_options(serve)
-    check = sub.add_parser("check-settings", help="check both settings files and stop")
-    settings_options(check)
-
-    def client_options(q: argparse.ArgumentParser) -> None:
-        q.add_argument("--server", required=True, metavar="HOST:PORT", help="a node's front")
-        q.add_argument("--json", action="store_true", help="print the answer as it came")
-        q.add_argument("--timeout", type=float, default=60.0, help="seconds to try for")
-
-    submit = sub.add_parser("submit", help="submit a job")
-    client_options(submit)
+    """All commands with their options."""
+    whole = argparse.ArgumentParser(prog="eldercart", description="A cluster scheduler.")
+    whole.add_argument("--version", action="version", version=__version__)
+    commands = whole.add_subparsers(dest="command", required=True)
+    _add_settings_options(commands.add_parser("serve", help="run a controller node"))
+    _add_settings_options(
+        commands.add_parser("check-settings", help="check both settings files and stop")
+    )
+    submit = commands.add_parser("submit", help="submit a job")
+    _add_client_options(submit)
     submit.add_argument(
         "--awaits",
         action="append",
@@ -56,28 +59,34 @@
     )
     submit.add_argument("file", help="the job as JSON; - for standard input")
     for name, text in (("status", "ask for a job's state"), ("cancel", "cancel a job")):
-        q = sub.add_parser(name, help=text)
-        client_options(q)
-        q.add_argument("job", help="the job's id")
-    return p
+        command = commands.add_parser(name, help=text)
+        _add_client_options(command)
+        command.add_argument("job", help="the job's id")
+    return whole
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Runs one command; returns its exit status."""
     args = parser().parse_args(argv)
     set_up_logging()
     if args.command in ("serve", "check-settings"):
-        try:
-            settings = load_platform(args.config)
-            tuning = load_tuning(args.settings)
-        except BadSettings as err:
-            print(err, file=sys.stderr)
-            return 2
-        if args.command == "check-settings":
-            print("settings are fine")
-            return 0
-        from eldercart.cli.serve import serve
-
-        return serve(settings, tuning)
+        return _run_node(args)
     from eldercart.cli.client import run
 
     return run(args)
+
+
+def _run_node(args: argparse.Namespace) -> int:
+    """Wrong settings end it with one line and status 2."""
+    try:
+        settings = load_platform(args.config)
+        tuning = load_tuning(args.settings)
+    except BadSettings as err:
+        print(err, file=sys.stderr)
+        return EXIT_USAGE
+    if args.command == "check-settings":
+        print("settings are fine")
+        return 0
+    from eldercart.cli.serve import serve
+
+    return serve(settings, tuning)
--- a/src/eldercart/cli/client.py
+++ b/src/eldercart/cli/client.py
@@ -5,6 +5,7 @@
 import http.client
 import sys
 import time
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -16,55 +17,105 @@
 
 EXIT_OK, EXIT_REFUSED, EXIT_USAGE, EXIT_UNREACHABLE = 0, 1, 2, 3
 
+TAKEN = (200, 201)
+REFUSED = (400, 404, 422)  # not retried
+NO_ANSWER = 0
+TIMEOUT_S = 5.0  # of one try
+LEAST_PAUSE_S, MOST_PAUSE_S = 1.0, 30.0
 
-def _call(
-    server: str, method: str, path: str, body: bytes | None, limit: float
-) -> tuple[int, bytes]:
+
+class BadUsage(Exception):
+    """What the user got wrong, before anything is sent."""
+
+
+@dataclass(frozen=True, slots=True)
+class Call:
+    """A request about one job."""
+
+    job: str
+    method: str
+    path: str
+    body: bytes | None
+
+
+@dataclass(frozen=True, slots=True)
+class Reply:
+    """A node's answer; `status` NO_ANSWER if there was none."""
+
+    status: int
+    body: bytes
+    retry_after_s: float
+
+
+def run(args: argparse.Namespace) -> int:
+    """Carries out the command; returns the exit status."""
+    try:
+        call = _submission(args) if args.command == "submit" else _question(args)
+    except BadUsage as err:
+        print(f"eldercart: {err}", file=sys.stderr)
+        return EXIT_USAGE
+    reply = _send_until_answered(args.server, call, args.timeout)
+    return _show(args.json, call.job, reply)
+
+
+def _submission(args: argparse.Namespace) -> Call:
+    body = _read(args.file)
+    try:
+        if args.awaits:
+            body = _with_awaits(body, args.awaits)
+        spec = parse_submission(load_answer(body))
+    except Malformed as err:
+        raise BadUsage(f"the job is malformed: {err}") from None
+    return Call(spec.id, "POST", "/work", body)
+
+
+def _read(file: str) -> bytes:
+    try:
+        return sys.stdin.buffer.read() if file == "-" else Path(file).read_bytes()
+    except OSError as err:
+        raise BadUsage(f"{file}: {err.strerror}") from None
+
+
+def _question(args: argparse.Namespace) -> Call:
+    job: str = args.job
+    if not valid_job_id(job):
+        raise BadUsage(f"not a job id: {job}")
+    if args.command == "cancel":
+        return Call(job, "POST", f"/work/{job}/cancel", b"{}")
+    return Call(job, "GET", f"/work/{job}", None)
+
+
+def _send_until_answered(server: str, call: Call, limit_s: float) -> Reply:
     """Tries until an answer is final or the time is over."""
-    end = time.monotonic() + limit
+    end = time.monotonic() + limit_s
     while True:
-        pause = 1.0
-        status, data = 0, b""
-        try:
-            connection = http.client.HTTPConnection(server, timeout=5.0)
-            connection.request(method, path, body, {"Content-Type": "application/json"})
-            response = connection.getresponse()
-            status, data = response.status, response.read()
-            pause = max(pause, min(30.0, float(response.headers.get("Retry-After") or 0)))
-            connection.close()
-        except (OSError, http.client.HTTPException, ValueError) as err:
-            print(f"eldercart: {server}: {err}", file=sys.stderr)
-        if status in (200, 201, 400, 404, 422) or time.monotonic() + pause > end:
-            return status, data
+        reply = _send(server, call)
+        pause = max(LEAST_PAUSE_S, min(MOST_PAUSE_S, reply.retry_after_s))
+        if reply.status in TAKEN + REFUSED or time.monotonic() + pause > end:
+            return reply
         time.sleep(pause)
 
 
-def run(args: argparse.Namespace) -> int:
-    if args.command == "submit":
-        try:
-            raw = sys.stdin.buffer.read() if args.file == "-" else Path(args.file).read_bytes()
-        except OSError as err:
-            print(f"eldercart: {args.file}: {err.strerror}", file=sys.stderr)
-            return EXIT_USAGE
-        try:
-            if args.awaits:
-                raw = _with_awaits(raw, args.awaits)
-            spec = parse_submission(load_answer(raw))
-        except Malformed as err:
-            print(f"eldercart: the job is malformed: {err}", file=sys.stderr)
-            return EXIT_USAGE
-        status, data = _call(args.server, "POST", "/work", raw, args.timeout)
-        job: str = spec.id
-    else:
-        job = args.job
-        if not valid_job_id(job):
-            print(f"eldercart: not a job id: {job}", file=sys.stderr)
-            return EXIT_USAGE
-        path = f"/work/{job}" + ("/cancel" if args.command == "cancel" else "")
-        method = "POST" if args.command == "cancel" else "GET"
-        body = b"{}" if method == "POST" else None
-        status, data = _call(args.server, method, path, body, args.timeout)
-    return _show(args.json, job, status, data)
+def _send(server: str, call: Call) -> Reply:
+    headers = {"Content-Type": "application/json"}
+    try:
+        connection = http.client.HTTPConnection(server, timeout=TIMEOUT_S)
+        with contextlib.closing(connection):
+            connection.request(call.method, call.path, call.body, headers)
+            response = connection.getresponse()
+            body = response.read()
+            return Reply(response.status, body, _retry_after(response))
+    except (OSError, http.client.HTTPException, ValueError) as err:
+        print(f"eldercart: {server}: {err}", file=sys.stderr)
+        return Reply(NO_ANSWER, b"", 0.0)
+
+
+def _retry_after(response: http.client.HTTPResponse) -> float:
+    """In seconds; a date, which no node sends, counts as none."""
+    try:
+        return float(response.headers.get("Retry-After") or 0)
+    except ValueError:
+        return 0.0
 
 
 def _with_awaits(raw: bytes, jobs: list[str]) -> bytes:
@@ -86,19 +137,24 @@
     return ""
 
 
-def _show(as_json: bool, job: str, status: int, data: bytes) -> int:
+def _show(as_json: bool, job: str, reply: Reply) -> int:
     answer: dict[str, Any] = {}
     with contextlib.suppress(Malformed):
-        answer = load_answer(data) if data else {}
+        answer = load_answer(reply.body) if reply.body else {}
     if as_json:
-        print(orjson.dumps({"status": status, **answer}).decode())
-    elif status in (200, 201):
-        text = f"{job}: {answer.get('standing')}"
-        if "done" in answer:
-            text += f", {answer['done']} done, {answer.get('running')} running"
-        print(text + _reason(answer))
+        print(orjson.dumps({"status": reply.status, **answer}).decode())
+    elif reply.status in TAKEN:
+        print(_summary(job, answer))
     else:
-        print(f"{job}: {answer.get('error') or 'no answer'} ({status})", file=sys.stderr)
-    if status in (200, 201):
+        error = answer.get("error") or "no answer"
+        print(f"{job}: {error} ({reply.status})", file=sys.stderr)
+    if reply.status in TAKEN:
         return EXIT_OK
-    return EXIT_REFUSED if status in (400, 404, 422) else EXIT_UNREACHABLE
+    return EXIT_REFUSED if reply.status in REFUSED else EXIT_UNREACHABLE
+
+
+def _summary(job: str, answer: dict[str, Any]) -> str:
+    text = f"{job}: {answer.get('standing')}"
+    if "done" in answer:
+        text += f", {answer['done']} done, {answer.get('running')} running"
+    return text + _reason(answer)
--- a/src/eldercart/cli/serve.py
+++ b/src/eldercart/cli/serve.py
@@ -11,6 +11,7 @@
 
 
 def serve(settings: NodeSettings, tuning: Tuning) -> int:
+    """Runs the node; returns the exit status when the loop ends."""
     reactor: Any = _reactor
     PythonLoggingObserver("twisted").start()
     node = Node(settings, tuning)
--- a/src/eldercart/settings/operator.py
+++ b/src/eldercart/settings/operator.py
@@ -17,9 +17,11 @@
     """The settings as attributes; see the schema for unit and meaning of each."""
 
     def __init__(self, values: dict[str, Any]) -> None:
+        """`values` holds every setting of the schema."""
         self._values = values
 
     def __getattr__(self, name: str) -> Any:
+        """The setting of that name."""
         try:
             return self._values[name]
         except KeyError:
@@ -27,6 +29,7 @@
 
 
 def load_schema() -> dict[str, Any]:
+    """The JSON schema with unit, bounds and default of each setting."""
     schema: dict[str, Any] = orjson.loads(SCHEMA.read_bytes())
     return schema
 
--- a/src/eldercart/settings/platform.py
+++ b/src/eldercart/settings/platform.py
@@ -16,12 +16,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
+    """An address to listen at or to connect to."""
+
     host: str
     port: int
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
+    """Another controller node."""
+
     label: NodeId
     zone: str
     endpoint: Endpoint
@@ -29,6 +33,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Team:
+    """What a team is guaranteed, and its limits; 0 as a limit: none."""
+
     name: str
     cpus: float
     cpus_max: float
@@ -38,6 +44,8 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
+    """All that a node is told about itself, the other nodes and the region."""
+
     label: NodeId
     zone: str
     front: Endpoint
@@ -128,10 +136,7 @@
         return Endpoint(host, int(port))
 
 
-def parse_platform(root: Any) -> NodeSettings:
-    if not isinstance(root, dict):
-        raise BadSettings("settings: must be an object")
-    read = _Reader(root)
+def _teams(read: _Reader) -> dict[str, Team]:
     teams = {}
     for i in read.items("settings.teams"):
         at = f"settings.teams.{i}."
@@ -143,15 +148,42 @@
             read.number(at + "gpus_max"),
         )
         teams[team.name] = team
+    return teams
+
+
+def _objectives(read: _Reader) -> dict[str, dict[str, tuple[float, ...]]]:
+    """By kind and class, what users were promised; other kinds of objectives are skipped."""
     promised: dict[str, dict[str, tuple[float, ...]]] = {"wait": {}, "finished": {}, "deadline": {}}
     for i in read.items("settings.objectives"):
         at = f"settings.objectives.{i}."
-        of_kind = promised.get(read.text(at + "kind"))
-        if of_kind is not None:
-            klass = read.text(at + "class")
-            times = read.text(at + "kind") == "deadline"
-            within = read.times(at + "times") if times else read.number(at + "within_s")
-            of_kind[klass] = tuple(sorted({*of_kind.get(klass, ()), within}))
+        kind = read.text(at + "kind")
+        of_kind = promised.get(kind)
+        if of_kind is None:
+            continue
+        klass = read.text(at + "class")
+        within = read.times(at + "times") if kind == "deadline" else read.number(at + "within_s")
+        of_kind[klass] = tuple(sorted({*of_kind.get(klass, ()), within}))
+    return promised
+
+
+def _members(read: _Reader) -> tuple[Member, ...]:
+    return tuple(
+        Member(
+            NodeId(read.text(f"members.{i}.label")),
+            read.text(f"members.{i}.location"),
+            read.endpoint(f"members.{i}.endpoint"),
+        )
+        for i in read.items("members")
+    )
+
+
+def parse_platform(root: Any) -> NodeSettings:
+    """Checks the fields that the service uses; the first bad one is named."""
+    if not isinstance(root, dict):
+        raise BadSettings("settings: must be an object")
+    read = _Reader(root)
+    teams = _teams(read)
+    promised = _objectives(read)
     rps, rps_next = read.lower("rps", 1, 1)
     write_rps, write_rps_next = read.lower("write_rps", 1, 1)
     _, value_kb = read.lower("value_kb", 1, 0.5)
@@ -161,14 +193,7 @@
         zone=read.text("location"),
         front=read.endpoint("front"),
         mesh=read.endpoint("mesh_addr"),
-        members=tuple(
-            Member(
-                NodeId(read.text(f"members.{i}.label")),
-                read.text(f"members.{i}.location"),
-                read.endpoint(f"members.{i}.endpoint"),
-            )
-            for i in read.items("members")
-        ),
+        members=_members(read),
         cloud=read.endpoint("endpoints.cloud"),
         state=read.endpoint("endpoints.state"),
         nodes=int(read.number("settings.count", 1)),
@@ -195,6 +220,7 @@
 
 
 def read_json(path: str, what: str) -> Any:
+    """The content of a file; `what` begins the complaint about one that can't be read."""
     try:
         return orjson.loads(Path(path).read_bytes())
     except OSError as err:
@@ -204,4 +230,5 @@
 
 
 def load_platform(path: str) -> NodeSettings:
+    """The settings in the file that the platform hands over."""
     return parse_platform(read_json(path, "settings"))
--- a/src/eldercart/wire/checks.py
+++ b/src/eldercart/wire/checks.py
@@ -7,6 +7,7 @@
 
 MAX_BODY = 64 * 1024
 MAX_COUNT = 2**64
+MAX_AMOUNT = 1e12
 
 
 class Malformed(Exception):
@@ -14,6 +15,7 @@
 
 
 def load_object(body: bytes) -> dict[str, Any]:
+    """A request's body."""
     if len(body) > MAX_BODY:
         raise Malformed("body over 64 KiB")
     return load_answer(body)
@@ -42,6 +44,7 @@
 
 
 def text(obj: dict[str, Any], field: str, most: int = 200) -> str:
+    """A text that is not empty, of at most so many characters."""
     value = obj.get(field)
     if not isinstance(value, str) or not 0 < len(value) <= most:
         raise Malformed(field)
@@ -49,20 +52,23 @@
 
 
 def amount(obj: dict[str, Any], field: str, least: float = 0.0) -> float:
+    """A finite number within bounds, whole or not."""
     value = obj.get(field)
     # bool is an int in Python; JSON true is no number
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise Malformed(field)
-    if not math.isfinite(value) or value < least or value > 1e12:
+    if not math.isfinite(value) or value < least or value > MAX_AMOUNT:
         raise Malformed(field)
     return float(value)
 
 
 def optional(obj: dict[str, Any], field: str, default: float) -> float:
+    """An amount that may be null or left out."""
     return default if obj.get(field) is None else amount(obj, field)
 
 
 def count(obj: dict[str, Any], field: str, least: int = 0, most: int = MAX_COUNT - 1) -> int:
+    """A whole number in the form of one: 2.0 is none."""
     value = obj.get(field)
     if isinstance(value, bool) or not isinstance(value, int) or not least <= value <= most:
         raise Malformed(field)
@@ -70,6 +76,7 @@
 
 
 def flag(obj: dict[str, Any], field: str) -> bool:
+    """True or false."""
     value = obj.get(field)
     if not isinstance(value, bool):
         raise Malformed(field)
@@ -77,6 +84,7 @@
 
 
 def texts(obj: dict[str, Any], field: str) -> tuple[str, ...]:
+    """A list of texts, none of them empty."""
     value = obj.get(field)
     if not isinstance(value, list) or not all(isinstance(v, str) and v for v in value):
         raise Malformed(field)
@@ -84,6 +92,7 @@
 
 
 def objects(obj: dict[str, Any], field: str) -> list[dict[str, Any]]:
+    """A list of objects."""
     value = obj.get(field)
     if not isinstance(value, list) or not all(isinstance(v, dict) for v in value):
         raise Malformed(field)
--- a/src/eldercart/wire/users.py
+++ b/src/eldercart/wire/users.py
@@ -7,7 +7,7 @@
 import orjson
 
 from eldercart.units import JobId
-from eldercart.wire.checks import Malformed, amount, count, flag, text
+from eldercart.wire.checks import Malformed, amount, count, flag, text, texts
 
 MAX_TASKS = 100_000
 MAX_PARTS = 100_000  # of a list of dependencies; a submission's 64 KiB fill far fewer
@@ -21,6 +21,8 @@
 
 @dataclass(frozen=True, slots=True)
 class JobSpec:
+    """A job as its user submitted it."""
+
     id: JobId
     klass: str
     team: str
@@ -52,10 +54,12 @@
 
 
 def valid_job_id(value: str) -> bool:
+    """Whether a text has the form of a job's id."""
     return JOB_ID.match(value) is not None
 
 
 def job_id_of(obj: dict[str, Any]) -> JobId:
+    """The id in a submission of which nothing else need be right."""
     value = obj.get("nameId")
     if not isinstance(value, str) or not valid_job_id(value):
         raise Malformed("nameId")
@@ -76,42 +80,39 @@
     return all(isinstance(job, str) and valid_job_id(job) for job in value)
 
 
+def _priority_of(obj: dict[str, Any]) -> int:
+    urgency = obj.get("urgency")
+    if not isinstance(urgency, str) or urgency not in PRIORITIES:
+        raise Malformed("urgency")
+    return PRIORITIES[urgency]
+
+
 def parse_submission(obj: dict[str, Any]) -> JobSpec:
     """Checks every field; the first bad one is named. Unknown fields are skipped."""
     job = job_id_of(obj)
     if obj.get("shape") not in SHAPES:
         raise Malformed("shape")
-    urgency = obj.get("urgency")
-    if not isinstance(urgency, str) or urgency not in PRIORITIES:
-        raise Malformed("urgency")
-    types: tuple[str, ...] | None = None
-    if obj.get("breeds") is not None:
-        breeds = obj["breeds"]
-        if not isinstance(breeds, list) or not all(isinstance(b, str) and b for b in breeds):
-            raise Malformed("breeds")
-        types = tuple(breeds)
     cpus = amount(obj, "cpus")
     gpus = amount(obj, "accelerators")
     if cpus <= 0 and gpus <= 0:
         raise Malformed("cpus")
-    haul = amount(obj, "haulS")
     return JobSpec(
         id=job,
         klass=text(obj, "lot"),
         team=text(obj, "crew"),
-        priority=PRIORITIES[urgency],
+        priority=_priority_of(obj),
         tasks=count(obj, "parcels", 1, MAX_TASKS),
         cpus=cpus,
         gpus=gpus,
         memory_gb=amount(obj, "memGb"),
         image=text(obj, "kit"),
         image_gb=amount(obj, "imageGb"),
-        types=types,
+        types=None if obj.get("breeds") is None else texts(obj, "breeds"),
         zone=None if obj.get("yard") is None else text(obj, "yard"),
         together=flag(obj, "together"),
         spread=flag(obj, "spread"),
         spot=flag(obj, "loaners"),
-        estimate_s=haul,
+        estimate_s=amount(obj, "haulS"),
         checkpoint_s=amount(obj, "waypointS"),
         save_s=amount(obj, "stowS"),
         deadline_s=None if obj.get("dueS") is None else amount(obj, "dueS"),
@@ -172,6 +173,7 @@
 
 
 def spec_from_record(job: JobId, record: Any) -> JobSpec:
+    """The job of a stored record that holds its whole list of dependencies."""
     dependencies = dependencies_from_record(record)
     values = dict(zip(_STORED, record[: len(_STORED)], strict=True))
     if values["types"] is not None:
@@ -186,7 +188,7 @@
     running: int | None = None,
     waiting: tuple[str, ...] = (),
 ) -> bytes:
-    """`waiting`: some of the jobs that it awaits and that are not done."""
+    """A job's state. `waiting`: some of the jobs that it awaits and that are not done."""
     body: dict[str, Any] = {"nameId": job, "standing": state}
     if done is not None:
         body["done"] = done
@@ -197,4 +199,5 @@
 
 
 def error_body(message: str) -> bytes:
+    """What a refusal says, in words for its user."""
     return orjson.dumps({"error": message})
