--- a/src/eldercart/net/forwarding.py
+++ b/src/eldercart/net/forwarding.py
@@ -12,7 +12,7 @@
 from eldercart.net.server import JsonRequest
 from eldercart.units import Epoch, MachineId, NodeId, Steady
 from eldercart.wire import Malformed, peers, users, workers
-from eldercart.wire.checks import load_object
+from eldercart.wire.checks import load_enclosed
 
 if TYPE_CHECKING:
     from eldercart.net.node import Node
@@ -56,7 +56,7 @@
         now = self._node.clock()
         body = request.body()
         try:
-            obj = load_object(body)
+            obj = load_enclosed(body)
             head = workers.parse_head(obj)
         except Malformed as err:
             _refuse(request, err)
