--- a/src/eldercart/net/acceptance_check.py
+++ b/src/eldercart/net/acceptance_check.py
@@ -57,13 +57,13 @@
 
     def begin(self) -> None:
         """Asks the leader, who knows nearly all that still runs and takes no token."""
-        if not self._left or self._node.leading.controller is not None:
+        if not self._left or self._node.leader_service.controller is not None:
             self._read_ends()
             return
         asked, self._open = self._left, 1
         for job in asked:
             self._open += 1
-            if not self._node.relaying.questions.poll(job, partial(self._got_told, job)):
+            if not self._node.relay_service.questions.poll(job, partial(self._got_told, job)):
                 self._open -= 1
                 break
         self._leader_answered()
--- a/src/eldercart/net/catalog.py
+++ b/src/eldercart/net/catalog.py
@@ -74,7 +74,7 @@
                 # Too large, say: to repeat it would use up the changes. This node knows the types,
                 # and the others answer with 503 as long as they don't.
                 log.error("catalogue refused by the state service status=%s", status)
-            elif status != 200 and node.leading.controller is controller:
+            elif status != 200 and node.leader_service.controller is controller:
                 # Its own submissions go on being judged; a repeat at every turn of the loop would
                 # use up the changes just when there are too few.
                 self.stored = False
--- a/src/eldercart/net/cloud_calls.py
+++ b/src/eldercart/net/cloud_calls.py
@@ -41,12 +41,12 @@
             self._send(controller, call)
 
     def _send(self, controller: Controller, call: CloudCall) -> None:
-        leading = self._node.leading
+        leader_service = self._node.leader_service
 
         def done(status: int | None, data: bytes) -> None:
-            if leading.controller is controller:
+            if leader_service.controller is controller:
                 controller.cloud_done(call, status, data, self._node.clock())
-                leading.pump_soon()
+                leader_service.pump_soon()
 
         match call:
             case Rent(rental_request):
--- a/src/eldercart/net/dependencies.py
+++ b/src/eldercart/net/dependencies.py
@@ -57,7 +57,7 @@
         """Whether it is known here; an acceptance is never taken back."""
         if self.finals.get(job) is not None or self._accepted.get(job):
             return True
-        controller = self.node.leading.controller
+        controller = self.node.leader_service.controller
         return controller is not None and job in controller.jobs
 
     def check(self, jobs: Iterable[JobId], done: Callable[[Accepted], None]) -> None:
--- a/src/eldercart/net/electing.py
+++ b/src/eldercart/net/election_service.py
@@ -25,7 +25,7 @@
 log = logging.getLogger("eldercart.node")
 
 
-class Electing:
+class ElectionService:
     """Owns the watch on the leader key."""
 
     def __init__(self, node: "Node") -> None:
@@ -73,7 +73,7 @@
         if alive is None:
             election.failed(action, clock())
         elif election.renewed(alive, clock()):
-            self.node.leading.end("lease ended")
+            self.node.leader_service.end("lease ended")
 
     def _dropped(self, action: Action, ok: bool) -> None:
         election, clock = self.node.election, self.node.clock
@@ -94,7 +94,7 @@
             self._seen = max(self._seen, item.version)
         e.read(item, now)
         if e.role is Role.LEADER:
-            self.node.leading.begin()
+            self.node.leader_service.begin()
         self._act(self.node.clock())
 
     def _claimed(self, action: Action, status: int | None, revision: Revision) -> None:
@@ -102,7 +102,7 @@
         now = self.node.clock()
         if status == 200:
             e.claimed(revision, now)
-            self.node.leading.begin()
+            self.node.leader_service.begin()
         elif status in (400, 409):
             e.claimed(None, now, lease_lost=status == 400)
             self._act(now)
--- a/src/eldercart/net/ending.py
+++ b/src/eldercart/net/ending.py
@@ -62,9 +62,9 @@
         node = self.node
         now = node.clock()
         if node.election.role is Role.LEADER:
-            node.leading.end("ends on request")
+            node.leader_service.end("ends on request")
         node.election.retire(now)
-        node.electing.tick(now)
+        node.election_service.tick(now)
         unanswered = node.requests_under_way()
         if (unanswered or node.election.hands_over) and now < self._until:
             reactor.callLater(LOOK_S, self._look)
--- a/src/eldercart/net/forwarding.py
+++ b/src/eldercart/net/forwarding.py
@@ -62,7 +62,7 @@
             _refuse(request, err)
             return
         link = link_up(self._links, self._relay.leader)
-        reachable = self._node.leading.acts or link is not None
+        reachable = self._node.leader_service.acts or link is not None
         machine, order, epoch, notice, tasks = head
         match self._relay.report(machine, order, epoch, notice, tasks, now, reachable):
             case Answer(current):
@@ -84,7 +84,7 @@
         request.reply(421, workers.redirect_body(to))
 
     def _forward(self, held: Held, body: bytes, obj: dict[str, Any], now: Steady) -> None:
-        if self._node.leading.acts:
+        if self._node.leader_service.acts:
             self._hand_in(held, obj, now)
             return
         # It goes on as it came: the leader reads it, and takes a malformed one for none.
@@ -95,15 +95,15 @@
 
     def _hand_in(self, held: Held, obj: dict[str, Any], now: Steady) -> None:
         """This node leads: the report needs no connection."""
-        leading = self._node.leading
+        leader_service = self._node.leader_service
         try:
             report = workers.parse_report(obj)
         except Malformed as err:
             _refuse(held.request, err)
             return
-        calls, again = leading.take_report(report, self._node.settings.label, now)
+        calls, again = leader_service.take_report(report, self._node.settings.label, now)
         self._reply(held, calls, again)
-        leading.pump_soon()
+        leader_service.pump_soon()
 
     def _reply(self, held: Held, calls: list[dict[str, Any]] | None, again: bool) -> None:
         head = held.head
--- a/src/eldercart/net/greetings.py
+++ b/src/eldercart/net/greetings.py
@@ -67,7 +67,7 @@
         self._reductions_told = node.store.reduced_rates.reductions
         for link in self._links.values():
             every = GREET_LEADER_S if link.label == leader else GREET_S
-            if node.leading.acts and node.store.failing_since is not None:
+            if node.leader_service.acts and node.store.failing_since is not None:
                 every = GREET_OUTAGE_S
             link.check(max(SILENT_LEAST_S, SILENT_GREETINGS * every), now)
             if link.up and (news or now - link.greeted >= every):
@@ -81,7 +81,7 @@
         link.asked[number] = now
         while len(link.asked) > GREETINGS_OPEN:
             del link.asked[next(iter(link.asked))]
-        heard = self._relay.take_heard(now) if leads and not node.leading.acts else ()
+        heard = self._relay.take_heard(now) if leads and not node.leader_service.acts else ()
         greet = peers.Greet(
             sender=node.settings.label,
             number=number,
@@ -97,7 +97,7 @@
 
     def _renew_grant(self, now: Steady) -> None:
         node = self._node
-        if node.leading.acts:
+        if node.leader_service.acts:
             self._grant_oneself(now)
         elif node.election.epoch == self._relay.epoch and node.store.failing_since is None:
             # The watch on the leader key would have told of another epoch.
@@ -114,7 +114,7 @@
         self._share_out(now)
         mine = self._share_of(label)
         self._relay.granted(node.election.epoch, label, since, now, mine.most, mine.spare)
-        node.leading.heard(label, self._relay.take_heard(now), now)
+        node.leader_service.heard(label, self._relay.take_heard(now), now)
 
     def _share_out(self, now: Steady) -> None:
         """Shares the workers out among the nodes that have said lately how many they have."""
@@ -167,9 +167,9 @@
             self._links[greet.sender].greeted = NEVER
         self.heard_peer(greet.sender, greet, now)
         self._counts[greet.sender] = WorkerCount(greet.machines, now)
-        acts = node.leading.acts
+        acts = node.leader_service.acts
         if acts:
-            node.leading.heard(greet.sender, greet.heard, now)
+            node.leader_service.heard(greet.sender, greet.heard, now)
         share = self._share_of(greet.sender)
         answer = peers.Greeted(
             number=greet.number,
@@ -183,6 +183,6 @@
             lent=node.store.lend(greet.short, now) if acts else 0,
             takes=peers.TAKES,
             low_ms=int(node.store.reduced_rates.left_s(now) * 1000),
-            ready=node.electing.ready,
+            ready=node.election_service.ready,
         )
         channel.send(peers.greeted(answer))
--- a/src/eldercart/net/job_records.py
+++ b/src/eldercart/net/job_records.py
@@ -30,7 +30,7 @@
     or none, is in its place."""
 
     def __init__(self, node: "Node") -> None:
-        """Teaches whatever controller the node's `leading` has."""
+        """Teaches whatever controller the node's `leader_service` has."""
         self._node = node
         self._resolving: set[JobId] = set()  # jobs whose list of dependencies is being read
 
@@ -39,7 +39,7 @@
         self._resolving.clear()
 
     def _serves(self, controller: Controller) -> bool:
-        return self._node.leading.controller is controller
+        return self._node.leader_service.controller is controller
 
     # -- the watch
 
@@ -66,7 +66,7 @@
             if isinstance(event, Item):
                 self.learn(event)
         if events:
-            self._node.leading.pump_soon()
+            self._node.leader_service.pump_soon()
 
     def _reread(self, controller: Controller) -> None:
         """More has changed than the state service keeps: reads all records and watches on."""
@@ -90,9 +90,9 @@
     def learn(self, item: Item) -> None:
         """A record that refers to a list is learned with it. As long as the list can't be read the
         job stays unknown here: polls look it up, and nothing of it may start."""
-        controller = self._node.leading.controller
+        controller = self._node.leader_service.controller
         job = JobId(item.key[len(JOB) :])
-        if controller is None or self._node.front.final_of(job) is not None:
+        if controller is None or self._node.user_service.final_of(job) is not None:
             return
         if not refers_to_list(item):
             controller.learn_job(item, self._node.clock())
@@ -105,7 +105,7 @@
         if not self._serves(controller):
             return
         reference = list_reference(item.value)
-        known = job in controller.jobs or self._node.front.final_of(job) is not None
+        known = job in controller.jobs or self._node.user_service.final_of(job) is not None
         if reference is None or known:
             self._resolving.discard(job)
             return
@@ -125,9 +125,9 @@
 
     def _learn_resolved(self, controller: Controller, job: JobId, whole: Item) -> None:
         self._resolving.discard(job)
-        if self._node.front.final_of(job) is None:
+        if self._node.user_service.final_of(job) is None:
             controller.learn_job(whole, self._node.clock())
-            self._node.leading.pump_soon()
+            self._node.leader_service.pump_soon()
 
 
 def refers_to_list(item: Item) -> bool:
--- a/src/eldercart/net/job_states.py
+++ b/src/eldercart/net/job_states.py
@@ -43,9 +43,9 @@
         state = self.finals.get(job)
         if state is not None:
             handlers.found(_told(state))
-        elif self.node.leading.controller is not None:
-            self._leader_answered(job, handlers, self.node.leading.user_answers.tell(0, job))
-        elif not self.node.relaying.questions.poll(
+        elif self.node.leader_service.controller is not None:
+            self._leader_answered(job, handlers, self.node.leader_service.user_answers.tell(0, job))
+        elif not self.node.relay_service.questions.poll(
             job, lambda told: self._leader_answered(job, handlers, told)
         ):
             self.read(job, handlers)
@@ -102,7 +102,7 @@
         self._record = record
         if record is not None:
             self._states.dependencies.accepted(self._job)
-            self._node.leading.job_records.learn(record)
+            self._node.leader_service.job_records.learn(record)
         self._node.store.get(END + self._job, self._got_end)
 
     def _got_end(self, ok: bool, end: Item | None) -> None:
--- a/src/eldercart/net/leading.py
+++ b/src/eldercart/net/leader_service.py
@@ -35,7 +35,7 @@
     again: bool  # whether the machine's next report is wanted whatever it tells
 
 
-class Leading:
+class LeaderService:
     """Owns the controller, which is there while this node leads and has read the records."""
 
     def __init__(self, node: "Node") -> None:
@@ -108,7 +108,7 @@
         gc.unfreeze()
         self.node.store.set_leader(False)
         self.user_answers.reset()
-        self.node.relaying.relay.revoke()
+        self.node.relay_service.relay.revoke()
 
     def tick(self, now: Steady) -> None:
         """Lets the controller look at the time; hands over if this node hears nobody."""
@@ -120,7 +120,7 @@
             self.node.election.resign(now)
             self.end("hears nobody")
             return
-        controller.records.may_recut = self.node.relaying.greetings.all_take(peers.RECUT)
+        controller.records.may_recut = self.node.relay_service.greetings.all_take(peers.RECUT)
         controller.tick(now)
         if controller.plan_due(now):
             self._plan(controller, now)
@@ -141,9 +141,9 @@
 
     def _unheard(self, controller: Controller, now: Steady) -> bool:
         """Whether the store alone can be reached: another node would then lead better."""
-        if not self.node.relaying.links or not controller.fleet.machines:
+        if not self.node.relay_service.links or not controller.fleet.machines:
             return False
-        since = max(self.heard_at, self._began, self.node.relaying.greetings.peer_heard)
+        since = max(self.heard_at, self._began, self.node.relay_service.greetings.peer_heard)
         return now - since > UNHEARD_S
 
     # -- what follows from events
@@ -163,13 +163,13 @@
         self._cloud_calls.pump(controller, now)
         wants = controller.take_wants()
         if wants:
-            node.relaying.send_wants(wants)
+            node.relay_service.send_wants(wants)
         for wait in controller.take_start_waits():
             node.meters.add("start_wait", wait)
 
     def _tell_finished(self, controller: Controller) -> None:
         for job, how in controller.take_finished():
-            self.node.front.final(job, how)
+            self.node.user_service.final(job, how)
             self.user_answers.finished(job, how)
 
     # -- reports
--- a/src/eldercart/net/node.py
+++ b/src/eldercart/net/node.py
@@ -1,4 +1,5 @@
-"""One controller node: wires election, relay, front and the leader's work to each other."""
+"""One controller node: wires election, relay, users' requests and the leader's work to each
+other."""
 
 import logging
 import secrets
@@ -11,14 +12,14 @@
 from eldercart.election import Election
 from eldercart.net import links
 from eldercart.net.catalog import CATALOG_KEY
-from eldercart.net.electing import Electing
+from eldercart.net.election_service import ElectionService
 from eldercart.net.ending import Ending
-from eldercart.net.front import Front
-from eldercart.net.leading import Leading
+from eldercart.net.leader_service import LeaderService
 from eldercart.net.meters import Meters
-from eldercart.net.relaying import Relaying
+from eldercart.net.relay_service import RelayService
 from eldercart.net.server import JsonFactory, JsonRequest, listen
 from eldercart.net.store import Store
+from eldercart.net.user_service import UserService
 from eldercart.settings import NodeSettings, Tuning
 from eldercart.units import NEVER, Epoch, IncarnationId, Steady
 from eldercart.wire import Malformed, cloud
@@ -66,13 +67,13 @@
             settings.label, tuning.hold_s, tuning.drift_margin, self.incarnation
         )
         self.types: dict[str, MachineType] = {}
-        self.front = Front(self)
-        self.leading = Leading(self)
-        self.relaying = Relaying(self)
-        self.electing = Electing(self)
+        self.user_service = UserService(self)
+        self.leader_service = LeaderService(self)
+        self.relay_service = RelayService(self)
+        self.election_service = ElectionService(self)
         self.ending = Ending(self)
         sockets = max(FRONT_SOCKETS_LEAST, int(settings.sockets * FRONT_SOCKETS))
-        self._requests = JsonFactory(self.front.route, sockets)
+        self._requests = JsonFactory(self.user_service.route, sockets)
         self._port: Any = None  # that users and workers connect to, while it is open
         self.lag = 0.0  # seconds by which the event loop is behind, recent ones weighing more
         self._types_asked = NEVER
@@ -83,7 +84,7 @@
     def start(self) -> None:
         """Listens for users, workers and peers, and begins to tick."""
         self._port = listen(self.settings.front, self._requests)
-        links.listen(self.settings.mesh, self.relaying.exchange)
+        links.listen(self.settings.mesh, self.relay_service.exchange)
         log.info(
             "started label=%s zone=%s incarnation=%s",
             self.settings.label,
@@ -110,10 +111,14 @@
         self._last_tick = now
         if behind > STANDSTILL_S:
             self._stood_still(behind)
-        self.electing.tick(now)
-        self.relaying.tick(now)
-        self.leading.tick(now)
-        if not self.types and self.electing.ready and now - self._types_asked > TYPES_AGAIN_S:
+        self.election_service.tick(now)
+        self.relay_service.tick(now)
+        self.leader_service.tick(now)
+        if (
+            not self.types
+            and self.election_service.ready
+            and now - self._types_asked > TYPES_AGAIN_S
+        ):
             self._read_types()
         if now >= self._load_due:
             self._log_load(now)
@@ -122,8 +127,8 @@
         """Nothing was read meanwhile, so nobody's silence in that time is theirs. (What this node
         may say by its lease or its grant is judged by the clock, which ran on.)"""
         log.info("stood still seconds=%.2f", seconds)
-        self.relaying.stood_still(seconds)
-        self.leading.stood_still(seconds)
+        self.relay_service.stood_still(seconds)
+        self.leader_service.stood_still(seconds)
 
     def _log_load(self, now: Steady) -> None:
         cpu = time.process_time()
@@ -131,7 +136,7 @@
         log.info(
             "load role=%s cpu=%.2f lag_ms=%.0f workers=%d %s",
             self.election.role.value, cpu - self._cpu, self.lag * 1000,
-            self.relaying.relay.machines, self.meters.line(),
+            self.relay_service.relay.machines, self.meters.line(),
         )  # fmt: skip
         self._cpu = cpu
 
@@ -140,21 +145,21 @@
     def saw_epoch(self, epoch: Epoch, how: str) -> None:
         """A higher epoch than known, if it is one: a leader steps down."""
         if self.election.saw_epoch(epoch, steady()):
-            self.leading.end(how)
+            self.leader_service.end(how)
 
     def deposed(self, why: str) -> None:
         """A guarded write has shown that another node leads."""
         self.election.deposed(steady())
-        self.leading.end(why)
+        self.leader_service.end(why)
 
     def healthy(self) -> bool:
         """Whether users and workers should come here, see `could_serve`."""
         now = steady()
         failing = self.store.failing_since
         return could_serve(
-            self.electing.ready,
+            self.election_service.ready,
             0.0 if failing is None else now - failing,
-            now - self.relaying.greetings.peer_served,
+            now - self.relay_service.greetings.peer_served,
         )
 
     # -- machine types
@@ -182,10 +187,10 @@
             "role": self.election.role.value,
             "leader": self.election.leader,
             "epoch": self.election.epoch,
-            "workers": self.relaying.relay.machines,
+            "workers": self.relay_service.relay.machines,
             "milliseconds": self.meters.page(),
         }
-        c = self.leading.controller
+        c = self.leader_service.controller
         if c is not None:
             page["jobs"] = len(c.jobs.jobs)
             page["machines"] = len(c.fleet.machines)
--- a/src/eldercart/net/relaying.py
+++ b/src/eldercart/net/relay_service.py
@@ -23,7 +23,7 @@
 CHANNELS_PER_NODE, CHANNELS_MORE = 4, 8  # connections from peers that are accepted
 
 
-class Relaying:
+class RelayService:
     """Owns the relay, the connections to and from the peers, and the parts that use them."""
 
     def __init__(self, node: "Node") -> None:
@@ -103,7 +103,7 @@
             self._cancel(channel, frame)
         elif kind == peers.DROPPED:
             for machine in peers.parse_machines(frame):
-                self.node.leading.undelivered(machine)
+                self.node.leader_service.undelivered(machine)
         else:
             raise Malformed("k")
 
@@ -113,31 +113,31 @@
         self.greetings.answer(channel, greet, self.node.clock())
 
     def _answer_reports(self, channel: Channel, frame: dict[str, Any]) -> None:
-        leading = self.node.leading
+        leader_service = self.node.leader_service
         now = self.node.clock()
         epoch, items = peers.parse_reports(frame)
         sender = channel.peer or NodeId("")
         for start in range(0, len(items), peers.BATCH_ITEMS):
             answers = [
-                peers.Answer(number, *leading.take_raw(obj, epoch, sender, now))
+                peers.Answer(number, *leader_service.take_raw(obj, epoch, sender, now))
                 for number, obj in items[start : start + peers.BATCH_ITEMS]
             ]
             channel.send(peers.answers(answers))
-        leading.pump_soon()
+        leader_service.pump_soon()
 
     def _answer_polls(self, channel: Channel, frame: dict[str, Any]) -> None:
-        tell = self.node.leading.user_answers.tell
+        tell = self.node.leader_service.user_answers.tell
         told = [tell(number, JobId(job)) for number, job in peers.parse_asked(frame)]
         channel.send(peers.states(peers.STATES, told))
 
     def _cancel(self, channel: Channel, frame: dict[str, Any]) -> None:
         for number, job in peers.parse_asked(frame):
-            self.node.leading.user_answers.cancel(JobId(job), _teller(channel, number))
+            self.node.leader_service.user_answers.cancel(JobId(job), _teller(channel, number))
 
     def _lost(self, channel: Channel) -> None:
         if channel.peer is not None and self._channels.get(channel.peer) is channel:
             del self._channels[channel.peer]
-            self.node.leading.relay_lost(channel.peer)
+            self.node.leader_service.relay_lost(channel.peer)
 
     def send_wants(self, wants: dict[NodeId, list[MachineId]]) -> None:
         """Asks each node for the next reports of these of its machines."""
--- a/src/eldercart/net/store_work.py
+++ b/src/eldercart/net/store_work.py
@@ -41,7 +41,7 @@
         self._write_memo(controller, now)
 
     def _serves(self, controller: Controller) -> bool:
-        return self._node.leading.controller is controller
+        return self._node.leader_service.controller is controller
 
     # -- reads
 
@@ -73,7 +73,7 @@
     def _read_end(self, controller: Controller, job: JobId) -> None:
         """How a job ended that others await and that is not in the book any more."""
         node = self._node
-        how = node.front.final_of(job)
+        how = node.user_service.final_of(job)
         if how is not None:
             controller.end_read(job, how, node.clock())
             return
@@ -82,7 +82,7 @@
             if not self._serves(controller):
                 return
             controller.end_read(job, None if item is None else end_of(item.value), node.clock())
-            node.leading.pump_soon()
+            node.leader_service.pump_soon()
 
         node.store.get(END + job, done)
 
@@ -111,7 +111,7 @@
             if controller.txn_done(pending, outcome, revision, failed, answered_at):
                 node.deposed("write refused by the leader key")
             else:
-                node.leading.pump()
+                node.leader_service.pump()
 
         node.store.txn(pending.txn, done)
 
--- a/src/eldercart/net/submissions.py
+++ b/src/eldercart/net/submissions.py
@@ -228,11 +228,11 @@
         self._dependencies.accepted(self._job)
         self._dependencies.learn_names(self._job, self._spec.dependencies)
         self._request.reply(201, users.state_body(self._job, users.PENDING))
-        controller = self._node.leading.controller
+        controller = self._node.leader_service.controller
         if controller is not None:
             now = self._node.clock()
             controller.add_job(self._spec, self._chunk, self._at, now, self._where)
-            self._node.leading.pump_soon()
+            self._node.leader_service.pump_soon()
 
     def _known_already(self, ended: bool) -> None:
         if ended:
--- a/src/eldercart/net/user_answers.py
+++ b/src/eldercart/net/user_answers.py
@@ -37,10 +37,10 @@
     def tell(self, number: int, job: JobId) -> peers.Told:
         """The leader's answer; only within its lease is a state that may change told."""
         node = self._node
-        how = node.front.final_of(job)
+        how = node.user_service.final_of(job)
         if how is not None:
             return peers.Told(number, how, 0, 0)
-        controller = node.leading.controller
+        controller = node.leader_service.controller
         if controller is None or not node.election.within_lease(node.clock()):
             return peers.Told(number, peers.NOT_LEADER, 0, 0)
         status = controller.status(job)
@@ -53,8 +53,8 @@
     def cancel(self, job: JobId, answer: Callable[[str], None]) -> None:
         """Calls `answer` once: with the job's durable end, or with a verdict of `peers`."""
         node = self._node
-        controller = node.leading.controller
-        how = node.front.final_of(job)
+        controller = node.leader_service.controller
+        how = node.user_service.final_of(job)
         if how is not None or controller is None:
             answer(how or peers.NOT_LEADER)
             return
@@ -68,17 +68,20 @@
 
     def _look_up_and_cancel(self, job: JobId, answer: Callable[[str], None]) -> None:
         """The watch may lag behind another node's acceptance: the look-up teaches the job."""
-        leading = self._node.leading
+        leader_service = self._node.leader_service
 
         def found(state: str) -> None:
             if state in (users.DONE, users.CANCELLED):
                 answer(state)
-            elif leading.controller is not None and leading.controller.jobs.get(job) is not None:
+            elif (
+                leader_service.controller is not None
+                and leader_service.controller.jobs.get(job) is not None
+            ):
                 self.cancel(job, answer)
             else:
                 answer(peers.UNDECIDED)
 
-        self._node.front.look_up(
+        self._node.user_service.look_up(
             job, found, lambda: answer(peers.UNKNOWN), lambda: answer(peers.UNDECIDED)
         )
 
@@ -87,7 +90,7 @@
         waiter = AnswerOnce(answer)
         self._waiting.setdefault(job, []).append(waiter)
         reactor.callLater(CANCEL_WAIT_S, waiter, peers.UNDECIDED)
-        self._node.leading.pump()
+        self._node.leader_service.pump()
 
 
 class AnswerOnce:
--- a/src/eldercart/net/front.py
+++ b/src/eldercart/net/user_service.py
@@ -20,7 +20,7 @@
 JOB_PATH, CANCEL_SUFFIX = b"/work/", b"/cancel"
 
 
-class Front:
+class UserService:
     """Routes requests and bounds those under way; answers polls and cancellations."""
 
     def __init__(self, node: "Node") -> None:
@@ -32,7 +32,7 @@
         self._submissions = Submissions(node, self._finals, self.dependencies, self.states)
         self._busy = 0
         self._routes: dict[bytes, tuple[bytes, Handler]] = {
-            b"/v1/report": (b"POST", lambda request: node.relaying.forwarding.report(request)),
+            b"/v1/report": (b"POST", lambda request: node.relay_service.forwarding.report(request)),
             b"/healthz": (b"GET", self._health),
             b"/status": (b"GET", lambda request: request.reply(200, node.status_page())),
             b"/work": (b"POST", lambda request: self._guarded(request, self._submit)),
@@ -134,9 +134,9 @@
         state = self._finals.get(job)
         if state is not None:
             answered(state)
-        elif self.node.leading.controller is not None:
-            self.node.leading.user_answers.cancel(job, answered)
-        elif not self.node.relaying.questions.cancel(job, told):
+        elif self.node.leader_service.controller is not None:
+            self.node.leader_service.user_answers.cancel(job, answered)
+        elif not self.node.relay_service.questions.cancel(job, told):
             answered(peers.NOT_LEADER)
 
     def _cancel_answered(self, request: JsonRequest, job: JobId, verdict: str) -> None:
--- a/src/eldercart/net/worker_calls.py
+++ b/src/eldercart/net/worker_calls.py
@@ -54,7 +54,7 @@
                 node.saw_epoch(report.epoch, "a worker has seen a higher epoch")
             else:
                 controller.ordered(report, status == EXECUTED, sent, node.clock())
-                node.leading.pump_soon()
+                node.leader_service.pump_soon()
 
         body = workers.order_body(controller.epoch, order.session, order.commands)
         self._ask(controller, order.machine, order.address, "/orders", body, told)
@@ -66,7 +66,7 @@
         """`told(status, report)` if that machine answers with its report."""
 
         def got(status: int | None, data: bytes) -> None:
-            if self._node.leading.controller is not controller:
+            if self._node.leader_service.controller is not controller:
                 return
             if status not in (EXECUTED, OTHER_SESSION):
                 return
