--- a/src/eldercart/core/controller.py
+++ b/src/eldercart/core/controller.py
@@ -28,7 +28,7 @@
 from eldercart.core.direct_orders import DirectOrders, Order
 from eldercart.core.fleet import MachineState
 from eldercart.core.jobs import (
-    GONE,
+    CLEANUP,
     JOB,
     Job,
     Phase,
@@ -127,7 +127,7 @@
         self,
         job_items: Iterable[Item],
         place_items: Iterable[Item],
-        gone_items: Iterable[Item],
+        cleanup_items: Iterable[Item],
         now: Steady,
         memo_items: Iterable[Item] = (),
     ) -> None:
@@ -138,7 +138,7 @@
         for item in job_items:
             self.learn_job(item, now)
         loaded = self.records.placement_records.load(place_items, self.jobs, now)
-        self._load_markers(gone_items, {item.key[len(JOB) :] for item in job_items}, now)
+        self._load_markers(cleanup_items, {item.key[len(JOB) :] for item in job_items}, now)
         for job in self.jobs.jobs.values():
             self._finish_load(job, now)
         self._load_placements(loaded, now)
@@ -152,7 +152,7 @@
         leftover; one whose record can't be read stays, or a leader that can read the record would
         take the job for open."""
         for item in markers:
-            job_id = JobId(item.key[len(GONE) :])
+            job_id = JobId(item.key[len(CLEANUP) :])
             job = self.jobs.get(job_id)
             if job is not None:
                 self._load_ended(job, item, now)
--- a/src/eldercart/core/jobs.py
+++ b/src/eldercart/core/jobs.py
@@ -42,8 +42,8 @@
     with_dependencies,
 )
 
-JOB, END, PLACE, GONE = "job/", "end/", "place/", "gone/"
-NEEDS = "needs/"  # lists of dependencies that are too long for their job's record
+JOB, END, PLACE, CLEANUP = "job/", "end/", "place/", "gone/"
+DEPENDENCY_LISTS = "needs/"  # lists of dependencies that are too long for their job's record
 _LIST = "l"  # in a resolved record, never in a stored one: where its list was read
 ENTRY_BYTES = 48  # the most that one placement takes in a record
 AVOID_S = 40.0  # for which a job keeps off a machine where its tasks failed or were slow
@@ -435,18 +435,18 @@
     return found if isinstance(found, ListReference) else None
 
 
-def needs_prefix(job: JobId, reference: ListReference) -> str:
+def dependency_list_prefix(job: JobId, reference: ListReference) -> str:
     """What the keys of the job's list begin with."""
-    return f"{NEEDS}{job}/{reference.nonce}/"
+    return f"{DEPENDENCY_LISTS}{job}/{reference.nonce}/"
 
 
 def needs_keys(job: JobId, reference: ListReference) -> list[str]:
     """The keys of the job's list, as the node that accepted it wrote them."""
-    prefix = needs_prefix(job, reference)
+    prefix = dependency_list_prefix(job, reference)
     return [f"{prefix}{number}" for number in range(reference.parts)]
 
 
-def needs_parts(dependencies: tuple[JobId, ...], value_bytes: int) -> list[list[JobId]]:
+def dependency_list_parts(dependencies: tuple[JobId, ...], value_bytes: int) -> list[list[JobId]]:
     """The lists to write before the record of a job that has these; none if its record takes
     them: a quarter of the value limit is left to them there."""
     sizes = [len(job) + 3 for job in dependencies]  # quotes and a comma
--- a/src/eldercart/core/records.py
+++ b/src/eldercart/core/records.py
@@ -6,8 +6,8 @@
 from enum import Enum
 
 from eldercart.core.jobs import (
+    CLEANUP,
     END,
-    GONE,
     JOB,
     Chunk,
     Job,
@@ -159,7 +159,7 @@
             else:
                 # The marker tells a later leader that this job only waits to be cleaned up.
                 at = round(job.cancelled_at + self.scheduler.zero_wall, 2)
-                txn.writes.append(Put(GONE + job.id, {"e": how, "t": at}))
+                txn.writes.append(Put(CLEANUP + job.id, {"e": how, "t": at}))
         return True
 
     def _add_chunks(self, pending: PendingTxn, ops: int, now: Steady) -> None:
@@ -268,7 +268,7 @@
             there = any(p.phase is not Phase.ENDED for p in job.placements())
             if there or job.id in self._aside or self._held(pending, job.id, JOB + job.id):
                 continue
-            txn.writes += [Drop(JOB + job.id), Drop(GONE + job.id)]
+            txn.writes += [Drop(JOB + job.id), Drop(CLEANUP + job.id)]
             pending.cleanups.append(job)
             pending.units.add(job.id)
         while self.orphans and len(txn.writes) < ops:
--- a/src/eldercart/net/dependencies.py
+++ b/src/eldercart/net/dependencies.py
@@ -13,10 +13,10 @@
 from eldercart.core.jobs import (
     END,
     JOB,
+    dependency_list_parts,
+    dependency_list_prefix,
     end_of,
     list_reference,
-    needs_parts,
-    needs_prefix,
     resolve,
 )
 from eldercart.net.acceptance_check import AcceptanceCheck, Accepted
@@ -68,7 +68,7 @@
 
     def fits(self, spec: JobSpec) -> bool:
         """Whether the job's record takes its list."""
-        return not needs_parts(spec.dependencies, self.node.settings.value_bytes)
+        return not dependency_list_parts(spec.dependencies, self.node.settings.value_bytes)
 
     def write_list(
         self, spec: JobSpec, until: Steady, done: Callable[[ListReference | None], None]
@@ -76,7 +76,7 @@
         """`done(where)` once the list is durable; None if it can't be written now."""
         started = self._lists.pop(spec.id, None)
         if started is None or started.dependencies != spec.dependencies or started.under_way:
-            parts = needs_parts(spec.dependencies, self.node.settings.value_bytes)
+            parts = dependency_list_parts(spec.dependencies, self.node.settings.value_bytes)
             started = DependencyList(self.node, spec, parts)
         self._lists[spec.id] = started
         while len(self._lists) > LISTS_KEPT:
@@ -149,7 +149,7 @@
         if reference is None:
             done(self.learn_record(job, item))
         else:
-            self.node.store.range(needs_prefix(job, reference), got)
+            self.node.store.range(dependency_list_prefix(job, reference), got)
 
     def search_ancestors(self, jobs: tuple[JobId, ...], done: Callable[[Ancestors], None]) -> None:
         """Finds out whether one of the jobs, or one before them, has a durable cancellation."""
--- a/src/eldercart/net/dependency_list.py
+++ b/src/eldercart/net/dependency_list.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from eldercart.core.jobs import needs_prefix
+from eldercart.core.jobs import dependency_list_prefix
 from eldercart.net.store import FOR_ACCEPTING
 from eldercart.units import ABSENT, JobId, Revision, Steady
 from eldercart.wire.state import TXN_BYTES, Put, Txn
@@ -29,7 +29,7 @@
         self.under_way = False
         self._node = node
         self._where = ListReference(secrets.token_hex(NONCE_BYTES), len(parts))
-        prefix = needs_prefix(spec.id, self._where)
+        prefix = dependency_list_prefix(spec.id, self._where)
         self._unwritten = {f"{prefix}{i}": part for i, part in enumerate(parts)}
 
     def write(self, until: Steady, done: Callable[[ListReference | None], None]) -> None:
--- a/src/eldercart/net/job_records.py
+++ b/src/eldercart/net/job_records.py
@@ -7,7 +7,13 @@
 from twisted.internet import reactor as _reactor
 
 from eldercart.core.controller import Controller
-from eldercart.core.jobs import JOB, NEEDS, list_reference, needs_prefix, resolve
+from eldercart.core.jobs import (
+    DEPENDENCY_LISTS,
+    JOB,
+    dependency_list_prefix,
+    list_reference,
+    resolve,
+)
 from eldercart.units import JobId, Revision
 from eldercart.wire import Malformed
 from eldercart.wire.state import Item
@@ -121,7 +127,7 @@
             else:
                 self._learn_resolved(controller, job, whole)
 
-        self._node.store.range(needs_prefix(job, reference), got)
+        self._node.store.range(dependency_list_prefix(job, reference), got)
 
     def _learn_resolved(self, controller: Controller, job: JobId, whole: Item) -> None:
         self._resolving.discard(job)
@@ -149,7 +155,7 @@
     """Puts the lists of dependencies into the job records that refer to them."""
     of_job: dict[str, list[Item]] = {}
     for item in lists:
-        of_job.setdefault(item.key[len(NEEDS) :].partition("/")[0], []).append(item)
+        of_job.setdefault(item.key[len(DEPENDENCY_LISTS) :].partition("/")[0], []).append(item)
     whole: list[Item] = []
     missing: list[Item] = []
     for item in records:
--- a/src/eldercart/net/takeover.py
+++ b/src/eldercart/net/takeover.py
@@ -6,7 +6,7 @@
 
 from twisted.internet import reactor as _reactor
 
-from eldercart.core.jobs import GONE, JOB, NEEDS, PLACE
+from eldercart.core.jobs import CLEANUP, DEPENDENCY_LISTS, JOB, PLACE
 from eldercart.core.memory import MEMO
 from eldercart.net.catalog import CATALOG_KEY
 from eldercart.net.job_records import refers_to_list
@@ -40,7 +40,7 @@
         self._store = store
         self._done = done
         self._abandoned = False
-        self._prefixes = [CATALOG_KEY, JOB, PLACE, GONE, MEMO]
+        self._prefixes = [CATALOG_KEY, JOB, PLACE, CLEANUP, MEMO]
         self._read: dict[str, list[Item]] = {}
         self._jobs_revision = ABSENT
 
@@ -69,7 +69,7 @@
             self._jobs_revision = revision
             if any(refers_to_list(item) for item in items):
                 # After the records: a list is there before the record that refers to it.
-                self._prefixes.append(NEEDS)
+                self._prefixes.append(DEPENDENCY_LISTS)
         self.read_next()
 
     def _finish(self) -> None:
@@ -79,9 +79,9 @@
                 catalog=read[CATALOG_KEY],
                 jobs=read[JOB],
                 placements=read[PLACE],
-                gone=read[GONE],
+                gone=read[CLEANUP],
                 memos=read[MEMO],
-                dependency_lists=read.get(NEEDS, []),
+                dependency_lists=read.get(DEPENDENCY_LISTS, []),
                 jobs_revision=self._jobs_revision,
             )
         )
