--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -29,10 +29,10 @@
 
 from duty_cluster import Cluster, Point  # noqa: E402
 from duty_world import World, check_end, check_history  # noqa: E402
-from eldercart.core.rental import Offer, RentalRequest  # noqa: E402
+from eldercart.autoscaling.autoscaler import Offer, RentalRequest  # noqa: E402
 from eldercart.units import WallTime  # noqa: E402
-from eldercart.wire import duties as wire  # noqa: E402
-from eldercart.wire.duties import DutyName, holder_key  # noqa: E402
+from eldercart.wire import named_leases as wire  # noqa: E402
+from eldercart.wire.named_leases import DutyName, holder_key  # noqa: E402
 from eldercart.wire.state import Put, Txn  # noqa: E402
 from region import until  # noqa: E402
 from test_duty_service import ALL, Place  # noqa: E402
--- a/benchmarks/relay_reports.py
+++ b/benchmarks/relay_reports.py
@@ -16,7 +16,7 @@
 import orjson
 from twisted.internet.testing import StringTransport
 
-from eldercart.net.node import Node
+from eldercart.server.controller_node import Node
 from eldercart.units import Epoch, MachineId, NodeId, ReportOrder, Session, Steady
 from test_limits import node_with_clock
 
--- a/deploy/compile_bytecode.py
+++ b/deploy/compile_bytecode.py
@@ -14,7 +14,7 @@
 ROOT = Path(__file__).resolve().parents[1]
 MODULES = (
     "eldercart.cli", "eldercart.cli.serve", "eldercart.cli.client", "eldercart.cli.duties",
-    "eldercart.net.duty_service", "eldercart.settings.features",
+    "eldercart.server.singleton.lease_service", "eldercart.settings.features",
 )  # fmt: skip
 
 if __name__ == "__main__":
--- a/src/eldercart/core/rental.py
+++ b/src/eldercart/autoscaling/autoscaler.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 from statistics import fmean
 
-from eldercart.core.fleet import Machine, MachineState
-from eldercart.core.jobs import Job
-from eldercart.core.placement import allowed, fits_type
+from eldercart.cluster.inventory import Machine, MachineState
+from eldercart.jobs.registry import Job
+from eldercart.scheduling.feasibility import allowed, fits_type
 from eldercart.settings import Tuning
 from eldercart.settings.platform import Team
 from eldercart.units import CLOCK_ZERO, NEVER, Steady
--- a/src/eldercart/core/cloudwork.py
+++ b/src/eldercart/autoscaling/cloud_requests.py
@@ -4,11 +4,11 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from eldercart.core import placement as rules
-from eldercart.core.fleet import MachineState
-from eldercart.core.jobs import Phase
-from eldercart.core.rental import RentalRequest
-from eldercart.core.scheduler_state import SchedulerState
+from eldercart.autoscaling.autoscaler import RentalRequest
+from eldercart.cluster.inventory import MachineState
+from eldercart.jobs.registry import Phase
+from eldercart.scheduling import feasibility
+from eldercart.scheduling.cluster_state import SchedulerState
 from eldercart.units import NEVER, JobId, MachineId, Steady
 from eldercart.wire import Malformed, cloud
 from eldercart.wire.checks import load_answer
@@ -106,8 +106,8 @@
                 (j, zone)
                 for j in scheduler.jobs.jobs.values()
                 if (j.pending or j.queued) and j.open
-                if (zone := rules.bound_to(j, scheduler.fleet)) is not None
-                or not all(rules.fits_type(j.spec, kind) for kind in scheduler.types.values())
+                if (zone := feasibility.bound_to(j, scheduler.fleet)) is not None
+                or not all(feasibility.fits_type(j.spec, kind) for kind in scheduler.types.values())
             ]
             self._rental_requests += scheduler.rental.plan(
                 machines, scheduler.types, constrained, self._prefix, now
@@ -237,7 +237,13 @@
         m = scheduler.fleet.get(machine)
         if m is None:
             m = scheduler.fleet.add(
-                machine, unknown_type("?"), rules.UNKNOWN_ZONE, True, MachineState.UP, now, now
+                machine,
+                unknown_type("?"),
+                feasibility.UNKNOWN_ZONE,
+                True,
+                MachineState.UP,
+                now,
+                now,
             )
         scheduler.request_deletion(m, now)
 
@@ -370,7 +376,7 @@
                     item.id, kind, item.zone, item.spot, state, rented_at, heard
                 )
                 log.debug("machine listed machine=%s state=%s", m.id, item.state)
-            elif m.zone == rules.UNKNOWN_ZONE:
+            elif m.zone == feasibility.UNKNOWN_ZONE:
                 # Known from its tasks alone: the list says what it is before it reports.
                 kind = scheduler.types.get(item.type) or unknown_type(item.type)
                 scheduler.fleet.describe(m, kind, item.zone, item.spot)
--- a/src/eldercart/cli/duties.py
+++ b/src/eldercart/cli/duties.py
@@ -18,7 +18,7 @@
 )
 from eldercart.wire import Malformed
 from eldercart.wire.checks import load_answer
-from eldercart.wire.duties import hand_over_request, pause_request
+from eldercart.wire.named_leases import hand_over_request, pause_request
 
 TAKEN = 200
 NOT_THERE = "no such path"  # what a node without duties says
--- a/src/eldercart/cli/serve.py
+++ b/src/eldercart/cli/serve.py
@@ -6,7 +6,7 @@
 from twisted.internet import reactor as _reactor
 from twisted.python.log import PythonLoggingObserver
 
-from eldercart.net.node import Node
+from eldercart.server.controller_node import Node
 from eldercart.settings import NodeSettings, Tuning
 
 if TYPE_CHECKING:
--- a/src/eldercart/core/direct_orders.py
+++ b/src/eldercart/cluster/direct_kills.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass
 
-from eldercart.core.fleet import Machine, MachineState
-from eldercart.core.scheduler_state import SchedulerState
+from eldercart.cluster.inventory import Machine, MachineState
+from eldercart.scheduling.cluster_state import SchedulerState
 from eldercart.units import NEVER, MachineId, Session, Steady
 from eldercart.wire import workers
 
--- a/src/eldercart/core/silence.py
+++ b/src/eldercart/cluster/failure_detector.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from eldercart.core.fleet import Machine, MachineState
-from eldercart.core.scheduler_state import SchedulerState
+from eldercart.cluster.inventory import Machine, MachineState
+from eldercart.scheduling.cluster_state import SchedulerState
 from eldercart.units import NO_REPORT, MachineId, NodeId, ReportOrder, Steady
 
 PROBE_FROM = 0.7  # of the patience, after which a silent machine is asked directly
--- a/src/eldercart/core/health.py
+++ b/src/eldercart/cluster/health.py
@@ -7,8 +7,8 @@
 
 from statistics import median
 
-from eldercart.core.fleet import Machine, Pace
-from eldercart.core.jobs import Job, Placement
+from eldercart.cluster.inventory import Machine, Pace
+from eldercart.jobs.registry import Job, Placement
 from eldercart.units import Steady
 
 SLOW_FACTOR = 1.8  # mean run time against the jobs' own medians
--- a/src/eldercart/core/reports.py
+++ b/src/eldercart/cluster/heartbeats.py
@@ -2,11 +2,11 @@
 
 import logging
 
-from eldercart.core.cloudwork import unknown_type
-from eldercart.core.fleet import EPS, Machine, MachineState
-from eldercart.core.planner import Planner
-from eldercart.core.reconciliation import Reconciler
-from eldercart.core.scheduler_state import SchedulerState
+from eldercart.autoscaling.cloud_requests import unknown_type
+from eldercart.cluster.inventory import EPS, Machine, MachineState
+from eldercart.cluster.reconciliation import Reconciler
+from eldercart.scheduling.cluster_state import SchedulerState
+from eldercart.scheduling.planner import Planner
 from eldercart.units import MachineId, NodeId, Steady
 from eldercart.wire import workers
 
--- a/src/eldercart/core/fleet.py
+++ b/src/eldercart/cluster/inventory.py
@@ -8,7 +8,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from eldercart.core.jobs import Phase, Placement
+from eldercart.jobs.registry import Phase, Placement
 from eldercart.units import (
     CLOCK_ZERO,
     NEVER,
--- a/src/eldercart/core/machines.py
+++ b/src/eldercart/cluster/machine_monitor.py
@@ -2,12 +2,12 @@
 
 import logging
 
-from eldercart.core import placement as rules
-from eldercart.core.fleet import EPS, Machine, MachineState, is_being_cancelled
-from eldercart.core.jobs import Phase, Placement
-from eldercart.core.pacing import PacedWork
-from eldercart.core.scheduler_state import SchedulerState
-from eldercart.core.silence import Silence
+from eldercart.cluster.failure_detector import Silence
+from eldercart.cluster.inventory import EPS, Machine, MachineState, is_being_cancelled
+from eldercart.jobs.registry import Phase, Placement
+from eldercart.scheduling import feasibility
+from eldercart.scheduling.cluster_state import SchedulerState
+from eldercart.scheduling.pacing import PacedWork
 from eldercart.units import Steady
 
 log = logging.getLogger("eldercart.controller")
@@ -123,9 +123,13 @@
         """Whether a task that waits would have room there. Where nothing can be rented, a long
         task on a machine in quarantine would keep that from it for as long as it runs."""
         return any(
-            rules.allowed(job.spec, machine)
-            and rules.fits(job.spec, machine.free_cpus, machine.free_gpus, machine.free_memory)
-            and rules.team_room(job.spec, self._scheduler.fleet, self._scheduler.settings.teams)
+            feasibility.allowed(job.spec, machine)
+            and feasibility.fits(
+                job.spec, machine.free_cpus, machine.free_gpus, machine.free_memory
+            )
+            and feasibility.team_room(
+                job.spec, self._scheduler.fleet, self._scheduler.settings.teams
+            )
             for job in self._scheduler.jobs.jobs.values()
             if (job.pending or job.queued) and job.open
         )
--- a/src/eldercart/core/reconciliation.py
+++ b/src/eldercart/cluster/reconciliation.py
@@ -4,11 +4,11 @@
 import logging
 from dataclasses import dataclass, field
 
-from eldercart.core import placement as rules
-from eldercart.core.fleet import EPS, Machine, MachineState
-from eldercart.core.jobs import Job, Phase, Placement
-from eldercart.core.planner import Planner
-from eldercart.core.scheduler_state import SchedulerState
+from eldercart.cluster.inventory import EPS, Machine, MachineState
+from eldercart.jobs.registry import Job, Phase, Placement
+from eldercart.scheduling import feasibility
+from eldercart.scheduling.cluster_state import SchedulerState
+from eldercart.scheduling.planner import Planner
 from eldercart.units import Steady
 from eldercart.wire import workers
 from eldercart.wire.workers import ExitCause, TaskState
@@ -223,7 +223,7 @@
             return True
         # Written ahead by an earlier leader, which would have counted it when it was launched:
         # this one has counted all of them, and together they may be more than the team may use.
-        return rules.over_limit(
+        return feasibility.over_limit(
             placement.job.spec, self._scheduler.fleet, self._scheduler.settings.teams
         )
 
@@ -247,11 +247,14 @@
             if placement.phase is not Phase.WANTED or placement.key in machine.placed:
                 continue
             spec = placement.job.spec
-            if rules.fits(spec, machine.free_cpus, machine.free_gpus, machine.free_memory) < 1:
+            if (
+                feasibility.fits(spec, machine.free_cpus, machine.free_gpus, machine.free_memory)
+                < 1
+            ):
                 return
             if not self._fits_beside_waiting(machine, placement.job):
                 continue
-            if rules.team_room(spec, self._scheduler.fleet, teams) < 1:
+            if feasibility.team_room(spec, self._scheduler.fleet, teams) < 1:
                 continue
             self._launch(machine, placement, found, now)
 
@@ -262,12 +265,12 @@
         cpus, gpus, memory = machine.free_cpus, machine.free_gpus, machine.free_memory
         for above in self._planner.waiting:
             spec = above.spec
-            if above.priority > job.priority and rules.allowed(spec, machine):
-                number = rules.fits(spec, cpus, gpus, memory)
+            if above.priority > job.priority and feasibility.allowed(spec, machine):
+                number = feasibility.fits(spec, cpus, gpus, memory)
                 cpus -= number * spec.cpus
                 gpus -= number * spec.gpus
                 memory -= number * spec.memory_gb
-        return rules.fits(job.spec, cpus, gpus, memory) >= 1
+        return feasibility.fits(job.spec, cpus, gpus, memory) >= 1
 
     def _launch(self, machine: Machine, placement: Placement, found: Findings, now: Steady) -> None:
         scheduler = self._scheduler
--- a/src/eldercart/core/graph.py
+++ b/src/eldercart/jobs/dependency_graph.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from eldercart.core.jobs import Job, JobRegistry
+from eldercart.jobs.registry import Job, JobRegistry
 from eldercart.units import FOREVER, JobId, Steady
 from eldercart.wire.users import CANCELLED
 
--- /dev/null
+++ b/src/eldercart/persistence/__init__.py
@@ -0,0 +1,1 @@
+"""What the leader writes to the state store and reads back."""
--- a/src/eldercart/core/memory.py
+++ b/src/eldercart/persistence/learned_state.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from eldercart.core.scheduler_state import SchedulerState
+from eldercart.scheduling.cluster_state import SchedulerState
 from eldercart.units import MachineId
 from eldercart.wire.state import TXN_BYTES, Put
 
--- a/src/eldercart/core/placement_records.py
+++ b/src/eldercart/persistence/placement_records.py
@@ -19,7 +19,7 @@
 
 import orjson
 
-from eldercart.core.jobs import PLACE, Chunk, Job, JobRegistry, Placement
+from eldercart.jobs.registry import PLACE, Chunk, Job, JobRegistry, Placement
 from eldercart.units import ABSENT, Attempt, Epoch, JobId, Revision, Steady
 from eldercart.wire import Malformed
 from eldercart.wire.state import Item
--- a/src/eldercart/core/records.py
+++ b/src/eldercart/persistence/transaction_writer.py
@@ -5,7 +5,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from eldercart.core.jobs import (
+from eldercart.election.state_machine import LEAD_KEY
+from eldercart.jobs.registry import (
     CLEANUP,
     END,
     JOB,
@@ -17,9 +18,8 @@
     dependency_list_keys,
     end_of,
 )
-from eldercart.core.placement_records import PlacementRecord, PlacementRecords
-from eldercart.core.scheduler_state import FinishedJob, SchedulerState
-from eldercart.election import LEAD_KEY
+from eldercart.persistence.placement_records import PlacementRecord, PlacementRecords
+from eldercart.scheduling.cluster_state import FinishedJob, SchedulerState
 from eldercart.units import ABSENT, NEVER, JobId, Revision, Steady
 from eldercart.wire import users
 from eldercart.wire.state import TXN_BYTES, Drop, Item, Put, Txn
--- /dev/null
+++ b/src/eldercart/prediction/__init__.py
@@ -0,0 +1,1 @@
+"""Predicted jobs and the soft reservations made for them."""
--- a/src/eldercart/core/chain_prediction.py
+++ b/src/eldercart/prediction/chain_predictor.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field
 from itertools import count
 
-from eldercart.core.bookings import ChainNumber, Path, Pipeline
-from eldercart.core.jobs import Job
+from eldercart.jobs.registry import Job
+from eldercart.prediction.soft_reservations import ChainNumber, Path, Pipeline
 from eldercart.settings import Tuning
 from eldercart.units import CLOCK_ZERO, JobId, Steady
 from eldercart.wire.users import CANCELLED, DONE
--- a/src/eldercart/core/prediction.py
+++ b/src/eldercart/prediction/predictor.py
@@ -12,9 +12,16 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from eldercart.core.bookings import Booking, BookingBook, Origin, Path, Pipeline, Tally
-from eldercart.core.chain_prediction import ChainPredictor, Prediction
-from eldercart.core.jobs import Job
+from eldercart.jobs.registry import Job
+from eldercart.prediction.chain_predictor import ChainPredictor, Prediction
+from eldercart.prediction.soft_reservations import (
+    Booking,
+    BookingBook,
+    Origin,
+    Path,
+    Pipeline,
+    Tally,
+)
 from eldercart.settings import Tuning
 from eldercart.units import JobId, Steady
 from eldercart.wire.users import CANCELLED, DONE
--- /dev/null
+++ b/src/eldercart/scheduling/__init__.py
@@ -0,0 +1,1 @@
+"""The leader's state machine and its planning of placements."""
--- a/src/eldercart/core/scheduler_state.py
+++ b/src/eldercart/scheduling/cluster_state.py
@@ -7,13 +7,13 @@
 import logging
 from typing import NamedTuple
 
-from eldercart.core.fleet import Fleet, Machine, MachineState
-from eldercart.core.graph import DependencyGraph, Effect
-from eldercart.core.health import Health, Responsiveness
-from eldercart.core.jobs import Job, JobRegistry, Phase, Placement
-from eldercart.core.placement import Promises
-from eldercart.core.prediction import Predictor
-from eldercart.core.rental import Rental
+from eldercart.autoscaling.autoscaler import Rental
+from eldercart.cluster.health import Health, Responsiveness
+from eldercart.cluster.inventory import Fleet, Machine, MachineState
+from eldercart.jobs.dependency_graph import DependencyGraph, Effect
+from eldercart.jobs.registry import Job, JobRegistry, Phase, Placement
+from eldercart.prediction.predictor import Predictor
+from eldercart.scheduling.feasibility import Promises
 from eldercart.settings import NodeSettings, Tuning
 from eldercart.units import FOREVER, Epoch, JobId, MachineId, NodeId, Steady
 from eldercart.wire.cloud import MachineType
--- a/src/eldercart/core/placement.py
+++ b/src/eldercart/scheduling/feasibility.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from eldercart.core.fleet import EPS, Fleet, Machine
-from eldercart.core.jobs import Job, Phase, Placement
+from eldercart.cluster.inventory import EPS, Fleet, Machine
+from eldercart.jobs.registry import Job, Phase, Placement
 from eldercart.settings.platform import Team
 from eldercart.units import FOREVER, MachineId, Steady
 from eldercart.wire.cloud import MachineType
--- a/src/eldercart/core/planner.py
+++ b/src/eldercart/scheduling/planner.py
@@ -9,11 +9,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from eldercart.core import placement as rules
-from eldercart.core.fleet import EPS, Machine
-from eldercart.core.jobs import Job, Placement
-from eldercart.core.pacing import RememberedCost
-from eldercart.core.scheduler_state import SchedulerState
+from eldercart.cluster.inventory import EPS, Machine
+from eldercart.jobs.registry import Job, Placement
+from eldercart.scheduling import feasibility
+from eldercart.scheduling.cluster_state import SchedulerState
+from eldercart.scheduling.pacing import RememberedCost
 from eldercart.units import NEVER, JobId, MachineId, Steady
 from eldercart.wire.users import JobSpec
 
@@ -84,7 +84,7 @@
                 return ordinary
             return usable - sum(cpus for above, cpus in used.items() if above > priority)
 
-        ordered = rules.order_jobs(
+        ordered = feasibility.order_jobs(
             waiting, scheduler.fleet, scheduler.settings.teams, scheduler.promises, capacity,
             scheduler.predictor.run_s, scheduler.predictor.longest_s, now,
         )  # fmt: skip
@@ -193,7 +193,7 @@
             if cap is None and (job.pending or job.queued):
                 self.planner.waiting.append(job)
             left = min(
-                job.pending, rules.team_room(spec, scheduler.fleet, scheduler.settings.teams)
+                job.pending, feasibility.team_room(spec, scheduler.fleet, scheduler.settings.teams)
             )
             if cap is not None:
                 left = min(left, cap - job.queued)
@@ -216,7 +216,7 @@
             for job, cap in self.jobs
             if cap is None
             if (job.pending or job.queued) and max(job.ready_at, job.served) <= before
-            if rules.team_room(job.spec, scheduler.fleet, scheduler.settings.teams) > 0
+            if feasibility.team_room(job.spec, scheduler.fleet, scheduler.settings.teams) > 0
         ]
         if not late:
             return
@@ -249,13 +249,13 @@
         scheduler, now, spec = self.scheduler, self.now, job.spec
         wanted = job.pending + job.queued if cap is None else min(cap, job.pending + job.queued)
         machines = [m for m in self.open if m.spot] if no_ordinary else self.open
-        choices = rules.choose(
+        choices = feasibility.choose(
             job, wanted, machines, scheduler.fleet, scheduler.settings.teams, now
         )
         self._take_back(job, sum(c.number for c in choices) - job.pending)
         if not choices:
             plain = not (spec.together or spec.spread or job.bad_machines)
-            if plain and rules.team_room(spec, scheduler.fleet, scheduler.settings.teams) > 0:
+            if plain and feasibility.team_room(spec, scheduler.fleet, scheduler.settings.teams) > 0:
                 # Of those that ordinary machines are kept from, it tells nothing of the others.
                 self._full.add((*shape, True) if no_ordinary else shape)
             return
@@ -308,7 +308,7 @@
             if (
                 room + EPS >= spec.cpus
                 and not job.avoids(m.id, self.now)
-                and rules.allowed(spec, m)
+                and feasibility.allowed(spec, m)
             ):
                 cached = spec.image in m.images
                 candidates.append(
@@ -363,8 +363,8 @@
         for m in leaving:
             if claimed >= left:
                 break
-            if rules.allowed(job.spec, m) and not job.avoids(m.id, self.now):
-                number = min(rules.room_soon(job.spec, m), left - claimed)
+            if feasibility.allowed(job.spec, m) and not job.avoids(m.id, self.now):
+                number = min(feasibility.room_soon(job.spec, m), left - claimed)
                 if number > 0:
                     self._enqueue(job, m, number)
                     claimed += number
@@ -380,7 +380,7 @@
             m = self.machines[(start + i) % number]
             if not _runs_below(m.by_priority, job):
                 continue
-            if not rules.allowed(job.spec, m) or job.avoids(m.id, self.now):
+            if not feasibility.allowed(job.spec, m) or job.avoids(m.id, self.now):
                 continue
             self._add_offer(offers, job, m)
             looked += 1
@@ -389,7 +389,7 @@
         return offers
 
     def _add_offer(self, offers: list[_Offer], job: Job, m: Machine) -> None:
-        offer = rules.cheapest_victims(job, m, self.now)
+        offer = feasibility.cheapest_victims(job, m, self.now)
         if offer is not None:
             heapq.heappush(offers, (offer[0], m.id, m, offer[1]))
 
--- a/src/eldercart/core/controller.py
+++ b/src/eldercart/scheduling/scheduler.py
@@ -14,9 +14,7 @@
 from enum import Enum
 from itertools import islice
 
-from eldercart.core import memory
-from eldercart.core import placement as rules
-from eldercart.core.cloudwork import (
+from eldercart.autoscaling.cloud_requests import (
     CloudCall,
     CloudWork,
     Delete,
@@ -25,9 +23,13 @@
     Rent,
     unknown_type,
 )
-from eldercart.core.direct_orders import DirectOrders, Order
-from eldercart.core.fleet import MachineState
-from eldercart.core.jobs import (
+from eldercart.cluster.direct_kills import DirectOrders, Order
+from eldercart.cluster.failure_detector import Probe, Silence
+from eldercart.cluster.heartbeats import Reports
+from eldercart.cluster.inventory import MachineState
+from eldercart.cluster.machine_monitor import MachineWatch
+from eldercart.election.state_machine import LEAD_KEY
+from eldercart.jobs.registry import (
     CLEANUP,
     JOB,
     Job,
@@ -37,15 +39,13 @@
     list_read_at,
     parse_job_record,
 )
-from eldercart.core.machines import MachineWatch
-from eldercart.core.pacing import PacedWork
-from eldercart.core.planner import Planner
-from eldercart.core.records import Outcome, PendingTxn, Records
-from eldercart.core.reports import Reports
-from eldercart.core.scheduler_state import FinishedJob, SchedulerState
-from eldercart.core.silence import Probe, Silence
-from eldercart.core.summary import log_summary
-from eldercart.election import LEAD_KEY
+from eldercart.persistence import learned_state
+from eldercart.persistence.transaction_writer import Outcome, PendingTxn, Records
+from eldercart.scheduling import feasibility
+from eldercart.scheduling.cluster_state import FinishedJob, SchedulerState
+from eldercart.scheduling.pacing import PacedWork
+from eldercart.scheduling.planner import Planner
+from eldercart.scheduling.summary import log_summary
 from eldercart.settings import NodeSettings, Tuning
 from eldercart.units import (
     ONLY_INCARNATION,
@@ -119,7 +119,7 @@
         self._renting = PacedWork(RENTAL_PACE_S)
         self._summary_due = now
         self._memory_due = Steady(now + tuning.memo_s)
-        self._memory_next = 0  # of the records of memory, the one whose turn it is
+        self._memory_next = 0  # of the records of learned_state, the one whose turn it is
         self._markers: dict[JobId, Item] = {}  # of ended jobs whose records are not read yet
 
     # ------------------------------------------------------------------ take-over
@@ -137,7 +137,7 @@
         `incomplete_jobs`: job records whose dependency lists are not read yet; `learn_job` takes
         them later."""
         for item in memory_items:
-            memory.recall(self.scheduler, item.key, item.value)
+            learned_state.recall(self.scheduler, item.key, item.value)
         job_items = list(job_items)
         for item in job_items:
             self.learn_job(item, now)
@@ -193,7 +193,7 @@
                 m = self.fleet.add(
                     p.machine,
                     unknown_type("?"),
-                    rules.UNKNOWN_ZONE,
+                    feasibility.UNKNOWN_ZONE,
                     True,
                     MachineState.UP,
                     now,
@@ -370,10 +370,10 @@
         self._memory_due = Steady(now + self.tuning.memo_s)
         txn = Txn({LEAD_KEY: Revision(self.epoch)})
         # There may be more of them than a transaction takes: then they take turns.
-        records = memory.memory_records(self.scheduler)
+        records = learned_state.memory_records(self.scheduler)
         most = self.settings.txn_ops
         most = most if most_changes is None else min(most, most_changes)
-        puts = memory.next_puts(records, self._memory_next, most)
+        puts = learned_state.next_puts(records, self._memory_next, most)
         self._memory_next = (self._memory_next + len(puts)) % len(records)
         txn.writes += puts
         return txn
--- a/src/eldercart/core/summary.py
+++ b/src/eldercart/scheduling/summary.py
@@ -4,9 +4,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from eldercart.core.fleet import Machine, MachineState
-from eldercart.core.jobs import Job, Phase
-from eldercart.core.scheduler_state import SchedulerState
+from eldercart.cluster.inventory import Machine, MachineState
+from eldercart.jobs.registry import Job, Phase
+from eldercart.scheduling.cluster_state import SchedulerState
 
 log = logging.getLogger("eldercart.controller")
 
--- a/src/eldercart/net/node.py
+++ b/src/eldercart/server/controller_node.py
@@ -9,17 +9,17 @@
 import orjson
 from twisted.internet import reactor as _reactor
 
-from eldercart.election import Election
-from eldercart.net import links
-from eldercart.net.catalog import CATALOG_KEY
-from eldercart.net.election_service import ElectionService
-from eldercart.net.ending import Ending
-from eldercart.net.leader_service import LeaderService
-from eldercart.net.meters import Meters
-from eldercart.net.relay_service import RelayService
-from eldercart.net.server import JsonFactory, JsonRequest, listen
-from eldercart.net.store import Store
-from eldercart.net.user_service import UserService
+from eldercart.election.state_machine import Election
+from eldercart.server.graceful_shutdown import Ending
+from eldercart.server.http.server import JsonFactory, JsonRequest, listen
+from eldercart.server.leadership.catalog_record import CATALOG_KEY
+from eldercart.server.leadership.election_service import ElectionService
+from eldercart.server.leadership.leader_service import LeaderService
+from eldercart.server.metrics import Meters
+from eldercart.server.peers import connections
+from eldercart.server.peers.relay_service import RelayService
+from eldercart.server.store.client import Store
+from eldercart.server.users.user_service import UserService
 from eldercart.settings import NodeSettings, Tuning
 from eldercart.units import NEVER, Epoch, IncarnationId, Steady
 from eldercart.wire import Malformed, cloud, peers
@@ -27,7 +27,7 @@
 from eldercart.wire.state import Item
 
 if TYPE_CHECKING:
-    from eldercart.net.duty_service import DutyService
+    from eldercart.server.singleton.lease_service import DutyService
     from eldercart.settings.features import Features
 
 reactor: Any = _reactor
@@ -60,7 +60,7 @@
     """Imported only where it is switched on: a node without duties starts as ever."""
     if features is None or features.duties is None:
         return None
-    from eldercart.net.duty_service import DutyService
+    from eldercart.server.singleton.lease_service import DutyService
 
     return DutyService(node, features.duties)
 
@@ -102,7 +102,7 @@
     def start(self) -> None:
         """Listens for users, workers and peers, and begins to tick."""
         self._port = listen(self.settings.front, self._requests)
-        links.listen(self.settings.mesh, self.relay_service.exchange)
+        connections.listen(self.settings.mesh, self.relay_service.exchange)
         log.info(
             "started label=%s zone=%s incarnation=%s",
             self.settings.label,
--- a/src/eldercart/net/ending.py
+++ b/src/eldercart/server/graceful_shutdown.py
@@ -7,14 +7,14 @@
 
 from twisted.internet import reactor as _reactor
 
-from eldercart.election import Role
-from eldercart.net.replies import SOON_S, refuse_for_now
-from eldercart.net.server import JsonRequest
+from eldercart.election.state_machine import Role
+from eldercart.server.http.replies import SOON_S, refuse_for_now
+from eldercart.server.http.server import JsonRequest
 from eldercart.units import Steady
 from eldercart.wire import workers
 
 if TYPE_CHECKING:
-    from eldercart.net.node import Node
+    from eldercart.server.controller_node import Node
 
 reactor: Any = _reactor
 log = logging.getLogger("eldercart.node")
--- a/src/eldercart/net/replies.py
+++ b/src/eldercart/server/http/replies.py
@@ -1,6 +1,6 @@
 """Refusals to users that all handlers of the front share."""
 
-from eldercart.net.server import JsonRequest
+from eldercart.server.http.server import JsonRequest
 from eldercart.wire import users
 
 RETRY_S = 2  # a change of leader or a short outage is over by then, often
--- a/src/eldercart/net/server.py
+++ b/src/eldercart/server/http/server.py
@@ -10,7 +10,7 @@
 from twisted.web import http
 from twisted.web.http import RESPONSES
 
-from eldercart.net.immediate_write import ImmediateWriteServer
+from eldercart.server.http.immediate_write import ImmediateWriteServer
 from eldercart.settings.platform import Endpoint
 from eldercart.wire.checks import MAX_BODY
 from eldercart.wire.users import error_body
--- a/src/eldercart/net/catalog.py
+++ b/src/eldercart/server/leadership/catalog_record.py
@@ -3,18 +3,18 @@
 import logging
 from typing import TYPE_CHECKING, NamedTuple
 
-from eldercart.core.controller import Controller
-from eldercart.core.memory import FILL
-from eldercart.election import LEAD_KEY
-from eldercart.net.serving import serves
-from eldercart.net.store import FOR_PLACING
+from eldercart.election.state_machine import LEAD_KEY
+from eldercart.persistence.learned_state import FILL
+from eldercart.scheduling.scheduler import Controller
+from eldercart.server.leadership.current_leadership import serves
+from eldercart.server.store.client import FOR_PLACING
 from eldercart.units import NEVER, Revision, Steady
 from eldercart.wire import cloud
 from eldercart.wire.cloud import MachineType
 from eldercart.wire.state import Put, Txn
 
 if TYPE_CHECKING:
-    from eldercart.net.node import Node
+    from eldercart.server.controller_node import Node
 
 log = logging.getLogger("eldercart.node")
 
--- a/src/eldercart/net/cloud_calls.py
+++ b/src/eldercart/server/leadership/cloud_requests.py
@@ -3,15 +3,15 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from eldercart.core.controller import CloudCall, Controller, Delete, GetCatalog, ListPage, Rent
-from eldercart.net.buckets import Bucket
-from eldercart.net.client import HttpClient
-from eldercart.net.serving import serves
+from eldercart.scheduling.scheduler import CloudCall, Controller, Delete, GetCatalog, ListPage, Rent
+from eldercart.server.http.client import HttpClient
+from eldercart.server.leadership.current_leadership import serves
+from eldercart.server.store.token_bucket import Bucket
 from eldercart.units import Steady
 from eldercart.wire import cloud
 
 if TYPE_CHECKING:
-    from eldercart.net.node import Node
+    from eldercart.server.controller_node import Node
 
 Answered = Callable[[int | None, bytes], None]
 
--- a/src/eldercart/net/serving.py
+++ b/src/eldercart/server/leadership/current_leadership.py
@@ -2,10 +2,10 @@
 
 from typing import TYPE_CHECKING
 
-from eldercart.core.controller import Controller
+from eldercart.scheduling.scheduler import Controller
 
 if TYPE_CHECKING:
-    from eldercart.net.node import Node
+    from eldercart.server.controller_node import Node
 
 
 def serves(node: "Node", controller: Controller) -> bool:
--- a/src/eldercart/net/election_service.py
+++ b/src/eldercart/server/leadership/election_service.py
@@ -5,7 +5,7 @@
 
 from twisted.internet import reactor as _reactor
 
-from eldercart.election import (
+from eldercart.election.state_machine import (
     LEAD_KEY,
     Action,
     Claim,
@@ -19,7 +19,7 @@
 from eldercart.wire.state import Item
 
 if TYPE_CHECKING:
-    from eldercart.net.node import Node
+    from eldercart.server.controller_node import Node
 
 reactor: Any = _reactor
 log = logging.getLogger("eldercart.node")
--- a/src/eldercart/net/takeover.py
+++ b/src/eldercart/server/leadership/failover.py
@@ -6,11 +6,11 @@
 
 from twisted.internet import reactor as _reactor
 
-from eldercart.core.jobs import CLEANUP, DEPENDENCY_LISTS, JOB, PLACE
-from eldercart.core.memory import MEMORY
-from eldercart.net.catalog import CATALOG_KEY
-from eldercart.net.job_records import refers_to_list
-from eldercart.net.store import Store
+from eldercart.jobs.registry import CLEANUP, DEPENDENCY_LISTS, JOB, PLACE
+from eldercart.persistence.learned_state import MEMORY
+from eldercart.server.leadership.catalog_record import CATALOG_KEY
+from eldercart.server.leadership.job_record_watch import refers_to_list
+from eldercart.server.store.client import Store
 from eldercart.units import ABSENT, Revision
 from eldercart.wire.state import Item
 
--- a/src/eldercart/net/job_records.py
+++ b/src/eldercart/server/leadership/job_record_watch.py
@@ -6,21 +6,21 @@
 
 from twisted.internet import reactor as _reactor
 
-from eldercart.core.controller import Controller
-from eldercart.core.jobs import (
+from eldercart.jobs.registry import (
     DEPENDENCY_LISTS,
     JOB,
     dependency_list_prefix,
     list_reference,
     resolve,
 )
-from eldercart.net.serving import serves
+from eldercart.scheduling.scheduler import Controller
+from eldercart.server.leadership.current_leadership import serves
 from eldercart.units import JobId, Revision
 from eldercart.wire import Malformed
 from eldercart.wire.state import Item
 
 if TYPE_CHECKING:
-    from eldercart.net.node import Node
+    from eldercart.server.controller_node import Node
 
 reactor: Any = _reactor
 log = logging.getLogger("eldercart.node")
--- a/src/eldercart/net/leader_service.py
+++ b/src/eldercart/server/leadership/leader_service.py
@@ -6,21 +6,21 @@
 import time
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from eldercart.core.controller import Controller
-from eldercart.election import Role
-from eldercart.net.catalog import CatalogRecord
-from eldercart.net.cloud_calls import CloudCalls
-from eldercart.net.coalescing import CoalescedCall
-from eldercart.net.job_records import JobRecords, resolve_all
-from eldercart.net.store_work import StoreWork
-from eldercart.net.takeover import StoredRecords, TakeOver
-from eldercart.net.user_answers import UserAnswers
-from eldercart.net.worker_calls import WorkerCalls
+from eldercart.election.state_machine import Role
+from eldercart.scheduling.scheduler import Controller
+from eldercart.server.coalescing import CoalescedCall
+from eldercart.server.leadership.catalog_record import CatalogRecord
+from eldercart.server.leadership.cloud_requests import CloudCalls
+from eldercart.server.leadership.failover import StoredRecords, TakeOver
+from eldercart.server.leadership.job_record_watch import JobRecords, resolve_all
+from eldercart.server.leadership.state_store_requests import StoreWork
+from eldercart.server.leadership.user_answers import UserAnswers
+from eldercart.server.leadership.worker_requests import WorkerCalls
 from eldercart.units import Epoch, HeardReports, MachineId, NodeId, Steady, WallTime
 from eldercart.wire import Malformed, peers, workers
 
 if TYPE_CHECKING:
-    from eldercart.net.node import Node
+    from eldercart.server.controller_node import Node
 
 log = logging.getLogger("eldercart.node")
 
--- a/src/eldercart/net/store_work.py
+++ b/src/eldercart/server/leadership/state_store_requests.py
@@ -3,15 +3,15 @@
 import logging
 from typing import TYPE_CHECKING
 
-from eldercart.core.controller import Controller, Outcome, PendingTxn
-from eldercart.core.jobs import END, end_of
-from eldercart.net.serving import serves
-from eldercart.net.store import FOR_ENDS, FOR_MEMORY, FOR_PLACING, FOR_POLLS
+from eldercart.jobs.registry import END, end_of
+from eldercart.scheduling.scheduler import Controller, Outcome, PendingTxn
+from eldercart.server.leadership.current_leadership import serves
+from eldercart.server.store.client import FOR_ENDS, FOR_MEMORY, FOR_PLACING, FOR_POLLS
 from eldercart.units import JobId, Revision, Steady
 from eldercart.wire.state import Item
 
 if TYPE_CHECKING:
-    from eldercart.net.node import Node
+    from eldercart.server.controller_node import Node
 
 log = logging.getLogger("eldercart.node")
 
--- a/src/eldercart/net/user_answers.py
+++ b/src/eldercart/server/leadership/user_answers.py
@@ -5,12 +5,12 @@
 
 from twisted.internet import reactor as _reactor
 
-from eldercart.core.controller import JobStatus, Verdict
+from eldercart.scheduling.scheduler import JobStatus, Verdict
 from eldercart.units import JobId
 from eldercart.wire import peers, users
 
 if TYPE_CHECKING:
-    from eldercart.net.node import Node
+    from eldercart.server.controller_node import Node
 
 reactor: Any = _reactor
 
--- a/src/eldercart/net/worker_calls.py
+++ b/src/eldercart/server/leadership/worker_requests.py
@@ -4,15 +4,15 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from eldercart.core.controller import Controller, Order
-from eldercart.net.client import WorkerClient
-from eldercart.net.serving import serves
+from eldercart.scheduling.scheduler import Controller, Order
+from eldercart.server.http.client import WorkerClient
+from eldercart.server.leadership.current_leadership import serves
 from eldercart.units import MachineId, Steady
 from eldercart.wire import Malformed, workers
 from eldercart.wire.checks import load_object
 
 if TYPE_CHECKING:
-    from eldercart.net.node import Node
+    from eldercart.server.controller_node import Node
 
 log = logging.getLogger("eldercart.node")
 
--- a/src/eldercart/net/links.py
+++ b/src/eldercart/server/peers/connections.py
@@ -8,7 +8,7 @@
 from twisted.internet import reactor as _reactor
 from twisted.protocols.basic import Int32StringReceiver
 
-from eldercart.net.immediate_write import ImmediateWriteServer, flush
+from eldercart.server.http.immediate_write import ImmediateWriteServer, flush
 from eldercart.settings.platform import Endpoint
 from eldercart.units import NEVER, NodeId, Steady
 from eldercart.wire import Malformed, peers
--- a/src/eldercart/net/forwarding.py
+++ b/src/eldercart/server/peers/heartbeat_forwarding.py
@@ -6,16 +6,16 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from eldercart.core.relay import Answer, Forward, Redirect, Relay
-from eldercart.net.coalescing import CoalescedCall
-from eldercart.net.links import Link, link_up
-from eldercart.net.server import JsonRequest
+from eldercart.cluster.heartbeat_relay import Answer, Forward, Redirect, Relay
+from eldercart.server.coalescing import CoalescedCall
+from eldercart.server.http.server import JsonRequest
+from eldercart.server.peers.connections import Link, link_up
 from eldercart.units import Epoch, MachineId, NodeId, Steady
 from eldercart.wire import Malformed, peers, users, workers
 from eldercart.wire.checks import load_enclosed
 
 if TYPE_CHECKING:
-    from eldercart.net.node import Node
+    from eldercart.server.controller_node import Node
 
 log = logging.getLogger("eldercart.node")
 
--- a/src/eldercart/net/questions.py
+++ b/src/eldercart/server/peers/leader_client.py
@@ -4,13 +4,13 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from eldercart.net.coalescing import CoalescedCall
-from eldercart.net.links import Link, link_up
+from eldercart.server.coalescing import CoalescedCall
+from eldercart.server.peers.connections import Link, link_up
 from eldercart.units import JobId, NodeId, Steady
 from eldercart.wire import peers
 
 if TYPE_CHECKING:
-    from eldercart.net.node import Node
+    from eldercart.server.controller_node import Node
 
 FLUSH_S = 0.015  # in which polls gather to a batch
 POLL_S = 0.8  # for which the answer to a poll is waited for
--- a/src/eldercart/net/greetings.py
+++ b/src/eldercart/server/peers/peer_heartbeats.py
@@ -3,15 +3,15 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, NamedTuple
 
-from eldercart.core.relay import Relay, Share, contact, shares
-from eldercart.net.links import Channel, Link
+from eldercart.cluster.heartbeat_relay import Relay, Share, contact, shares
+from eldercart.server.peers.connections import Channel, Link
 from eldercart.units import NEVER, NodeId, Steady
 from eldercart.wire import peers
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from eldercart.net.node import Node
+    from eldercart.server.controller_node import Node
 
 # The leader is told whom this node answered; of the others it is enough to know that they live.
 GREET_LEADER_S, GREET_S = 0.5, 2.0
--- a/src/eldercart/net/relay_service.py
+++ b/src/eldercart/server/peers/relay_service.py
@@ -5,17 +5,17 @@
 from itertools import count
 from typing import TYPE_CHECKING, Any
 
-from eldercart.core.relay import Relay, spare_s
-from eldercart.net.forwarding import ReportForwarding
-from eldercart.net.greetings import Greetings
-from eldercart.net.links import Channel, Exchange, Link
-from eldercart.net.questions import Questions
+from eldercart.cluster.heartbeat_relay import Relay, spare_s
+from eldercart.server.peers.connections import Channel, Exchange, Link
+from eldercart.server.peers.heartbeat_forwarding import ReportForwarding
+from eldercart.server.peers.leader_client import Questions
+from eldercart.server.peers.peer_heartbeats import Greetings
 from eldercart.settings import NodeSettings, Tuning
 from eldercart.units import JobId, MachineId, NodeId, Steady
 from eldercart.wire import Malformed, peers
 
 if TYPE_CHECKING:
-    from eldercart.net.node import Node
+    from eldercart.server.controller_node import Node
 
 log = logging.getLogger("eldercart.node")
 
--- /dev/null
+++ b/src/eldercart/server/singleton/__init__.py
@@ -0,0 +1,1 @@
+"""The adapters of the named leases."""
--- a/src/eldercart/net/duty_catalog.py
+++ b/src/eldercart/server/singleton/catalog_refresh.py
@@ -5,20 +5,20 @@
 import logging
 from typing import TYPE_CHECKING
 
-from eldercart.core.memory import FILL
-from eldercart.net.catalog import CATALOG_KEY, shapes
-from eldercart.net.client import HttpClient
-from eldercart.net.cloud_calls import ANSWER_S, CONNECT_S
-from eldercart.net.store import FOR_PLACING
+from eldercart.persistence.learned_state import FILL
+from eldercart.server.http.client import HttpClient
+from eldercart.server.leadership.catalog_record import CATALOG_KEY, shapes
+from eldercart.server.leadership.cloud_requests import ANSWER_S, CONNECT_S
+from eldercart.server.store.client import FOR_PLACING
 from eldercart.units import NEVER, Revision, Steady, Token
 from eldercart.wire import Malformed, cloud
 from eldercart.wire.checks import load_answer
 from eldercart.wire.cloud import MachineType
-from eldercart.wire.duties import DutyName, holder_key
+from eldercart.wire.named_leases import DutyName, holder_key
 from eldercart.wire.state import Item, Put, Txn
 
 if TYPE_CHECKING:
-    from eldercart.net.duty_service import DutyService
+    from eldercart.server.singleton.lease_service import DutyService
 
 log = logging.getLogger("eldercart.duties")
 
--- a/src/eldercart/net/duty_calls.py
+++ b/src/eldercart/server/singleton/gated_cloud_requests.py
@@ -5,18 +5,18 @@
 import time
 from typing import TYPE_CHECKING
 
-from eldercart.core.cloudwork import Admission, Delete, Rent, no_capacity
-from eldercart.core.controller import CloudCall, Controller
-from eldercart.duties.gate import CloudGate, Path, Route, duty_of_call
-from eldercart.duties.intents import IntentWrite, WriteOutcome
-from eldercart.net.cloud_calls import Answered, CloudCalls
-from eldercart.net.store import FOR_ENDS
+from eldercart.autoscaling.cloud_requests import Admission, Delete, Rent, no_capacity
+from eldercart.scheduling.scheduler import CloudCall, Controller
+from eldercart.server.leadership.cloud_requests import Answered, CloudCalls
+from eldercart.server.store.client import FOR_ENDS
+from eldercart.singleton.intents import IntentWrite, WriteOutcome
+from eldercart.singleton.write_ahead_gate import CloudGate, Path, Route, duty_of_call
 from eldercart.units import Revision, Steady, WallTime
-from eldercart.wire.duties import DutyName, holder_key, intents_key
+from eldercart.wire.named_leases import DutyName, holder_key, intents_key
 from eldercart.wire.state import Item
 
 if TYPE_CHECKING:
-    from eldercart.net.duty_service import DutyService
+    from eldercart.server.singleton.lease_service import DutyService
 
 log = logging.getLogger("eldercart.duties")
 
--- a/src/eldercart/net/duty_service.py
+++ b/src/eldercart/server/singleton/lease_service.py
@@ -6,12 +6,18 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from eldercart.core.controller import Controller
-from eldercart.core.memory import FILL
-from eldercart.core.records import CleanupPermit
-from eldercart.core.rental import Offer, RentalRequest
-from eldercart.duties.gate import CloudGate, Path, Route
-from eldercart.duties.membership import (
+from eldercart.autoscaling.autoscaler import Offer, RentalRequest
+from eldercart.election.state_machine import OpenLease, RenewLease, Role
+from eldercart.persistence.learned_state import FILL
+from eldercart.persistence.transaction_writer import CleanupPermit
+from eldercart.scheduling.scheduler import Controller
+from eldercart.server.singleton.catalog_refresh import CatalogRefresh
+from eldercart.server.singleton.gated_cloud_requests import DutyCalls
+from eldercart.server.singleton.lease_watch import BoardReader
+from eldercart.server.singleton.operator_requests import FIRST_PART, DutyRequests
+from eldercart.settings.features import DutyFeatures, Maintenance
+from eldercart.singleton.holder_preference import AFFINITY, Affinity
+from eldercart.singleton.lease_candidate import (
     Acquire,
     DutyMembership,
     DutyState,
@@ -19,15 +25,9 @@
     Release,
     Situation,
 )
-from eldercart.duties.preference import AFFINITY, Affinity
-from eldercart.election import OpenLease, RenewLease, Role
-from eldercart.net.duty_board import BoardReader
-from eldercart.net.duty_calls import DutyCalls
-from eldercart.net.duty_catalog import CatalogRefresh
-from eldercart.net.duty_requests import FIRST_PART, DutyRequests
-from eldercart.settings.features import DutyFeatures, Maintenance
+from eldercart.singleton.write_ahead_gate import CloudGate, Path, Route
 from eldercart.units import NO_EPOCH, LeaseId, NodeId, Revision, Steady, WallTime
-from eldercart.wire.duties import (
+from eldercart.wire.named_leases import (
     INTENTS,
     DutyName,
     RentalIntent,
@@ -39,8 +39,8 @@
 from eldercart.wire.state import Item, Txn
 
 if TYPE_CHECKING:
-    from eldercart.duties.calendar import MaintenanceCalendar
-    from eldercart.net.node import Node
+    from eldercart.server.controller_node import Node
+    from eldercart.singleton.maintenance_calendar import MaintenanceCalendar
 
 log = logging.getLogger("eldercart.duties")
 
@@ -54,7 +54,7 @@
     """Imported only where there are windows: a small part of a core starts faster without."""
     if maintenance is None:
         return None
-    from eldercart.duties.calendar import MaintenanceCalendar
+    from eldercart.singleton.maintenance_calendar import MaintenanceCalendar
 
     return MaintenanceCalendar(maintenance)
 
--- a/src/eldercart/net/duty_board.py
+++ b/src/eldercart/server/singleton/lease_watch.py
@@ -6,10 +6,10 @@
 
 from twisted.internet import reactor as _reactor
 
-from eldercart.duties.board import DutyBoard
-from eldercart.net.store import Store
+from eldercart.server.store.client import Store
+from eldercart.singleton.lease_directory import DutyBoard
 from eldercart.units import Revision
-from eldercart.wire.duties import DUTIES
+from eldercart.wire.named_leases import DUTIES
 from eldercart.wire.state import Item
 
 reactor: Any = _reactor
--- a/src/eldercart/net/duty_requests.py
+++ b/src/eldercart/server/singleton/operator_requests.py
@@ -6,14 +6,14 @@
 
 import orjson
 
-from eldercart.duties.board import DutyBoard, DutyEntry
-from eldercart.duties.report import Surroundings, duty_report
-from eldercart.net.replies import RETRY_S, refuse, refuse_for_now
-from eldercart.net.server import JsonRequest
-from eldercart.net.store import FOR_POLLS
+from eldercart.server.http.replies import RETRY_S, refuse, refuse_for_now
+from eldercart.server.http.server import JsonRequest
+from eldercart.server.store.client import FOR_POLLS
+from eldercart.singleton.lease_directory import DutyBoard, DutyEntry
+from eldercart.singleton.status_report import Surroundings, duty_report
 from eldercart.units import ABSENT, NodeId, Revision, WallTime
 from eldercart.wire import Malformed
-from eldercart.wire.duties import (
+from eldercart.wire.named_leases import (
     DUTIES,
     INTENTS,
     DutyName,
@@ -34,7 +34,7 @@
 from eldercart.wire.state import Drop, Item, Put, Txn
 
 if TYPE_CHECKING:
-    from eldercart.net.duty_service import DutyService
+    from eldercart.server.singleton.lease_service import DutyService
 
 FIRST_PART = b"duties"  # of the path of all these requests
 READS = 2  # of the state service, for an answer
--- /dev/null
+++ b/src/eldercart/server/store/__init__.py
@@ -0,0 +1,1 @@
+"""Calls to the state store, within its rate limits."""
--- a/src/eldercart/net/store.py
+++ b/src/eldercart/server/store/client.py
@@ -4,9 +4,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from eldercart.net.buckets import Bucket
-from eldercart.net.client import Answer, HttpClient
-from eldercart.net.reduced_rates import ReducedRates
+from eldercart.server.http.client import Answer, HttpClient
+from eldercart.server.store.rate_limit_backoff import ReducedRates
+from eldercart.server.store.token_bucket import Bucket
 from eldercart.settings import NodeSettings
 from eldercart.units import NEVER, LeaseId, Revision, Steady
 from eldercart.wire import Malformed
--- /dev/null
+++ b/src/eldercart/server/users/__init__.py
@@ -0,0 +1,1 @@
+"""Users' requests: submissions, polls and cancellations."""
--- a/src/eldercart/net/acceptance_check.py
+++ b/src/eldercart/server/users/acceptance_check.py
@@ -5,15 +5,15 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from eldercart.core.jobs import END, JOB
-from eldercart.net.store import FOR_ACCEPTING
+from eldercart.jobs.registry import END, JOB
+from eldercart.server.store.client import FOR_ACCEPTING
 from eldercart.units import ABSENT, JobId, Revision
 from eldercart.wire import peers
 from eldercart.wire.state import Txn
 
 if TYPE_CHECKING:
-    from eldercart.net.dependencies import Dependencies
-    from eldercart.net.node import Node
+    from eldercart.server.controller_node import Node
+    from eldercart.server.users.dependencies import Dependencies
 
 REQUESTS_AT_ONCE = 4  # of one check
 # Requests of guards, beyond which ends are read by their prefix.
--- a/src/eldercart/net/ancestor_search.py
+++ b/src/eldercart/server/users/ancestor_search.py
@@ -5,16 +5,16 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from eldercart.core.jobs import END, JOB, end_of
-from eldercart.net.key_ranges import common_key
-from eldercart.net.store import FOR_POLLS
+from eldercart.jobs.registry import END, JOB, end_of
+from eldercart.server.store.client import FOR_POLLS
+from eldercart.server.store.key_ranges import common_key
 from eldercart.units import ABSENT, JobId, Revision
 from eldercart.wire import users
 from eldercart.wire.state import Item, Txn
 
 if TYPE_CHECKING:
-    from eldercart.net.dependencies import Dependencies
-    from eldercart.net.node import Node
+    from eldercart.server.controller_node import Node
+    from eldercart.server.users.dependencies import Dependencies
 
 # Requests of guards, beyond which ends are read by their prefix.
 MANY_REQUESTS = 2
--- a/src/eldercart/net/dependencies.py
+++ b/src/eldercart/server/users/dependencies.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING
 
-from eldercart.core.jobs import (
+from eldercart.jobs.registry import (
     END,
     JOB,
     dependency_list_parts,
@@ -19,18 +19,18 @@
     list_reference,
     resolve,
 )
-from eldercart.net.acceptance_check import AcceptanceCheck, Accepted
-from eldercart.net.ancestor_search import Ancestors, AncestorSearch
-from eldercart.net.dependency_list import DependencyList
-from eldercart.net.key_ranges import common_key
-from eldercart.net.recent import FinalStates, RecentFacts
+from eldercart.server.store.key_ranges import common_key
+from eldercart.server.users.acceptance_check import AcceptanceCheck, Accepted
+from eldercart.server.users.ancestor_search import Ancestors, AncestorSearch
+from eldercart.server.users.dependency_list import DependencyList
+from eldercart.server.users.recent_cache import FinalStates, RecentFacts
 from eldercart.units import JobId, Revision, Steady
 from eldercart.wire import Malformed, users
 from eldercart.wire.state import Item
 from eldercart.wire.users import JobSpec, ListReference
 
 if TYPE_CHECKING:
-    from eldercart.net.node import Node
+    from eldercart.server.controller_node import Node
 
 LISTS_KEPT = 64  # lists partly written that are kept for their users' next tries
 
--- a/src/eldercart/net/dependency_list.py
+++ b/src/eldercart/server/users/dependency_list.py
@@ -4,14 +4,14 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from eldercart.core.jobs import dependency_list_prefix
-from eldercart.net.store import FOR_ACCEPTING
+from eldercart.jobs.registry import dependency_list_prefix
+from eldercart.server.store.client import FOR_ACCEPTING
 from eldercart.units import ABSENT, JobId, Revision, Steady
 from eldercart.wire.state import TXN_BYTES, Put, Txn
 from eldercart.wire.users import JobSpec, ListReference
 
 if TYPE_CHECKING:
-    from eldercart.net.node import Node
+    from eldercart.server.controller_node import Node
 
 WRITE_ROOM = 60  # bytes that a guard and a put take beside key and names
 NONCE_BYTES = 6
--- a/src/eldercart/net/submissions.py
+++ b/src/eldercart/server/users/job_admission.py
@@ -6,15 +6,15 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from eldercart.core import placement as rules
-from eldercart.core.jobs import END, JOB, chunk_size, job_record
-from eldercart.net.acceptance_check import Accepted
-from eldercart.net.dependencies import Dependencies
-from eldercart.net.job_states import JobStates, StateHandlers
-from eldercart.net.recent import FinalStates
-from eldercart.net.replies import RETRY_S, SOON_S, refuse, refuse_for_now
-from eldercart.net.server import JsonRequest
-from eldercart.net.store import FOR_ACCEPTING
+from eldercart.jobs.registry import END, JOB, chunk_size, job_record
+from eldercart.scheduling import feasibility
+from eldercart.server.http.replies import RETRY_S, SOON_S, refuse, refuse_for_now
+from eldercart.server.http.server import JsonRequest
+from eldercart.server.store.client import FOR_ACCEPTING
+from eldercart.server.users.acceptance_check import Accepted
+from eldercart.server.users.dependencies import Dependencies
+from eldercart.server.users.job_states import JobStates, StateHandlers
+from eldercart.server.users.recent_cache import FinalStates
 from eldercart.units import ABSENT, JobId, Revision, Steady, WallTime
 from eldercart.wire import Malformed, users
 from eldercart.wire.checks import load_object
@@ -22,7 +22,7 @@
 from eldercart.wire.users import JobSpec, ListReference
 
 if TYPE_CHECKING:
-    from eldercart.net.node import Node
+    from eldercart.server.controller_node import Node
 
 log = logging.getLogger("eldercart.node")
 
@@ -84,7 +84,7 @@
             # A node that has just started; a job accepted by another one is known all the same.
             log.info("submission refused: machine types unknown")
             return Refusal(503, "machine types unknown")
-        why = rules.never_runs(spec, node.types, node.settings.teams)
+        why = feasibility.never_runs(spec, node.types, node.settings.teams)
         if why is not None:
             return Refusal(422, why)
         if spec.id in spec.dependencies:
--- a/src/eldercart/net/job_states.py
+++ b/src/eldercart/server/users/job_states.py
@@ -4,18 +4,18 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from eldercart.core.jobs import END, JOB, end_of
-from eldercart.net.ancestor_search import Ancestors
-from eldercart.net.dependencies import Dependencies
-from eldercart.net.recent import FinalStates
-from eldercart.net.replies import RETRY_S, SOON_S
-from eldercart.net.store import FOR_POLLS
+from eldercart.jobs.registry import END, JOB, end_of
+from eldercart.server.http.replies import RETRY_S, SOON_S
+from eldercart.server.store.client import FOR_POLLS
+from eldercart.server.users.ancestor_search import Ancestors
+from eldercart.server.users.dependencies import Dependencies
+from eldercart.server.users.recent_cache import FinalStates
 from eldercart.units import JobId
 from eldercart.wire import peers, users
 from eldercart.wire.state import Item
 
 if TYPE_CHECKING:
-    from eldercart.net.node import Node
+    from eldercart.server.controller_node import Node
 
 READ_TOKENS = 2  # a fresh read takes two requests
 
--- a/src/eldercart/net/user_service.py
+++ b/src/eldercart/server/users/user_service.py
@@ -3,17 +3,17 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from eldercart.net.dependencies import Dependencies
-from eldercart.net.job_states import JobStates, StateHandlers
-from eldercart.net.recent import FinalStates
-from eldercart.net.replies import RETRY_S, SOON_S, refuse, refuse_for_now
-from eldercart.net.server import JsonRequest
-from eldercart.net.submissions import Submissions
+from eldercart.server.http.replies import RETRY_S, SOON_S, refuse, refuse_for_now
+from eldercart.server.http.server import JsonRequest
+from eldercart.server.users.dependencies import Dependencies
+from eldercart.server.users.job_admission import Submissions
+from eldercart.server.users.job_states import JobStates, StateHandlers
+from eldercart.server.users.recent_cache import FinalStates
 from eldercart.units import JobId
 from eldercart.wire import peers, users
 
 if TYPE_CHECKING:
-    from eldercart.net.node import Node
+    from eldercart.server.controller_node import Node
 
 Handler = Callable[[JsonRequest], None]
 
--- a/src/eldercart/settings/features.py
+++ b/src/eldercart/settings/features.py
@@ -12,7 +12,7 @@
 import orjson
 
 from eldercart.settings.platform import BadSettings, read_json
-from eldercart.wire.duties import DutyName
+from eldercart.wire.named_leases import DutyName
 
 if TYPE_CHECKING:
     from zoneinfo import ZoneInfo
--- a/src/eldercart/duties/preference.py
+++ b/src/eldercart/singleton/holder_preference.py
@@ -3,9 +3,9 @@
 from collections.abc import Collection
 from enum import Enum
 
-from eldercart.duties.board import Snapshot
+from eldercart.singleton.lease_directory import Snapshot
 from eldercart.units import NodeId
-from eldercart.wire.duties import DutyName
+from eldercart.wire.named_leases import DutyName
 
 
 class Affinity(Enum):
--- a/src/eldercart/duties/intents.py
+++ b/src/eldercart/singleton/intents.py
@@ -15,10 +15,10 @@
 
 from pyrsistent import pmap
 
-from eldercart.election import LEAD_KEY
+from eldercart.election.state_machine import LEAD_KEY
 from eldercart.units import ABSENT, NEVER, Epoch, Revision, Steady, Token
 from eldercart.wire import Malformed
-from eldercart.wire.duties import (
+from eldercart.wire.named_leases import (
     RECORD_BYTES,
     DutyName,
     Intent,
--- a/src/eldercart/duties/membership.py
+++ b/src/eldercart/singleton/lease_candidate.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from eldercart.duties.board import DutyBoard, DutyEntry
-from eldercart.duties.preference import AFFINITY, Affinity, is_overloaded, rank
-from eldercart.election import LEAD_KEY, OpenLease, RenewLease
+from eldercart.election.state_machine import LEAD_KEY, OpenLease, RenewLease
+from eldercart.singleton.holder_preference import AFFINITY, Affinity, is_overloaded, rank
+from eldercart.singleton.lease_directory import DutyBoard, DutyEntry
 from eldercart.units import (
     ABSENT,
     NEVER,
@@ -27,7 +27,7 @@
     Token,
     WallTime,
 )
-from eldercart.wire.duties import (
+from eldercart.wire.named_leases import (
     DutyName,
     HolderRecord,
     hand_over_key,
--- a/src/eldercart/duties/board.py
+++ b/src/eldercart/singleton/lease_directory.py
@@ -13,7 +13,7 @@
 
 from eldercart.units import ABSENT, NO_TOKEN, Revision, Token
 from eldercart.wire import Malformed
-from eldercart.wire.duties import (
+from eldercart.wire.named_leases import (
     HAND_OVERS,
     HOLDERS,
     PAUSES,
--- a/src/eldercart/duties/calendar.py
+++ b/src/eldercart/singleton/maintenance_calendar.py
@@ -12,8 +12,8 @@
 from dateutil.rrule import WEEKLY, rrule
 from dateutil.tz import resolve_imaginary
 
-from eldercart.duties.window import Window
 from eldercart.settings.features import Maintenance, WeeklyWindow
+from eldercart.singleton.maintenance_window import Window
 from eldercart.units import WallTime
 
 ONE_DAY = timedelta(days=1)
--- a/src/eldercart/duties/report.py
+++ b/src/eldercart/singleton/status_report.py
@@ -4,11 +4,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from eldercart.duties.board import DutyEntry
-from eldercart.duties.preference import AFFINITY, Affinity
-from eldercart.duties.window import Window
+from eldercart.singleton.holder_preference import AFFINITY, Affinity
+from eldercart.singleton.lease_directory import DutyEntry
+from eldercart.singleton.maintenance_window import Window
 from eldercart.units import NodeId, WallTime
-from eldercart.wire.duties import DutyName, Intent
+from eldercart.wire.named_leases import DutyName, Intent
 
 WINDOWED = (DutyName.CLEANUP, DutyName.CATALOG)  # duties that wait for a maintenance window
 MAX_MISSING = 8  # nodes that are named
--- a/src/eldercart/duties/gate.py
+++ b/src/eldercart/singleton/write_ahead_gate.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from eldercart.core.cloudwork import CloudCall, Delete, Rent
-from eldercart.duties.intents import IntentLog, IntentWrite, WriteOutcome
+from eldercart.autoscaling.cloud_requests import CloudCall, Delete, Rent
+from eldercart.singleton.intents import IntentLog, IntentWrite, WriteOutcome
 from eldercart.units import Epoch, MachineId, Revision, Steady, Token, WallTime
-from eldercart.wire.duties import DutyName, Intent, RentalIntent, ReturnIntent
+from eldercart.wire.named_leases import DutyName, Intent, RentalIntent, ReturnIntent
 from eldercart.wire.state import Item
 
 RECORDED_DUTIES = (DutyName.RENTAL, DutyName.RETURN)
--- a/tests/behaviour_record.py
+++ b/tests/behaviour_record.py
@@ -35,8 +35,21 @@
 
 from duty_world import DutyNode
 from duty_world import World as DutyWorld
-from eldercart.core.cloudwork import Admission
-from eldercart.core.controller import (
+from eldercart.autoscaling.autoscaler import Offer, RentalRequest
+from eldercart.autoscaling.cloud_requests import Admission
+from eldercart.cluster.failure_detector import Probe
+from eldercart.cluster.heartbeat_relay import Answer, Decision, Forward, Redirect, Relay
+from eldercart.election.state_machine import (
+    Claim,
+    Election,
+    OpenLease,
+    ReadLead,
+    RenewLease,
+    RevokeLease,
+    Role,
+)
+from eldercart.scheduling.cluster_state import FinishedJob
+from eldercart.scheduling.scheduler import (
     CloudCall,
     Controller,
     Delete,
@@ -47,11 +60,6 @@
     Rent,
     Verdict,
 )
-from eldercart.core.relay import Answer, Decision, Forward, Redirect, Relay
-from eldercart.core.rental import Offer, RentalRequest
-from eldercart.core.scheduler_state import FinishedJob
-from eldercart.core.silence import Probe
-from eldercart.election import Claim, Election, OpenLease, ReadLead, RenewLease, RevokeLease, Role
 from eldercart.settings.platform import parse_platform
 from eldercart.units import (
     Epoch,
@@ -64,7 +72,7 @@
     WallTime,
 )
 from eldercart.wire import cloud, peers, state, users, workers
-from eldercart.wire.duties import DutyName
+from eldercart.wire.named_leases import DutyName
 from eldercart.wire.state import Txn
 from relay_world import Flight, RelayWorld
 from simulators import CATALOG, StoreSim, WorkerSim
--- a/tests/duty_world.py
+++ b/tests/duty_world.py
@@ -12,13 +12,27 @@
 
 import orjson
 
-from eldercart.core.cloudwork import Delete, Rent
-from eldercart.core.rental import Offer, RentalRequest
-from eldercart.duties.gate import CloudGate, Path, Route
-from eldercart.duties.intents import WriteOutcome
-from eldercart.duties.membership import Acquire, DutyMembership, DutyState, ReadBoard, Release
-from eldercart.duties.membership import Situation as DutySituation
-from eldercart.election import Claim, Election, OpenLease, ReadLead, RenewLease, RevokeLease, Role
+from eldercart.autoscaling.autoscaler import Offer, RentalRequest
+from eldercart.autoscaling.cloud_requests import Delete, Rent
+from eldercart.election.state_machine import (
+    Claim,
+    Election,
+    OpenLease,
+    ReadLead,
+    RenewLease,
+    RevokeLease,
+    Role,
+)
+from eldercart.singleton.intents import WriteOutcome
+from eldercart.singleton.lease_candidate import (
+    Acquire,
+    DutyMembership,
+    DutyState,
+    ReadBoard,
+    Release,
+)
+from eldercart.singleton.lease_candidate import Situation as DutySituation
+from eldercart.singleton.write_ahead_gate import CloudGate, Path, Route
 from eldercart.units import (
     NO_EPOCH,
     Epoch,
@@ -30,9 +44,9 @@
     Steady,
     WallTime,
 )
-from eldercart.wire import duties as wire
+from eldercart.wire import named_leases as wire
 from eldercart.wire import state
-from eldercart.wire.duties import DutyName
+from eldercart.wire.named_leases import DutyName
 from eldercart.wire.state import Drop, Item, Put, Txn
 from simulators import StoreSim
 
--- a/tests/falsified_node.py
+++ b/tests/falsified_node.py
@@ -17,7 +17,7 @@
 time.time = lambda: _time() + WALL_OFFSET_S
 
 from eldercart.cli import main  # noqa: E402
-from eldercart.net import node  # noqa: E402
+from eldercart.server import controller_node  # noqa: E402
 from eldercart.units import Steady  # noqa: E402
 
 
@@ -36,5 +36,5 @@
 
 
 if __name__ == "__main__":
-    node.steady = StoppingClock()  # type: ignore[assignment]
+    controller_node.steady = StoppingClock()  # type: ignore[assignment]
     sys.exit(main())
--- a/tests/memory_units.py
+++ b/tests/memory_units.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from benchmarks.relay_reports import Connection, relay_node, request
-from eldercart.core.fleet import MachineState
+from eldercart.cluster.inventory import MachineState
 from eldercart.units import MachineId, Steady, WallTime
 from eldercart.wire import cloud, users
 from simulators import CATALOG
--- a/tests/relay_world.py
+++ b/tests/relay_world.py
@@ -7,8 +7,8 @@
 
 import orjson
 
-from eldercart.core.controller import Controller
-from eldercart.core.relay import Answer, Forward, Redirect, Relay, Share, shares
+from eldercart.cluster.heartbeat_relay import Answer, Forward, Redirect, Relay, Share, shares
+from eldercart.scheduling.scheduler import Controller
 from eldercart.units import Epoch, MachineId, NodeId, ReportOrder, Session, Steady
 from eldercart.wire import workers
 from simulators import WorkerSim
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -10,7 +10,7 @@
 import pytest
 
 from eldercart.cli.client import _reason, _with_awaits
-from eldercart.core.jobs import (
+from eldercart.jobs.registry import (
     DEPENDENCY_LISTS,
     END,
     JOB,
@@ -21,10 +21,10 @@
     parse_job_record,
     resolve,
 )
-from eldercart.net import job_records
-from eldercart.net.buckets import Bucket
-from eldercart.net.leader_service import LeaderService
-from eldercart.net.user_service import UserService
+from eldercart.server.leadership import job_record_watch
+from eldercart.server.leadership.leader_service import LeaderService
+from eldercart.server.store.token_bucket import Bucket
+from eldercart.server.users.user_service import UserService
 from eldercart.settings import load_tuning
 from eldercart.settings.platform import parse_platform
 from eldercart.units import JobId, Revision, Steady
@@ -861,7 +861,7 @@
         reactor = SimpleNamespace(
             callLater=lambda _, call, *args: self.later.append(lambda: call(*args))
         )
-        monkeypatch.setattr(job_records, "reactor", reactor)
+        monkeypatch.setattr(job_record_watch, "reactor", reactor)
         self.leader_service = self.place.node.leader_service = LeaderService(
             cast(Any, self.place.node)
         )
@@ -970,8 +970,8 @@
     plain = Item(JOB + "wk-1", job_record(spec_with([], "wk-1"), 10, 1.0), Revision(3))
     odd = Item(JOB + "wk-2", {"s": [1], "n": 10, "t": 1.0}, Revision(3))
     lists = [Item(put.key, put.value, Revision(2)) for put in parts]
-    whole, missing = job_records.resolve_all([plain, record, odd], lists)
+    whole, missing = job_record_watch.resolve_all([plain, record, odd], lists)
     assert [item.key for item in whole] == [plain.key, record.key, odd.key] and not missing
     assert parse_job_record(JobId("wk-last"), whole[1].value)[0].dependencies == tuple(names(500))
-    whole, missing = job_records.resolve_all([plain, record, odd], lists[1:])
+    whole, missing = job_record_watch.resolve_all([plain, record, odd], lists[1:])
     assert whole == [plain, odd] and missing == [record]
--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -29,5 +29,7 @@
         [*python, "-c", IMPORT_A_NODE], check=True, cwd=ROOT, capture_output=True, text=True
     ).stdout.splitlines()
     names = [Path(path).name.partition(".")[0] for path in found]
-    assert {"argparse", "defer", "node"} <= set(names), "standard library, libraries, sources"
+    assert {"argparse", "defer", "controller_node"} <= set(names), (
+        "standard library, libraries, sources"
+    )
     assert [path for path in found if not Path(path).exists()] == []
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from eldercart.core.controller import JobStatus, Outcome, Verdict
-from eldercart.core.fleet import Fleet
-from eldercart.core.graph import DependencyGraph
-from eldercart.core.jobs import Job, JobRegistry
-from eldercart.core.placement import Promises, cheapest_victims, order_jobs
-from eldercart.core.planner import _PlanningPass
-from eldercart.net.user_answers import UserAnswers
+from eldercart.cluster.inventory import Fleet
+from eldercart.jobs.dependency_graph import DependencyGraph
+from eldercart.jobs.registry import Job, JobRegistry
+from eldercart.scheduling.feasibility import Promises, cheapest_victims, order_jobs
+from eldercart.scheduling.planner import _PlanningPass
+from eldercart.scheduling.scheduler import JobStatus, Outcome, Verdict
+from eldercart.server.leadership.user_answers import UserAnswers
 from eldercart.units import FOREVER, JobId, Revision, Steady
 from eldercart.wire import peers, users
 from eldercart.wire.state import Drop
@@ -298,7 +298,7 @@
     for i in (1, 2, 3):
         assert c.status(JobId(f"wk-0-{i}")).state == users.CANCELLED  # type: ignore[union-attr]
     w.told = {f"wk-0-{i}": users.CANCELLED for i in range(4)}
-    from eldercart.core.jobs import chunk_size, job_record
+    from eldercart.jobs.registry import chunk_size, job_record
 
     for i in (1, 2, 3):
         if f"job/wk-0-{i}" not in w.store.keys:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from eldercart.core import memory
-from eldercart.core import placement as rules
-from eldercart.core.controller import JobStatus
+from eldercart.persistence import learned_state
+from eldercart.scheduling import feasibility
+from eldercart.scheduling.scheduler import JobStatus
 from eldercart.units import JobId, Steady
 from eldercart.wire import workers
 from world import World
@@ -284,9 +284,9 @@
     before = {p.key for p in job.placements()}
     assert before
     machines = list(c.fleet.machines.values())
-    assert rules.choose(job, 5, machines, c.fleet, w.settings.teams, Steady(w.now)) == []
+    assert feasibility.choose(job, 5, machines, c.fleet, w.settings.teams, Steady(w.now)) == []
     w.run(3)
-    assert rules.UNKNOWN_ZONE not in rules.in_zones(job, c.fleet)
+    assert feasibility.UNKNOWN_ZONE not in feasibility.in_zones(job, c.fleet)
     finish(w)
 
 
@@ -307,7 +307,7 @@
     assert held.items() <= {m.id: m.images for m in after.fleet.machines.values()}.items()
     assert after.scheduler.predictor.paces() == before.scheduler.predictor.paces() != {}
     after.scheduler.predictor.recall_paces({})
-    memory.recall(after.scheduler, "memo/images/0", {"n": ["a"], "g": [], "m": {"n-1": [3]}})
+    learned_state.recall(after.scheduler, "memo/images/0", {"n": ["a"], "g": [], "m": {"n-1": [3]}})
 
 
 def test_task_that_is_lost_in_an_outage_does_not_resume_planning() -> None:
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -10,10 +10,10 @@
 from twisted.web.client import URI
 
 from benchmarks.relay_reports import Connection, relay_node, request, unchanged_report
-from eldercart.core import memory
-from eldercart.core.fleet import MachineState
-from eldercart.net.client import _NumericHosts, _WholeBody
-from eldercart.net.server import IDLE_S
+from eldercart.cluster.inventory import MachineState
+from eldercart.persistence import learned_state
+from eldercart.server.http.client import _NumericHosts, _WholeBody
+from eldercart.server.http.server import IDLE_S
 from eldercart.units import MachineId, Steady
 from eldercart.wire import cloud
 from simulators import CATALOG
@@ -38,7 +38,9 @@
         pending.request.reply(200, b"{}")
 
     monkeypatch.setattr(node.relay_service.forwarding, "_forward", forward)
-    monkeypatch.setattr("eldercart.net.forwarding.link_up", lambda links, label: object())
+    monkeypatch.setattr(
+        "eldercart.server.peers.heartbeat_forwarding.link_up", lambda links, label: object()
+    )
     monkeypatch.setattr(node.store, "_http", None)
     unchanged_report(node, 10)
     assert len(forwarded) == 1, "the first one of all"
@@ -122,9 +124,9 @@
             name, kind, "a", True, MachineState.UP, Steady(0.0), Steady(0.0)
         )
         machine.images = {f"image-{number % 7}": 1.25}
-    first = memory.memory_records(controller.scheduler)
+    first = learned_state.memory_records(controller.scheduler)
     encoded: list[Any] = []
-    dumps = memory.orjson.dumps
-    monkeypatch.setattr(memory.orjson, "dumps", lambda v: (encoded.append(v), dumps(v))[1])
-    assert memory.memory_records(controller.scheduler) == first
+    dumps = learned_state.orjson.dumps
+    monkeypatch.setattr(learned_state.orjson, "dumps", lambda v: (encoded.append(v), dumps(v))[1])
+    assert learned_state.memory_records(controller.scheduler) == first
     assert len(encoded) <= len(controller.scheduler.predictor.paces()) * 2
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -6,12 +6,12 @@
 import orjson
 import pytest
 
-from eldercart.core.cloudwork import Delete, Rent
-from eldercart.core.rental import Offer, RentalRequest
-from eldercart.duties.board import NOTHING_KNOWN, DutyBoard
-from eldercart.duties.gate import CloudGate, Path, Route
-from eldercart.duties.intents import COMPACT_S, GATHER_S, IntentLog, IntentStage, WriteOutcome
-from eldercart.duties.membership import (
+from eldercart.autoscaling.autoscaler import Offer, RentalRequest
+from eldercart.autoscaling.cloud_requests import Delete, Rent
+from eldercart.election.state_machine import OpenLease, RenewLease
+from eldercart.singleton.holder_preference import is_overloaded, rank
+from eldercart.singleton.intents import COMPACT_S, GATHER_S, IntentLog, IntentStage, WriteOutcome
+from eldercart.singleton.lease_candidate import (
     Acquire,
     DutyMembership,
     DutyState,
@@ -20,9 +20,9 @@
     Release,
     Situation,
 )
-from eldercart.duties.preference import is_overloaded, rank
-from eldercart.duties.report import Surroundings, duty_report, why_unheld
-from eldercart.election import OpenLease, RenewLease
+from eldercart.singleton.lease_directory import NOTHING_KNOWN, DutyBoard
+from eldercart.singleton.status_report import Surroundings, duty_report, why_unheld
+from eldercart.singleton.write_ahead_gate import CloudGate, Path, Route
 from eldercart.units import (
     ABSENT,
     Epoch,
@@ -36,8 +36,14 @@
     WallTime,
 )
 from eldercart.wire import Malformed
-from eldercart.wire import duties as wire
-from eldercart.wire.duties import DutyName, HolderRecord, PauseRecord, RentalIntent, ReturnIntent
+from eldercart.wire import named_leases as wire
+from eldercart.wire.named_leases import (
+    DutyName,
+    HolderRecord,
+    PauseRecord,
+    RentalIntent,
+    ReturnIntent,
+)
 from eldercart.wire.state import Drop, Item
 
 ME, OTHER, THIRD = NodeId("drover-1"), NodeId("drover-0"), NodeId("drover-2")
--- a/tests/test_duty_schedules.py
+++ b/tests/test_duty_schedules.py
@@ -6,13 +6,13 @@
 import pytest
 
 from duty_world import World, check_end, check_history
-from eldercart.core.cloudwork import Rent
-from eldercart.core.rental import Offer, RentalRequest
-from eldercart.duties.gate import CloudGate
-from eldercart.duties.intents import IntentLog
-from eldercart.election import LEAD_KEY
+from eldercart.autoscaling.autoscaler import Offer, RentalRequest
+from eldercart.autoscaling.cloud_requests import Rent
+from eldercart.election.state_machine import LEAD_KEY
+from eldercart.singleton.intents import IntentLog
+from eldercart.singleton.write_ahead_gate import CloudGate
 from eldercart.units import ABSENT, WallTime
-from eldercart.wire.duties import (
+from eldercart.wire.named_leases import (
     DutyName,
     PauseRecord,
     holder_key,
--- a/tests/test_duty_service.py
+++ b/tests/test_duty_service.py
@@ -9,18 +9,18 @@
 import orjson
 import pytest
 
-from eldercart.core.cloudwork import Admission
-from eldercart.core.fleet import MachineState
-from eldercart.core.jobs import Phase, Placement
-from eldercart.duties.intents import COMPACT_S
-from eldercart.net.node import Node
-from eldercart.net.store import FOR_PLACING
+from eldercart.autoscaling.cloud_requests import Admission
+from eldercart.cluster.inventory import MachineState
+from eldercart.jobs.registry import Phase, Placement
+from eldercart.server.controller_node import Node
+from eldercart.server.store.client import FOR_PLACING
 from eldercart.settings import load_tuning
 from eldercart.settings.features import parse_features
 from eldercart.settings.platform import parse_platform
+from eldercart.singleton.intents import COMPACT_S
 from eldercart.units import Attempt, LeaseId, MachineId, Revision, Steady, WallTime, task_key
 from eldercart.wire import cloud, users
-from eldercart.wire.duties import DutyName, holder_key
+from eldercart.wire.named_leases import DutyName, holder_key
 from eldercart.wire.state import Put, Txn
 from simulators import CATALOG, StoreSim
 from test_limits import Clock
@@ -173,9 +173,17 @@
     found = subprocess.run(
         [sys.executable, "-c", code], check=True, cwd=ROOT, capture_output=True, text=True
     ).stdout.split()
-    assert "eldercart.net.node" in found
-    more = ("eldercart.duties", "eldercart.net.duty", "eldercart.wire.duties", "pyrsistent",
-            "dateutil", "zoneinfo", "fastjsonschema", "eldercart.settings.features")  # fmt: skip
+    assert "eldercart.server.controller_node" in found
+    more = (
+        "eldercart.singleton",
+        "eldercart.server.singleton",
+        "eldercart.wire.named_leases",
+        "pyrsistent",
+        "dateutil",
+        "zoneinfo",
+        "fastjsonschema",
+        "eldercart.settings.features",
+    )
     assert [name for name in found if name.startswith(more)] == []
 
 
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from eldercart.election import (
+from eldercart.election.state_machine import (
     LEAD_KEY,
     Claim,
     Election,
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -15,7 +15,15 @@
 import orjson
 import pytest
 
-from eldercart.election import Claim, Election, OpenLease, ReadLead, RenewLease, RevokeLease, Role
+from eldercart.election.state_machine import (
+    Claim,
+    Election,
+    OpenLease,
+    ReadLead,
+    RenewLease,
+    RevokeLease,
+    Role,
+)
 from eldercart.units import LeaseId, NodeId, Revision, Steady
 from eldercart.wire.state import Item, Txn
 from region import LIMIT_S, Region, Service, call, until
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -5,11 +5,11 @@
 import orjson
 import pytest
 
-from eldercart.core.controller import Controller, Delete, GetCatalog, ListPage, Rent
-from eldercart.core.fleet import MachineState
-from eldercart.core.relay import shares
-from eldercart.net.forwarding import PendingReport
-from eldercart.net.links import Link
+from eldercart.cluster.heartbeat_relay import shares
+from eldercart.cluster.inventory import MachineState
+from eldercart.scheduling.scheduler import Controller, Delete, GetCatalog, ListPage, Rent
+from eldercart.server.peers.connections import Link
+from eldercart.server.peers.heartbeat_forwarding import PendingReport
 from eldercart.units import Epoch, MachineId, NodeId, ReportOrder, Session, Steady
 from eldercart.wire import peers, workers
 from relay_world import RelayWorld
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -7,10 +7,10 @@
 import orjson
 import pytest
 
-from eldercart.core.controller import Controller, Outcome
-from eldercart.core.jobs import Phase
-from eldercart.core.relay import Relay, contact, spare_s
-from eldercart.net.relay_service import RelayService
+from eldercart.cluster.heartbeat_relay import Relay, contact, spare_s
+from eldercart.jobs.registry import Phase
+from eldercart.scheduling.scheduler import Controller, Outcome
+from eldercart.server.peers.relay_service import RelayService
 from eldercart.settings import load_tuning
 from eldercart.settings.platform import parse_platform
 from eldercart.units import Epoch, JobId, MachineId, NodeId, Revision, Steady
--- a/tests/test_immediate_write.py
+++ b/tests/test_immediate_write.py
@@ -7,7 +7,7 @@
 import pytest
 from twisted.internet.protocol import Protocol
 
-from eldercart.net.immediate_write import ImmediateWriteServer, flush
+from eldercart.server.http.immediate_write import ImmediateWriteServer, flush
 
 
 class Reactor:
--- a/tests/test_leading.py
+++ b/tests/test_leading.py
@@ -10,19 +10,19 @@
 
 import pytest
 
-from eldercart.core.controller import GetCatalog, JobStatus, Outcome, Verdict
-from eldercart.core.direct_orders import Order
-from eldercart.core.jobs import CLEANUP, DEPENDENCY_LISTS, JOB, PLACE, job_record
-from eldercart.core.memory import MEMORY
-from eldercart.election import Election
-from eldercart.net import job_records, takeover
-from eldercart.net.catalog import CATALOG_KEY, CatalogRecord
-from eldercart.net.cloud_calls import CloudCalls
-from eldercart.net.job_records import JobRecords
-from eldercart.net.store_work import StoreWork
-from eldercart.net.takeover import StoredRecords, TakeOver
-from eldercart.net.user_answers import UserAnswers
-from eldercart.net.worker_calls import WorkerCalls
+from eldercart.cluster.direct_kills import Order
+from eldercart.election.state_machine import Election
+from eldercart.jobs.registry import CLEANUP, DEPENDENCY_LISTS, JOB, PLACE, job_record
+from eldercart.persistence.learned_state import MEMORY
+from eldercart.scheduling.scheduler import GetCatalog, JobStatus, Outcome, Verdict
+from eldercart.server.leadership import failover, job_record_watch
+from eldercart.server.leadership.catalog_record import CATALOG_KEY, CatalogRecord
+from eldercart.server.leadership.cloud_requests import CloudCalls
+from eldercart.server.leadership.failover import StoredRecords, TakeOver
+from eldercart.server.leadership.job_record_watch import JobRecords
+from eldercart.server.leadership.state_store_requests import StoreWork
+from eldercart.server.leadership.user_answers import UserAnswers
+from eldercart.server.leadership.worker_requests import WorkerCalls
 from eldercart.units import Epoch, JobId, LeaseId, MachineId, NodeId, Revision, Session, Steady
 from eldercart.wire import cloud, peers, users
 from eldercart.wire.state import Item, Txn
@@ -212,7 +212,7 @@
         self.later: list[Callable[[], Any]] = []
         self.done: list[StoredRecords] = []
         reactor = SimpleNamespace(callLater=lambda _, call: self.later.append(call))
-        monkeypatch.setattr(takeover, "reactor", reactor)
+        monkeypatch.setattr(failover, "reactor", reactor)
         store = SimpleNamespace(range=lambda prefix, got: self.asked.append((prefix, got)))
         self.takeover = TakeOver(cast(Any, store), self.done.append)
         self.takeover.read_next()
@@ -231,7 +231,7 @@
 def test_take_over_reads_all_records_once(listed: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     """The watch goes on from the revision at which the jobs were read: from a later one a job
     that was accepted between two reads would never be heard of."""
-    monkeypatch.setattr(takeover, "refers_to_list", lambda item: listed)
+    monkeypatch.setattr(failover, "refers_to_list", lambda item: listed)
     reading = Reading(monkeypatch)
     wanted = [CATALOG_KEY, JOB, PLACE, CLEANUP, MEMORY] + ([DEPENDENCY_LISTS] if listed else [])
     for number, prefix in enumerate(wanted):
@@ -268,10 +268,10 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A job learned by an old leadership's read would be learned without the new one's own."""
-    monkeypatch.setattr(job_records, "refers_to_list", lambda item: True)
+    monkeypatch.setattr(job_record_watch, "refers_to_list", lambda item: True)
     reference = users.ListReference("abc", 2)
-    monkeypatch.setattr(job_records, "list_reference", lambda value: reference)
-    monkeypatch.setattr(job_records, "resolve", lambda job, item, lists: item)
+    monkeypatch.setattr(job_record_watch, "list_reference", lambda value: reference)
+    monkeypatch.setattr(job_record_watch, "resolve", lambda job, item, lists: item)
     place = Place()
     records = JobRecords(place.node)
     old = place.leader_service.controller = place.controller()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,17 +9,17 @@
 import orjson
 import pytest
 
-from eldercart.core import memory
-from eldercart.core.controller import Controller, Outcome
-from eldercart.core.fleet import MachineState
-from eldercart.core.jobs import JobRegistry, Phase, chunk_size, job_record, parse_job_record
-from eldercart.core.placement_records import PlacementRecords
-from eldercart.election import Claim, Election, OpenLease, ReadLead, RenewLease
-from eldercart.net.buckets import Bucket
-from eldercart.net.node import Node
-from eldercart.net.reduced_rates import FIRST_S, MOST_S, ReducedRates
-from eldercart.net.store import Store
-from eldercart.net.user_service import RETRY_S
+from eldercart.cluster.inventory import MachineState
+from eldercart.election.state_machine import Claim, Election, OpenLease, ReadLead, RenewLease
+from eldercart.jobs.registry import JobRegistry, Phase, chunk_size, job_record, parse_job_record
+from eldercart.persistence import learned_state
+from eldercart.persistence.placement_records import PlacementRecords
+from eldercart.scheduling.scheduler import Controller, Outcome
+from eldercart.server.controller_node import Node
+from eldercart.server.store.client import Store
+from eldercart.server.store.rate_limit_backoff import FIRST_S, MOST_S, ReducedRates
+from eldercart.server.store.token_bucket import Bucket
+from eldercart.server.users.user_service import RETRY_S
 from eldercart.settings import BadSettings, load_tuning
 from eldercart.settings.platform import NodeSettings, parse_platform
 from eldercart.units import (
@@ -913,7 +913,7 @@
     m.images = {f"an-image-with-a-long-name-{i}": 2.5 for i in range(300)}  # more than fit
     for n in range(200):
         c.scheduler.predictor.recall_paces({f"a-class-of-jobs-{n}": (10.0, 12.0)})
-    records = memory.memory_records(c.scheduler)
+    records = learned_state.memory_records(c.scheduler)
     assert max(len(orjson.dumps(v)) for v in records.values()) <= 0.8 * 2048
     assert len(records) > 6
     seen: dict[str, Any] = {}
@@ -925,7 +925,7 @@
     after = World(43, platform=platform(NEXT)).controller
     assert after is not None
     for key, value in records.items():
-        memory.recall(after.scheduler, key, value)
+        learned_state.recall(after.scheduler, key, value)
     for id_ in c.fleet.machines:
         after.fleet.add(id_, type_, "a", False, MachineState.UP, Steady(0), Steady(0))
     assert after.scheduler.predictor.paces() == c.scheduler.predictor.paces()
@@ -953,7 +953,7 @@
             MachineId(f"n-{n:06d}"), type_, "a", False, MachineState.UP, Steady(0), Steady(0)
         )
         m.images = {f"registry/{'long-' * 20}{n}-{i}": 1.5 for i in range(3)}
-    records = memory.memory_records(c.scheduler)
+    records = learned_state.memory_records(c.scheduler)
     assert sum(len(orjson.dumps(v)) for v in records.values()) > 64 * 1024
     seen: dict[str, Any] = {}
     for turn in range(len(records)):
@@ -1072,7 +1072,9 @@
         clock.now += 0.02
         node.leader_service.process_events()
         assert node.store.writes.available(clock()) >= 0
-    memories = [w for writes in sent for w in writes if w.get("put", "").startswith(memory.MEMORY)]
+    memories = [
+        w for writes in sent for w in writes if w.get("put", "").startswith(learned_state.MEMORY)
+    ]
     assert len(memories) > 3 and max(len(writes) for writes in sent) < 18
 
 
@@ -1100,7 +1102,7 @@
         )
         for i in range(number)
     }
-    most = int(value_kb * 1024 * memory.FILL)
+    most = int(value_kb * 1024 * learned_state.FILL)
     record = orjson.loads(orjson.dumps(cloud.catalog_record(types, most)))
     assert len(orjson.dumps(record)) <= most
     found = cloud.parse_catalog(record)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -9,12 +9,12 @@
 import pytest
 
 from eldercart.cli import main
-from eldercart.duties.calendar import MaintenanceCalendar
-from eldercart.duties.window import Window
 from eldercart.settings import BadSettings
 from eldercart.settings.features import load_features, parse_features
+from eldercart.singleton.maintenance_calendar import MaintenanceCalendar
+from eldercart.singleton.maintenance_window import Window
 from eldercart.units import WallTime
-from eldercart.wire.duties import DutyName
+from eldercart.wire.named_leases import DutyName
 from world import PLATFORM
 
 ROOT = Path(__file__).resolve().parents[1]
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -8,11 +8,11 @@
 import orjson
 import pytest
 
-from eldercart.core.controller import Delete, JobStatus, Outcome, PendingTxn, Verdict
-from eldercart.core.fleet import MachineState
-from eldercart.core.jobs import Phase
-from eldercart.election import Claim, Election, OpenLease, ReadLead, RevokeLease, Role
-from eldercart.net.user_service import UserService
+from eldercart.cluster.inventory import MachineState
+from eldercart.election.state_machine import Claim, Election, OpenLease, ReadLead, RevokeLease, Role
+from eldercart.jobs.registry import Phase
+from eldercart.scheduling.scheduler import Delete, JobStatus, Outcome, PendingTxn, Verdict
+from eldercart.server.users.user_service import UserService
 from eldercart.units import IncarnationId, JobId, LeaseId, MachineId, NodeId, Revision, Steady
 from eldercart.wire import cloud, state, workers
 from relay_world import RelayWorld
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from eldercart.core.pacing import PART, PacedWork
-from eldercart.core.planner import Planner
+from eldercart.scheduling.pacing import PART, PacedWork
+from eldercart.scheduling.planner import Planner
 from eldercart.units import Steady
 from world import World
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -7,15 +7,23 @@
 
 import pytest
 
+from eldercart.autoscaling.autoscaler import Rental
 from eldercart.cli import main, parser
-from eldercart.core import placement as rules
-from eldercart.core.fleet import Fleet, MachineState
-from eldercart.core.jobs import Job, JobRegistry
-from eldercart.core.prediction import Predictor
-from eldercart.core.rental import Rental
-from eldercart.election import Claim, Election, OpenLease, ReadLead, RenewLease, RevokeLease, Role
-from eldercart.net.buckets import Bucket
-from eldercart.net.node import could_serve
+from eldercart.cluster.inventory import Fleet, MachineState
+from eldercart.election.state_machine import (
+    Claim,
+    Election,
+    OpenLease,
+    ReadLead,
+    RenewLease,
+    RevokeLease,
+    Role,
+)
+from eldercart.jobs.registry import Job, JobRegistry
+from eldercart.prediction.predictor import Predictor
+from eldercart.scheduling import feasibility
+from eldercart.server.controller_node import could_serve
+from eldercart.server.store.token_bucket import Bucket
 from eldercart.settings import BadSettings, load_tuning
 from eldercart.settings.platform import parse_platform
 from eldercart.units import Epoch, LeaseId, MachineId, NodeId, Revision, Steady
@@ -325,7 +333,7 @@
 
 # -- order
 
-NONE = rules.Promises({}, {})
+NONE = feasibility.Promises({}, {})
 
 
 def test_order_of_jobs() -> None:
@@ -341,7 +349,7 @@
         spec = users.parse_submission(submission(f"wk-{i:06d}", **changes))
         registry.add(spec, 100, Steady(0.0))
     fleet.team_cpus["t2"] = 40.0
-    ordered = rules.order_jobs(
+    ordered = feasibility.order_jobs(
         list(registry.jobs.values()), fleet, teams, NONE,
         lambda p, s: 100.0, lambda j: 6.0, lambda j: 6.0, Steady(1.0),
     )  # fmt: skip
@@ -354,7 +362,7 @@
     for i, tasks in enumerate((400, 10, 10, 10)):
         body = submission(f"wk-{i:06d}", parcels=tasks, dueS=40.0 + i)
         registry.add(users.parse_submission(body), 100, Steady(0.0))
-    ordered = rules.order_jobs(
+    ordered = feasibility.order_jobs(
         list(registry.jobs.values()), Fleet(), parse_platform(PLATFORM).teams, NONE,
         lambda p, s: 16.0, lambda j: 6.0, lambda j: 6.0, Steady(1.0),
     )  # fmt: skip
@@ -375,7 +383,7 @@
     for i, changes in enumerate(rows):
         body = submission(f"wk-{i:06d}", **({"loaners": False} | changes))
         registry.add(users.parse_submission(body), 100, Steady(0.0))
-    ordered = rules.order_jobs(
+    ordered = feasibility.order_jobs(
         list(registry.jobs.values()), Fleet(), parse_platform(PLATFORM).teams, NONE,
         lambda p, spot: 1000.0 if spot else 16.0, lambda j: 6.0, lambda j: 6.0, Steady(1.0),
     )  # fmt: skip
@@ -395,10 +403,12 @@
     p = registry.place(registry.add(spec, 100, now), 0, busy.id, now)
     fleet.occupy(busy, p)
     other = users.parse_submission(submission("wk-000002", kit="two", imageGb=2.0))
-    assert rules.preference(other, busy) > rules.preference(other, idle)
-    assert rules.preference(spec, busy) < rules.preference(spec, idle), "one fetch serves both"
+    assert feasibility.preference(other, busy) > feasibility.preference(other, idle)
+    assert feasibility.preference(spec, busy) < feasibility.preference(spec, idle), (
+        "one fetch serves both"
+    )
     fleet.note_image(busy, "two", 2.0)
-    assert rules.preference(other, busy) < rules.preference(other, idle)
+    assert feasibility.preference(other, busy) < feasibility.preference(other, idle)
 
 
 # -- health
@@ -436,12 +446,12 @@
 
 
 def test_promises_count_back_to_a_start() -> None:
-    p = rules.Promises({"slow": (8.0, 20.0)}, {"slow": (60.0,)}, {"slow": (1.0, 1.5)})
+    p = feasibility.Promises({"slow": (8.0, 20.0)}, {"slow": (60.0,)}, {"slow": (1.0, 1.5)})
     late = job(1, "a", dueS=30.0)
     assert p.start_dues(late, 12.0) == [9.0, 19.0, 21.0, 34.0, 49.0]
     assert p.preempts_from(late, 3.0, 5.0) == pytest.approx(1.0 + 0.55 * 8.0)
     assert p.preempts_from(late, 6.0, 5.0) == pytest.approx(1.0 + 2.0)
-    assert rules.Promises({}, {}).preempts_from(late, 3.0, 5.0) == 6.0
+    assert feasibility.Promises({}, {}).preempts_from(late, 3.0, 5.0) == 6.0
 
 
 def test_demand_is_expected_while_submissions_come() -> None:
--- a/tests/test_prediction.py
+++ b/tests/test_prediction.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from eldercart.core.bookings import Origin, Tally
-from eldercart.core.jobs import Job
-from eldercart.core.prediction import Predictor
+from eldercart.jobs.registry import Job
+from eldercart.prediction.predictor import Predictor
+from eldercart.prediction.soft_reservations import Origin, Tally
 from eldercart.settings import load_tuning
 from eldercart.units import JobId, MachineId, Steady
 from eldercart.wire import users
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -5,8 +5,16 @@
 import orjson
 import pytest
 
-from eldercart.core.controller import GetCatalog, Rent
-from eldercart.core.relay import Answer, Forward, Overtaken, Redirect, Relay, Share, shares
+from eldercart.cluster.heartbeat_relay import (
+    Answer,
+    Forward,
+    Overtaken,
+    Redirect,
+    Relay,
+    Share,
+    shares,
+)
+from eldercart.scheduling.scheduler import GetCatalog, Rent
 from eldercart.units import (
     Epoch,
     IncarnationId,
--- a/tests/test_rental.py
+++ b/tests/test_rental.py
@@ -1,6 +1,6 @@
 """Renting and returning: what counts as supply, and what as demand."""
 
-from eldercart.core import placement as rules
+from eldercart.scheduling import feasibility
 from eldercart.units import Steady
 from world import World
 
@@ -23,7 +23,7 @@
     assert c.cloud._list_seen
     assert set(w.cloud.machines) == before
     known = [c.fleet.machines[name] for name in before]
-    assert all(m.zone != rules.UNKNOWN_ZONE and m.type.cpus > 0 for m in known)
+    assert all(m.zone != feasibility.UNKNOWN_ZONE and m.type.cpus > 0 for m in known)
     assert sum(m.free_cpus for m in known) == sum(m.type.cpus for m in known) - 40 * 4.0
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,9 +7,9 @@
 import orjson
 import pytest
 
-from eldercart.core.controller import JobStatus, Outcome, Verdict
-from eldercart.core.fleet import Fleet, MachineState
-from eldercart.core.jobs import Phase
+from eldercart.cluster.inventory import Fleet, MachineState
+from eldercart.jobs.registry import Phase
+from eldercart.scheduling.scheduler import JobStatus, Outcome, Verdict
 from eldercart.units import JobId, Revision, Steady
 from eldercart.wire import cloud
 from relay_world import RelayWorld
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -6,11 +6,11 @@
 import orjson
 import pytest
 
-from eldercart.core.controller import ListPage, Outcome
-from eldercart.core.fleet import MachineState
-from eldercart.core.relay import Redirect
-from eldercart.election import LEAD_KEY, Election
-from eldercart.net.links import Link
+from eldercart.cluster.heartbeat_relay import Redirect
+from eldercart.cluster.inventory import MachineState
+from eldercart.election.state_machine import LEAD_KEY, Election
+from eldercart.scheduling.scheduler import ListPage, Outcome
+from eldercart.server.peers.connections import Link
 from eldercart.settings.platform import Endpoint
 from eldercart.units import Epoch, IncarnationId, LeaseId, MachineId, NodeId, Revision, Steady
 from eldercart.wire import workers
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -19,9 +19,9 @@
 import orjson
 import pytest
 
-from eldercart.core.controller import Controller, Verdict
-from eldercart.core.jobs import dependency_list_prefix, job_record
-from eldercart.core.relay import Answer, Decision, Forward, Redirect, Relay
+from eldercart.cluster.heartbeat_relay import Answer, Decision, Forward, Redirect, Relay
+from eldercart.jobs.registry import dependency_list_prefix, job_record
+from eldercart.scheduling.scheduler import Controller, Verdict
 from eldercart.settings.platform import parse_platform
 from eldercart.units import Epoch, JobId, MachineId, NodeId, ReportOrder, Session, Steady
 from eldercart.wire import peers, users
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -3,9 +3,9 @@
 from types import SimpleNamespace
 from typing import Any
 
-from eldercart.election import Election, ReadLead
-from eldercart.net import election_service
-from eldercart.net.election_service import ElectionService
+from eldercart.election.state_machine import Election, ReadLead
+from eldercart.server.leadership import election_service
+from eldercart.server.leadership.election_service import ElectionService
 from eldercart.units import IncarnationId, NodeId, Revision, Steady
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -6,7 +6,7 @@
 import orjson
 import pytest
 
-from eldercart.core import placement as rules
+from eldercart.scheduling import feasibility
 from eldercart.settings.platform import parse_platform
 from eldercart.wire import Malformed, cloud, peers, state, users, workers
 from eldercart.wire.checks import load_enclosed, load_object
@@ -113,7 +113,7 @@
 def test_never_runs(changes: dict[str, Any], why: str | None) -> None:
     spec = users.parse_submission(submission("wk-000001", **changes))
     teams = parse_platform(PLATFORM).teams
-    assert rules.never_runs(spec, cloud.parse_catalog(CATALOG), teams) == why
+    assert feasibility.never_runs(spec, cloud.parse_catalog(CATALOG), teams) == why
 
 
 def report(**changes: Any) -> dict[str, Any]:
--- a/tests/versions/adapters.py
+++ b/tests/versions/adapters.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from eldercart.core.controller import JobStatus, Outcome, Verdict
-from eldercart.core.jobs import JOB, job_record
-from eldercart.core.relay import Answer, Decision, Forward, Overtaken, Redirect
+from eldercart.cluster.heartbeat_relay import Answer, Decision, Forward, Overtaken, Redirect
+from eldercart.jobs.registry import JOB, job_record
+from eldercart.scheduling.scheduler import JobStatus, Outcome, Verdict
 from eldercart.units import (
     Epoch,
     JobId,
--- a/tests/versions/reading.py
+++ b/tests/versions/reading.py
@@ -7,8 +7,8 @@
 
 import orjson
 
-from eldercart.core.controller import Controller
-from eldercart.core.jobs import (
+from eldercart.election.state_machine import LEAD_KEY, Claim, Election, Role
+from eldercart.jobs.registry import (
     JOB,
     PLACE,
     Chunk,
@@ -22,8 +22,8 @@
     parse_job_record,
     resolve,
 )
-from eldercart.core.memory import PACES
-from eldercart.election import LEAD_KEY, Claim, Election, Role
+from eldercart.persistence.learned_state import PACES
+from eldercart.scheduling.scheduler import Controller
 from eldercart.settings import load_tuning
 from eldercart.settings.platform import parse_platform
 from eldercart.units import (
--- a/tests/versions/writing.py
+++ b/tests/versions/writing.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from eldercart.core.controller import Outcome
+from eldercart.scheduling.scheduler import Outcome
 from eldercart.units import Revision
 from world import World
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -8,7 +8,16 @@
 
 import orjson
 
-from eldercart.core.controller import (
+from eldercart.election.state_machine import LEAD_KEY
+from eldercart.jobs.registry import (
+    Phase,
+    chunk_size,
+    dependency_list_keys,
+    end_of,
+    job_record,
+    resolve,
+)
+from eldercart.scheduling.scheduler import (
     Controller,
     Delete,
     GetCatalog,
@@ -17,8 +26,6 @@
     Outcome,
     Rent,
 )
-from eldercart.core.jobs import Phase, chunk_size, dependency_list_keys, end_of, job_record, resolve
-from eldercart.election import LEAD_KEY
 from eldercart.settings import load_tuning
 from eldercart.settings.platform import parse_platform
 from eldercart.units import ABSENT, ONLY_INCARNATION, Epoch, Revision, Steady, WallTime
