--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -9,11 +9,32 @@
 import pytest
 
 from eldercart.cluster.inventory import MachineState
-from eldercart.election.state_machine import Claim, Election, OpenLease, ReadLead, RevokeLease, Role
-from eldercart.jobs.registry import Phase
-from eldercart.scheduling.scheduler import Delete, JobStatus, Outcome, PendingTxn, Verdict
+from eldercart.election.state_machine import (
+    Campaign,
+    Election,
+    GrantLease,
+    ReadLeaderKey,
+    RevokeLease,
+    Role,
+)
+from eldercart.jobs.registry import PlacementPhase
+from eldercart.scheduling.scheduler import (
+    DeleteMachines,
+    JobStatus,
+    LookupFailure,
+    PendingTransaction,
+    TransactionOutcome,
+)
 from eldercart.server.users.user_service import UserService
-from eldercart.units import IncarnationId, JobId, LeaseId, MachineId, NodeId, Revision, Steady
+from eldercart.units import (
+    IncarnationId,
+    JobId,
+    LeaseId,
+    MachineId,
+    MonotonicTime,
+    NodeId,
+    Revision,
+)
 from eldercart.wire import cloud, state, workers
 from relay_world import RelayWorld
 from simulators import CATALOG, StoreSim, WorkerSim
@@ -25,8 +46,8 @@
 
 
 def leader(w: World) -> Any:
-    assert w.controller is not None
-    return w.controller
+    assert w.scheduler is not None
+    return w.scheduler
 
 
 def busy(w: World) -> list[WorkerSim]:
@@ -176,8 +197,8 @@
     name = b'{"hire":"x","breed":"small","yard":"%s","loaners":false,"number":3}' % other.encode()
     assert lost.deleted and w.cloud.rent(name, w.now - 60.0)[0] == 200
     w.run(40)
-    where = {w.cloud.machines[p.machine].zone for p in job.placements()}
-    assert where == {at.zone} and job.pending == 0, "no room was rented where it may run"
+    where = {w.cloud.machines[p.machine_id].zone for p in job.placements()}
+    assert where == {at.zone} and job.unplaced_count == 0, "no room was rented where it may run"
 
 
 # -- a leader ends while machines can't be reached, or don't hear the new one
@@ -264,7 +285,7 @@
     w.unreachable_nodes = set()
     w.run(4)
     c = leader(w)
-    assert not [n for n in ever & set(w.cloud.machines) if c.fleet.is_deleted(MachineId(n))]
+    assert not [n for n in ever & set(w.cloud.machines) if c.inventory.is_deleted(MachineId(n))]
     w.run(10)
     w.left_waiting_s = WAIT_S
     finish(w)
@@ -283,30 +304,34 @@
         began = now
         while now < began + 8.0:
             now = round(now + 0.1, 3)
-            at = Steady(now)
+            at = MonotonicTime(now)
             if incarnation == "new" and claim is not None and now >= began + late_s:
                 store.txn(claim)
                 claim = None
             action = node.next_action(at)
-            if isinstance(action, ReadLead):
+            if isinstance(action, ReadLeaderKey):
                 found = store.item("lead")
-                node.read(None if found is None else state.parse_item(orjson.dumps(found)), at)
-            elif isinstance(action, OpenLease):
+                node.on_leader_key_read(
+                    None if found is None else state.parse_item(orjson.dumps(found)), at
+                )
+            elif isinstance(action, GrantLease):
                 store.next_lease += 1
                 store.leases[store.next_lease] = now
-                node.opened(LeaseId(store.next_lease), at)
+                node.on_lease_granted(LeaseId(store.next_lease), at)
             elif isinstance(action, RevokeLease):
-                store.end_lease(action.lease)
-                node.dropped(at)
-            elif isinstance(action, Claim):
+                store.end_lease(action.lease_id)
+                node.on_lease_revoked(at)
+            elif isinstance(action, Campaign):
                 if incarnation == "old":
-                    claim = action.txn.body()
+                    claim = action.transaction.body()
                     break  # killed while it is under way
-                status, answer = store.txn(action.txn.body())
-                node.claimed(Revision(answer["ledgerRev"]) if status == 200 else None, at)
+                status, answer = store.txn(action.transaction.body())
+                node.on_campaign_result(
+                    Revision(answer["ledgerRev"]) if status == 200 else None, at
+                )
             if node.role is Role.LEADER:
                 value, version, _ = store.keys["lead"]
-                assert value["life"] == incarnation == "new" and node.epoch == version
+                assert value["life"] == incarnation == "new" and node.token == version
                 break
     assert node.role is Role.LEADER
 
@@ -342,30 +367,38 @@
     if what != "an empty placement record":
         finish(w)
         w.run(5)
-        w.store.txn(state.Txn({}, [state.Put("gone/wk-000077", {"e": "done"})]).body())
+        w.store.txn(state.Transaction({}, [state.Put("gone/wk-000077", {"e": "done"})]).body())
         w.elect()
     c = leader(w)
-    pending: PendingTxn | None = None
+    pending: PendingTransaction | None = None
     for _ in range(400):
         w.now += 0.1
-        now = Steady(w.now)
+        now = MonotonicTime(w.now)
         w.lead(c, now)
         w.serve_cloud(c, now)
         for m in list(w.cloud.machines.values()):
             w.serve_worker(c, m, now, 0.1)
-        pending = c.next_txn(now, 20)
-        if pending is not None and (pending.dropped or pending.orphans):
+        pending = c.next_transaction(now, 20)
+        if pending is not None and (pending.deleted_records or pending.orphaned_keys):
             break
         if pending is not None:
-            answer = w.store.txn(pending.txn.body())[1]
-            c.txn_done(pending, Outcome.OK, Revision(answer["ledgerRev"]), (), Steady(w.now))
-    assert pending is not None and (pending.dropped or pending.orphans)
-    w.told.update(c.take_finished())
+            answer = w.store.txn(pending.transaction.body())[1]
+            c.on_transaction_result(
+                pending,
+                TransactionOutcome.COMMITTED,
+                Revision(answer["ledgerRev"]),
+                (),
+                MonotonicTime(w.now),
+            )
+    assert pending is not None and (pending.deleted_records or pending.orphaned_keys)
+    w.told.update(c.take_finished_jobs())
     if carried_out:
-        w.store.txn(pending.txn.body())
+        w.store.txn(pending.transaction.body())
     else:
-        w.late.append((w.now + 5.0, pending.txn.body()))
-    c.txn_done(pending, Outcome.UNKNOWN, Revision(0), (), Steady(w.now))
+        w.late.append((w.now + 5.0, pending.transaction.body()))
+    c.on_transaction_result(
+        pending, TransactionOutcome.INDETERMINATE, Revision(0), (), MonotonicTime(w.now)
+    )
     w.run(8)
     w.submit(TWO, run_s=3.0)
     w.run(40)
@@ -378,10 +411,10 @@
 def last_task_done(w: World, job: str) -> Any:
     """The leader has just heard of it, and nothing is written yet."""
     c = leader(w)
-    while not c.jobs.jobs[JobId(job)].complete:
+    while not c.jobs.jobs[JobId(job)].is_complete:
         for body in [m for m in w.cloud.machines.values() if m.boots_at <= w.now]:
-            w.serve_worker(c, body, Steady(w.now), 0.0)
-            if c.jobs.jobs[JobId(job)].complete:
+            w.serve_worker(c, body, MonotonicTime(w.now), 0.0)
+            if c.jobs.jobs[JobId(job)].is_complete:
                 return c
         w.step(0.1)
     return c
@@ -390,11 +423,11 @@
 @pytest.mark.parametrize(
     ("moment", "asked", "cancelled", "end"),
     [
-        ("running", JobStatus, Verdict.UNDECIDED, "aborted"),
-        ("complete", JobStatus, Verdict.UNDECIDED, "done"),
-        ("end sent", Verdict.UNDECIDED, Verdict.UNDECIDED, "done"),
-        ("end unsure", Verdict.UNDECIDED, Verdict.UNDECIDED, "done"),
-        ("end refused", JobStatus, Verdict.UNDECIDED, "done"),
+        ("running", JobStatus, LookupFailure.UNDECIDED, "aborted"),
+        ("complete", JobStatus, LookupFailure.UNDECIDED, "done"),
+        ("end sent", LookupFailure.UNDECIDED, LookupFailure.UNDECIDED, "done"),
+        ("end unsure", LookupFailure.UNDECIDED, LookupFailure.UNDECIDED, "done"),
+        ("end refused", JobStatus, LookupFailure.UNDECIDED, "done"),
         ("end durable", "done", "done", "done"),
     ],
 )
@@ -409,35 +442,35 @@
             w.step(0.1)
     else:
         c = last_task_done(w, ONE)
-    now = Steady(w.now)
+    now = MonotonicTime(w.now)
     pending = None
     if moment.startswith("end"):
-        pending = c.next_txn(now, 20)
+        pending = c.next_transaction(now, 20)
         assert pending is not None and pending.ends
     if pending is not None and moment == "end unsure":
-        w.late.append((w.now + 3.0, pending.txn.body()))
-        c.txn_done(pending, Outcome.UNKNOWN, Revision(0), (), now)
+        w.late.append((w.now + 3.0, pending.transaction.body()))
+        c.on_transaction_result(pending, TransactionOutcome.INDETERMINATE, Revision(0), (), now)
     elif pending is not None and moment == "end refused":
-        c.txn_done(pending, Outcome.REFUSED, Revision(0), (), now)
+        c.on_transaction_result(pending, TransactionOutcome.REJECTED, Revision(0), (), now)
     elif pending is not None and moment == "end durable":
-        version = Revision(w.store.txn(pending.txn.body())[1]["ledgerRev"])
-        c.txn_done(pending, Outcome.OK, version, (), now)
-    state_now = c.status(ONE)
+        version = Revision(w.store.txn(pending.transaction.body())[1]["ledgerRev"])
+        c.on_transaction_result(pending, TransactionOutcome.COMMITTED, version, (), now)
+    state_now = c.job_status(ONE)
     if isinstance(asked, str):
-        assert state_now is Verdict.UNKNOWN_JOB or state_now.state == asked
+        assert state_now is LookupFailure.UNKNOWN_JOB or state_now.state == asked
         # What ended is dropped at once; the node tells it from the ends it has just taken.
-        assert c.take_finished() == [(ONE, asked)]
+        assert c.take_finished_jobs() == [(ONE, asked)]
         w.tell(ONE, asked)
-        assert c.cancel(ONE, now) in (cancelled, Verdict.UNKNOWN_JOB)
+        assert c.cancel_job(ONE, now) in (cancelled, LookupFailure.UNKNOWN_JOB)
     elif asked is JobStatus:
         assert isinstance(state_now, JobStatus) and state_now.state in ("pending", "running")
-        assert c.cancel(ONE, now) is cancelled
+        assert c.cancel_job(ONE, now) is cancelled
     else:
         assert state_now is asked
-        assert c.cancel(ONE, now) is cancelled
+        assert c.cancel_job(ONE, now) is cancelled
     if pending is not None and moment == "end sent":
-        version = Revision(w.store.txn(pending.txn.body())[1]["ledgerRev"])
-        c.txn_done(pending, Outcome.OK, version, (), now)
+        version = Revision(w.store.txn(pending.transaction.body())[1]["ledgerRev"])
+        c.on_transaction_result(pending, TransactionOutcome.COMMITTED, version, (), now)
     w.run(30)
     assert w.told == {ONE: end}
     assert w.store.keys[f"end/{ONE}"][0]["e"] == end
@@ -462,16 +495,18 @@
         found = store.item(key)
         done(True, None if found is None else state.parse_item(orjson.dumps(found)))
 
-    bucket = SimpleNamespace(available=lambda *_: 9, take=lambda *_: True, force=lambda *_: None)
+    bucket = SimpleNamespace(
+        available=lambda *_: 9, try_take=lambda *_: True, force_take=lambda *_: None
+    )
     node: Any = SimpleNamespace(
-        clock=lambda: Steady(0.0),
-        lag=0.0,
-        types=kinds,
+        clock=lambda: MonotonicTime(0.0),
+        loop_lag_s=0.0,
+        machine_types=kinds,
         settings=World(0).settings,
         tuning=World(0).tuning,
-        store=SimpleNamespace(txn=txn, get=get, writes=bucket, requests=bucket),
+        store=SimpleNamespace(commit=txn, get=get, writes=bucket, requests=bucket),
         leader_service=SimpleNamespace(
-            controller=None, job_records=SimpleNamespace(learn=lambda _: None)
+            scheduler=None, job_record_watch=SimpleNamespace(add_record=lambda _: None)
         ),
     )
     front = UserService(node)
@@ -487,11 +522,13 @@
     held.pop()()
     if meanwhile == "ended":
         store.txn(
-            state.Txn({}, [state.Put(f"end/{ONE}", {"e": "done"}), state.Drop(f"job/{ONE}")]).body()
+            state.Transaction(
+                {}, [state.Put(f"end/{ONE}", {"e": "done"}), state.DeleteKey(f"job/{ONE}")]
+            ).body()
         )
     submit()
     if meanwhile == "told here":
-        front.final(ONE, "done")
+        front.record_outcome(ONE, "done")
     held.pop()()
     assert [status for status, _ in replies] == [201, 200]
     assert orjson.loads(replies[1][1])["standing"] == expected
@@ -508,19 +545,19 @@
     w.submit(ONE, run_s=60.0, parcels=4, cpus=4.0)
     w.run(8)
     m = next(m for m in w.cloud.machines.values() if m.boots_at <= w.now and not m.tasks)
-    old = workers.parse_report(m.report())
+    old = workers.parse_heartbeat(m.report())
     while not m.on():
         w.step(0.1)
     w.elect()
     if not first:
         w.run(4)
     c = leader(w)
-    machine = c.fleet.get(MachineId(m.id))
-    placed, heard = dict(machine.placed), machine.last_heard
+    machine = c.inventory.get(MachineId(m.id))
+    placed, heard = dict(machine.placements), machine.last_heartbeat_at
     assert placed
-    assert not c.on_report(old, Steady(w.now))
-    assert machine.placed == placed and machine.last_heard == heard
-    assert not any(p.phase is Phase.ENDED for p in placed.values())
+    assert not c.on_heartbeat(old, MonotonicTime(w.now))
+    assert machine.placements == placed and machine.last_heartbeat_at == heard
+    assert not any(p.phase is PlacementPhase.ENDED for p in placed.values())
     finish(w)
     assert all(n == 1 for n in w.starts.values())
 
@@ -546,9 +583,9 @@
     sim = busy(w)[0]
     sim.answered = -1e9  # its lease runs out: the next session begins, the tasks are started anew
     w.run(6)
-    assert sim.session == 2 and len(sim.on()) == 2
+    assert sim.agent_epoch == 2 and len(sim.on()) == 2
     c = leader(w)
-    p = next(p for m in c.fleet.machines.values() for p in m.placed.values())
+    p = next(p for m in c.inventory.machines.values() for p in m.placements.values())
     body = sim.report()
     sent = body | {"parcels": [t for t in body["parcels"] if t["parcel"] != p.key]}
     if attempt is not None:
@@ -561,13 +598,17 @@
     else:
         sent["tally"] = sent["tally"] + older.get("tally", 1) - 1
         sim.seq += 1
-    before = (dict(c.fleet.machines[p.machine].placed), p.phase, p.job.done_count)
-    commands = c.on_report(workers.parse_report(sent), Steady(w.now))
+    before = (dict(c.inventory.machines[p.machine_id].placements), p.phase, p.job.done_count)
+    commands = c.on_heartbeat(workers.parse_heartbeat(sent), MonotonicTime(w.now))
     if answer is None:
         assert not commands, name
     else:
         assert [type(x).__name__.lower() for x in commands if x.key == p.key] == [answer], name
-    assert (dict(c.fleet.machines[p.machine].placed), p.phase, p.job.done_count) == before, name
+    assert (
+        dict(c.inventory.machines[p.machine_id].placements),
+        p.phase,
+        p.job.done_count,
+    ) == before, name
 
 
 # -- more work than room
@@ -612,8 +653,8 @@
     w.submit(ONE, run_s=500.0, parcels=1, cpus=5.0, loaners=how[:4] != "kept", breeds=["small"])
     w.run(16)
     c = leader(w)
-    (m,) = [m for m in c.fleet.machines.values() if m.state is MachineState.UP]
-    assert m.live == 1 and (how[:4] != "kept" or not m.spot)
+    (m,) = [m for m in c.inventory.machines.values() if m.state is MachineState.UP]
+    assert m.live_task_count == 1 and (how[:4] != "kept" or not m.is_spot)
     if how == "a larger one waits":
         w.submit("wk-000009", run_s=5.0, parcels=4, cpus=4.0, urgency="urgent", loaners=False)
         w.submit("wk-000008", run_s=5.0, parcels=4, cpus=5.0, breeds=["small"])
@@ -621,15 +662,15 @@
         w.submit("wk-000009", run_s=5.0, parcels=1, cpus=6.0, loaners=False, breeds=["small"])
         w.run(2)  # until it is asked for
     elif how == "quarantine":
-        c.scheduler.quarantine(m, "slow", Steady(w.now))
+        c.cluster_state.cordon(m, "slow", MonotonicTime(w.now))
     # More than is written ahead of room, which would pass by what is kept.
     mine = {"run_s": 5.0, "parcels": 1, "cpus": 3.0, "urgency": "idle", "breeds": ["small"]}
     if how == "kept from its like":
         w.submit("wk-000000", **mine)
     w.submit(TWO, **mine)
-    c.jobs.jobs[TWO].prefers_ordinary = how == "kept from its like"
+    c.jobs.jobs[TWO].prefers_on_demand = how == "kept from its like"
     if how == "avoided":
-        c.jobs.jobs[TWO].avoid(m.id, Steady(w.now))
+        c.jobs.jobs[TWO].avoid_machine(m.id, MonotonicTime(w.now))
     w.left_waiting_s = WAIT_S
     w.run(within)
     assert w.starts[f"{TWO}/0"] == 1
@@ -698,7 +739,9 @@
         m.hangs_until = w.now + 8.0
     w.run(cancel_at)
     if cancel_at > 8.0:
-        assert all(c.fleet.machines[MachineId(m.id)].state is MachineState.LEAVING for m in hung)
+        assert all(
+            c.inventory.machines[MachineId(m.id)].state is MachineState.DELETING for m in hung
+        )
         w.run(4)
     w.cancel(ONE)
     if word_lost:
@@ -720,7 +763,10 @@
     w.cloud_down_until = w.now + 25.0
     hung.hangs_until = w.now + 8.5
     w.run(8)
-    assert leader(w).fleet.machines[MachineId(hung.id)].state is MachineState.LEAVING and hung.on()
+    assert (
+        leader(w).inventory.machines[MachineId(hung.id)].state is MachineState.DELETING
+        and hung.on()
+    )
     finish(w)
     assert w.told == {ONE: "done", TWO: "done"}
 
@@ -731,15 +777,17 @@
     w.submit(ONE, run_s=300.0, parcels=1)
     w.run(14)
     c = leader(w)
-    (m,) = [m for m in c.fleet.machines.values() if m.live]
-    now = Steady(w.now)
-    for i in range(cloud.MAX_DELETE + 20):
-        other = c.fleet.add(MachineId(f"n-9{i:05d}"), m.type, "a", True, MachineState.UP, now, now)
-        c.scheduler.request_deletion(other, now)
+    (m,) = [m for m in c.inventory.machines.values() if m.live_task_count]
+    now = MonotonicTime(w.now)
+    for i in range(cloud.MAX_DELETED_MACHINES + 20):
+        other = c.inventory.add(
+            MachineId(f"n-9{i:05d}"), m.type, "a", True, MachineState.UP, now, now
+        )
+        c.cluster_state.request_deletion(other, now)
     w.cancel(ONE)
-    c.scheduler.request_deletion(m, now)
-    call = c.next_cloud(now)
-    assert isinstance(call, Delete) and call.machines[0] == m.id
+    c.cluster_state.request_deletion(m, now)
+    call = c.next_cloud_request(now)
+    assert isinstance(call, DeleteMachines) and call.machines[0] == m.id
 
 
 # -- a team at its limit
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -4,21 +4,21 @@
 
 import pytest
 
-from eldercart.scheduling.pacing import PART, PacedWork
+from eldercart.scheduling.pacing import INTERVAL_PER_COST, AdaptiveInterval
 from eldercart.scheduling.planner import Planner
-from eldercart.units import Steady
+from eldercart.units import MonotonicTime
 from world import World
 
 
-def pauses(work: PacedWork, cost_s: float, turns: int) -> list[float]:
+def pauses(work: AdaptiveInterval, cost_s: float, turns: int) -> list[float]:
     """The pauses between turns that take so long, by a clock that ticks ten times a second."""
     began: list[float] = []
     now = 0.0
     while len(began) < turns:
-        if work.due(Steady(now)):
+        if work.is_due(MonotonicTime(now)):
             began.append(now)
-            work.begin(Steady(now))
-            work.took(cost_s)
+            work.start(MonotonicTime(now))
+            work.record_duration(cost_s)
         now += 0.1
     return [after - before for before, after in itertools.pairwise(began)]
 
@@ -33,46 +33,48 @@
     ],
 )
 def test_what_takes_long_is_repeated_less_often(cost_s: float, pause_s: float) -> None:
-    for pause in pauses(PacedWork(0.5), cost_s, 5):
+    for pause in pauses(AdaptiveInterval(0.5), cost_s, 5):
         assert pause_s - 1e-6 <= pause <= pause_s + 0.2
 
 
 def test_a_cost_is_counted_for_what_ran_alone() -> None:
     """One tick does several things at times; those that it did not do cost nothing."""
-    work = PacedWork(0.5)
-    work.begin(Steady(0.0))
-    work.took(0.01)
-    work.took(0.4)  # of a tick in which it was not due
-    assert work.due(Steady(0.5))
+    work = AdaptiveInterval(0.5)
+    work.start(MonotonicTime(0.0))
+    work.record_duration(0.01)
+    work.record_duration(0.4)  # of a tick in which it was not due
+    assert work.is_due(MonotonicTime(0.5))
 
 
 def test_a_quick_turn_does_not_crowd_the_next_ones() -> None:
-    work = PacedWork(0.1)
-    work.begin(Steady(0.0))
-    work.took(0.4)
-    work.begin(Steady(10.0))
-    work.took(0.0)
-    assert not work.due(Steady(11.0)) and work.due(Steady(10.0 + PART * 0.4))
+    work = AdaptiveInterval(0.1)
+    work.start(MonotonicTime(0.0))
+    work.record_duration(0.4)
+    work.start(MonotonicTime(10.0))
+    work.record_duration(0.0)
+    assert not work.is_due(MonotonicTime(11.0)) and work.is_due(
+        MonotonicTime(10.0 + INTERVAL_PER_COST * 0.4)
+    )
 
 
 def test_a_planner_that_was_stalled_plans_again_soon() -> None:
-    planner = Planner(World(1).new_controller(5).scheduler)
-    planner.plan(Steady(100.0))
-    planner.cost(60.0)
-    assert planner.due(Steady(111.0), 0)
+    planner = Planner(World(1).new_controller(5).cluster_state)
+    planner.plan(MonotonicTime(100.0))
+    planner.record_pass_duration(60.0)
+    assert planner.is_due(MonotonicTime(111.0), 0)
 
 
 def test_looks_at_thousands_of_machines_are_spaced_out() -> None:
     """As the adapter tells how long they took; without that they would fill a small core."""
     world = World(1)
-    controller = world.controller
+    controller = world.scheduler
     assert controller is not None
     rented: list[float] = []
-    measured = controller.cloud.rent
-    controller.cloud.rent = lambda now: (rented.append(now), measured(now))  # type: ignore
+    measured = controller.cloud_requests.autoscale
+    controller.cloud_requests.autoscale = lambda now: (rented.append(now), measured(now))  # type: ignore
     for tick in range(100):
-        now = Steady(200.0 + tick / 10)
-        controller.scheduler.rental_due = now
+        now = MonotonicTime(200.0 + tick / 10)
+        controller.cluster_state.autoscaling_due_at = now
         controller.tick(now)
-        controller.tick_took(0.25)
+        controller.record_tick_duration(0.25)
     assert 4 <= len(rented) <= 6
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -7,26 +7,26 @@
 
 import pytest
 
-from eldercart.autoscaling.autoscaler import Rental
-from eldercart.cli import main, parser
-from eldercart.cluster.inventory import Fleet, MachineState
+from eldercart.autoscaling.autoscaler import Autoscaler
+from eldercart.cli import build_parser, main
+from eldercart.cluster.inventory import MachineInventory, MachineState
 from eldercart.election.state_machine import (
-    Claim,
+    Campaign,
     Election,
-    OpenLease,
-    ReadLead,
-    RenewLease,
+    GrantLease,
+    KeepLeaseAlive,
+    ReadLeaderKey,
     RevokeLease,
     Role,
 )
 from eldercart.jobs.registry import Job, JobRegistry
 from eldercart.prediction.predictor import Predictor
 from eldercart.scheduling import feasibility
-from eldercart.server.controller_node import could_serve
-from eldercart.server.store.token_bucket import Bucket
-from eldercart.settings import BadSettings, load_tuning
+from eldercart.server.controller_node import is_healthy
+from eldercart.server.store.token_bucket import TokenBucket
+from eldercart.settings import InvalidSettings, load_tuning
 from eldercart.settings.platform import parse_platform
-from eldercart.units import Epoch, LeaseId, MachineId, NodeId, Revision, Steady
+from eldercart.units import FencingToken, LeaseId, MachineId, MonotonicTime, NodeId, Revision
 from eldercart.wire import cloud, users
 from eldercart.wire.state import Item
 from simulators import CATALOG
@@ -54,13 +54,13 @@
     for part in parents:
         at = at[part]
     at[last] = value
-    with pytest.raises(BadSettings, match=f"settings: {names}: "):
+    with pytest.raises(InvalidSettings, match=f"settings: {names}: "):
         parse_platform(root)
 
 
 @pytest.mark.parametrize("values", [{"no_such": 1}, {"depth": 1.5}, {"predict_high": 2}, []])
 def test_bad_operator_settings(values: Any) -> None:
-    with pytest.raises(BadSettings):
+    with pytest.raises(InvalidSettings):
         load_tuning(values=values)
 
 
@@ -142,7 +142,7 @@
         "duties",
     }
     for command in commands:
-        args = parser().parse_args(command)
+        args = build_parser().parse_args(command)
         assert args.command == command[0]
         assert getattr(args, "awaits", []) == (["wk-000412"] if "--awaits" in command else [])
 
@@ -180,97 +180,99 @@
 
 def elected(now: float = 0.0) -> Election:
     e = Election(NodeId("n0"), 3.0, 0.02)
-    assert isinstance(e.next_action(Steady(now)), ReadLead)
-    e.read(None, Steady(now))
-    assert isinstance(e.next_action(Steady(now)), OpenLease)
-    e.opened(LEADER_LEASE, Steady(now + 0.1))
-    assert isinstance(e.next_action(Steady(now + 0.1)), Claim)
-    e.claimed(Revision(7), Steady(now + 0.2))
+    assert isinstance(e.next_action(MonotonicTime(now)), ReadLeaderKey)
+    e.on_leader_key_read(None, MonotonicTime(now))
+    assert isinstance(e.next_action(MonotonicTime(now)), GrantLease)
+    e.on_lease_granted(LEADER_LEASE, MonotonicTime(now + 0.1))
+    assert isinstance(e.next_action(MonotonicTime(now + 0.1)), Campaign)
+    e.on_campaign_result(Revision(7), MonotonicTime(now + 0.2))
     return e
 
 
 def test_lease_counts_from_before_sending() -> None:
     e = elected()
-    assert e.role is Role.LEADER and e.epoch == 7
-    assert e.within_lease(Steady(2.9)) and not e.within_lease(Steady(2.95))
-    assert isinstance(e.next_action(Steady(1.0)), RenewLease)
-    e.renewed(True, Steady(1.9))  # a slow answer extends from when it was asked
-    assert e.within_lease(Steady(3.9)) and not e.within_lease(Steady(3.95))
+    assert e.role is Role.LEADER and e.token == 7
+    assert e.is_within_lease(MonotonicTime(2.9)) and not e.is_within_lease(MonotonicTime(2.95))
+    assert isinstance(e.next_action(MonotonicTime(1.0)), KeepLeaseAlive)
+    e.on_keep_alive(True, MonotonicTime(1.9))  # a slow answer extends from when it was asked
+    assert e.is_within_lease(MonotonicTime(3.9)) and not e.is_within_lease(MonotonicTime(3.95))
 
 
 def test_outage_suspends_and_does_not_depose() -> None:
     e = elected()
-    action = e.next_action(Steady(1.0))
+    action = e.next_action(MonotonicTime(1.0))
     assert action is not None
-    e.failed(action, Steady(2.0))
-    assert e.role is Role.LEADER and not e.within_lease(Steady(5.0))
-    assert isinstance(e.next_action(Steady(5.0)), RenewLease)
-    e.renewed(True, Steady(5.1))
-    assert e.within_lease(Steady(5.2))
+    e.on_action_failed(action, MonotonicTime(2.0))
+    assert e.role is Role.LEADER and not e.is_within_lease(MonotonicTime(5.0))
+    assert isinstance(e.next_action(MonotonicTime(5.0)), KeepLeaseAlive)
+    e.on_keep_alive(True, MonotonicTime(5.1))
+    assert e.is_within_lease(MonotonicTime(5.2))
 
 
 @pytest.mark.parametrize("how", ["lease ended", "higher epoch", "write refused"])
 def test_steps_down(how: str) -> None:
     e = elected()
-    now = Steady(1.0)
+    now = MonotonicTime(1.0)
     if how == "lease ended":
-        assert isinstance(e.next_action(now), RenewLease)
-        assert e.renewed(False, now)
+        assert isinstance(e.next_action(now), KeepLeaseAlive)
+        assert e.on_keep_alive(False, now)
     elif how == "higher epoch":
-        assert not e.saw_epoch(Epoch(7), now)
-        assert e.saw_epoch(Epoch(8), now)
+        assert not e.observe_token(FencingToken(7), now)
+        assert e.observe_token(FencingToken(8), now)
     else:
-        e.deposed(now)
-    assert e.role is Role.FOLLOWER and not e.within_lease(now)
-    assert isinstance(e.next_action(now), ReadLead)
+        e.on_write_fenced(now)
+    assert e.role is Role.FOLLOWER and not e.is_within_lease(now)
+    assert isinstance(e.next_action(now), ReadLeaderKey)
 
 
 def test_leader_that_hears_nobody_stands_back() -> None:
     """It keeps its lease through the store alone, and nobody else could lead."""
     e = elected()
-    e.resign(Steady(1.0))
+    e.resign(MonotonicTime(1.0))
     assert e.role is Role.FOLLOWER
-    assert e.next_action(Steady(1.0)) == RevokeLease(LEADER_LEASE)
-    e.dropped(Steady(1.1))
-    assert isinstance(e.next_action(Steady(1.1)), ReadLead)
-    e.read(None, Steady(1.2))
-    assert e.next_action(Steady(1.3)) is None, "somebody else first"
-    assert isinstance(e.next_action(Steady(3.0)), ReadLead)
-    e.read(None, Steady(3.0))
-    assert isinstance(e.next_action(Steady(11.0)), OpenLease), "nobody else came"
+    assert e.next_action(MonotonicTime(1.0)) == RevokeLease(LEADER_LEASE)
+    e.on_lease_revoked(MonotonicTime(1.1))
+    assert isinstance(e.next_action(MonotonicTime(1.1)), ReadLeaderKey)
+    e.on_leader_key_read(None, MonotonicTime(1.2))
+    assert e.next_action(MonotonicTime(1.3)) is None, "somebody else first"
+    assert isinstance(e.next_action(MonotonicTime(3.0)), ReadLeaderKey)
+    e.on_leader_key_read(None, MonotonicTime(3.0))
+    assert isinstance(e.next_action(MonotonicTime(11.0)), GrantLease), "nobody else came"
 
 
 def test_claim_with_lost_answer_is_found_by_reading() -> None:
     e = Election(NodeId("n0"), 3.0, 0.02)
-    now = Steady(0.0)
+    now = MonotonicTime(0.0)
     e.next_action(now)
-    e.read(None, now)
+    e.on_leader_key_read(None, now)
     e.next_action(now)
-    e.opened(LEADER_LEASE, now)
+    e.on_lease_granted(LEADER_LEASE, now)
     claim = e.next_action(now)
-    assert isinstance(claim, Claim)
-    e.failed(claim, now)
-    later = Steady(0.5)
-    assert isinstance(e.next_action(later), ReadLead)
-    e.read(Item("lead", {"node": "n0", "life": "0"}, Revision(9), LEADER_LEASE), later)
-    assert e.role is Role.LEADER and e.epoch == 9
+    assert isinstance(claim, Campaign)
+    e.on_action_failed(claim, now)
+    later = MonotonicTime(0.5)
+    assert isinstance(e.next_action(later), ReadLeaderKey)
+    e.on_leader_key_read(
+        Item("lead", {"node": "n0", "life": "0"}, Revision(9), LEADER_LEASE), later
+    )
+    assert e.role is Role.LEADER and e.token == 9
 
 
 def test_key_of_an_earlier_incarnation_is_given_up() -> None:
     """Restarted within a fraction of a second: the old lease would keep everybody waiting."""
     e = Election(NodeId("n0"), 3.0, 0.02)
-    e.next_action(Steady(0.0))
-    e.read(Item("lead", {"node": "n0"}, Revision(9), LeaseId(3)), Steady(0.0))
+    e.next_action(MonotonicTime(0.0))
+    e.on_leader_key_read(Item("lead", {"node": "n0"}, Revision(9), LeaseId(3)), MonotonicTime(0.0))
     assert e.role is Role.FOLLOWER
-    assert e.next_action(Steady(0.0)) == RevokeLease(LeaseId(3))
+    assert e.next_action(MonotonicTime(0.0)) == RevokeLease(LeaseId(3))
 
 
 def test_another_leader_is_left_alone() -> None:
     e = Election(NodeId("n0"), 3.0, 0.02)
-    e.next_action(Steady(0.0))
-    e.read(Item("lead", {"node": "n1"}, Revision(9), LeaseId(3)), Steady(0.0))
-    assert (e.leader, e.epoch) == ("n1", 9)
-    assert e.next_action(Steady(0.1)) is None
+    e.next_action(MonotonicTime(0.0))
+    e.on_leader_key_read(Item("lead", {"node": "n1"}, Revision(9), LeaseId(3)), MonotonicTime(0.0))
+    assert (e.leader, e.token) == ("n1", 9)
+    assert e.next_action(MonotonicTime(0.1)) is None
 
 
 # -- prediction
@@ -278,15 +280,15 @@
 
 def job(number: int, image: str, **changes: Any) -> Job:
     body = submission(f"wk-{number:06d}", kit=image, **changes)
-    return Job(users.parse_submission(body), 100, Steady(float(number)))
+    return Job(users.parse_submission(body), 100, MonotonicTime(float(number)))
 
 
 def train(p: Predictor, images: str, outcomes: str) -> list[Job]:
     jobs = [job(i, image) for i, image in enumerate(images)]
     for j in jobs:
-        p.arrived(j, j.arrived)
+        p.on_job_ready(j, j.submitted_at)
     for j, outcome in zip(jobs, outcomes, strict=False):
-        p.ended(j, users.DONE if outcome == "d" else users.CANCELLED)
+        p.on_stream_job_ended(j, users.DONE if outcome == "d" else users.CANCELLED)
     return jobs
 
 
@@ -314,35 +316,35 @@
     p = Predictor(load_tuning(values={"path_length": 1}))
     jobs = train(p, "ab" * 12, "d" * 14)
     for j in jobs[14:]:
-        p.prepare(j, 1.0, 10.0, load, Steady(30.0))
-    assert len(p.bookings) == depth
+        p.reserve_for_stream(j, 1.0, 10.0, load, MonotonicTime(30.0))
+    assert len(p.soft_reservations) == depth
 
 
 def test_bookings_are_made_late_taken_up_and_returned() -> None:
     p = Predictor(load_tuning(values={"path_length": 1}))
     jobs = train(p, "ababab", "ddddd")
-    p.prepare(jobs[5], 30.0, 10.0, 0.0, Steady(10.0))
-    assert not p.bookings, "more than a boot ahead"
-    p.prepare(jobs[5], 5.0, 10.0, 0.0, Steady(10.0))
-    assert [b.image for b in p.bookings] == ["a"]
-    assert p.booked() == pytest.approx((0.0, 12.0))
-    p.arrived(job(20, "a"), Steady(12.0))
-    assert (p.hits, p.misses, p.bookings) == (1, 0, [])
-    p.prepare(jobs[5], 5.0, 10.0, 0.0, Steady(10.0))
-    p.arrived(job(21, "z"), Steady(13.0))
-    assert (p.hits, p.misses, p.bookings) == (1, 1, [])
-    p.prepare(jobs[5], 5.0, 10.0, 0.0, Steady(10.0))
-    p.expire(Steady(99.0))
-    assert (p.unused, p.bookings) == (1, [])
+    p.reserve_for_stream(jobs[5], 30.0, 10.0, 0.0, MonotonicTime(10.0))
+    assert not p.soft_reservations, "more than a boot ahead"
+    p.reserve_for_stream(jobs[5], 5.0, 10.0, 0.0, MonotonicTime(10.0))
+    assert [b.image for b in p.soft_reservations] == ["a"]
+    assert p.reserved_cpus() == pytest.approx((0.0, 12.0))
+    p.on_job_ready(job(20, "a"), MonotonicTime(12.0))
+    assert (p.hits, p.misses, p.soft_reservations) == (1, 0, [])
+    p.reserve_for_stream(jobs[5], 5.0, 10.0, 0.0, MonotonicTime(10.0))
+    p.on_job_ready(job(21, "z"), MonotonicTime(13.0))
+    assert (p.hits, p.misses, p.soft_reservations) == (1, 1, [])
+    p.reserve_for_stream(jobs[5], 5.0, 10.0, 0.0, MonotonicTime(10.0))
+    p.expire(MonotonicTime(99.0))
+    assert (p.expired, p.soft_reservations) == (1, [])
 
 
 # -- order
 
-NONE = feasibility.Promises({}, {})
+NONE = feasibility.ServiceLevelObjectives({}, {})
 
 
 def test_order_of_jobs() -> None:
-    registry, fleet = JobRegistry(100), Fleet()
+    registry, fleet = JobRegistry(100), MachineInventory()
     teams = parse_platform(PLATFORM).teams
     rows: list[dict[str, Any]] = [
         {"urgency": "idle", "crew": "t1"},
@@ -352,8 +354,8 @@
     ]
     for i, changes in enumerate(rows):
         spec = users.parse_submission(submission(f"wk-{i:06d}", **changes))
-        registry.add(spec, 100, Steady(0.0))
-    fleet.team_cpus["t2"] = 40.0
+        registry.add(spec, 100, MonotonicTime(0.0))
+    fleet.cpus_by_team["t2"] = 40.0
     ordered = feasibility.order_jobs(
         list(registry.jobs.values()),
         fleet,
@@ -362,7 +364,7 @@
         lambda p, s: 100.0,
         lambda j: 6.0,
         lambda j: 6.0,
-        Steady(1.0),
+        MonotonicTime(1.0),
     )
     assert [j.id[-1] for j in ordered] == ["3", "2", "1", "0"]
 
@@ -372,19 +374,19 @@
     registry = JobRegistry(100)
     for i, tasks in enumerate((400, 10, 10, 10)):
         body = submission(f"wk-{i:06d}", parcels=tasks, dueS=40.0 + i)
-        registry.add(users.parse_submission(body), 100, Steady(0.0))
+        registry.add(users.parse_submission(body), 100, MonotonicTime(0.0))
     ordered = feasibility.order_jobs(
         list(registry.jobs.values()),
-        Fleet(),
+        MachineInventory(),
         parse_platform(PLATFORM).teams,
         NONE,
         lambda p, s: 16.0,
         lambda j: 6.0,
         lambda j: 6.0,
-        Steady(1.0),
+        MonotonicTime(1.0),
     )
     assert [j.id[-1] for j in ordered] == ["1", "2", "3", "0"]
-    assert [j.late for j in ordered] == [False, False, False, True]
+    assert [j.is_deferred for j in ordered] == [False, False, False, True]
 
 
 def test_jobs_for_ordinary_machines_are_judged_by_those() -> None:
@@ -399,39 +401,37 @@
     ]
     for i, changes in enumerate(rows):
         body = submission(f"wk-{i:06d}", **({"loaners": False} | changes))
-        registry.add(users.parse_submission(body), 100, Steady(0.0))
+        registry.add(users.parse_submission(body), 100, MonotonicTime(0.0))
     ordered = feasibility.order_jobs(
         list(registry.jobs.values()),
-        Fleet(),
+        MachineInventory(),
         parse_platform(PLATFORM).teams,
         NONE,
         lambda p, spot: 1000.0 if spot else 16.0,
         lambda j: 6.0,
         lambda j: 6.0,
-        Steady(1.0),
+        MonotonicTime(1.0),
     )
     assert [j.id[-1] for j in ordered] == ["1", "2", "0", "3"]
-    assert [j.late for j in ordered] == [False, False, True, False]
+    assert [j.is_deferred for j in ordered] == [False, False, True, False]
 
 
 def test_fetches_on_one_machine_share_its_rate() -> None:
     """A machine that fetches already is a worse place for a task that must fetch another image."""
-    registry, fleet = JobRegistry(100), Fleet()
+    registry, fleet = JobRegistry(100), MachineInventory()
     kind = cloud.parse_catalog(CATALOG)["big"]
-    now = Steady(0.0)
+    now = MonotonicTime(0.0)
     busy, idle = (
         fleet.add(MachineId(n), kind, "b", True, MachineState.UP, now, now) for n in ("n-1", "n-2")
     )
     spec = users.parse_submission(submission("wk-000001", kit="one", imageGb=3.0))
-    p = registry.place(registry.add(spec, 100, now), 0, busy.id, now)
-    fleet.occupy(busy, p)
+    p = registry.add_placement(registry.add(spec, 100, now), 0, busy.id, now)
+    fleet.allocate(busy, p)
     other = users.parse_submission(submission("wk-000002", kit="two", imageGb=2.0))
-    assert feasibility.preference(other, busy) > feasibility.preference(other, idle)
-    assert feasibility.preference(spec, busy) < feasibility.preference(spec, idle), (
-        "one fetch serves both"
-    )
-    fleet.note_image(busy, "two", 2.0)
-    assert feasibility.preference(other, busy) < feasibility.preference(other, idle)
+    assert feasibility.score(other, busy) > feasibility.score(other, idle)
+    assert feasibility.score(spec, busy) < feasibility.score(spec, idle), "one fetch serves both"
+    fleet.record_image_use(busy, "two", 2.0)
+    assert feasibility.score(other, busy) < feasibility.score(other, idle)
 
 
 # -- health
@@ -450,36 +450,38 @@
 def test_could_serve(
     ready: bool, failing_s: float, peer_served_ago_s: float, expected: bool
 ) -> None:
-    assert could_serve(ready, failing_s, peer_served_ago_s) is expected
+    assert is_healthy(ready, failing_s, peer_served_ago_s) is expected
 
 
 # -- tokens
 
 
 def test_bucket_keeps_a_reserve() -> None:
-    b = Bucket(10.0, 10.0, Steady(0.0))
-    assert all(b.take(Steady(0.0), 1, 0.3) for _ in range(7))
-    assert not b.take(Steady(0.0), 1, 0.3)
-    assert b.take(Steady(0.0), 3, 0.0)
-    assert not b.take(Steady(0.05), 1)
-    assert b.take(Steady(0.1), 1)
-    b.force(Steady(0.1), 5)
-    assert b.available(Steady(0.5)) < 1
-    assert b.available(Steady(100.0)) == 10
+    b = TokenBucket(10.0, 10.0, MonotonicTime(0.0))
+    assert all(b.try_take(MonotonicTime(0.0), 1, 0.3) for _ in range(7))
+    assert not b.try_take(MonotonicTime(0.0), 1, 0.3)
+    assert b.try_take(MonotonicTime(0.0), 3, 0.0)
+    assert not b.try_take(MonotonicTime(0.05), 1)
+    assert b.try_take(MonotonicTime(0.1), 1)
+    b.force_take(MonotonicTime(0.1), 5)
+    assert b.available(MonotonicTime(0.5)) < 1
+    assert b.available(MonotonicTime(100.0)) == 10
 
 
 def test_promises_count_back_to_a_start() -> None:
-    p = feasibility.Promises({"slow": (8.0, 20.0)}, {"slow": (60.0,)}, {"slow": (1.0, 1.5)})
+    p = feasibility.ServiceLevelObjectives(
+        {"slow": (8.0, 20.0)}, {"slow": (60.0,)}, {"slow": (1.0, 1.5)}
+    )
     late = job(1, "a", dueS=30.0)
-    assert p.start_dues(late, 12.0) == [9.0, 19.0, 21.0, 34.0, 49.0]
-    assert p.preempts_from(late, 3.0, 5.0) == pytest.approx(1.0 + 0.55 * 8.0)
-    assert p.preempts_from(late, 6.0, 5.0) == pytest.approx(1.0 + 2.0)
-    assert feasibility.Promises({}, {}).preempts_from(late, 3.0, 5.0) == 6.0
+    assert p.latest_start_times(late, 12.0) == [9.0, 19.0, 21.0, 34.0, 49.0]
+    assert p.preemption_allowed_at(late, 3.0, 5.0) == pytest.approx(1.0 + 0.55 * 8.0)
+    assert p.preemption_allowed_at(late, 6.0, 5.0) == pytest.approx(1.0 + 2.0)
+    assert feasibility.ServiceLevelObjectives({}, {}).preemption_allowed_at(late, 3.0, 5.0) == 6.0
 
 
 def test_demand_is_expected_while_submissions_come() -> None:
     """What a window has seen is expected again; after the last submission the fleet goes."""
-    rental = Rental(
+    rental = Autoscaler(
         load_tuning(
             values={"demand_memory_s": 60, "pause_s": 20, "demand_spread": 1, "waiting_share": 1}
         ),
@@ -487,22 +489,22 @@
     )
     burst = job(1, "a", parcels=50)
     for t in range(0, 20, 2):
-        rental.arrived(Steady(float(t)))
-        rental.measure([burst], (0.0, 0.0), Steady(float(t)))
-    rental.arrived(Steady(20.0))
-    rental.measure([], (0.0, 0.0), Steady(30.0))
-    assert 90.0 < rental.any.level < 150.0
-    rental.measure([], (0.0, 0.0), Steady(43.0))
-    assert rental.any.level > 70.0, "twelve usual gaps have not passed"
-    rental.measure([], (0.0, 0.0), Steady(46.0))
-    assert rental.any.level == 0.0
+        rental.record_arrival(MonotonicTime(float(t)))
+        rental.update_demand([burst], (0.0, 0.0), MonotonicTime(float(t)))
+    rental.record_arrival(MonotonicTime(20.0))
+    rental.update_demand([], (0.0, 0.0), MonotonicTime(30.0))
+    assert 90.0 < rental.total_forecast.expected_cpus < 150.0
+    rental.update_demand([], (0.0, 0.0), MonotonicTime(43.0))
+    assert rental.total_forecast.expected_cpus > 70.0, "twelve usual gaps have not passed"
+    rental.update_demand([], (0.0, 0.0), MonotonicTime(46.0))
+    assert rental.total_forecast.expected_cpus == 0.0
 
 
 def test_steady_demand_needs_little_beyond_itself() -> None:
-    rental = Rental(
+    rental = Autoscaler(
         load_tuning(values={"headroom_share": 0.05, "demand_spread": 1.0, "waiting_share": 1.0}), {}
     )
     for t in range(60):
-        rental.arrived(Steady(float(t)))
-        rental.measure([job(1, "a", parcels=500)], (0.0, 0.0), Steady(float(t)))
-    assert rental.targets()[1] == pytest.approx(1050.0)
+        rental.record_arrival(MonotonicTime(float(t)))
+        rental.update_demand([job(1, "a", parcels=500)], (0.0, 0.0), MonotonicTime(float(t)))
+    assert rental.target_cpus()[1] == pytest.approx(1050.0)
--- a/tests/test_prediction.py
+++ b/tests/test_prediction.py
@@ -7,9 +7,9 @@
 
 from eldercart.jobs.registry import Job
 from eldercart.prediction.predictor import Predictor
-from eldercart.prediction.soft_reservations import Origin, Tally
+from eldercart.prediction.soft_reservations import ReservationOrigin, ReservationOutcomes
 from eldercart.settings import load_tuning
-from eldercart.units import JobId, MachineId, Steady
+from eldercart.units import JobId, MachineId, MonotonicTime
 from eldercart.wire import users
 from world import World, submission
 
@@ -29,24 +29,26 @@
     def submit(self, name: str, *awaits: str, **changes: Any) -> Job:
         fields = {"lot": name.split("-")[0], "awaits": [f"wk-{a}" for a in awaits]} | changes
         spec = users.parse_submission(submission(f"wk-{name}", **fields))
-        job = Job(spec, 100, Steady(self.now))
-        self.predictor.submitted(job)
+        job = Job(spec, 100, MonotonicTime(self.now))
+        self.predictor.on_job_submitted(job)
         return job
 
     def end(self, *names: str, how: str = users.DONE) -> None:
         for name in names:
             self.ending.pop(JobId(f"wk-{name}"), None)
-            self.predictor.chain_ended(JobId(f"wk-{name}"), how, Steady(self.now))
+            self.predictor.on_chain_job_ended(JobId(f"wk-{name}"), how, MonotonicTime(self.now))
 
     def near_end(self, load: float = 0.0, **left: float) -> None:
         """Tells for each job (with `_` for the dash) in how many seconds it ends."""
         self.ending |= {JobId("wk-" + n.replace("_", "-")): s for n, s in left.items()}
-        for expected in self.predictor.chains.predictions(self.ending):
-            self.predictor.prepare_chain(expected, expected.cpus, BOOT_S, load, Steady(self.now))
+        for expected in self.predictor.chains.predict_successors(self.ending):
+            self.predictor.reserve_for_chain(
+                expected, expected.cpus, BOOT_S, load, MonotonicTime(self.now)
+            )
 
     def wait(self, seconds: float) -> None:
         self.now += seconds
-        self.predictor.expire(Steady(self.now))
+        self.predictor.expire(MonotonicTime(self.now))
 
     def learn(self, *stages: str, times: int = 1, start: int = 1000, how: str = users.DONE) -> None:
         """Whole chains of these classes, each job submitted as soon as those before it; all but
@@ -60,12 +62,12 @@
             self.wait(SETTLED_S)
 
     def booked(self) -> list[tuple[str, float]]:
-        return [(b.pipeline[1], b.cpus) for b in self.predictor.bookings]
+        return [(b.pipeline[1], b.cpus) for b in self.predictor.soft_reservations]
 
     @property
     def tally(self) -> tuple[int, int, int]:
-        tally = self.predictor.tallies[Origin.CHAIN]
-        return tally.hits, tally.misses, tally.unused
+        tally = self.predictor.reservation_outcomes[ReservationOrigin.CHAIN]
+        return tally.hits, tally.misses, tally.expired
 
 
 def running_pair(chains: Chains, number: str = "1") -> None:
@@ -201,7 +203,10 @@
     c.near_end(b_20=1.0, b_21=2.0, b_22=3.0)
     assert c.booked() == [], "one of them does not end yet"
     c.near_end(b_23=9.0)
-    assert c.booked() == [("c", 12.0)] and c.predictor.bookings[0].until == c.now + 9.0 + BOOT_S
+    assert (
+        c.booked() == [("c", 12.0)]
+        and c.predictor.soft_reservations[0].expires_at == c.now + 9.0 + BOOT_S
+    )
     c.near_end(b_22=9.5)
     c.end(*names[:2])
     c.near_end()
@@ -228,7 +233,10 @@
     two_chains(2)
     two_chains(3)
     c.near_end(b_2=3.0, y_2=6.0)
-    assert c.booked() == [("c", 12.0)] and c.predictor.bookings[0].until == c.now + 6.0 + BOOT_S
+    assert (
+        c.booked() == [("c", 12.0)]
+        and c.predictor.soft_reservations[0].expires_at == c.now + 6.0 + BOOT_S
+    )
     c.near_end(b_3=3.0, y_3=6.0)
     assert len(c.booked()) == 2
     c.end("b-2", "y-2")
@@ -258,7 +266,7 @@
         c.submit(name, kit=f"image-{i}")
     c.submit("c-1", *names)
     c.end(*names)
-    table = c.predictor.chains._table
+    table = c.predictor.chains._statistics
     assert len(table) == 3000
     assert not any(
         s.fan_in for e in table.values() for s in e.successors["done"].by_pipeline.values()
@@ -271,8 +279,8 @@
     c.learn("a", "b", "c")
     after = c.submit("c-1", "b-1")
     upstream = submission("wk-b-1", lot="b", awaits=["wk-a-1"])
-    job = Job(users.parse_submission(upstream), 100, Steady(c.now))
-    c.predictor.submitted(job, [after])
+    job = Job(users.parse_submission(upstream), 100, MonotonicTime(c.now))
+    c.predictor.on_job_submitted(job, [after])
     c.near_end(b_1=3.0)
     assert c.booked() == []
     c.end("b-1")
@@ -289,7 +297,7 @@
     c.near_end(b_1=3.0)
     c.submit("other-1", "b-1")
     assert (c.booked(), c.tally) == ([], (0, 1, 0))
-    assert c.predictor.booked() == (0.0, 0.0)
+    assert c.predictor.reserved_cpus() == (0.0, 0.0)
 
 
 def test_unused_room_expires_one_boot_after_the_end() -> None:
@@ -353,7 +361,7 @@
     c.submit("b-8", "a-8")
     c.submit("a-9")
     c.near_end(a_9=3.0)
-    assert c.booked() == [] and len(c.predictor.chains._nodes) == 3
+    assert c.booked() == [] and len(c.predictor.chains._jobs) == 3
 
 
 def test_independent_job_takes_no_room_of_a_chain() -> None:
@@ -361,9 +369,9 @@
     c.learn("a", "b", "c")
     running_pair(c)
     c.near_end(b_1=3.0)
-    c.predictor.arrived(c.submit("c-7"), Steady(c.now))
+    c.predictor.on_job_ready(c.submit("c-7"), MonotonicTime(c.now))
     assert c.booked() == [("c", 12.0)] and c.tally == (0, 0, 0)
-    assert c.predictor.tallies[Origin.STREAM] == Tally()
+    assert c.predictor.reservation_outcomes[ReservationOrigin.STREAM] == ReservationOutcomes()
 
 
 def test_job_of_a_chain_is_not_the_next_of_the_stream() -> None:
@@ -371,16 +379,16 @@
     c = Chains()
     independent = [c.submit(f"c-{number}") for number in range(6)]
     for job in independent:
-        c.predictor.arrived(job, Steady(c.now))
-        c.predictor.ended(job, users.DONE)
-    c.predictor.prepare(independent[-1], 1.0, BOOT_S, 0.0, Steady(c.now))
+        c.predictor.on_job_ready(job, MonotonicTime(c.now))
+        c.predictor.on_stream_job_ended(job, users.DONE)
+    c.predictor.reserve_for_stream(independent[-1], 1.0, BOOT_S, 0.0, MonotonicTime(c.now))
     assert c.booked() == [("c", pytest.approx(12.0))]
     c.submit("b-1")
     late = c.submit("c-9", "b-1")
-    c.predictor.arrived(late, Steady(c.now))
-    c.predictor.prepare(late, 1.0, BOOT_S, 0.0, Steady(c.now))
+    c.predictor.on_job_ready(late, MonotonicTime(c.now))
+    c.predictor.reserve_for_stream(late, 1.0, BOOT_S, 0.0, MonotonicTime(c.now))
     assert c.booked() == [("c", pytest.approx(12.0))]
-    assert c.predictor.tallies[Origin.STREAM] == Tally()
+    assert c.predictor.reservation_outcomes[ReservationOrigin.STREAM] == ReservationOutcomes()
 
 
 def test_nothing_is_learned_before_the_end() -> None:
@@ -391,7 +399,7 @@
     running_pair(c, "2")
     c.near_end(b_2=3.0)
     assert c.booked() == []
-    assert set(c.predictor.chains._table) == {("t2/a/img",)}, "of the two that are done"
+    assert set(c.predictor.chains._statistics) == {("t2/a/img",)}, "of the two that are done"
 
 
 def test_room_that_the_upstream_holds_is_not_asked_for_twice() -> None:
@@ -399,8 +407,8 @@
     c.learn("a", "b", "c")
     running_pair(c)
     c.near_end(b_1=3.0)
-    assert c.predictor.booked() == (0.0, 12.0)
-    assert c.predictor.booked(lambda job: 4.0 if job == "wk-b-1" else 0.0) == (0.0, 8.0)
+    assert c.predictor.reserved_cpus() == (0.0, 12.0)
+    assert c.predictor.reserved_cpus(lambda job: 4.0 if job == "wk-b-1" else 0.0) == (0.0, 8.0)
 
 
 # ---------------------------------------------------------------- in the simulated world
@@ -412,9 +420,9 @@
     """Chains that repeat; the last job is submitted only when the others are over, and from the
     second chain on it finds its room booked one boot ahead."""
     w = World(6, tuning={"flush_done_s": 1.0})
-    c = w.controller
+    c = w.scheduler
     assert c is not None
-    tally = c.scheduler.predictor.tallies[Origin.CHAIN]
+    tally = c.cluster_state.predictor.reservation_outcomes[ReservationOrigin.CHAIN]
     booked_before_the_end = 0
     for number in range(4):
         first, second, last = (f"wk-{name}{number}" for name in "abc")
@@ -423,14 +431,16 @@
         booked = False
         while w.end_in_store(second) is None:
             w.step(0.1)
-            booked |= any(b.pipeline == (TEAM, "third") for b in c.scheduler.predictor.bookings)
+            booked |= any(
+                b.pipeline == (TEAM, "third") for b in c.cluster_state.predictor.soft_reservations
+            )
         booked_before_the_end += booked
         w.run(1.0)
         w.submit(last, parcels=3, lot="third", awaits=[second], run_s=4.0, dueS=60.0)
         while w.end_in_store(last) is None:
             w.step(0.1)
     assert booked_before_the_end == 3
-    assert (tally.hits, tally.misses, tally.unused) == (3, 0, 0)
+    assert (tally.hits, tally.misses, tally.expired) == (3, 0, 0)
     with caplog.at_level("INFO", "eldercart.controller"):
         w.run(11.0)
     assert any("chain=3/0/0" in message for message in caplog.messages), "logged by origin"
@@ -447,7 +457,7 @@
     """The booking counts as demand when the fleet has shrunk to what the chain uses, and not
     earlier than the shortest boot (5 s) ahead of the end. Team t1 may use 40 CPUs."""
     w = World(7, tuning={"flush_done_s": 1.0})
-    c = w.controller
+    c = w.scheduler
     assert c is not None
     last = {"parcels": parcels, "lot": "third", "crew": crew, "run_s": 4.0}
     booked: list[tuple[float, float]] = []
@@ -458,14 +468,18 @@
         while w.end_in_store(second) is None:
             w.step(0.1)
             booked += [
-                (w.now, b.cpus) for b in c.scheduler.predictor.bookings if b.origin is Origin.CHAIN
+                (w.now, b.cpus)
+                for b in c.cluster_state.predictor.soft_reservations
+                if b.origin is ReservationOrigin.CHAIN
             ]
         ended = w.now
         rented = sum(m.type["cpus"] for m in w.cloud.machines.values())
         w.submit(f"wk-c{number}", awaits=[second], **last)
         w.run(10.0)
         assert (rented < cpus) is (number == 0)
-        while w.end_in_store(f"wk-c{number}") is None or (number == 0 and len(c.fleet.machines)):
+        while w.end_in_store(f"wk-c{number}") is None or (
+            number == 0 and len(c.inventory.machines)
+        ):
             w.step(0.1)
     assert {size for _, size in booked} == {cpus}
     assert 3.0 <= ended - booked[0][0] <= 8.0, "a boot, a report and a write"
@@ -475,7 +489,7 @@
     """A booking names no machine and keeps nobody out: what was rented for it goes to a job that
     came meanwhile, even of the lowest priority, and nothing more is rented for that."""
     w = World(7, tuning={"flush_done_s": 1.0})
-    c = w.controller
+    c = w.scheduler
     assert c is not None
     last = {"parcels": 20, "lot": "third", "crew": "t2", "run_s": 4.0}
     room = 40.0
@@ -491,7 +505,7 @@
             w.submit("wk-c0", awaits=[second], **last)
             for _ in range(2000):
                 w.step(0.1)
-                if w.end_in_store("wk-c0") is not None and not c.fleet.machines:
+                if w.end_in_store("wk-c0") is not None and not c.inventory.machines:
                     break
     end = w.now + 40.0
     while w.now < end:
@@ -499,7 +513,11 @@
         up = {m.id: m.type["cpus"] for m in w.cloud.machines.values() if m.boots_at <= w.now}
         if sum(up.values()) >= room:
             break
-    booked = [b.cpus for b in c.scheduler.predictor.bookings if b.origin is Origin.CHAIN]
+    booked = [
+        b.cpus
+        for b in c.cluster_state.predictor.soft_reservations
+        if b.origin is ReservationOrigin.CHAIN
+    ]
     assert booked == [room] and sum(up.values()) >= room, "rented, and nobody has taken it"
     w.submit("wk-other", parcels=19, lot="other", urgency="idle", run_s=20.0)
     used: set[str] = set()
@@ -513,7 +531,7 @@
 def test_tasks_go_where_their_image_is(image: str) -> None:
     """Bookings name no machine; where a task goes is decided by what the machines hold."""
     w = World(7)
-    c = w.controller
+    c = w.scheduler
     assert c is not None
     for name in ("x", "y"):
         w.submit(f"wk-{name}", parcels=1, cpus=5.0, kit=name, run_s=6.0)
@@ -521,7 +539,7 @@
         w.step(0.1)
         if w.all_ended():
             break
-    holds = {m.id: set(m.images) for m in c.fleet.machines.values()}
+    holds = {m.id: set(m.cached_images) for m in c.inventory.machines.values()}
     assert sorted(map(sorted, holds.values())) == [["x"], ["y"]], "one each, and both are empty"
     w.submit("wk-next", parcels=1, cpus=5.0, kit=image, run_s=2.0)
     on: set[str] = set()
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -6,24 +6,24 @@
 import pytest
 
 from eldercart.cluster.heartbeat_relay import (
-    Answer,
+    Acknowledge,
     Forward,
-    Overtaken,
+    HeartbeatRelay,
+    MachineShare,
     Redirect,
-    Relay,
-    Share,
-    shares,
+    Stale,
+    machine_shares,
 )
-from eldercart.scheduling.scheduler import GetCatalog, Rent
+from eldercart.scheduling.scheduler import GetCatalog, ScaleOut
 from eldercart.units import (
-    Epoch,
+    AgentEpoch,
+    FencingToken,
+    HeartbeatSequence,
     IncarnationId,
     JobId,
     MachineId,
+    MonotonicTime,
     NodeId,
-    ReportOrder,
-    Session,
-    Steady,
 )
 from eldercart.wire import workers
 from relay_world import RelayWorld
@@ -34,18 +34,18 @@
 LEADER = NodeId("n0")
 
 
-def order(number: int, session: int = 1) -> ReportOrder:
-    return ReportOrder(Session(session), number)
+def order(number: int, session: int = 1) -> HeartbeatSequence:
+    return HeartbeatSequence(AgentEpoch(session), number)
 
 
-def granted(epoch: int = 5, at: float = 0.0, **changes: Any) -> Relay:
-    r = Relay(NodeId("n1"), 4.0, 0.0)
-    r.granted(Epoch(epoch), LEADER, Steady(at), Steady(at), **changes)
+def granted(epoch: int = 5, at: float = 0.0, **changes: Any) -> HeartbeatRelay:
+    r = HeartbeatRelay(NodeId("n1"), 4.0, 0.0)
+    r.renew_lease(FencingToken(epoch), LEADER, MonotonicTime(at), MonotonicTime(at), **changes)
     return r
 
 
 def report(
-    r: Relay,
+    r: HeartbeatRelay,
     number: int,
     at: float = 0.0,
     epoch: int = 5,
@@ -54,36 +54,47 @@
     tasks: Any = (),
     reachable: bool = True,
 ) -> Any:
-    return r.report(
-        M, order(number, session), Epoch(epoch), notice, list(tasks), Steady(at), reachable
+    return r.handle_heartbeat(
+        M,
+        order(number, session),
+        FencingToken(epoch),
+        notice,
+        list(tasks),
+        MonotonicTime(at),
+        reachable,
     )
 
 
-def taken(r: Relay, number: int = 1, again: bool = False, tasks: Any = ()) -> None:
+def taken(r: HeartbeatRelay, number: int = 1, again: bool = False, tasks: Any = ()) -> None:
     """A report that the leader has taken."""
     assert report(r, number, tasks=tasks) == Forward()
-    r.answered(M, order(number), False, list(tasks), again)
+    r.on_leader_response(M, order(number), False, list(tasks), again)
 
 
 @pytest.mark.parametrize(
     ("name", "again", "then", "expected"),
     [
-        ("nothing new", False, {}, Answer(Epoch(5))),
+        ("nothing new", False, {}, Acknowledge(FencingToken(5))),
         ("a task more", False, {"tasks": [1]}, Forward()),
         ("a notice", False, {"notice": True}, Forward()),
         ("another session", False, {"session": 2}, Forward()),
         ("commands went out: whether they arrived shows only to the leader", True, {}, Forward()),
         ("an epoch that is not known here", False, {"epoch": 6}, Redirect(None)),
         ("the grant is over", False, {"at": 4.1}, Redirect(LEADER)),
-        ("a copy of the same", False, {"number": 1}, Overtaken()),
-        ("a late copy of an earlier one", False, {"number": 0, "tasks": [1]}, Overtaken()),
-        ("a copy of an earlier session", False, {"number": 99, "session": 0}, Overtaken()),
-        ("no way to the leader, nothing new", False, {"reachable": False}, Answer(Epoch(5))),
+        ("a copy of the same", False, {"number": 1}, Stale()),
+        ("a late copy of an earlier one", False, {"number": 0, "tasks": [1]}, Stale()),
+        ("a copy of an earlier session", False, {"number": 99, "session": 0}, Stale()),
+        (
+            "no way to the leader, nothing new",
+            False,
+            {"reachable": False},
+            Acknowledge(FencingToken(5)),
+        ),
         (
             "no way to the leader for a moment",
             False,
             {"reachable": False, "tasks": [1], "at": 1.0},
-            Answer(Epoch(5)),
+            Acknowledge(FencingToken(5)),
         ),
         (
             "no way to the leader, and it must be told",
@@ -106,7 +117,9 @@
     taken(r)
     assert report(r, 2, tasks=[1]) == Forward()
     assert report(r, 3, tasks=[1]) == Forward(), "the answer to the last one never came"
-    r.answered(M, order(2), False, [1], False)  # it comes now, for a report that is overtaken
+    r.on_leader_response(
+        M, order(2), False, [1], False
+    )  # it comes now, for a report that is overtaken
     assert report(r, 4, tasks=[1]) == Forward()
     assert report(r, 5) == Forward(), "as it was before: the leader may have taken the other"
 
@@ -114,50 +127,52 @@
 def test_wanted_machine_is_heard_by_the_leader() -> None:
     r = granted()
     taken(r)
-    r.want(M)
+    r.request_next_heartbeat(M)
     assert report(r, 2) == Forward()
 
 
 def test_new_epoch_empties_what_is_held() -> None:
     r = granted()
     taken(r)
-    r.granted(Epoch(9), NodeId("n2"), Steady(1.0), Steady(1.0))
-    assert report(r, 2, 1.0, epoch=5) == Answer(Epoch(9)), "it learns the epoch first"
+    r.renew_lease(FencingToken(9), NodeId("n2"), MonotonicTime(1.0), MonotonicTime(1.0))
+    assert report(r, 2, 1.0, epoch=5) == Acknowledge(FencingToken(9)), "it learns the epoch first"
     assert report(r, 3, 1.5, epoch=5) == Forward(), "and is reported if it does not"
     assert report(r, 4, 2.0, epoch=9) == Forward()
-    r.granted(Epoch(5), LEADER, Steady(3.0), Steady(3.0))  # a late word of the old leader
-    assert r.epoch == 9
+    r.renew_lease(
+        FencingToken(5), LEADER, MonotonicTime(3.0), MonotonicTime(3.0)
+    )  # a late word of the old leader
+    assert r.token == 9
 
 
 def test_grant_counts_from_before_it_was_asked_for() -> None:
     r = granted()
-    r.granted(Epoch(5), LEADER, Steady(1.0), Steady(3.0))
-    assert r.holds_grant(Steady(4.9)) and not r.holds_grant(Steady(5.0))
-    r.current(Epoch(4), Steady(9.0))  # of an epoch that is over
-    assert not r.holds_grant(Steady(9.0))
-    r.current(Epoch(5), Steady(9.0))  # the store shows that it still leads
-    assert r.holds_grant(Steady(12.9))
+    r.renew_lease(FencingToken(5), LEADER, MonotonicTime(1.0), MonotonicTime(3.0))
+    assert r.holds_lease(MonotonicTime(4.9)) and not r.holds_lease(MonotonicTime(5.0))
+    r.confirm_token(FencingToken(4), MonotonicTime(9.0))  # of an epoch that is over
+    assert not r.holds_lease(MonotonicTime(9.0))
+    r.confirm_token(FencingToken(5), MonotonicTime(9.0))  # the store shows that it still leads
+    assert r.holds_lease(MonotonicTime(12.9))
 
 
 def test_only_self_answered_reports_are_told_as_heard() -> None:
     r = granted()
     taken(r)
-    assert r.take_heard(Steady(0.0)) == ()
+    assert r.take_acknowledged(MonotonicTime(0.0)) == ()
     report(r, 2)
     report(r, 3)
-    assert r.take_heard(Steady(0.0)) == ((M, order(3)),)
-    assert r.take_heard(Steady(0.0)) == ()
+    assert r.take_acknowledged(MonotonicTime(0.0)) == ((M, order(3)),)
+    assert r.take_acknowledged(MonotonicTime(0.0)) == ()
 
 
 def test_leader_calls_a_copy_what_a_new_relay_took_for_news() -> None:
     r = granted()
     assert report(r, 7) == Forward()
-    r.overtaken(M, order(7))
-    assert r.machines == 0 and r.take_heard(Steady(0.0)) == ()
+    r.on_stale_heartbeat(M, order(7))
+    assert r.machine_count == 0 and r.take_acknowledged(MonotonicTime(0.0)) == ()
 
 
 def test_crowded_relay_sends_new_workers_on_once() -> None:
-    r = granted(most=0, spare=NodeId("n2"))
+    r = granted(max_machines=0, redirect_target=NodeId("n2"))
     assert report(r, 1) == Redirect(NodeId("n2"))
     assert report(r, 2) == Forward(), "it is back: nobody else takes it"
 
@@ -165,20 +180,28 @@
 @pytest.mark.parametrize(
     ("counts", "expected"),
     [
-        ({"n0": 9}, {"n0": Share(100, None)}),
-        ({"n0": 8, "n1": 8}, {"n0": Share(0, NodeId("n1")), "n1": Share(24, None)}),
+        ({"n0": 9}, {"n0": MachineShare(100, None)}),
+        ({"n0": 8, "n1": 8}, {"n0": MachineShare(0, NodeId("n1")), "n1": MachineShare(24, None)}),
         (
             {"n0": 0, "n1": 30, "n2": 10},
-            {"n0": Share(0, NodeId("n2")), "n1": Share(29, NodeId("n2")), "n2": Share(29, None)},
+            {
+                "n0": MachineShare(0, NodeId("n2")),
+                "n1": MachineShare(29, NodeId("n2")),
+                "n2": MachineShare(29, None),
+            },
         ),
         (
             {"n0": 400, "n1": 0, "n2": 1},
-            {"n0": Share(0, NodeId("n1")), "n1": Share(100, None), "n2": Share(100, NodeId("n1"))},
+            {
+                "n0": MachineShare(0, NodeId("n1")),
+                "n1": MachineShare(100, None),
+                "n2": MachineShare(100, NodeId("n1")),
+            },
         ),
     ],
 )
-def test_shares(counts: dict[str, int], expected: dict[str, Share]) -> None:
-    assert shares({NodeId(n): c for n, c in counts.items()}, LEADER, 100) == expected
+def test_shares(counts: dict[str, int], expected: dict[str, MachineShare]) -> None:
+    assert machine_shares({NodeId(n): c for n, c in counts.items()}, LEADER, 100) == expected
 
 
 # -- the service with relays
@@ -202,8 +225,8 @@
     submit_all(w)
     finish(w)
     assert set(w.told.values()) == {"done"}
-    answered = sum(r.machines for r in w.relays)
-    assert answered > 0 and w.relays[w.leader].machines < answered
+    answered = sum(r.machine_count for r in w.relays)
+    assert answered > 0 and w.relays[w.leader].machine_count < answered
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -228,11 +251,11 @@
     w.submit("wk-000001", run_s=60.0, parcels=12)
     w.run(16)
     old = w.leader
-    c = w.controller
+    c = w.scheduler
     assert c is not None
-    now = Steady(w.now)
+    now = MonotonicTime(w.now)
     # The other nodes have no room, so the leader keeps what comes to it.
-    w.relays[old].granted(c.epoch, w.relays[old].label, now, now, 500, None)
+    w.relays[old].renew_lease(c.token, w.relays[old].label, now, now, 500, None)
     for name in [name for name, m in w.cloud.machines.items() if m.tasks][:2]:
         w.at[name] = old
     before = {name: m for name, m in w.cloud.machines.items() if m.tasks}
@@ -242,7 +265,7 @@
     w.elect()
     w.run(20 - LEADER_LEASE)
     assert not any(w.at[name] == old for name in w.cloud.machines)
-    assert all(m.session == 1 for m in before.values()), "a lease ran out"
+    assert all(m.agent_epoch == 1 for m in before.values()), "a lease ran out"
     assert all(name in w.cloud.machines for name in before), "a healthy machine was deleted"
 
 
@@ -254,7 +277,7 @@
     w = RelayWorld(seed, capacity=12)
     w.submit("wk-000001", run_s=60.0, parcels=60)
     w.run(16)
-    c = w.controller
+    c = w.scheduler
     assert c is not None
     at = w.leader if leads else next(i for i in range(w.nodes) if i != w.leader)
     w.shared_out = False
@@ -307,22 +330,22 @@
     copy = ghost.report()
     w.cloud.delete(b'{"wagons":["%s"]}' % ghost.id.encode())
     w.elect()
-    c = w.controller
+    c = w.scheduler
     assert c is not None
-    known = c.fleet.get(MachineId(ghost.id))
-    heard = None if known is None else known.last_heard
-    assert c.on_report(workers.parse_report(copy), Steady(w.now)) == []
-    now_known = c.fleet.get(MachineId(ghost.id))
+    known = c.inventory.get(MachineId(ghost.id))
+    heard = None if known is None else known.last_heartbeat_at
+    assert c.on_heartbeat(workers.parse_heartbeat(copy), MonotonicTime(w.now)) == []
+    now_known = c.inventory.get(MachineId(ghost.id))
     assert (now_known is None) == (known is None)
-    assert now_known is None or now_known.last_heard == heard, "a copy renews no liveness"
+    assert now_known is None or now_known.last_heartbeat_at == heard, "a copy renews no liveness"
     # One that no record names: it had nothing to do when it was deleted.
-    stranger = workers.parse_report(copy | {"wagon": "n-999999", "parcels": []})
-    assert c.on_report(stranger, Steady(w.now)) == []
-    assert c.fleet.get(MachineId("n-999999")) is None
-    alive = workers.parse_report(copy | {"wagon": "n-999998", "parcels": [], "whip": c.epoch})
-    assert c.on_report(alive, Steady(w.now)) == []
-    assert c.fleet.get(MachineId("n-999998")) is not None, "it has seen this epoch, so it lives"
-    c.fleet.remove(c.fleet.machines[MachineId("n-999998")])
+    stranger = workers.parse_heartbeat(copy | {"wagon": "n-999999", "parcels": []})
+    assert c.on_heartbeat(stranger, MonotonicTime(w.now)) == []
+    assert c.inventory.get(MachineId("n-999999")) is None
+    alive = workers.parse_heartbeat(copy | {"wagon": "n-999998", "parcels": [], "whip": c.token})
+    assert c.on_heartbeat(alive, MonotonicTime(w.now)) == []
+    assert c.inventory.get(MachineId("n-999998")) is not None, "it has seen this epoch, so it lives"
+    c.inventory.mark_deleted(c.inventory.machines[MachineId("n-999998")])
     finish(w)
     assert w.told[JobId("wk-000001")] == "done"
 
@@ -334,23 +357,23 @@
     w = RelayWorld(6, capacity=1)
     w.submit("wk-000001", run_s=90.0, parcels=2, cpus=4.0)
     w.run(14)
-    c = w.controller
+    c = w.scheduler
     assert c is not None
-    m = next(m for m in c.fleet.machines.values() if m.live)
+    m = next(m for m in c.inventory.machines.values() if m.live_task_count)
     other = next(i for i in range(w.nodes) if i != w.leader)
     m.relay = w.relays[other].label
     now = w.now
-    c.heard(w.relays[other].label, (), Steady(now))
+    c.record_relayed_heartbeats(w.relays[other].label, (), MonotonicTime(now))
     asked = 0
     while w.now < now + 30.0:
         w.now += 0.1
-        c.tick(Steady(w.now))
+        c.tick(MonotonicTime(w.now))
         for machine, _ in c.take_probes():
             asked += 1
             if shows:
-                c.shown(machine, Steady(w.now))
+                c.record_probe_success(machine, MonotonicTime(w.now))
     assert asked > 2
-    assert (m.id in c.scheduler.deletions_due) is deleted
+    assert (m.id in c.cluster_state.pending_deletions) is deleted
 
 
 def test_copy_with_the_present_epoch_is_overtaken_by_what_a_relay_answered() -> None:
@@ -359,21 +382,21 @@
     w = RelayWorld(7, capacity=2)
     w.submit("wk-000001", run_s=60.0, parcels=4)
     w.run(16)
-    c = w.controller
+    c = w.scheduler
     assert c is not None
     sim = next(m for m in w.cloud.machines.values() if m.on())
-    m = c.fleet.get(MachineId(sim.id))
-    assert m is not None and sim.epoch == c.epoch
-    copy = workers.parse_report(sim.report())
-    newer = ReportOrder(copy.order.session, copy.order.sequence + 3)
-    now = Steady(w.now)
-    c.heard(NodeId("n1"), ((m.id, newer),), now)
-    assert m.order == newer
-    placed, heard = dict(m.placed), m.last_heard
-    assert c.on_report(copy, Steady(w.now + 30.0), NodeId("n2")) is None
-    assert (m.placed, m.last_heard, m.relay) == (placed, heard, NodeId("n1"))
-    c.heard(NodeId("n2"), ((m.id, copy.order),), Steady(w.now + 30.0))
-    assert (m.last_heard, m.relay) == (heard, NodeId("n1")), "an old word renews nothing"
+    m = c.inventory.get(MachineId(sim.id))
+    assert m is not None and sim.token == c.token
+    copy = workers.parse_heartbeat(sim.report())
+    newer = HeartbeatSequence(copy.sequence.agent_epoch, copy.sequence.number + 3)
+    now = MonotonicTime(w.now)
+    c.record_relayed_heartbeats(NodeId("n1"), ((m.id, newer),), now)
+    assert m.heartbeat_sequence == newer
+    placed, heard = dict(m.placements), m.last_heartbeat_at
+    assert c.on_heartbeat(copy, MonotonicTime(w.now + 30.0), NodeId("n2")) is None
+    assert (m.placements, m.last_heartbeat_at, m.relay) == (placed, heard, NodeId("n1"))
+    c.record_relayed_heartbeats(NodeId("n2"), ((m.id, copy.sequence),), MonotonicTime(w.now + 30.0))
+    assert (m.last_heartbeat_at, m.relay) == (heard, NodeId("n1")), "an old word renews nothing"
 
 
 def test_request_names_carry_the_start() -> None:
@@ -385,16 +408,16 @@
         w.incarnation = IncarnationId(incarnation)
         w.elect()
         w.submit("wk-000001")
-        c = w.controller
+        c = w.scheduler
         assert c is not None
         for _ in range(100):
             w.now += 0.1
-            c.tick(Steady(w.now))
-            call = c.next_cloud(Steady(w.now))
-            if isinstance(call, Rent):
-                names.append(call.rental_request.name)
+            c.tick(MonotonicTime(w.now))
+            call = c.next_cloud_request(MonotonicTime(w.now))
+            if isinstance(call, ScaleOut):
+                names.append(call.request.name)
                 break
             if call is not None:
                 body = CATALOG if isinstance(call, GetCatalog) else w.cloud.list(w.now)
-                c.cloud_done(call, 200, orjson.dumps(body), Steady(w.now))
+                c.on_cloud_response(call, 200, orjson.dumps(body), MonotonicTime(w.now))
     assert len(names) == 2 and "aaaa" in names[0] and "bbbb" in names[1]
--- a/tests/test_rental.py
+++ b/tests/test_rental.py
@@ -1,7 +1,7 @@
 """Renting and returning: what counts as supply, and what as demand."""
 
 from eldercart.scheduling import feasibility
-from eldercart.units import Steady
+from eldercart.units import MonotonicTime
 from world import World
 
 
@@ -14,15 +14,15 @@
     before = set(w.cloud.machines)
     assert any(m.on() for m in w.cloud.machines.values())
     w.elect()
-    c = w.controller
+    c = w.scheduler
     assert c is not None
     for _ in range(30):  # no machine reports meanwhile
         w.now += 0.1
-        c.tick(Steady(w.now))
-        w.serve_cloud(c, Steady(w.now))
-    assert c.cloud._list_seen
+        c.tick(MonotonicTime(w.now))
+        w.serve_cloud(c, MonotonicTime(w.now))
+    assert c.cloud_requests._has_full_list
     assert set(w.cloud.machines) == before
-    known = [c.fleet.machines[name] for name in before]
+    known = [c.inventory.machines[name] for name in before]
     assert all(m.zone != feasibility.UNKNOWN_ZONE and m.type.cpus > 0 for m in known)
     assert sum(m.free_cpus for m in known) == sum(m.type.cpus for m in known) - 40 * 4.0
 
@@ -35,11 +35,13 @@
         w.submit(f"wk-{number:06d}", run_s=1.0, haulS=1.0)
         w.run(3)
     w.submit("wk-000008", run_s=120.0, haulS=1.0)  # at its end any moment, by the estimate
-    c = w.controller
+    c = w.scheduler
     assert c is not None
     w.run(20)
-    assert c.scheduler.predictor.bookings, "a successor is guessed while submissions come"
+    assert c.cluster_state.predictor.soft_reservations, (
+        "a successor is guessed while submissions come"
+    )
     w.run(40)  # twelve usual gaps, and past the end of every booking made before
-    assert c.scheduler.rental.quiet
-    assert not c.scheduler.predictor.bookings
+    assert c.cluster_state.autoscaler.is_quiet
+    assert not c.cluster_state.predictor.soft_reservations
     assert not w.all_ended(), "the job it could be guessed from must still run"
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,10 +7,10 @@
 import orjson
 import pytest
 
-from eldercart.cluster.inventory import Fleet, MachineState
-from eldercart.jobs.registry import Phase
-from eldercart.scheduling.scheduler import JobStatus, Outcome, Verdict
-from eldercart.units import JobId, Revision, Steady
+from eldercart.cluster.inventory import MachineInventory, MachineState
+from eldercart.jobs.registry import PlacementPhase
+from eldercart.scheduling.scheduler import JobStatus, LookupFailure, TransactionOutcome
+from eldercart.units import JobId, MonotonicTime, Revision
 from eldercart.wire import cloud
 from relay_world import RelayWorld
 from simulators import CATALOG
@@ -51,11 +51,11 @@
     while unanswered and w.now < end:
         w.run(0.5)
         for job in list(unanswered):
-            assert w.controller is not None
-            status = w.controller.status(JobId(job))
+            assert w.scheduler is not None
+            status = w.scheduler.job_status(JobId(job))
             if isinstance(status, JobStatus):
                 unanswered.discard(job)
-            elif status is Verdict.UNKNOWN_JOB and f"end/{job}" in w.store.keys:
+            elif status is LookupFailure.UNKNOWN_JOB and f"end/{job}" in w.store.keys:
                 unanswered.discard(job)  # a fresh read tells it
     assert not unanswered, name
 
@@ -68,30 +68,32 @@
     w = World(2)
     submit_all(w)
     w.submit("wk-000099")
-    c = w.controller
+    c = w.scheduler
     assert c is not None
     for _ in range(4000):
         w.now += 0.1
-        now = Steady(w.now)
+        now = MonotonicTime(w.now)
         w.lead(c, now)
         w.serve_cloud(c, now)
-        pending = c.next_txn(now, 20)
+        pending = c.next_transaction(now, 20)
         if pending is not None:
-            if any("wk-000099" in write.key for write in pending.txn.writes) or (
-                sections and b"wk-000099" in pending.txn.body()
+            if any("wk-000099" in write.key for write in pending.transaction.operations) or (
+                sections and b"wk-000099" in pending.transaction.body()
             ):
-                c.txn_done(pending, Outcome.MALFORMED, Revision(0), (), now)
+                c.on_transaction_result(pending, TransactionOutcome.INVALID, Revision(0), (), now)
             else:
-                status, answer = w.store.txn(pending.txn.body())
+                status, answer = w.store.txn(pending.transaction.body())
                 assert status == 200
-                c.txn_done(pending, Outcome.OK, Revision(answer["ledgerRev"]), (), now)
+                c.on_transaction_result(
+                    pending, TransactionOutcome.COMMITTED, Revision(answer["ledgerRev"]), (), now
+                )
         for m in list(w.cloud.machines.values()):
             w.serve_worker(c, m, now, 0.1)
         w.check_kept()
         if sum(f"end/{job}" in w.store.keys for job in w.jobs) == len(w.jobs) - 1:
             break
     assert {j for j in w.jobs if f"end/{j}" not in w.store.keys} == {"wk-000099"}
-    assert isinstance(c.status(JobId("wk-000099")), JobStatus), "it stays known"
+    assert isinstance(c.job_status(JobId("wk-000099")), JobStatus), "it stays known"
 
 
 def test_unreadable_record_does_not_stop_a_takeover() -> None:
@@ -103,14 +105,14 @@
     (part,) = w.parts("wk-000001")
     part |= {"a": "x", "d": [[0]], "r": None}
     w.elect()
-    c = w.controller
+    c = w.scheduler
     assert c is not None
     for _ in range(300):
         w.run(0.2)
         if "end/wk-000002" in w.store.keys:
             break
     assert "end/wk-000002" in w.store.keys
-    status = c.status(JobId("wk-000001"))
+    status = c.job_status(JobId("wk-000001"))
     assert isinstance(status, JobStatus) and status.state == "pending"
     assert not [p for p in c.jobs.jobs[JobId("wk-000001")].placements()]
 
@@ -155,12 +157,12 @@
         w.store.revision += 1
         w.store.keys[old["path"]] = (old["v"], w.store.revision, None)
     w.elect()
-    c = w.controller
+    c = w.scheduler
     assert c is not None
     job = c.jobs.jobs[JobId(moved[0])]
-    assert job.chunks[0].attempt == moved[2]["a"]
+    assert job.chunks[0].highest_attempt == moved[2]["a"]
     assert sorted(p.attempt for p in job.placements()) == sorted(r[1] for r in moved[2]["r"])
-    assert len(list(job.placements())) == 3 and len(c.fleet.machines) > 0
+    assert len(list(job.placements())) == 3 and len(c.inventory.machines) > 0
 
 
 def test_split_placement_record_stays_until_all_its_parts_are_written() -> None:
@@ -170,14 +172,16 @@
     for i in (1, 2, 3):
         w.submit(f"wk-00000{i}", parcels=2, run_s=300.0)
     w.run(16)
-    c = w.controller
+    c = w.scheduler
     assert c is not None and len(w.store.range("place/")) == 1
     job = c.jobs.jobs[JobId("wk-000001")]
-    c.jobs.touch(job, job.chunks[0], Steady(w.now), urgent=True)
-    c.scheduler.dirty[job.id] = job
-    refused = c.next_txn(Steady(w.now), 20)
-    assert refused is not None and len(refused.units) == 1
-    c.txn_done(refused, Outcome.MALFORMED, Revision(0), (), Steady(w.now))
+    c.jobs.mark_dirty(job, job.chunks[0], MonotonicTime(w.now), is_urgent=True)
+    c.cluster_state.dirty_jobs[job.id] = job
+    refused = c.next_transaction(MonotonicTime(w.now), 20)
+    assert refused is not None and len(refused.split_units) == 1
+    c.on_transaction_result(
+        refused, TransactionOutcome.INVALID, Revision(0), (), MonotonicTime(w.now)
+    )
     for _ in range(50):
         w.run(0.1)
         w.check_kept()
@@ -196,7 +200,7 @@
     w.store.revision += 1
     w.store.keys["place/wk-000001/00000"] = (part[2], w.store.revision, None)
     w.elect()
-    c = w.controller
+    c = w.scheduler
     assert c is not None
     assert len(list(c.jobs.jobs[JobId("wk-000001")].placements())) == len(part[2]["r"]) > 0
     finish(w)
@@ -252,7 +256,7 @@
                 arrived[job] = w.now
             w.run(1.0)
         finish(w, 600.0)
-        c = w.controller
+        c = w.scheduler
         assert c is not None
         took = [w.ended_at[job] - at for job, at in arrived.items()]
         ended.append(sum(took) / len(took))
@@ -262,38 +266,45 @@
 # -- the sums that are kept
 
 
-def recompute(fleet: Fleet) -> dict[str, Any]:
+def recompute(fleet: MachineInventory) -> dict[str, Any]:
     sums: dict[str, Any] = {"used": {}, "teams": {}, "ordinary": 0.0, "machines": {}}
     for m in fleet.machines.values():
-        live = [p for p in m.placed.values() if p.phase is not Phase.ENDED]
+        live = [p for p in m.placements.values() if p.phase is not PlacementPhase.ENDED]
         for p in live:
             spec = p.job.spec
             sums["used"][spec.priority] = sums["used"].get(spec.priority, 0.0) + spec.cpus
             sums["teams"][spec.team] = sums["teams"].get(spec.team, 0.0) + spec.cpus
-            if not spec.spot and not m.spot:
+            if not spec.allows_spot and not m.is_spot:
                 sums["ordinary"] += spec.cpus
         by: dict[int, float] = {}
         for p in live:
-            if not p.stopping:
+            if not p.is_terminating:
                 by[p.job.spec.priority] = by.get(p.job.spec.priority, 0.0) + p.job.spec.cpus
         sums["machines"][m.id] = (
             len(live),
             m.type.cpus - sum(p.job.spec.cpus for p in live),
             m.type.memory_gb - sum(p.job.spec.memory_gb for p in live),
-            sum(p.job.spec.cpus for p in live if p.stopping),
-            sum(p.job.spec.cpus for p in m.queue.values()),
+            sum(p.job.spec.cpus for p in live if p.is_terminating),
+            sum(p.job.spec.cpus for p in m.prelaunch_queue.values()),
             by,
         )
     return sums
 
 
-def kept(fleet: Fleet) -> dict[str, Any]:
+def kept(fleet: MachineInventory) -> dict[str, Any]:
     return {
-        "used": fleet.used,
-        "teams": fleet.team_cpus,
-        "ordinary": fleet.ordinary_used,
+        "used": fleet.cpus_by_priority,
+        "teams": fleet.cpus_by_team,
+        "ordinary": fleet.on_demand_only_cpus,
         "machines": {
-            m.id: (m.live, m.free_cpus, m.free_memory, m.leaving_cpus, m.queued_cpus, m.by_priority)
+            m.id: (
+                m.live_task_count,
+                m.free_cpus,
+                m.free_memory_gb,
+                m.terminating_cpus,
+                m.prelaunch_cpus,
+                m.cpus_by_priority,
+            )
             for m in fleet.machines.values()
         },
     }
@@ -330,10 +341,12 @@
         if rng.random() < 0.1 and w.cloud.machines:
             rng.choice(list(w.cloud.machines.values())).notice = 8.0
         w.run(1.0)
-        c = w.controller
+        c = w.scheduler
         assert c is not None
-        assert same(kept(c.fleet), recompute(c.fleet))
-        assert set(c.fleet.queues) == {m.id for m in c.fleet.machines.values() if m.queue}
+        assert same(kept(c.inventory), recompute(c.inventory))
+        assert set(c.inventory.machines_with_prelaunch_queue) == {
+            m.id for m in c.inventory.machines.values() if m.prelaunch_queue
+        }
 
 
 def test_description_that_changes_keeps_the_sums() -> None:
@@ -342,11 +355,13 @@
     w.submit("wk-000001", run_s=60.0, loaners=False)
     w.run(14)
     w.elect()
-    c = w.controller
-    assert c is not None and c.fleet.ordinary_used == 0.0
+    c = w.scheduler
+    assert c is not None and c.inventory.on_demand_only_cpus == 0.0
     w.run(3)
-    assert c.fleet.ordinary_used == 12.0
+    assert c.inventory.on_demand_only_cpus == 12.0
     kind = next(iter(cloud.parse_catalog(orjson.loads(orjson.dumps(CATALOG))).values()))
-    m = next(m for m in c.fleet.machines.values() if m.live and m.state is MachineState.UP)
-    c.fleet.describe(m, kind, m.zone, True)
-    assert same(kept(c.fleet), recompute(c.fleet))
+    m = next(
+        m for m in c.inventory.machines.values() if m.live_task_count and m.state is MachineState.UP
+    )
+    c.inventory.update_description(m, kind, m.zone, True)
+    assert same(kept(c.inventory), recompute(c.inventory))
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -8,11 +8,19 @@
 
 from eldercart.cluster.heartbeat_relay import Redirect
 from eldercart.cluster.inventory import MachineState
-from eldercart.election.state_machine import LEAD_KEY, Election
-from eldercart.scheduling.scheduler import ListPage, Outcome
-from eldercart.server.peers.connections import Link
+from eldercart.election.state_machine import LEADER_KEY, Election
+from eldercart.scheduling.scheduler import ListMachines, TransactionOutcome
+from eldercart.server.peers.connections import PeerLink
 from eldercart.settings.platform import Endpoint
-from eldercart.units import Epoch, IncarnationId, LeaseId, MachineId, NodeId, Revision, Steady
+from eldercart.units import (
+    FencingToken,
+    IncarnationId,
+    LeaseId,
+    MachineId,
+    MonotonicTime,
+    NodeId,
+    Revision,
+)
 from eldercart.wire import workers
 from relay_world import RelayWorld
 from test_core import finish
@@ -28,27 +36,28 @@
     overdue. They have their full time from now on, and no more than that."""
     w = World(4, capacity=4)
     w.submit("wk-000001", run_s=200.0, parcels=20)
-    c = w.controller
+    c = w.scheduler
     assert c is not None
     while not (
-        c.fleet.machines and any(m.state is MachineState.UP for m in c.fleet.machines.values())
+        c.inventory.machines
+        and any(m.state is MachineState.UP for m in c.inventory.machines.values())
     ):
         w.step(0.1)
     booting = next(iter(w.cloud.machines.values()))
     booting.boots_at = w.now + 500.0
-    late = c.fleet.machines[MachineId(booting.id)]
+    late = c.inventory.machines[MachineId(booting.id)]
     late.state = MachineState.BOOTING
     w.run(3)
-    assert not c.scheduler.deletions_due
+    assert not c.cluster_state.pending_deletions
     w.now += 60.0
     if noticed:
-        c.stalled(60.0)
-    c.tick(Steady(w.now))
+        c.exclude_stall(60.0)
+    c.tick(MonotonicTime(w.now))
     for _ in range(int(then_silent / 0.5)):
         w.now += 0.5
-        c.tick(Steady(w.now))
-    assert bool(c.scheduler.deletions_due) is deleted
-    assert (late.id in c.scheduler.deletions_due) is deleted
+        c.tick(MonotonicTime(w.now))
+    assert bool(c.cluster_state.pending_deletions) is deleted
+    assert (late.id in c.cluster_state.pending_deletions) is deleted
 
 
 def test_overdue_kill_is_not_excused() -> None:
@@ -57,17 +66,17 @@
     w = World(5, capacity=2)
     w.submit("wk-000001", run_s=300.0, parcels=2)
     w.run(16)
-    c = w.controller
+    c = w.scheduler
     assert c is not None
-    m = next(m for m in c.fleet.machines.values() if m.live)
+    m = next(m for m in c.inventory.machines.values() if m.live_task_count)
     w.cancel("wk-000001")
     pause = w.settings.cancel_s * 0.7
     w.now += pause
-    c.stalled(pause)
+    c.exclude_stall(pause)
     for _ in range(4):
         w.now += 0.5
-        c.tick(Steady(w.now))
-    assert m.id in c.scheduler.deletions_due
+        c.tick(MonotonicTime(w.now))
+    assert m.id in c.cluster_state.pending_deletions
 
 
 @pytest.mark.parametrize(
@@ -93,23 +102,25 @@
         w.cancel("wk-000001")
         w.run(4)
     w.elect()
-    c = w.controller
+    c = w.scheduler
     assert c is not None
     sim = w.cloud.machines[name]
     w.cloud.machines[name].hangs_until = w.now + 1e6
     if heard:
-        c.on_report(workers.parse_report(sim.report() | {"whip": c.epoch}), Steady(w.now))
+        c.on_heartbeat(
+            workers.parse_heartbeat(sim.report() | {"whip": c.token}), MonotonicTime(w.now)
+        )
     listed = w.cloud.list(w.now)
     listed["wagons"][0]["ageS"] = age_s
     w.cloud.list = lambda now: listed  # type: ignore[method-assign]
     end = w.now + w.tuning.silence_least_s + w.tuning.takeover_grace_s + 1.0
     while w.now < end:
         w.now += 0.25
-        c.tick(Steady(w.now))
-        call = c.next_cloud(Steady(w.now))
-        if isinstance(call, ListPage):
-            c.cloud_done(call, 200, orjson.dumps(listed), Steady(w.now))
-    assert (MachineId(name) in c.scheduler.deletions_due) is deleted
+        c.tick(MonotonicTime(w.now))
+        call = c.next_cloud_request(MonotonicTime(w.now))
+        if isinstance(call, ListMachines):
+            c.on_cloud_response(call, 200, orjson.dumps(listed), MonotonicTime(w.now))
+    assert (MachineId(name) in c.cluster_state.pending_deletions) is deleted
 
 
 @pytest.mark.parametrize("pause_s", [1.0, 2.9, 6.0, 12.0, 40.0])
@@ -122,28 +133,40 @@
     w.run(14)
     for _ in range(2 if twice else 1):
         before = {name for name, m in w.cloud.machines.items() if m.tasks}
-        old, at = w.controller, w.leader
+        old, at = w.scheduler, w.leader
         assert old is not None
         w.sleep(at, pause_s)
         if pause_s > 3.0:
-            assert w.controller is not old
-            now = Steady(w.now)
-            old.stalled(pause_s)
+            assert w.scheduler is not old
+            now = MonotonicTime(w.now)
+            old.exclude_stall(pause_s)
             old.tick(now)
-            judged = [m for m in old.scheduler.deletions_due if old.fleet.machines[m].live]
+            judged = [
+                m
+                for m in old.cluster_state.pending_deletions
+                if old.inventory.machines[m].live_task_count
+            ]
             assert not judged, "it judged by its own sleep"
-            pending = old.next_txn(now, 20)
+            pending = old.next_transaction(now, 20)
             if pending is not None:
-                status, answer = w.store.txn(pending.txn.body())
-                assert status == 409 and LEAD_KEY in answer["failed"]
-                assert old.txn_done(pending, Outcome.CONFLICT, Revision(0), (LEAD_KEY,), now)
+                status, answer = w.store.txn(pending.transaction.body())
+                assert status == 409 and LEADER_KEY in answer["failed"]
+                assert old.on_transaction_result(
+                    pending, TransactionOutcome.CONFLICT, Revision(0), (LEADER_KEY,), now
+                )
             assert isinstance(
-                w.stale_relay.report(
-                    MachineId("n-000001"), w.stale_order, Epoch(old.epoch), False, [], now, True
+                w.stale_relay.handle_heartbeat(
+                    MachineId("n-000001"),
+                    w.stale_order,
+                    FencingToken(old.token),
+                    False,
+                    [],
+                    now,
+                    True,
                 ),
                 Redirect,
             ), "its grant ran on"
-        kept = {n for n in before if n in w.cloud.machines and w.cloud.machines[n].session == 1}
+        kept = {n for n in before if n in w.cloud.machines and w.cloud.machines[n].agent_epoch == 1}
         assert kept == before, "a lease ran out, or a healthy machine was deleted"
         w.run(5)
     finish(w)
@@ -157,7 +180,7 @@
     relay = next(i for i in range(w.nodes) if i != w.leader)
     before = {name for name, m in w.cloud.machines.items() if m.tasks}
     w.sleep(relay, 20.0)
-    assert all(w.cloud.machines[n].session == 1 for n in before if n in w.cloud.machines)
+    assert all(w.cloud.machines[n].agent_epoch == 1 for n in before if n in w.cloud.machines)
     assert before <= set(w.cloud.machines)
     finish(w)
 
@@ -173,13 +196,13 @@
 )
 def test_orders_to_the_cloud_need_the_lease(at: float, refused_at: float, allowed: bool) -> None:
     e = Election(NodeId("n0"), 3.0, 0.02, IncarnationId("x"))
-    e.next_action(Steady(0.0))
-    e.read(None, Steady(0.0))
-    e.next_action(Steady(0.0))
-    e.opened(LeaseId(1), Steady(0.0))
-    e.next_action(Steady(0.0))
-    e.claimed(Revision(5), Steady(0.0))
-    assert e.may_order(Steady(at), Steady(refused_at)) is allowed
+    e.next_action(MonotonicTime(0.0))
+    e.on_leader_key_read(None, MonotonicTime(0.0))
+    e.next_action(MonotonicTime(0.0))
+    e.on_lease_granted(LeaseId(1), MonotonicTime(0.0))
+    e.next_action(MonotonicTime(0.0))
+    e.on_campaign_result(Revision(5), MonotonicTime(0.0))
+    assert e.may_call_cloud(MonotonicTime(at), MonotonicTime(refused_at)) is allowed
 
 
 @pytest.mark.parametrize(
@@ -196,9 +219,9 @@
     class Opened:
         transport = Transport()
 
-    now = [Steady(10.0)]
-    link = Link(NodeId("n1"), Endpoint("", 0), lambda *_: None, closed.append, lambda: now[0])
-    link._opened(Opened())  # type: ignore[arg-type]
-    link.stalled(stalled_s)
-    link.check(2.5, Steady(10.0 + silent_s))
+    now = [MonotonicTime(10.0)]
+    link = PeerLink(NodeId("n1"), Endpoint("", 0), lambda *_: None, closed.append, lambda: now[0])
+    link._on_connection_made(Opened())  # type: ignore[arg-type]
+    link.exclude_stall(stalled_s)
+    link.check_connection(2.5, MonotonicTime(10.0 + silent_s))
     assert bool(closed) is lost
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -343,7 +343,7 @@
 def test_the_table_is_of_replacements() -> None:
     """The cases bring about what their names say."""
     upgrade = Upgrade("852ab75", Case("x", at_once=2, leader=LAST), 1)
-    assert isinstance(upgrade.w.controller, EarlierLeader)
+    assert isinstance(upgrade.w.scheduler, EarlierLeader)
     leads = upgrade.w.leader
     turns = []
     for batch in upgrade.batches():
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -19,13 +19,27 @@
 import orjson
 import pytest
 
-from eldercart.cluster.heartbeat_relay import Answer, Decision, Forward, Redirect, Relay
-from eldercart.jobs.registry import dependency_list_prefix, job_record
-from eldercart.scheduling.scheduler import Controller, Verdict
+from eldercart.cluster.heartbeat_relay import (
+    Acknowledge,
+    Decision,
+    Forward,
+    HeartbeatRelay,
+    Redirect,
+)
+from eldercart.jobs.registry import dependency_list_prefix, encode_job_record
+from eldercart.scheduling.scheduler import LookupFailure, Scheduler
 from eldercart.settings.platform import parse_platform
-from eldercart.units import Epoch, JobId, MachineId, NodeId, ReportOrder, Session, Steady
+from eldercart.units import (
+    AgentEpoch,
+    FencingToken,
+    HeartbeatSequence,
+    JobId,
+    MachineId,
+    MonotonicTime,
+    NodeId,
+)
 from eldercart.wire import peers, users
-from eldercart.wire.users import ListReference
+from eldercart.wire.users import DependencyListReference
 from simulators import CATALOG
 from test_core import finish, submit_all
 from test_gap import RelayServiceFixture
@@ -130,16 +144,16 @@
     samples = history.samples(short)
     kinds = {orjson.loads(f["data"])["k"] for f in samples["frames"].values()}
     assert kinds == {
-        peers.GREET,
-        peers.GREETED,
-        peers.REPORTS,
-        peers.ANSWERS,
+        peers.PEER_HEARTBEAT,
+        peers.PEER_HEARTBEAT_ACK,
+        peers.FORWARDED_HEARTBEATS,
+        peers.HEARTBEAT_REPLIES,
         peers.POLLS,
-        peers.STATES,
+        peers.JOB_STATES,
         peers.CANCEL,
-        peers.CANCELLED,
-        peers.WANT,
-        peers.DROPPED,
+        peers.CANCEL_REPLIES,
+        peers.NEXT_HEARTBEAT_REQUESTS,
+        peers.UNDELIVERED,
     }
     alone = {r["found"]["path"].partition("/")[0] for r in samples["records"]}
     assert alone == {"job", "end", "gone", "memo", "catalog", "lead"}
@@ -159,10 +173,12 @@
     samples = history.samples(WITH_CHAINS)
     frames = [orjson.loads(f["data"]) for f in samples["frames"].values()]
     assert any(
-        f.get("takes") == ["recut"] and f["low"] > 0 for f in frames if f["k"] == peers.GREET
+        f.get("takes") == ["recut"] and f["low"] > 0
+        for f in frames
+        if f["k"] == peers.PEER_HEARTBEAT
     )
     assert any(f.get("ready") is False for f in frames)
-    assert any(told.get("w") for f in frames if f["k"] == peers.STATES for told in f["i"])
+    assert any(told.get("w") for f in frames if f["k"] == peers.JOB_STATES for told in f["i"])
     assert any(len(r["found"]["v"]["s"]) > 18 for r in samples["records"] if is_job(r["found"]))
     assert any(found["lists"] for found in samples["lists"])
     registries = [job for s in samples["stores"] for job in s["read"]["jobs"].values()]
@@ -215,9 +231,9 @@
     samples = history.samples(BEFORE_CHAINS)
     for name, write in reading.FRAMES.items():
         written = orjson.loads(write())
-        if written["k"] == peers.GREETED:
+        if written["k"] == peers.PEER_HEARTBEAT_ACK:
             assert written.pop("ready") is True
-        if written["k"] in (peers.GREET, peers.GREETED):
+        if written["k"] in (peers.PEER_HEARTBEAT, peers.PEER_HEARTBEAT_ACK):
             assert (written.pop("takes"), written.pop("low")) == ([], 0)
         assert written == orjson.loads(samples["frames"][name]["data"]), name
     alone = plain_records()
@@ -336,9 +352,9 @@
     assert {"job", "end", "gone"} <= seen
 
 
-def awaiting(job: str, elsewhere: ListReference | None = None) -> dict[str, Any]:
+def awaiting(job: str, elsewhere: DependencyListReference | None = None) -> dict[str, Any]:
     spec = users.parse_submission(submission(job, awaits=["wk-long", "wk-000004"]))
-    return {"path": f"job/{job}", "v": job_record(spec, 136, 1234.5, elsewhere), "stamp": 7}
+    return {"path": f"job/{job}", "v": encode_job_record(spec, 136, 1234.5, elsewhere), "stamp": 7}
 
 
 def without(value: Any) -> Any:
@@ -369,7 +385,7 @@
 def test_what_is_written_is_read_before_chains(written: list[Store]) -> None:
     """Every frame and record, and whole states: a leader of 0782287 goes on with the same
     placements and the same tasks done, and finds nothing that it can't read."""
-    reference = ListReference("nonce", 1)
+    reference = DependencyListReference("nonce", 1)
     chained = [awaiting("wk-chain"), awaiting("wk-chain2", reference)]
     lists = {"path": dependency_list_prefix(JobId("wk-chain2"), reference) + "0", "v": ["wk-long"]}
     mixed = [*written[0], *chained, {**lists, "stamp": 7}]
@@ -482,25 +498,27 @@
 GRANT_S = 4.0 * 0.98  # from when it was asked for, less the drift
 
 
-def relays_decision(relay: Relay | EarlierRelay, number: int) -> Decision:
+def relays_decision(relay: HeartbeatRelay | EarlierRelay, number: int) -> Decision:
     """On a second report of machine `number` with nothing new, if the leader took the first."""
-    machine, epoch, now = MachineId(f"n-{number}"), Epoch(9), Steady(101.0)
-    order = ReportOrder(Session(1), 1)
-    first = relay.report(machine, order, epoch, False, [], now, True)
+    machine, epoch, now = MachineId(f"n-{number}"), FencingToken(9), MonotonicTime(101.0)
+    order = HeartbeatSequence(AgentEpoch(1), 1)
+    first = relay.handle_heartbeat(machine, order, epoch, False, [], now, True)
     if not isinstance(first, Forward):
         return first
-    relay.answered(machine, order, False, [], False)
-    return relay.report(machine, ReportOrder(Session(1), 2), epoch, False, [], now, True)
+    relay.on_leader_response(machine, order, False, [], False)
+    return relay.handle_heartbeat(
+        machine, HeartbeatSequence(AgentEpoch(1), 2), epoch, False, [], now, True
+    )
 
 
-def check_granted(relay: Relay | EarlierRelay) -> None:
+def check_granted(relay: HeartbeatRelay | EarlierRelay) -> None:
     """As the frame "greeted by the leader" says: epoch 9, 50 workers at most, others to drover-2;
     asked for at 100."""
-    assert relay.epoch == 9
-    assert relay.holds_grant(Steady(100.0 + GRANT_S - 0.01))
-    assert not relay.holds_grant(Steady(100.0 + GRANT_S + 0.01))
+    assert relay.token == 9
+    assert relay.holds_lease(MonotonicTime(100.0 + GRANT_S - 0.01))
+    assert not relay.holds_lease(MonotonicTime(100.0 + GRANT_S + 0.01))
     found = [relays_decision(relay, i) for i in range(51)]
-    assert found == [Answer(Epoch(9))] * 50 + [Redirect(NodeId("drover-2"))]
+    assert found == [Acknowledge(FencingToken(9))] * 50 + [Redirect(NodeId("drover-2"))]
 
 
 @each_version
@@ -510,18 +528,18 @@
     frames = history.samples(short)["frames"]
     for name in GREETED_FRAMES:
         here = RelayServiceFixture()
-        here.leader_service.acts = False
+        here.leader_service.is_active = False
         told: list[tuple[str, int]] = []
-        here.node.election.heard_leader = lambda *leader, told=told: told.append(leader)
+        here.node.election.observe_leader = lambda *leader, told=told: told.append(leader)
         link = here.r.links[NodeId("drover-1")]
-        link.asked[17] = Steady(100.0)
+        link.pending_heartbeats[17] = MonotonicTime(100.0)
         here.now = 100.5
-        here.r._on_answer(link, peers.parse(frames[name]["data"].encode()))
+        here.r._on_reply_frame(link, peers.parse_frame(frames[name]["data"].encode()))
         if name == GREETED_FRAMES[0]:
             assert told == [("drover-1", 9)] and here.r.relay.leader == "drover-1"
             check_granted(here.r.relay)
         else:
-            assert not told and not here.r.relay.holds_grant(Steady(100.5))
+            assert not told and not here.r.relay.holds_lease(MonotonicTime(100.5))
 
 
 @each_version
@@ -535,8 +553,13 @@
     label = NodeId("drover-3")
     relay = EarlierRelay(OldRelay(history.earlier(short), label, 4.0, 0.02), label)
     assert (told["number"], told["lent"]) == (17, 2)
-    relay.granted(
-        told["epoch"], NodeId("drover-1"), Steady(100.0), Steady(100.5), told["most"], told["spare"]
+    relay.renew_lease(
+        told["epoch"],
+        NodeId("drover-1"),
+        MonotonicTime(100.0),
+        MonotonicTime(100.5),
+        told["most"],
+        told["spare"],
     )
     check_granted(relay)
 
@@ -571,7 +594,7 @@
         if not new and not chains:
             # Nothing like it is asked for yet; all the same, it waits for a leader that reads it.
             w.submit("wk-early", parcels=3, awaits=["wk-11", "wk-000000"])
-            assert w.controller.status(JobId("wk-early")) is Verdict.UNKNOWN_JOB
+            assert w.scheduler.job_status(JobId("wk-early")) is LookupFailure.UNKNOWN_JOB
     for i in sorted(set(range(w.nodes)) - w.replaced):
         w.replace(i)
         w.watch(3)
@@ -627,8 +650,8 @@
 @each_version
 def test_the_alias_is_the_earlier_version(short: str) -> None:
     version = history.earlier(short)
-    assert version.old_controller_type() is not Controller
-    assert version.old_relay_type() is not Relay
+    assert version.old_controller_type() is not Scheduler
+    assert version.old_relay_type() is not HeartbeatRelay
     assert version.old_package in version.old_controller_type().__module__
     assert version.old_chains is (short == WITH_CHAINS)
     if short == BEFORE_CHAINS:
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -3,10 +3,10 @@
 from types import SimpleNamespace
 from typing import Any
 
-from eldercart.election.state_machine import Election, ReadLead
+from eldercart.election.state_machine import Election, ReadLeaderKey
 from eldercart.server.leadership import election_service
 from eldercart.server.leadership.election_service import ElectionService
-from eldercart.units import IncarnationId, NodeId, Revision, Steady
+from eldercart.units import IncarnationId, MonotonicTime, NodeId, Revision
 
 
 def test_watch_goes_on_from_what_a_list_tells(monkeypatch: Any) -> None:
@@ -18,7 +18,7 @@
         range=lambda key, done: done([], Revision(50_000)),
     )
     election = Election(NodeId("n0"), 2.0, 0.02, IncarnationId("x"))
-    node = SimpleNamespace(store=store, election=election, clock=lambda: Steady(7.0))
+    node = SimpleNamespace(store=store, election=election, clock=lambda: MonotonicTime(7.0))
     monkeypatch.setattr(
         election_service, "reactor", SimpleNamespace(callLater=lambda _, what, *args: what(*args))
     )
@@ -29,4 +29,6 @@
     done(410, Revision(0), [])
     e._watch()
     assert [after for after, _ in asked] == [0, 50_000]
-    assert isinstance(election.next_action(Steady(7.0)), ReadLead), "it asks who leads now"
+    assert isinstance(election.next_action(MonotonicTime(7.0)), ReadLeaderKey), (
+        "it asks who leads now"
+    )
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,8 +8,8 @@
 
 from eldercart.scheduling import feasibility
 from eldercart.settings.platform import parse_platform
-from eldercart.wire import Malformed, cloud, peers, state, users, workers
-from eldercart.wire.checks import load_enclosed, load_object
+from eldercart.wire import MalformedMessage, cloud, peers, state, users, workers
+from eldercart.wire.checks import load_nested_object, load_object
 from simulators import CATALOG
 from world import PLATFORM, submission
 
@@ -50,7 +50,7 @@
     ],
 )
 def test_submission_refused(changes: dict[str, Any], field: str) -> None:
-    with pytest.raises(Malformed) as err:
+    with pytest.raises(MalformedMessage) as err:
         users.parse_submission(submission("wk-000001", **changes))
     assert str(err.value) == field
 
@@ -72,13 +72,13 @@
         if field in ("breeds", "yard", "dueS"):  # may be null, so may be left out
             users.parse_submission(body)
             continue
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedMessage):
             users.parse_submission(body)
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[]", b"null", b'"x"', b"{" + b" " * 70_000 + b"}"])
 def test_bodies_refused(body: bytes) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessage):
         load_object(body)
 
 
@@ -89,11 +89,13 @@
     body = b'{"x":' + b"[" * levels + b"]" * levels + b"}"
     load_object(body)
     if good:
-        batch = [(1, orjson.dumps(load_enclosed(body)))]
-        assert peers.parse_reports(peers.parse(peers.reports(workers.Epoch(3), batch)))
+        batch = [(1, orjson.dumps(load_nested_object(body)))]
+        assert peers.parse_forwarded_heartbeats(
+            peers.parse_frame(peers.encode_forwarded_heartbeats(workers.FencingToken(3), batch))
+        )
     else:
-        with pytest.raises(Malformed, match="nested"):
-            load_enclosed(body)
+        with pytest.raises(MalformedMessage, match="nested"):
+            load_nested_object(body)
 
 
 @pytest.mark.parametrize(
@@ -113,7 +115,7 @@
 def test_never_runs(changes: dict[str, Any], why: str | None) -> None:
     spec = users.parse_submission(submission("wk-000001", **changes))
     teams = parse_platform(PLATFORM).teams
-    assert feasibility.never_runs(spec, cloud.parse_catalog(CATALOG), teams) == why
+    assert feasibility.rejection_reason(spec, cloud.parse_catalog(CATALOG), teams) == why
 
 
 def report(**changes: Any) -> dict[str, Any]:
@@ -147,17 +149,17 @@
 )
 def test_report(changes: dict[str, Any], good: bool) -> None:
     if good:
-        assert workers.parse_report(report(**changes)).order == (1, 3)
+        assert workers.parse_heartbeat(report(**changes)).sequence == (1, 3)
     else:
-        with pytest.raises(Malformed):
-            workers.parse_report(report(**changes))
+        with pytest.raises(MalformedMessage):
+            workers.parse_heartbeat(report(**changes))
 
 
 def test_response_line_is_bounded() -> None:
     many: list[workers.Command] = [
         workers.Launch(workers.TaskKey(f"wk-000001/{i}"), workers.Attempt(1)) for i in range(5000)
     ]
-    assert len(workers.commands_body(workers.Epoch(3), many)) < 64 * 1024
+    assert len(workers.commands_response_body(workers.FencingToken(3), many)) < 64 * 1024
 
 
 @pytest.mark.parametrize(("number", "size"), [(0, 10), (1, 64_000), (200, 60_000), (5000, 900)])
@@ -165,18 +167,21 @@
     """After a standstill all workers' reports may be handed on in one moment."""
     body = b'{"a":"%b"}' % (b"x" * size)
     items = [(i, body) for i in range(number)]
-    frames = [peers.reports(workers.Epoch(3), batch) for batch in peers.batches(items)]
-    assert all(len(f) <= peers.MAX_FRAME for f in frames)
-    got = [n for f in frames for n, _ in peers.parse_reports(peers.parse(f))[1]]
+    frames = [
+        peers.encode_forwarded_heartbeats(workers.FencingToken(3), batch)
+        for batch in peers.split_batches(items)
+    ]
+    assert all(len(f) <= peers.MAX_FRAME_BYTES for f in frames)
+    got = [n for f in frames for n, _ in peers.parse_forwarded_heartbeats(peers.parse_frame(f))[1]]
     assert got == list(range(number))
-    assert peers.BATCH_ITEMS * workers.MAX_COMMANDS * 100 <= peers.MAX_FRAME
+    assert peers.MAX_BATCH_ITEMS * workers.MAX_COMMANDS * 100 <= peers.MAX_FRAME_BYTES
 
 
 @pytest.mark.parametrize(
     ("parse", "body"),
     [
-        (cloud.parse_rented, b'{"wagons":"n-1"}'),
-        (cloud.parse_list, b'{"wagons":[{"nameId":"n-1"}]}'),
+        (cloud.parse_created_machines, b'{"wagons":"n-1"}'),
+        (cloud.parse_machine_page, b'{"wagons":[{"nameId":"n-1"}]}'),
         (state.parse_item, b'{"path":"a","stamp":0}'),
         (state.parse_revision, b'{"ledgerRev":true}'),
         (state.parse_range, b"[]"),
@@ -184,5 +189,5 @@
     ],
 )
 def test_malformed_answers_are_no_answers(parse: Any, body: bytes) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessage):
         parse(body)
--- a/tests/versions/adapters.py
+++ b/tests/versions/adapters.py
@@ -7,32 +7,32 @@
 from dataclasses import dataclass
 from typing import Any
 
-from eldercart.cluster.heartbeat_relay import Answer, Decision, Forward, Overtaken, Redirect
-from eldercart.jobs.registry import JOB, job_record
-from eldercart.scheduling.scheduler import JobStatus, Outcome, Verdict
+from eldercart.cluster.heartbeat_relay import Acknowledge, Decision, Forward, Redirect, Stale
+from eldercart.jobs.registry import JOB_PREFIX, encode_job_record
+from eldercart.scheduling.scheduler import JobStatus, LookupFailure, TransactionOutcome
 from eldercart.units import (
-    Epoch,
+    AgentEpoch,
+    FencingToken,
+    HeartbeatSequence,
     JobId,
     MachineId,
+    MonotonicTime,
     NodeId,
-    ReportOrder,
     Revision,
-    Session,
-    Steady,
     WallTime,
 )
 from eldercart.wire.state import Item
-from eldercart.wire.users import JobSpec, ListReference
+from eldercart.wire.users import DependencyListReference, JobSpec
 from versions.legacy.old_nodes import OldController, OldRecord, OldRelay
 
 _OUTCOMES = {
-    Outcome.OK: "ok",
-    Outcome.CONFLICT: "conflict",
-    Outcome.REFUSED: "refused",
-    Outcome.MALFORMED: "malformed",
-    Outcome.UNKNOWN: "unknown",
+    TransactionOutcome.COMMITTED: "ok",
+    TransactionOutcome.CONFLICT: "conflict",
+    TransactionOutcome.REJECTED: "refused",
+    TransactionOutcome.INVALID: "malformed",
+    TransactionOutcome.INDETERMINATE: "unknown",
 }
-_VERDICTS = {"UNKNOWN_JOB": Verdict.UNKNOWN_JOB, "UNDECIDED": Verdict.UNDECIDED}
+_VERDICTS = {"UNKNOWN_JOB": LookupFailure.UNKNOWN_JOB, "UNDECIDED": LookupFailure.UNDECIDED}
 
 
 def listed(item: Item) -> OldRecord:
@@ -54,7 +54,7 @@
 class Pending:
     """One that waits for its outcome."""
 
-    txn: Written
+    transaction: Written
 
 
 class PartsAllowed:
@@ -73,17 +73,17 @@
 class EarlierLeader:
     """An earlier version's leader."""
 
-    def __init__(self, old: OldController, epoch: Epoch) -> None:
+    def __init__(self, old: OldController, epoch: FencingToken) -> None:
         self.old = old
-        self.epoch = epoch
-        self.records = PartsAllowed(old)
+        self.token = epoch
+        self.transaction_writer = PartsAllowed(old)
 
     def load(
         self,
         jobs: Iterable[Item],
         places: Iterable[Item],
         gone: Iterable[Item],
-        now: Steady,
+        now: MonotonicTime,
         memories: Iterable[Item] = (),
     ) -> None:
         lists = [[listed(item) for item in items] for items in (jobs, places, gone, memories)]
@@ -94,87 +94,90 @@
         spec: JobSpec,
         size: int,
         at: WallTime,
-        now: Steady,
-        elsewhere: ListReference | None = None,
+        now: MonotonicTime,
+        elsewhere: DependencyListReference | None = None,
     ) -> None:
         """It reads the record, whole: it does not remember where its list of dependencies is."""
-        record = job_record(spec, size, at)
-        self.old.old_learn({"path": JOB + spec.id, "v": record, "stamp": 1}, now)
+        record = encode_job_record(spec, size, at)
+        self.old.old_learn({"path": JOB_PREFIX + spec.id, "v": record, "stamp": 1}, now)
 
-    def status(self, job: JobId) -> JobStatus | Verdict:
+    def job_status(self, job: JobId) -> JobStatus | LookupFailure:
         found = self.old.old_status(job)
         return _VERDICTS[found[0]] if len(found) == 1 else JobStatus(*found)
 
-    def cancel(self, job: JobId, now: Steady) -> str | Verdict:
+    def cancel_job(self, job: JobId, now: MonotonicTime) -> str | LookupFailure:
         found = self.old.old_cancel(job, now)
         return _VERDICTS.get(found, found)
 
-    def tick(self, now: Steady) -> None:
+    def tick(self, now: MonotonicTime) -> None:
         self.old.old_tick(now)
 
-    def plan_due(self, now: Steady) -> bool:
+    def is_planning_due(self, now: MonotonicTime) -> bool:
         return self.old.old_plan_due(now)
 
-    def plan(self, now: Steady) -> None:
+    def plan(self, now: MonotonicTime) -> None:
         self.old.old_plan(now)
 
     # -- the state service
 
     @property
-    def reread(self) -> list[str]:
+    def keys_to_refresh(self) -> list[str]:
         return self.old.old_rereads()
 
-    def reread_done(self, key: str, item: Item | None, now: Steady) -> None:
+    def on_key_refreshed(self, key: str, item: Item | None, now: MonotonicTime) -> None:
         self.old.old_reread(key, None if item is None else listed(item), now)
 
-    def take_unread(self, now: Steady, most: int) -> list[str]:
+    def take_due_end_lookups(self, now: MonotonicTime, most: int) -> list[str]:
         return self.old.old_unread_ends(now, most)
 
-    def end_read(self, job: JobId, how: str | None, now: Steady) -> None:
+    def on_end_lookup_result(self, job: JobId, how: str | None, now: MonotonicTime) -> None:
         self.old.old_end_read(job, how, now)
 
-    def next_memory_txn(self, now: Steady) -> Written | None:
+    def next_learned_state_transaction(self, now: MonotonicTime) -> Written | None:
         found = self.old.old_memo(now)
         return None if found is None else Written(found)
 
-    def next_txn(self, now: Steady, most: int) -> Pending | None:
+    def next_transaction(self, now: MonotonicTime, most: int) -> Pending | None:
         found = self.old.old_transaction(now, most)
         return None if found is None else Pending(Written(found))
 
-    def txn_done(
+    def on_transaction_result(
         self,
         pending: Pending,
-        outcome: Outcome,
+        outcome: TransactionOutcome,
         revision: Revision,
         failed: tuple[str, ...],
-        now: Steady,
+        now: MonotonicTime,
     ) -> bool:
         return self.old.old_transaction_done(_OUTCOMES[outcome], revision, failed, now)
 
-    def take_finished(self) -> list[tuple[str, str]]:
+    def take_finished_jobs(self) -> list[tuple[str, str]]:
         return self.old.old_finished()
 
     # -- workers
 
-    def wants_next(self, machine: MachineId) -> bool:
+    def needs_next_heartbeat(self, machine: MachineId) -> bool:
         return self.old.old_wants_next(machine)
 
-    def undelivered(self, machine: MachineId) -> None:
+    def on_response_undelivered(self, machine: MachineId) -> None:
         self.old.old_undelivered(machine)
 
-    def take_wants(self) -> dict[str, list[str]]:
+    def take_machines_needing_command(self) -> dict[str, list[str]]:
         return self.old.old_wanted()
 
     def take_probes(self) -> list[tuple[str, str]]:
         return self.old.old_probes()
 
-    def shown(self, machine: MachineId, now: Steady) -> None:
+    def record_probe_success(self, machine: MachineId, now: MonotonicTime) -> None:
         self.old.old_shown(machine, now)
 
-    def heard(
-        self, relay: NodeId, orders: Iterable[tuple[MachineId, ReportOrder]], now: Steady
+    def record_relayed_heartbeats(
+        self,
+        relay: NodeId,
+        orders: Iterable[tuple[MachineId, HeartbeatSequence]],
+        now: MonotonicTime,
     ) -> None:
-        plain = [(machine, order.session, order.sequence) for machine, order in orders]
+        plain = [(machine, order.agent_epoch, order.number) for machine, order in orders]
         self.old.old_heard(relay, plain, now)
 
 
@@ -186,61 +189,61 @@
         self.label = label
 
     @property
-    def epoch(self) -> Epoch:
-        return Epoch(self.old.old_epoch())
+    def token(self) -> FencingToken:
+        return FencingToken(self.old.old_epoch())
 
     @property
-    def machines(self) -> int:
+    def machine_count(self) -> int:
         return self.old.old_machines()
 
-    def granted(
+    def renew_lease(
         self,
-        epoch: Epoch,
+        epoch: FencingToken,
         leader: NodeId,
-        asked: Steady,
-        now: Steady,
+        asked: MonotonicTime,
+        now: MonotonicTime,
         most: int | None = None,
         spare: NodeId | None = None,
     ) -> None:
         self.old.old_granted(epoch, leader, asked, now, most, spare)
 
-    def holds_grant(self, now: Steady) -> bool:
+    def holds_lease(self, now: MonotonicTime) -> bool:
         return self.old.old_holds_grant(now)
 
-    def report(
+    def handle_heartbeat(
         self,
         machine: MachineId,
-        order: ReportOrder,
-        epoch: Epoch,
+        order: HeartbeatSequence,
+        epoch: FencingToken,
         notice: bool,
         tasks: Any,
-        now: Steady,
+        now: MonotonicTime,
         reachable: bool,
     ) -> Decision:
-        plain = (order.session, order.sequence)
+        plain = (order.agent_epoch, order.number)
         how, what = self.old.old_report(machine, plain, epoch, notice, tasks, now, reachable)
         match how:
             case "Answer":
-                return Answer(Epoch(what))
+                return Acknowledge(FencingToken(what))
             case "Redirect":
                 return Redirect(None if what is None else NodeId(what))
             case "Forward":
                 return Forward()
-        return Overtaken()
+        return Stale()
 
-    def answered(
-        self, machine: MachineId, order: ReportOrder, notice: bool, tasks: Any, again: bool
+    def on_leader_response(
+        self, machine: MachineId, order: HeartbeatSequence, notice: bool, tasks: Any, again: bool
     ) -> None:
-        self.old.old_answered(machine, (order.session, order.sequence), notice, tasks, again)
+        self.old.old_answered(machine, (order.agent_epoch, order.number), notice, tasks, again)
 
-    def overtaken(self, machine: MachineId, order: ReportOrder) -> None:
-        self.old.old_overtaken(machine, (order.session, order.sequence))
+    def on_stale_heartbeat(self, machine: MachineId, order: HeartbeatSequence) -> None:
+        self.old.old_overtaken(machine, (order.agent_epoch, order.number))
 
-    def want(self, machine: MachineId) -> None:
+    def request_next_heartbeat(self, machine: MachineId) -> None:
         self.old.old_want(machine)
 
-    def take_heard(self, now: Steady) -> list[tuple[MachineId, ReportOrder]]:
+    def take_acknowledged(self, now: MonotonicTime) -> list[tuple[MachineId, HeartbeatSequence]]:
         return [
-            (MachineId(machine), ReportOrder(Session(session), number))
+            (MachineId(machine), HeartbeatSequence(AgentEpoch(session), number))
             for machine, session, number in self.old.old_heard(now)
         ]
--- a/tests/versions/mixed.py
+++ b/tests/versions/mixed.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-from eldercart.units import Attempt, Epoch, MachineId, NodeId, Steady, TaskKey
+from eldercart.units import Attempt, FencingToken, MachineId, MonotonicTime, NodeId, TaskKey
 from eldercart.wire import workers
 from relay_world import LeaderReply, RelayWorld
 from simulators import CATALOG
@@ -38,7 +38,7 @@
         like = [i for i in free if self.wanted is None or (i in self.replaced) is self.wanted]
         return self.rng.choice(like or free)
 
-    def new_controller(self, epoch: Epoch) -> Any:
+    def new_controller(self, epoch: FencingToken) -> Any:
         new = self.leader in self.replaced
         self.led.append(new)
         if new:
@@ -52,16 +52,16 @@
         label = NodeId(f"n{i}")
         return EarlierRelay(OldRelay(self.earlier, label, 0.4 * self.settings.lease_s, 0.02), label)
 
-    def ask_leader(self, body: bytes, now: Steady, relay: NodeId) -> LeaderReply | None:
-        if not isinstance(self.controller, EarlierLeader):
+    def ask_leader(self, body: bytes, now: MonotonicTime, relay: NodeId) -> LeaderReply | None:
+        if not isinstance(self.scheduler, EarlierLeader):
             return super().ask_leader(body, now, relay)
-        found = self.controller.old.old_report(orjson.loads(body), now, relay)
+        found = self.scheduler.old.old_report(orjson.loads(body), now, relay)
         if found is None:
             return None
         launches = [workers.Launch(TaskKey(key), Attempt(number)) for key, number in found[1]]
         return LeaderReply(found[0], launches, found[2])
 
-    def serve_cloud(self, c: Any, now: Steady) -> None:
+    def serve_cloud(self, c: Any, now: MonotonicTime) -> None:
         """With the requests as the earlier version writes them."""
         if not isinstance(c, EarlierLeader):
             super().serve_cloud(c, now)
@@ -90,7 +90,7 @@
         else:
             c.old.old_cloud_done(status, orjson.dumps(answer), now)
 
-    def serve_orders(self, c: Any, now: Steady) -> None:
+    def serve_orders(self, c: Any, now: MonotonicTime) -> None:
         if not isinstance(c, EarlierLeader):
             super().serve_orders(c, now)
             return
@@ -107,7 +107,7 @@
 
     def step(self, dt: float) -> None:
         # No leader writes finer parts before every node has said that it reads them.
-        self.may_recut = self.earlier.old_chains or self.all_replaced
+        self.subchunks_supported = self.earlier.old_chains or self.all_replaced
         super().step(dt)
 
     # -- the replacement
--- a/tests/versions/reading.py
+++ b/tests/versions/reading.py
@@ -7,47 +7,47 @@
 
 import orjson
 
-from eldercart.election.state_machine import LEAD_KEY, Claim, Election, Role
+from eldercart.election.state_machine import LEADER_KEY, Campaign, Election, Role
 from eldercart.jobs.registry import (
-    JOB,
-    PLACE,
+    JOB_PREFIX,
+    PLACEMENT_PREFIX,
     Chunk,
     Job,
-    Phase,
     Placement,
-    chunk_size,
+    PlacementPhase,
+    decode_end_record,
+    decode_job_record,
     dependency_list_prefix,
-    end_of,
-    job_record,
-    parse_job_record,
-    resolve,
+    encode_job_record,
+    max_tasks_per_chunk,
+    resolve_dependency_list,
 )
-from eldercart.persistence.learned_state import PACES
-from eldercart.scheduling.scheduler import Controller
+from eldercart.persistence.learned_state import RUN_TIME_RATIOS_KEY
+from eldercart.scheduling.scheduler import Scheduler
 from eldercart.settings import load_tuning
 from eldercart.settings.platform import parse_platform
 from eldercart.units import (
+    AgentEpoch,
     Attempt,
-    Epoch,
+    FencingToken,
+    HeartbeatSequence,
     IncarnationId,
     JobId,
     LeaseId,
     MachineId,
+    MonotonicTime,
     NodeId,
-    ReportOrder,
     Revision,
-    Session,
-    Steady,
     TaskKey,
     WallTime,
 )
-from eldercart.wire import Malformed, cloud, peers, users, workers
+from eldercart.wire import MalformedMessage, cloud, peers, users, workers
 from eldercart.wire.state import Item
-from eldercart.wire.users import JobSpec, ListReference
+from eldercart.wire.users import DependencyListReference, JobSpec
 from versions.legacy import old_fields
 from world import PLATFORM, submission
 
-NOW = Steady(100.0)
+NOW = MonotonicTime(100.0)
 Store = list[dict[str, Any]]  # as the state service lists it
 
 # -- what is written: the same things by each version
@@ -68,18 +68,22 @@
     )
 
 
-def _greet(*heard: tuple[MachineId, ReportOrder]) -> bytes:
-    return peers.greet(peers.Greet(NodeId("drover-1"), 17, Epoch(9), True, 40, 3, heard))
+def _greet(*heard: tuple[MachineId, HeartbeatSequence]) -> bytes:
+    return peers.encode_peer_heartbeat(
+        peers.PeerHeartbeat(NodeId("drover-1"), 17, FencingToken(9), True, 40, 3, heard)
+    )
 
 
 def _greeted(leads: bool, spare: str | None) -> bytes:
     to = None if spare is None else NodeId(spare)
-    return peers.greeted(peers.Greeted(17, Epoch(9), leads, not leads, 50, to, 2))
+    return peers.encode_peer_heartbeat_ack(
+        peers.PeerHeartbeatAck(17, FencingToken(9), leads, not leads, 50, to, 2)
+    )
 
 
 _HEARD = (
-    (MachineId("n-000001"), ReportOrder(Session(1), 8)),
-    (MachineId("n-000002"), ReportOrder(Session(4), 2**40)),
+    (MachineId("n-000001"), HeartbeatSequence(AgentEpoch(1), 8)),
+    (MachineId("n-000002"), HeartbeatSequence(AgentEpoch(4), 2**40)),
 )
 _REPORT = b'{"wagon":"n-000001","address":"10.1.0.1:9000","stint":1,"tally":8,"parcels":[]}'
 _TOLD = [
@@ -97,32 +101,42 @@
     "greet, nobody heard": _greet,
     "greeted by the leader": lambda: _greeted(True, "drover-2"),
     "greeted by another": lambda: _greeted(False, None),
-    "reports": lambda: peers.reports(Epoch(9), [(1, _REPORT), (2, _REPORT)]),
-    "answers": lambda: peers.answers(
-        [peers.Answer(1, _calls(), True), peers.Answer(2, [], False), peers.Answer(3, None, False)]
+    "reports": lambda: peers.encode_forwarded_heartbeats(
+        FencingToken(9), [(1, _REPORT), (2, _REPORT)]
     ),
-    "polls": lambda: peers.polls([(1, "wk-a.b:1"), (2, "wk-2")]),
-    "states": lambda: peers.states(peers.STATES, _TOLD),
-    "cancel": lambda: peers.cancel(8, "wk-2"),
-    "cancelled": lambda: peers.states(peers.CANCELLED, _TOLD[3:]),
-    "want": lambda: peers.machines(peers.WANT, _m("n-000001", "n-000002")),
-    "dropped": lambda: peers.machines(peers.DROPPED, _m("n-000003")),
+    "answers": lambda: peers.encode_heartbeat_replies(
+        [
+            peers.HeartbeatReply(1, _calls(), True),
+            peers.HeartbeatReply(2, [], False),
+            peers.HeartbeatReply(3, None, False),
+        ]
+    ),
+    "polls": lambda: peers.encode_polls([(1, "wk-a.b:1"), (2, "wk-2")]),
+    "states": lambda: peers.encode_job_replies(peers.JOB_STATES, _TOLD),
+    "cancel": lambda: peers.encode_cancel(8, "wk-2"),
+    "cancelled": lambda: peers.encode_job_replies(peers.CANCEL_REPLIES, _TOLD[3:]),
+    "want": lambda: peers.encode_machines(
+        peers.NEXT_HEARTBEAT_REQUESTS, _m("n-000001", "n-000002")
+    ),
+    "dropped": lambda: peers.encode_machines(peers.UNDELIVERED, _m("n-000003")),
 }
 
 # What 0782287 does not write.
 _NEWER = (("recut",), 3000)
 NEWER_FRAMES: dict[str, Callable[[], bytes]] = {
-    "greet, of what it reads": lambda: peers.greet(
-        peers.Greet(NodeId("drover-1"), 17, Epoch(9), True, 40, 3, _HEARD, *_NEWER)
+    "greet, of what it reads": lambda: peers.encode_peer_heartbeat(
+        peers.PeerHeartbeat(NodeId("drover-1"), 17, FencingToken(9), True, 40, 3, _HEARD, *_NEWER)
     ),
-    "greeted, of what it reads": lambda: peers.greeted(
-        peers.Greeted(17, Epoch(9), True, True, 50, NodeId("drover-2"), 2, *_NEWER, True)
+    "greeted, of what it reads": lambda: peers.encode_peer_heartbeat_ack(
+        peers.PeerHeartbeatAck(
+            17, FencingToken(9), True, True, 50, NodeId("drover-2"), 2, *_NEWER, True
+        )
     ),
-    "greeted, not ready": lambda: peers.greeted(
-        peers.Greeted(17, Epoch(9), False, True, 0, None, 0, (), 0, False)
+    "greeted, not ready": lambda: peers.encode_peer_heartbeat_ack(
+        peers.PeerHeartbeatAck(17, FencingToken(9), False, True, 0, None, 0, (), 0, False)
     ),
-    "states with what is awaited": lambda: peers.states(
-        peers.STATES,
+    "states with what is awaited": lambda: peers.encode_job_replies(
+        peers.JOB_STATES,
         [
             peers.JobReply(1, users.PENDING, 0, 0, ("wk-a", "wk-b")),
             peers.JobReply(2, users.DONE, 1, 0),
@@ -156,8 +170,8 @@
     out = []
     for body in SUBMISSIONS:
         spec = users.parse_submission(body)
-        record = job_record(spec, chunk_size(8192), 1234.5)
-        out.append({"path": JOB + spec.id, "v": _plain(record), "stamp": 7})
+        record = encode_job_record(spec, max_tasks_per_chunk(8192), 1234.5)
+        out.append({"path": JOB_PREFIX + spec.id, "v": _plain(record), "stamp": 7})
     return out
 
 
@@ -168,23 +182,29 @@
 def chained_records() -> Store:
     """A job that awaits others: named in its record, and in a list."""
     spec = users.parse_submission(CHAINED)
-    size = chunk_size(8192)
-    listed = job_record(spec, size, 1234.5, ListReference("nonce", 2))
+    size = max_tasks_per_chunk(8192)
+    listed = encode_job_record(spec, size, 1234.5, DependencyListReference("nonce", 2))
     return [
-        {"path": JOB + spec.id, "v": _plain(job_record(spec, size, 1234.5)), "stamp": 7},
-        {"path": JOB + spec.id, "v": _plain(listed), "stamp": 7},
+        {
+            "path": JOB_PREFIX + spec.id,
+            "v": _plain(encode_job_record(spec, size, 1234.5)),
+            "stamp": 7,
+        },
+        {"path": JOB_PREFIX + spec.id, "v": _plain(listed), "stamp": 7},
     ]
 
 
 def chained_lists() -> Store:
     """The two parts of the list."""
-    prefix = dependency_list_prefix(JobId("wk-chain"), ListReference("nonce", 2))
+    prefix = dependency_list_prefix(JobId("wk-chain"), DependencyListReference("nonce", 2))
     return [{"path": f"{prefix}{n}", "v": [name], "stamp": 6} for n, name in enumerate(AWAITED)]
 
 
 def read_lists(found: dict[str, Any], lists: Store) -> Any:
     """A job record with the lists that it refers to."""
-    item = resolve(JobId(found["path"][len(JOB) :]), _item(found), map(_item, lists))
+    item = resolve_dependency_list(
+        JobId(found["path"][len(JOB_PREFIX) :]), _item(found), map(_item, lists)
+    )
     if item is None:
         return None
     return read_record({**found, "v": item.value})
@@ -193,12 +213,12 @@
 def lead_record() -> dict[str, Any]:
     """As a claim of the leader key writes it."""
     e = Election(NodeId("drover-1"), 3.0, 0.02, IncarnationId("life-1"))
-    e.read(None, NOW)
+    e.on_leader_key_read(None, NOW)
     e.next_action(NOW)
-    e.opened(LeaseId(4), NOW)
+    e.on_lease_granted(LeaseId(4), NOW)
     claim = e.next_action(NOW)
-    assert isinstance(claim, Claim)
-    put: Any = claim.txn.writes[0]
+    assert isinstance(claim, Campaign)
+    put: Any = claim.transaction.operations[0]
     return {"path": put.key, "v": put.value, "stamp": 7, "tether": put.lease}
 
 
@@ -222,37 +242,44 @@
 
 
 def _told(t: peers.JobReply) -> dict[str, Any]:
-    return _named(old_fields.READ_TOLD, t.number, t.verdict, t.done, t.running, t.waiting)
+    return _named(
+        old_fields.READ_TOLD,
+        t.request_id,
+        t.state,
+        t.done_count,
+        t.running_count,
+        t.unmet_dependencies,
+    )
 
 
-def _greet_read(g: peers.Greet) -> dict[str, Any]:
+def _greet_read(g: peers.PeerHeartbeat) -> dict[str, Any]:
     return _named(
         old_fields.READ_GREET,
         g.sender,
-        g.number,
-        g.epoch,
+        g.request_id,
+        g.token,
         g.store_ok,
-        g.machines,
-        g.short,
-        g.heard,
-        g.takes,
-        g.low_ms,
+        g.machine_count,
+        g.missing_rate_tokens,
+        g.acknowledged,
+        g.supported_features,
+        g.backoff_remaining_ms,
     )
 
 
-def _greeted_read(g: peers.Greeted) -> dict[str, Any]:
+def _greeted_read(g: peers.PeerHeartbeatAck) -> dict[str, Any]:
     return _named(
         old_fields.READ_GREETED,
-        g.number,
-        g.epoch,
-        g.leads,
+        g.request_id,
+        g.token,
+        g.grants_lease,
         g.store_ok,
-        g.most,
-        g.spare,
-        g.lent,
-        g.takes,
-        g.low_ms,
-        g.ready,
+        g.max_machines,
+        g.redirect_target,
+        g.lent_rate_tokens,
+        g.supported_features,
+        g.backoff_remaining_ms,
+        g.is_ready,
     )
 
 
@@ -260,23 +287,23 @@
     return _named(
         old_fields.READ_JOB_SPEC,
         s.id,
-        s.klass,
+        s.job_class,
         s.team,
         s.priority,
-        s.tasks,
+        s.task_count,
         s.cpus,
         s.gpus,
         s.memory_gb,
         s.image,
         s.image_gb,
-        s.types,
+        s.machine_types,
         s.zone,
-        s.together,
+        s.single_zone,
         s.spread,
-        s.spot,
-        s.estimate_s,
-        s.checkpoint_s,
-        s.save_s,
+        s.allows_spot,
+        s.estimated_run_time_s,
+        s.checkpoint_interval_s,
+        s.checkpoint_save_s,
         s.deadline_s,
         s.dependencies,
     )
@@ -299,26 +326,26 @@
 
 
 def read_frame(data: str) -> Any:
-    frame = peers.parse(data.encode())
-    match peers.kind_of(frame):
-        case peers.GREET:
-            return _plain(_greet_read(peers.parse_greet(frame)))
-        case peers.GREETED:
-            return _plain(_greeted_read(peers.parse_greeted(frame)))
-        case peers.REPORTS:
-            return _plain(peers.parse_reports(frame))
-        case peers.ANSWERS:
+    frame = peers.parse_frame(data.encode())
+    match peers.frame_kind(frame):
+        case peers.PEER_HEARTBEAT:
+            return _plain(_greet_read(peers.parse_peer_heartbeat(frame)))
+        case peers.PEER_HEARTBEAT_ACK:
+            return _plain(_greeted_read(peers.parse_peer_heartbeat_ack(frame)))
+        case peers.FORWARDED_HEARTBEATS:
+            return _plain(peers.parse_forwarded_heartbeats(frame))
+        case peers.HEARTBEAT_REPLIES:
             return _plain(
                 [
-                    _named(old_fields.READ_ANSWER, a.number, a.calls, a.again)
-                    for a in peers.parse_answers(frame)
+                    _named(old_fields.READ_ANSWER, a.request_id, a.commands, a.wants_next)
+                    for a in peers.parse_heartbeat_replies(frame)
                 ]
             )
         case peers.POLLS | peers.CANCEL:
-            return _plain(peers.parse_asked(frame))
-        case peers.STATES | peers.CANCELLED:
-            return _plain([_told(t) for t in peers.parse_states(frame)])
-        case peers.WANT | peers.DROPPED:
+            return _plain(peers.parse_job_requests(frame))
+        case peers.JOB_STATES | peers.CANCEL_REPLIES:
+            return _plain([_told(t) for t in peers.parse_job_replies(frame)])
+        case peers.NEXT_HEARTBEAT_REQUESTS | peers.UNDELIVERED:
             return _plain(peers.parse_machines(frame))
         case kind:
             raise AssertionError(kind)
@@ -341,93 +368,103 @@
     kind = item.key.partition("/")[0]
     if kind == "job":
         try:
-            spec, size, at = parse_job_record(JobId(item.key[len(JOB) :]), item.value)
-        except (Malformed, KeyError, TypeError, ValueError) as err:
+            spec, size, at = decode_job_record(JobId(item.key[len(JOB_PREFIX) :]), item.value)
+        except (MalformedMessage, KeyError, TypeError, ValueError) as err:
             return f"unreadable: {err}"
         return _plain(_named(old_fields.READ_JOB_RECORD, _specification(spec), size, at))
     if kind in ("end", "gone"):
-        return end_of(item.value)
+        return decode_end_record(item.value)
     if kind == "catalog":
         return _plain(
             {name: _machine_type(t) for name, t in cloud.parse_catalog(item.value).items()}
         )
-    if kind == LEAD_KEY:
+    if kind == LEADER_KEY:
         e = Election(NodeId("drover-2"), 3.0, 0.02)
-        e.read(item, NOW)
+        e.on_leader_key_read(item, NOW)
         role = old_fields.READ_LEADER if e.role is Role.LEADER else old_fields.READ_FOLLOWER
-        return [role, e.leader, e.epoch]
+        return [role, e.leader, e.token]
     assert kind == "memo", item.key
-    c = _controller(Epoch(10**6))
+    c = _controller(FencingToken(10**6))
     c.load([], [], [], NOW, [item])
     return _remembered(c, item.key)
 
 
 def _number(job: Job, chunk: Chunk) -> str:
-    return f"{chunk.low}+{chunk.tasks}" if chunk.cut else str(chunk.low // job.size)
+    return (
+        f"{chunk.first_index}+{chunk.task_count}"
+        if chunk.is_subchunk
+        else str(chunk.first_index // job.tasks_per_chunk)
+    )
 
 
-def _remembered(c: Controller, key: str) -> Any:
-    return _plain(c.scheduler.predictor.paces() if key == PACES else c.fleet._recalled)
+def _remembered(c: Scheduler, key: str) -> Any:
+    return _plain(
+        c.cluster_state.predictor.run_time_sums()
+        if key == RUN_TIME_RATIOS_KEY
+        else c.inventory._restored_images
+    )
 
 
-def _controller(epoch: Epoch) -> Controller:
+def _controller(epoch: FencingToken) -> Scheduler:
     settings = parse_platform(PLATFORM)
-    return Controller(settings, load_tuning(), epoch, {}, NOW, WallTime(NOW))
+    return Scheduler(settings, load_tuning(), epoch, {}, NOW, WallTime(NOW))
 
 
 def take_over(store: Store) -> dict[str, Any]:
     """What a new leader knows once it has read the store."""
-    c = _controller(Epoch(10**6))
+    c = _controller(FencingToken(10**6))
     items = [_item(found) for found in store]
 
     def of(prefix: str) -> list[Item]:
         return [i for i in items if i.key.startswith(prefix)]
 
     memories = of("memo/")
-    c.load(of(JOB), of(PLACE), of("gone/"), NOW, memories)
-    placement_records = c.records.placement_records.by_key.values()
+    c.load(of(JOB_PREFIX), of(PLACEMENT_PREFIX), of("gone/"), NOW, memories)
+    placement_records = c.transaction_writer.placement_records.by_key.values()
     jobs = {job.id: _job(job) for job in sorted(c.jobs.jobs.values(), key=lambda j: j.id)}
-    on = {m.id: sorted(m.placed) for m in sorted(c.fleet.machines.values(), key=_id)}
-    unread = sum(len(s.unread) for s in placement_records)
-    orphans = sorted(key for key, _ in c.records.orphans)
+    on = {m.id: sorted(m.placements) for m in sorted(c.inventory.machines.values(), key=_id)}
+    unread = sum(len(s.unreadable_parts) for s in placement_records)
+    orphans = sorted(key for key, _ in c.transaction_writer.orphaned_keys)
     remembered = [_remembered(c, item.key) for item in memories]
     return dict(_plain(_named(old_fields.READ_TAKEN_OVER, jobs, on, unread, orphans, remembered)))
 
 
 def _job(job: Job) -> dict[str, Any]:
-    done = [i for i, done in enumerate(job.done) if done]
+    done = [i for i, done in enumerate(job.done_flags) if done]
     placed = sorted(map(_placed, job.placements()))
-    attempts = {_number(job, chunk): chunk.attempt for _, chunk in sorted(job.chunks.items())}
+    attempts = {
+        _number(job, chunk): chunk.highest_attempt for _, chunk in sorted(job.chunks.items())
+    }
     return _named(
         old_fields.READ_JOB + old_fields.READ_CHAIN,
         done,
         job.done_count,
         placed,
         attempts,
-        job.pending,
-        job.ended,
-        job.cancelled,
-        job.unreadable,
-        sorted(job.awaited),
-        job.ready,
-        job.orphaned,
+        job.unplaced_count,
+        job.outcome,
+        job.is_cancelled,
+        job.has_unreadable_record,
+        sorted(job.unmet_dependencies),
+        job.is_ready,
+        job.upstream_cancelled,
     )
 
 
 _PHASES = (
-    Phase.PLANNED,
-    Phase.WANTED,
-    Phase.FETCHING,
-    Phase.RUNNING,
-    Phase.SAVING,
-    Phase.ENDED,
+    PlacementPhase.PLANNED,
+    PlacementPhase.COMMITTED,
+    PlacementPhase.FETCHING,
+    PlacementPhase.RUNNING,
+    PlacementPhase.SAVING,
+    PlacementPhase.ENDED,
 )
 _PHASE_NAMES = dict(zip(_PHASES, old_fields.READ_PHASES, strict=True))
 
 
 def _placed(p: Placement) -> list[Any]:
     phase = _PHASE_NAMES[p.phase]
-    return [p.index, p.attempt, p.machine, phase, p.maybe_there, p.stopping]
+    return [p.index, p.attempt, p.machine_id, phase, p.may_have_launched, p.is_terminating]
 
 
 def _id(machine: Any) -> str:
@@ -436,17 +473,17 @@
 
 def write_again(store: Store) -> dict[str, Any]:
     """The placement records as a leader that took them over writes them."""
-    c = _controller(Epoch(10**6))
+    c = _controller(FencingToken(10**6))
     items = [_item(found) for found in store]
     c.load(
-        [i for i in items if i.key.startswith(JOB)],
-        [i for i in items if i.key.startswith(PLACE)],
+        [i for i in items if i.key.startswith(JOB_PREFIX)],
+        [i for i in items if i.key.startswith(PLACEMENT_PREFIX)],
         [],
         NOW,
     )
-    placement_records = c.records.placement_records
+    placement_records = c.transaction_writer.placement_records
     return {
-        key: _plain(placement_records.record(placement_record)[0])
+        key: _plain(placement_records.encode_record(placement_record)[0])
         for key, placement_record in placement_records.by_key.items()
     }
 
--- a/tests/versions/writing.py
+++ b/tests/versions/writing.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from eldercart.scheduling.scheduler import Outcome
+from eldercart.scheduling.scheduler import TransactionOutcome
 from eldercart.units import Revision
 from world import World
 
@@ -35,18 +35,20 @@
         refuses = False
 
         def serve_store(self, c: Any, now: Any) -> None:
-            pending = c.next_txn(now, 20)
+            pending = c.next_transaction(now, 20)
             if pending is None:
                 return
             if self.refuses and any(
                 len(placement_record.parts) > 1 for placement_record in pending.placement_records
             ):
-                c.txn_done(pending, Outcome.MALFORMED, Revision(0), (), now)
+                c.on_transaction_result(pending, TransactionOutcome.INVALID, Revision(0), (), now)
                 return
-            status, answer = self.store.txn(pending.txn.body())
+            status, answer = self.store.txn(pending.transaction.body())
             assert status == 200
-            c.txn_done(pending, Outcome.OK, Revision(answer["ledgerRev"]), (), now)
-            for job, how in c.take_finished():
+            c.on_transaction_result(
+                pending, TransactionOutcome.COMMITTED, Revision(answer["ledgerRev"]), (), now
+            )
+            for job, how in c.take_finished_jobs():
                 self.tell(job, how)
 
     w = Refusing(3)
@@ -93,7 +95,7 @@
 def finer() -> list[dict[str, Any]]:
     """A state in which parts were cut anew, as the service came to refuse larger ones."""
     w = World(51)
-    w.may_recut = True
+    w.subchunks_supported = True
     w.submit("wk-000001", parcels=60, cpus=0.2, memGb=0.1, run_s=30.0)
     w.submit("wk-000002", parcels=3, cpus=0.2, memGb=0.1, run_s=5.0)
     w.run(1)
--- a/tests/world.py
+++ b/tests/world.py
@@ -8,27 +8,34 @@
 
 import orjson
 
-from eldercart.election.state_machine import LEAD_KEY
+from eldercart.election.state_machine import LEADER_KEY
 from eldercart.jobs.registry import (
-    Phase,
-    chunk_size,
+    PlacementPhase,
+    decode_end_record,
     dependency_list_keys,
-    end_of,
-    job_record,
-    resolve,
+    encode_job_record,
+    max_tasks_per_chunk,
+    resolve_dependency_list,
 )
 from eldercart.scheduling.scheduler import (
-    Controller,
-    Delete,
+    DeleteMachines,
     GetCatalog,
     JobStatus,
-    ListPage,
-    Outcome,
-    Rent,
+    ListMachines,
+    ScaleOut,
+    Scheduler,
+    TransactionOutcome,
 )
 from eldercart.settings import load_tuning
 from eldercart.settings.platform import parse_platform
-from eldercart.units import ABSENT, ONLY_INCARNATION, Epoch, Revision, Steady, WallTime
+from eldercart.units import (
+    ABSENT_REVISION,
+    DEFAULT_INCARNATION,
+    FencingToken,
+    MonotonicTime,
+    Revision,
+    WallTime,
+)
 from eldercart.wire import cloud, state, users, workers
 from simulators import CATALOG, CloudSim, StoreSim, WorkerSim
 
@@ -88,7 +95,7 @@
         self.cloud = CloudSim(capacity, self.rng)
         self.now = 100.0
         self.settings = parse_platform(faults.pop("platform", PLATFORM))
-        self.may_recut = False  # all nodes read parts that were cut anew
+        self.subchunks_supported = False  # all nodes read parts that were cut anew
         self.too_large = 0  # transactions refused for their size, late copies not counted
         self.tuning = load_tuning(values=faults.pop("tuning", None))
         self.faults = faults
@@ -107,8 +114,8 @@
         self.unresponsive: set[str] = set()  # machines that no answer or command reaches
         self.orders = 0  # direct commands that arrived
         self.cloud_down_until = -1.0
-        self.incarnation = ONLY_INCARNATION
-        self.controller: Controller | None = None
+        self.incarnation = DEFAULT_INCARNATION
+        self.scheduler: Scheduler | None = None
         self.elect()
 
     # -- the leader
@@ -117,29 +124,32 @@
         """A new leader; whatever the old one held in memory is lost."""
         self.store.end_lease(1)
         self.store.leases[1] = 1e9
-        body = state.Txn(
-            {LEAD_KEY: ABSENT}, [state.Put(LEAD_KEY, {"node": "x"}, state.LeaseId(1))]
+        body = state.Transaction(
+            {LEADER_KEY: ABSENT_REVISION}, [state.Put(LEADER_KEY, {"node": "x"}, state.LeaseId(1))]
         ).body()
         status, answer = self.store.txn(body)
         assert status == 200
-        now = Steady(self.now)
-        c = self.new_controller(Epoch(answer["ledgerRev"]))
+        now = MonotonicTime(self.now)
+        c = self.new_controller(FencingToken(answer["ledgerRev"]))
 
         def items(prefix: str) -> list[state.Item]:
             return [state.parse_item(orjson.dumps(i)) for i in self.store.range(prefix)]
 
-        jobs = [resolve(users.JobId(i.key[4:]), i, items("needs/")) for i in items("job/")]
+        jobs = [
+            resolve_dependency_list(users.JobId(i.key[4:]), i, items("needs/"))
+            for i in items("job/")
+        ]
         assert None not in jobs, "a record whose list of dependencies is gone"
         c.load([i for i in jobs if i], items("place/"), items("gone/"), now, items("memo/"))
-        self.controller = c
+        self.scheduler = c
 
-    def new_controller(self, epoch: Epoch) -> Any:
-        return Controller(
+    def new_controller(self, epoch: FencingToken) -> Any:
+        return Scheduler(
             self.settings,
             self.tuning,
             epoch,
             cloud.parse_catalog(CATALOG),
-            Steady(self.now),
+            MonotonicTime(self.now),
             WallTime(self.now),
             self.incarnation,
         )
@@ -148,24 +158,30 @@
         """`parts`: into how many the list of dependencies is cut that is not in the record."""
         body = submission(job, **changes)
         spec = users.parse_submission(body)
-        size = chunk_size(self.settings.value_bytes)
-        where = users.ListReference("abc", parts) if parts else None
-        record = job_record(spec, size, self.now, where)
+        size = max_tasks_per_chunk(self.settings.value_bytes)
+        where = users.DependencyListReference("abc", parts) if parts else None
+        record = encode_job_record(spec, size, self.now, where)
         for number, key in enumerate(dependency_list_keys(spec.id, where) if where else ()):
             part = list(spec.dependencies[number::parts])
-            assert self.store.txn(state.Txn({key: ABSENT}, [state.Put(key, part)]).body())[0] == 200
-        txn = state.Txn(
-            {f"job/{job}": ABSENT, f"end/{job}": ABSENT}, [state.Put(f"job/{job}", record)]
+            assert (
+                self.store.txn(
+                    state.Transaction({key: ABSENT_REVISION}, [state.Put(key, part)]).body()
+                )[0]
+                == 200
+            )
+        txn = state.Transaction(
+            {f"job/{job}": ABSENT_REVISION, f"end/{job}": ABSENT_REVISION},
+            [state.Put(f"job/{job}", record)],
         )
         assert self.store.txn(txn.body())[0] == 200
         self.jobs[job] = body | {"runS": run_s}
-        assert self.controller is not None
+        assert self.scheduler is not None
         extra = () if where is None else (where,)  # earlier versions are told of none
-        self.controller.add_job(spec, size, WallTime(self.now), Steady(self.now), *extra)
+        self.scheduler.add_job(spec, size, WallTime(self.now), MonotonicTime(self.now), *extra)
 
     def cancel(self, job: str) -> None:
-        assert self.controller is not None
-        self.controller.cancel(users.JobId(job), Steady(self.now))
+        assert self.scheduler is not None
+        self.scheduler.cancel_job(users.JobId(job), MonotonicTime(self.now))
 
     # -- time
 
@@ -176,13 +192,13 @@
 
     def step(self, dt: float) -> None:
         self.now += dt
-        c, now = self.controller, Steady(self.now)
+        c, now = self.scheduler, MonotonicTime(self.now)
         assert c is not None
         for body in [b for t, b in self.late if t <= self.now]:
             self.store.txn(body)  # its sender gave up long ago
         self.late = [(t, b) for t, b in self.late if t > self.now]
         if self.leader_runs():
-            c.records.may_recut = self.may_recut
+            c.transaction_writer.subchunks_supported = self.subchunks_supported
             self.lead(c, now)
             self.serve_store(c, now)
             self.serve_cloud(c, now)
@@ -191,23 +207,25 @@
             self.serve_worker(c, w, now, dt)
         self.check()
 
-    def serve_orders(self, c: Controller, now: Steady) -> None:
+    def serve_orders(self, c: Scheduler, now: MonotonicTime) -> None:
         """Commands that go straight to the workers."""
-        for order in c.take_orders(now):
-            w = self.cloud.machines.get(order.machine)
+        for order in c.take_direct_kills(now):
+            w = self.cloud.machines.get(order.machine_id)
             down = (
                 w is None or self.now < max(w.boots_at, w.hangs_until) or w.id in self.unresponsive
             )
             if w is None or down or self.chance("order_lost"):
                 continue
-            status, report = w.orders(workers.order_body(c.epoch, order.session, order.commands))
+            status, report = w.orders(
+                workers.direct_commands_body(c.token, order.agent_epoch, order.commands)
+            )
             self.orders += 1
-            c.ordered(workers.parse_report(report), status == 200, now, now)
+            c.on_direct_kill_response(workers.parse_heartbeat(report), status == 200, now, now)
 
-    def lead(self, c: Controller, now: Steady) -> None:
+    def lead(self, c: Scheduler, now: MonotonicTime) -> None:
         """What the leader does by itself, before anything is carried out for it."""
         c.tick(now)
-        if c.plan_due(now):
+        if c.is_planning_due(now):
             c.plan(now)
 
     def leader_runs(self) -> bool:
@@ -216,49 +234,55 @@
     def chance(self, name: str) -> bool:
         return self.rng.random() < self.faults.get(name, 0.0)
 
-    def serve_store(self, c: Controller, now: Steady) -> None:
+    def serve_store(self, c: Scheduler, now: MonotonicTime) -> None:
         down = self.now < self.outage_until
         if not down:
-            for key in list(c.reread):
+            for key in list(c.keys_to_refresh):
                 found = self.store.item(key)
                 item = None if found is None else state.parse_item(orjson.dumps(found))
-                c.reread_done(key, item, now)
-            for job in c.take_unread(now, 20):
+                c.on_key_refreshed(key, item, now)
+            for job in c.take_due_end_lookups(now, 20):
                 found = self.store.item(f"end/{job}")
-                c.end_read(job, None if found is None else end_of(found["v"]), now)
-        memory_txn = c.next_memory_txn(now)
+                c.on_end_lookup_result(
+                    job, None if found is None else decode_end_record(found["v"]), now
+                )
+        memory_txn = c.next_learned_state_transaction(now)
         if memory_txn is not None and not down:
             self.store.txn(memory_txn.body())
-        pending = c.next_txn(now, 20)
+        pending = c.next_transaction(now, 20)
         if pending is None:
             return
-        body = pending.txn.body()
+        body = pending.transaction.body()
         if down:
-            c.txn_done(pending, Outcome.REFUSED, Revision(0), (), now)
+            c.on_transaction_result(pending, TransactionOutcome.REJECTED, Revision(0), (), now)
         elif self.chance("txn_lost"):
             if self.rng.random() < 0.5:
                 self.store.txn(body)  # carried out, and the response lost
             else:
                 self.late.append((self.now + self.rng.uniform(0.5, 20.0), body))
-            c.txn_done(pending, Outcome.UNKNOWN, Revision(0), (), now)
+            c.on_transaction_result(pending, TransactionOutcome.INDETERMINATE, Revision(0), (), now)
         elif "txn_late" in self.faults and self.chance("txn_late"):
             self.late.append((self.now + self.rng.uniform(2.0, 12.0), body))
-            c.txn_done(pending, Outcome.UNKNOWN, Revision(0), (), now)
+            c.on_transaction_result(pending, TransactionOutcome.INDETERMINATE, Revision(0), (), now)
         else:
             status, answer = self.store.txn(body)
             if self.chance("txn_twice"):
                 self.late.append((self.now + self.rng.uniform(0.5, 20.0), body))
             if status == 200:
-                c.txn_done(pending, Outcome.OK, Revision(answer["ledgerRev"]), (), now)
+                c.on_transaction_result(
+                    pending, TransactionOutcome.COMMITTED, Revision(answer["ledgerRev"]), (), now
+                )
             elif status == 400:
                 self.too_large += 1
-                c.txn_done(pending, Outcome.MALFORMED, Revision(0), (), now)
+                c.on_transaction_result(pending, TransactionOutcome.INVALID, Revision(0), (), now)
             else:
                 failed = tuple(answer["failed"])
-                if c.txn_done(pending, Outcome.CONFLICT, Revision(0), failed, now):
+                if c.on_transaction_result(
+                    pending, TransactionOutcome.CONFLICT, Revision(0), failed, now
+                ):
                     self.elect()
                     return
-        for job, how in c.take_finished():
+        for job, how in c.take_finished_jobs():
             self.tell(job, how)
 
     def tell(self, job: str, how: str) -> None:
@@ -271,50 +295,50 @@
         if how == users.CANCELLED:
             self.cancelled_at.setdefault(job, self.now)
 
-    def serve_cloud(self, c: Controller, now: Steady) -> None:
-        call = c.next_cloud(now)
+    def serve_cloud(self, c: Scheduler, now: MonotonicTime) -> None:
+        call = c.next_cloud_request(now)
         status: int
         answer: dict[str, Any]
         if self.now < self.cloud_down_until and call is not None:
-            c.cloud_done(call, 503, b'{"error":"trouble"}', now)
+            c.on_cloud_response(call, 503, b'{"error":"trouble"}', now)
             return
         match call:
             case None:
                 return
-            case Rent(rental_request):
-                o = rental_request.offer
-                body = cloud.rent_body(
-                    rental_request.name, o.type, o.zone, o.spot, rental_request.number
+            case ScaleOut(rental_request):
+                o = rental_request.offering
+                body = cloud.create_machines_body(
+                    rental_request.name, o.type, o.zone, o.is_spot, rental_request.machine_count
                 )
                 status, answer = self.cloud.rent(body, self.now)
-            case Delete(machines):
-                status, answer = self.cloud.delete(cloud.delete_body(list(machines)))
-            case ListPage():
+            case DeleteMachines(machines):
+                status, answer = self.cloud.delete(cloud.delete_machines_body(list(machines)))
+            case ListMachines():
                 status, answer = 200, self.cloud.list(self.now)
             case GetCatalog():
                 status, answer = 200, CATALOG
         if self.chance("cloud_lost"):
-            c.cloud_done(call, None, b"", now)
+            c.on_cloud_response(call, None, b"", now)
         else:
-            c.cloud_done(call, status, orjson.dumps(answer), now)
+            c.on_cloud_response(call, status, orjson.dumps(answer), now)
 
-    def serve_worker(self, c: Controller, w: WorkerSim, now: Steady, dt: float) -> None:
+    def serve_worker(self, c: Scheduler, w: WorkerSim, now: MonotonicTime, dt: float) -> None:
         if self.now < w.boots_at or self.now < w.hangs_until:
             return
         w.step(self.now, dt, self.settings.lease_s)
         if self.now < self.reports_due.get(w.id, 0.0):
             return
         self.reports_due[w.id] = self.now + self.settings.report_s * self.rng.uniform(0.75, 1.25)
-        session, sent = w.session, self.now
-        report = workers.parse_report(w.report())
+        session, sent = w.agent_epoch, self.now
+        report = workers.parse_heartbeat(w.report())
         if self.chance("report_lost"):
             return
-        commands = c.on_report(report, now)
+        commands = c.on_heartbeat(report, now)
         if self.chance("report_twice"):
-            assert c.on_report(report, now) is None
+            assert c.on_heartbeat(report, now) is None
         if commands is None or self.chance("answer_lost"):
             return
-        body = workers.commands_body(c.epoch, commands)
+        body = workers.commands_response_body(c.token, commands)
         for command in commands:
             if isinstance(command, workers.Launch):
                 self.check_durable(command, w)
@@ -324,12 +348,12 @@
 
     def check_kept(self) -> None:
         """Whatever may be on a machine is in the store, so that a new leader knows of it."""
-        assert self.controller is not None
-        for job in self.controller.jobs.jobs.values():
+        assert self.scheduler is not None
+        for job in self.scheduler.jobs.jobs.values():
             stored = {(r[0], r[1], r[2]) for part in self.parts(job.id) for r in part["r"]}
             for p in job.placements():
-                if p.maybe_there and p.phase is not Phase.ENDED:
-                    assert (p.index, p.attempt, p.machine) in stored, f"not kept: {p.key}"
+                if p.may_have_launched and p.phase is not PlacementPhase.ENDED:
+                    assert (p.index, p.attempt, p.machine_id) in stored, f"not kept: {p.key}"
 
     def parts(self, job: str) -> list[dict[str, Any]]:
         """What the store holds of the job's placements; a part that was moved counts once, and for
@@ -364,15 +388,15 @@
 
     def end_in_store(self, job: str) -> str | None:
         found = self.store.item(f"end/{job}")
-        return None if found is None else end_of(found["v"])
+        return None if found is None else decode_end_record(found["v"])
 
     def poll_all(self) -> None:
         """What the leader tells of every job: an end is told only if it, or the cancellation of a
         job before it, is durable, and never anything else after it."""
-        c = self.controller
+        c = self.scheduler
         assert c is not None
         for job, spec in self.jobs.items():
-            status = c.status(users.JobId(job))
+            status = c.job_status(users.JobId(job))
             if not isinstance(status, JobStatus):
                 continue
             if status.state not in (users.DONE, users.CANCELLED):
