--- a/src/eldercart/cluster/health.py
+++ b/src/eldercart/cluster/health.py
@@ -12,99 +12,114 @@
 from eldercart.units import MonotonicTime
 
 SLOW_RUN_TIME_RATIO = 1.8  # mean run time against the jobs' own medians
-SLOW_MIN_TASKS, SLOW_MIN_JOBS = (
-    5,
-    2,
-)  # tasks of one job differ by a factor of three: one proves nothing
-STRAGGLER_RUN_TIME_RATIO = 3.0
+# Tasks of one job differ by a factor of three: one alone proves nothing.
+SLOW_MIN_TASKS = 5
+SLOW_MIN_JOBS = 2
+STRAGGLER_RUN_TIME_RATIO = 3.0  # run time against the longest one of the job
+STRAGGLER_GRACE_S = 5.0  # added to that, for jobs of very short tasks
+MIN_MEDIAN_RUN_TIME_S = 0.1  # avoids ratios against a median near zero
 MAX_BACKOFF_S = 30.0
+MAX_BACKOFF_DOUBLINGS = 8
 SUCCESSES_TO_CLEAR_FAILURES = 3  # in a row, after which earlier failures count no more
 MAX_RUN_TIME_RATIOS = 12  # of the last tasks on a machine
 MIN_KNOWN_RUN_TIMES = 3  # run times of a job before one more is compared with them
 
 
 class Responsiveness:
-    """Evidence that a machine reports but doesn't carry out commands. Its silence is no sign, for
-    reports keep coming; but launches and kills have no effect, its session rises although it was
-    answered, or it goes on showing an old epoch. One lost answer, or a change of leader, condemns
-    nobody: the signs must follow each other, over some time, with nothing obeyed in between."""
-
-    def __init__(self, answers: int, least_s: float) -> None:
-        """So many answers without effect condemn, if they span `least_s` seconds."""
-        self._min_ignored_responses = answers
-        self._min_duration_s = least_s
-
-    def record_ignored_response(self, m: Machine, now: MonotonicTime) -> bool:
-        """An answer that may have arrived had no effect; returns whether that is enough."""
-        if m.ignored_responses == 0:
-            m.ignored_since = now
-        m.ignored_responses += 1
+    """Evidence that a machine sends heartbeats but doesn't carry out commands.
+
+    Its silence is no sign, for heartbeats keep coming; but launches and kills have no effect, its
+    agent epoch rises although it was answered, or it goes on showing an old fencing token. One lost
+    response, or a change of leader, condemns nobody: the signs must follow each other, over some
+    time, with no command executed in between.
+    """
+
+    def __init__(self, min_ignored_responses: int, min_duration_s: float) -> None:
+        """Set how many ignored responses in a row condemn, if they span `min_duration_s`."""
+        self._min_ignored_responses = min_ignored_responses
+        self._min_duration_s = min_duration_s
+
+    def record_ignored_response(self, machine: Machine, now: MonotonicTime) -> bool:
+        """Count a response without effect; return whether the machine is now unresponsive."""
+        if machine.ignored_responses == 0:
+            machine.ignored_since = now
+        machine.ignored_responses += 1
         return (
-            m.ignored_responses >= self._min_ignored_responses
-            and now - m.ignored_since >= self._min_duration_s
+            machine.ignored_responses >= self._min_ignored_responses
+            and now - machine.ignored_since >= self._min_duration_s
         )
 
-    def record_executed_command(self, m: Machine) -> None:
-        """Something that the machine was told has had its effect."""
-        m.ignored_responses = 0
+    def record_executed_command(self, machine: Machine) -> None:
+        """Clear the evidence: a command has had its effect."""
+        machine.ignored_responses = 0
 
 
 class Health:
-    """Judges machines by how tasks fare on them. Its sums are kept with machines and jobs."""
+    """Judges machines by the outcomes and run times of tasks; machines and jobs hold the data."""
 
-    def __init__(self, quarantine_jobs: int, error_backoff_s: float) -> None:
-        """Failed tasks of `quarantine_jobs` jobs condemn a machine; a failing job waits for
-        `error_backoff_s` seconds, and longer with each failure."""
-        self._cordon_failed_jobs = quarantine_jobs
+    def __init__(self, cordon_failed_jobs: int, error_backoff_s: float) -> None:
+        """Set the thresholds.
+
+        A machine is condemned once tasks of `cordon_failed_jobs` jobs have failed on it. A failing
+        job waits for `error_backoff_s` seconds, doubled with each failure.
+        """
+        self._cordon_failed_jobs = cordon_failed_jobs
         self._error_backoff_s = error_backoff_s
 
-    def record_task_failure(self, m: Machine, job: Job, now: MonotonicTime) -> bool:
-        """Returns whether the machine is to be taken out."""
-        m.failed_job_ids.add(job.id)
-        m.successes_since_failure = 0
-        job.avoid_machine(m.id, now)
+    def record_task_failure(self, machine: Machine, job: Job, now: MonotonicTime) -> bool:
+        """Record that a task failed; return whether the machine should be cordoned."""
+        machine.failed_job_ids.add(job.id)
+        machine.successes_since_failure = 0
+        job.avoid_machine(machine.id, now)
         job.error_count += 1
         if job.done_count:
             # It runs well elsewhere: the fault is the machine's, so the job need not wait.
             return True
-        pause = min(MAX_BACKOFF_S, self._error_backoff_s * 2 ** min(job.error_count - 1, 8))
         if len(job.avoided_machines) > 1:
-            job.backoff_until = MonotonicTime(now + pause)
-        return len(m.failed_job_ids) >= self._cordon_failed_jobs
-
-    def record_task_success(self, m: Machine, job: Job, ran_s: float) -> bool:
-        """Returns whether the machine has proven slow over several jobs."""
-        m.successes_since_failure += 1
-        if m.successes_since_failure >= SUCCESSES_TO_CLEAR_FAILURES:
-            m.failed_job_ids.clear()
-        if ran_s <= 0:
+            job.backoff_until = MonotonicTime(now + self._backoff_s(job))
+        return len(machine.failed_job_ids) >= self._cordon_failed_jobs
+
+    def _backoff_s(self, job: Job) -> float:
+        doublings = min(job.error_count - 1, MAX_BACKOFF_DOUBLINGS)
+        backoff_s: float = self._error_backoff_s * 2**doublings
+        return min(MAX_BACKOFF_S, backoff_s)
+
+    def record_task_success(self, machine: Machine, job: Job, run_time_s: float) -> bool:
+        """Record that a task succeeded; return whether the machine is slow for several jobs."""
+        machine.successes_since_failure += 1
+        if machine.successes_since_failure >= SUCCESSES_TO_CLEAR_FAILURES:
+            machine.failed_job_ids.clear()
+        if run_time_s <= 0:
             return False
-        slow = len(job.run_times_s) >= MIN_KNOWN_RUN_TIMES and self._record_run_time_ratio(
-            m, job, ran_s / max(0.1, median(job.run_times_s))
-        )
-        job.record_run_time(ran_s)
-        return slow
-
-    def is_straggler(self, p: Placement, now: MonotonicTime) -> bool:
-        """Whether a running task has taken far longer than any other of its job did."""
-        job = p.job
-        return (
-            len(job.run_times_s) >= MIN_KNOWN_RUN_TIMES
-            and now - p.started_at > STRAGGLER_RUN_TIME_RATIO * job.longest_run_time_s + 5.0
-        )
-
-    def record_straggler(self, m: Machine, job: Job) -> bool:
-        """A task was stopped as a straggler; returns whether the machine is to be taken out."""
-        return self._record_run_time_ratio(m, job, STRAGGLER_RUN_TIME_RATIO)
-
-    def _record_run_time_ratio(self, m: Machine, job: Job, ratio: float) -> bool:
-        m.run_time_ratios.append(RunTimeRatio(job.id, ratio))
-        if len(m.run_time_ratios) > MAX_RUN_TIME_RATIOS:
-            del m.run_time_ratios[0]
-        jobs = {pace.job_id for pace in m.run_time_ratios}
-        mean = sum(pace.ratio for pace in m.run_time_ratios) / len(m.run_time_ratios)
+        is_slow = False
+        if len(job.run_times_s) >= MIN_KNOWN_RUN_TIMES:
+            median_s = max(MIN_MEDIAN_RUN_TIME_S, median(job.run_times_s))
+            is_slow = self._record_run_time_ratio(machine, job, run_time_s / median_s)
+        job.record_run_time(run_time_s)
+        return is_slow
+
+    def is_straggler(self, placement: Placement, now: MonotonicTime) -> bool:
+        """Return whether a running task has taken far longer than any other of its job."""
+        job = placement.job
+        if len(job.run_times_s) < MIN_KNOWN_RUN_TIMES:
+            return False
+        limit_s = STRAGGLER_RUN_TIME_RATIO * job.longest_run_time_s + STRAGGLER_GRACE_S
+        return now - placement.started_at > limit_s
+
+    def record_straggler(self, machine: Machine, job: Job) -> bool:
+        """Record a killed straggler; return whether the machine should be cordoned."""
+        return self._record_run_time_ratio(machine, job, STRAGGLER_RUN_TIME_RATIO)
+
+    def _record_run_time_ratio(self, machine: Machine, job: Job, ratio: float) -> bool:
+        """Add a run time ratio; return whether the machine is slow for several jobs."""
+        ratios = machine.run_time_ratios
+        ratios.append(RunTimeRatio(job.id, ratio))
+        if len(ratios) > MAX_RUN_TIME_RATIOS:
+            del ratios[0]
+        job_ids = {entry.job_id for entry in ratios}
+        mean = sum(entry.ratio for entry in ratios) / len(ratios)
         return (
-            len(m.run_time_ratios) >= SLOW_MIN_TASKS
-            and len(jobs) >= SLOW_MIN_JOBS
+            len(ratios) >= SLOW_MIN_TASKS
+            and len(job_ids) >= SLOW_MIN_JOBS
             and mean > SLOW_RUN_TIME_RATIO
         )
--- a/src/eldercart/cluster/inventory.py
+++ b/src/eldercart/cluster/inventory.py
@@ -1,12 +1,12 @@
-"""The machines, what may run on each, and what their reports prove.
+"""The machines, the resources in use on each, and sums over all of them.
 
-The sums over machines are kept as tasks come and go, not added up again: a pass over everything at
-each report or plan is what a leader of hundreds of machines has no time for.
+The sums are maintained as placements come and go rather than added up on demand: a leader of
+hundreds of machines has no time for a pass over everything at each heartbeat or planning pass.
 """
 
 from dataclasses import dataclass, field
 from enum import IntEnum
-from typing import NamedTuple
+from typing import NamedTuple, TypeVar
 
 from eldercart.jobs.registry import Placement, PlacementPhase
 from eldercart.units import (
@@ -25,13 +25,16 @@
 from eldercart.wire.cloud import MachineType
 from eldercart.wire.users import JobSpec
 
-RESOURCE_EPSILON = 1e-6
-# Deleted machines that are remembered: so many, and more where the fleet is larger.
-MIN_DELETED_MACHINES_REMEMBERED, DELETED_MACHINES_PER_PEAK_SIZE = 5000, 4
+_Key = TypeVar("_Key", int, str)
+
+RESOURCE_EPSILON = 1e-6  # tolerance when sums of resources are compared
+# Deleted machines that are remembered: at least so many, and more where the cluster is larger.
+MIN_DELETED_MACHINES_REMEMBERED = 5000
+DELETED_MACHINES_PER_PEAK_SIZE = 4
 
 
 class MachineState(IntEnum):
-    """Where a machine is between its rental and its deletion."""
+    """Lifecycle of a machine: BOOTING -> UP -> DELETING -> DELETED."""
 
     BOOTING = 0
     UP = 1
@@ -40,7 +43,7 @@
 
 
 class RunTimeRatio(NamedTuple):
-    """How long a task ran on a machine, compared with the others of its job."""
+    """Run time of a task on a machine, relative to the others of its job."""
 
     job_id: JobId
     ratio: float  # run time / the median of the job's run times
@@ -48,7 +51,10 @@
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """One machine. Only `Fleet` changes its sums of room; CPUs and GPUs in units, memory in GB."""
+    """One machine. Only `MachineInventory` changes its resource sums.
+
+    CPUs and GPUs are counted in units, memory in GB.
+    """
 
     id: MachineId
     type: MachineType
@@ -58,54 +64,55 @@
     provisioned_at: MonotonicTime
     last_heartbeat_at: MonotonicTime
     address: str = ""
-    relay: NodeId | None = None  # the node that heard it last
+    relay: NodeId | None = None  # the node that received its last heartbeat
     heartbeat_sequence: HeartbeatSequence = NO_HEARTBEAT
-    is_confirmed: bool = False  # has reported under this leader's epoch
+    is_confirmed: bool = False  # a heartbeat has shown this leader's fencing token
     placements: dict[TaskKey, Placement] = field(default_factory=dict)
-    prelaunch_queue: dict[TaskKey, Placement] = field(
-        default_factory=dict
-    )  # written ahead, never sent
+    # Placements recorded before there is room for them; no launch of them was sent.
+    prelaunch_queue: dict[TaskKey, Placement] = field(default_factory=dict)
     prelaunch_cpus: float = 0.0
     live_task_count: int = 0  # placed and not ended
-    has_unknown_tasks: bool = False  # reports live tasks that no record knows
+    has_unknown_tasks: bool = False  # its heartbeat lists live tasks that no record knows
     free_cpus: float = 0.0
     free_gpus: float = 0.0
     free_memory_gb: float = 0.0
-    reserved_cpus: float = 0.0  # of the free room, reserved in this pass for jobs placed before
+    # Part of the free resources, reserved in this planning pass for jobs earlier in its order.
+    reserved_cpus: float = 0.0
     reserved_gpus: float = 0.0
     reserved_memory_gb: float = 0.0
-    terminating_cpus: float = 0.0  # taken by tasks that are being stopped
+    # In use by tasks that are being killed.
+    terminating_cpus: float = 0.0
     terminating_gpus: float = 0.0
     terminating_memory_gb: float = 0.0
-    cpus_by_priority: dict[int, float] = field(
-        default_factory=dict
-    )  # CPUs placed, not being stopped
+    # CPUs of placements that are not being killed.
+    cpus_by_priority: dict[int, float] = field(default_factory=dict)
     idle_since: MonotonicTime = MONOTONIC_ZERO
-    is_unschedulable: bool = False  # notice or quarantine: nothing new starts here
+    is_unschedulable: bool = False  # notice, cordon or deletion: nothing new starts
     is_cordoned: bool = False
     cordoned_at: MonotonicTime = MONOTONIC_ZERO
-    reclaim_at: MonotonicTime | None = None  # when the cloud takes it back, by its notice
+    reclaim_at: MonotonicTime | None = None  # when the cloud takes the spot machine back
     cached_images: dict[str, float] = field(default_factory=dict)  # name -> GB, least recent first
     failed_job_ids: set[JobId] = field(default_factory=set)
     run_time_ratios: list[RunTimeRatio] = field(default_factory=list)  # of the last tasks done here
     successes_since_failure: int = 0
     launch_backoff_until: MonotonicTime = DISTANT_PAST
-    # Whether it carries out commands; see `health.Responsiveness`.
+    # Evidence that it does not carry out commands; see `health.Responsiveness`.
     ignored_responses: int = 0
     ignored_since: MonotonicTime = MONOTONIC_ZERO
-    stale_token_heartbeats: int = 0  # reports that showed an older epoch although one was answered
-    is_response_undelivered: bool = False  # the last answer surely came too late
-    # Whether it was asked directly, because nothing was heard of it, and answered.
+    # Heartbeats in a row that showed an older fencing token.
+    stale_token_heartbeats: int = 0
+    is_response_undelivered: bool = False  # the last response came too late
+    # Direct probes, sent because its heartbeats are overdue.
     last_probe_at: MonotonicTime = DISTANT_PAST
     last_probe_success_at: MonotonicTime = DISTANT_PAST
-    # Direct commands: when the last one went out, and the session that the worker showed then.
+    # Direct kills: when the last one was sent, and the agent epoch that the worker showed then.
     last_direct_kill_at: MonotonicTime = DISTANT_PAST
     agent_epoch: AgentEpoch = NO_AGENT_EPOCH
-    needs_command: bool = False
+    needs_command: bool = False  # its next heartbeat should be forwarded to the leader
 
     @property
     def is_schedulable(self) -> bool:
-        """Whether new tasks may start here."""
+        """Whether new tasks may start on the machine."""
         return (
             self.state is MachineState.UP
             and self.is_confirmed
@@ -114,190 +121,225 @@
         )
 
     def placements_being_cancelled(self) -> list[Placement]:
-        """What may still run here of cancelled jobs."""
-        return [p for p in self.placements.values() if is_being_cancelled(p)]
+        """Return the placements of cancelled jobs that may still run on the machine."""
+        return [
+            placement for placement in self.placements.values() if is_being_cancelled(placement)
+        ]
 
 
-def is_being_cancelled(p: Placement) -> bool:
-    """Whether the task was told to stop because of a cancellation and is not over yet."""
-    return p.is_terminating and p.job.is_cancelled and p.phase is not PlacementPhase.ENDED
+def is_being_cancelled(placement: Placement) -> bool:
+    """Return whether the task is being killed because its job was cancelled."""
+    return (
+        placement.is_terminating
+        and placement.job.is_cancelled
+        and placement.phase is not PlacementPhase.ENDED
+    )
 
 
 class MachineInventory:
-    """Owns the machines. Room counts everything that may still run."""
+    """Owns the machines and the sums over them.
+
+    Resources count as in use as long as the task may still run.
+    """
 
     def __init__(self) -> None:
-        """No machines yet."""
+        """Start without machines."""
         self.machines: dict[MachineId, Machine] = {}
-        self._deleted_machines: dict[
-            MachineId, None
-        ] = {}  # a late list or report may still name them
-        self._peak_size = 0  # number of machines there have been at once
+        # A late list or heartbeat may still name a deleted machine.
+        self._deleted_machines: dict[MachineId, None] = {}
+        self._peak_size = 0  # the most machines there have been at once
         self.cpus_by_team: dict[str, float] = {}
         self.gpus_by_team: dict[str, float] = {}
-        self.cpus_by_priority: dict[int, float] = {}  # CPUs placed, by priority
-        self.on_demand_only_cpus = (
-            0.0  # CPUs of jobs that may use nothing else, on ordinary machines
-        )
-        self.machines_with_prelaunch_queue: dict[
-            MachineId, Machine
-        ] = {}  # machines with tasks written ahead
+        self.cpus_by_priority: dict[int, float] = {}  # CPUs of all placements
+        # CPUs on on-demand machines, of jobs that may not use spot machines.
+        self.on_demand_only_cpus = 0.0
+        self.machines_with_prelaunch_queue: dict[MachineId, Machine] = {}
         self._machines_with_reservations: list[Machine] = []
-        self._restored_images: dict[
-            MachineId, dict[str, float]
-        ] = {}  # images, by an earlier leader
+        # Caches of machines as an earlier leader recorded them.
+        self._restored_images: dict[MachineId, dict[str, float]] = {}
 
-    def get(self, machine: MachineId) -> Machine | None:
-        """The machine, unless it is gone or was never heard of."""
-        return self.machines.get(machine)
+    def get(self, machine_id: MachineId) -> Machine | None:
+        """Return the machine, or None if it is unknown or deleted."""
+        return self.machines.get(machine_id)
 
-    def is_deleted(self, machine: MachineId) -> bool:
-        """Whether the machine was deleted, as far back as is remembered."""
-        return machine in self._deleted_machines
+    def is_deleted(self, machine_id: MachineId) -> bool:
+        """Return whether the machine was deleted, as far back as is remembered."""
+        return machine_id in self._deleted_machines
 
     def add(
         self,
-        id_: MachineId,
-        type_: MachineType,
+        machine_id: MachineId,
+        machine_type: MachineType,
         zone: str,
-        spot: bool,
+        is_spot: bool,
         state: MachineState,
-        rented_at: MonotonicTime,
-        now: MonotonicTime,
+        provisioned_at: MonotonicTime,
+        last_heartbeat_at: MonotonicTime,
     ) -> Machine:
-        """A machine that was rented, listed or reported; its room is that of its type."""
-        m = Machine(id_, type_, zone, spot, state, rented_at, now, idle_since=now)
-        m.free_cpus, m.free_gpus, m.free_memory_gb = type_.cpus, type_.gpus, type_.memory_gb
-        m.cached_images = self._restored_images.pop(id_, {})
-        self.machines[id_] = m
-        return m
-
-    def restore_images(self, machine: MachineId, images: dict[str, float]) -> None:
-        """What an earlier leader knew of the machine's cache."""
-        self._restored_images[machine] = images
-
-    def update_description(self, m: Machine, type_: MachineType, zone: str, spot: bool) -> None:
-        """The report, or a new catalogue, knows better what the machine is."""
-        m.free_cpus += type_.cpus - m.type.cpus
-        m.free_gpus += type_.gpus - m.type.gpus
-        m.free_memory_gb += type_.memory_gb - m.type.memory_gb
-        if spot is not m.is_spot:
-            bound = sum(
-                p.job.spec.cpus
-                for p in m.placements.values()
-                if p.phase is not PlacementPhase.ENDED and not p.job.spec.allows_spot
+        """Add a machine that was created, listed or reported; it is idle and empty.
+
+        `last_heartbeat_at` is the time from which its silence counts.
+        """
+        machine = Machine(
+            machine_id,
+            machine_type,
+            zone,
+            is_spot,
+            state,
+            provisioned_at,
+            last_heartbeat_at,
+            free_cpus=machine_type.cpus,
+            free_gpus=machine_type.gpus,
+            free_memory_gb=machine_type.memory_gb,
+            idle_since=last_heartbeat_at,
+            cached_images=self._restored_images.pop(machine_id, {}),
+        )
+        self.machines[machine_id] = machine
+        return machine
+
+    def restore_images(self, machine_id: MachineId, images: dict[str, float]) -> None:
+        """Take over the cached images that an earlier leader recorded, until the machine is added.
+
+        `images` maps names to sizes in GB, least recently used first.
+        """
+        self._restored_images[machine_id] = images
+
+    def update_description(
+        self, machine: Machine, machine_type: MachineType, zone: str, is_spot: bool
+    ) -> None:
+        """Correct type, zone and kind from a heartbeat, a list or a new catalogue."""
+        machine.free_cpus += machine_type.cpus - machine.type.cpus
+        machine.free_gpus += machine_type.gpus - machine.type.gpus
+        machine.free_memory_gb += machine_type.memory_gb - machine.type.memory_gb
+        if is_spot is not machine.is_spot:
+            on_demand_only_cpus = sum(
+                placement.job.spec.cpus
+                for placement in machine.placements.values()
+                if placement.phase is not PlacementPhase.ENDED
+                and not placement.job.spec.allows_spot
             )
-            self.on_demand_only_cpus += -bound if spot else bound
-        m.type, m.zone, m.is_spot = type_, zone, spot
-
-    def allocate(self, m: Machine, p: Placement) -> None:
-        """The task takes room on the machine from now on."""
-        spec = p.job.spec
-        p.priority_at_placement = p.job.priority  # which may change meanwhile; the sums must not
-        m.placements[p.key] = p
-        m.live_task_count += 1
-        m.free_cpus -= spec.cpus
-        m.free_gpus -= spec.gpus
-        m.free_memory_gb -= spec.memory_gb
-        if p.is_terminating:
-            self._adjust_terminating(m, spec, 1)
+            self.on_demand_only_cpus += -on_demand_only_cpus if is_spot else on_demand_only_cpus
+        machine.type = machine_type
+        machine.zone = zone
+        machine.is_spot = is_spot
+
+    def allocate(self, machine: Machine, placement: Placement) -> None:
+        """Let the placement take its resources on the machine from now on."""
+        spec = placement.job.spec
+        # The job's priority may change meanwhile; the priority that the sums use must not.
+        priority = placement.priority_at_placement = placement.job.priority
+        machine.placements[placement.key] = placement
+        machine.live_task_count += 1
+        machine.free_cpus -= spec.cpus
+        machine.free_gpus -= spec.gpus
+        machine.free_memory_gb -= spec.memory_gb
+        if placement.is_terminating:
+            self._adjust_terminating(machine, spec, 1)
         else:
-            m.cpus_by_priority[p.priority_at_placement] = (
-                m.cpus_by_priority.get(p.priority_at_placement, 0.0) + spec.cpus
-            )
-        self.cpus_by_priority[p.priority_at_placement] = (
-            self.cpus_by_priority.get(p.priority_at_placement, 0.0) + spec.cpus
-        )
-        self.cpus_by_team[spec.team] = self.cpus_by_team.get(spec.team, 0.0) + spec.cpus
-        self.gpus_by_team[spec.team] = self.gpus_by_team.get(spec.team, 0.0) + spec.gpus
-        if not spec.allows_spot and not m.is_spot:
+            _increase(machine.cpus_by_priority, priority, spec.cpus)
+        _increase(self.cpus_by_priority, priority, spec.cpus)
+        _increase(self.cpus_by_team, spec.team, spec.cpus)
+        _increase(self.gpus_by_team, spec.team, spec.gpus)
+        if not spec.allows_spot and not machine.is_spot:
             self.on_demand_only_cpus += spec.cpus
 
-    def release(self, m: Machine, p: Placement, now: MonotonicTime) -> None:
-        """The task no longer takes room; it may still be listed as ended."""
-        spec = p.job.spec
-        m.live_task_count -= 1
-        m.free_cpus += spec.cpus
-        m.free_gpus += spec.gpus
-        m.free_memory_gb += spec.memory_gb
-        if p.is_terminating:
-            self._adjust_terminating(m, spec, -1)
+    def release(self, machine: Machine, placement: Placement, now: MonotonicTime) -> None:
+        """Give the placement's resources back; it may still be listed as ended."""
+        spec = placement.job.spec
+        priority = placement.priority_at_placement
+        machine.live_task_count -= 1
+        machine.free_cpus += spec.cpus
+        machine.free_gpus += spec.gpus
+        machine.free_memory_gb += spec.memory_gb
+        if placement.is_terminating:
+            self._adjust_terminating(machine, spec, -1)
         else:
-            m.cpus_by_priority[p.priority_at_placement] -= spec.cpus
-        self.cpus_by_priority[p.priority_at_placement] -= spec.cpus
+            machine.cpus_by_priority[priority] -= spec.cpus
+        self.cpus_by_priority[priority] -= spec.cpus
         self.cpus_by_team[spec.team] -= spec.cpus
         self.gpus_by_team[spec.team] -= spec.gpus
-        if not spec.allows_spot and not m.is_spot:
+        if not spec.allows_spot and not machine.is_spot:
             self.on_demand_only_cpus -= spec.cpus
-        m.idle_since = now
+        machine.idle_since = now
 
-    def mark_terminating(self, m: Machine | None, p: Placement) -> None:
-        """The task was told to stop, or is about to be."""
-        if p.is_terminating:
+    def mark_terminating(self, machine: Machine | None, placement: Placement) -> None:
+        """Record that the task is being killed, or is about to be; ignored if it already is."""
+        if placement.is_terminating:
+            return
+        placement.is_terminating = True
+        if machine is None or machine.placements.get(placement.key) is not placement:
             return
-        p.is_terminating = True
-        if m is not None and m.placements.get(p.key) is p and p.phase is not PlacementPhase.ENDED:
-            spec = p.job.spec
-            self._adjust_terminating(m, spec, 1)
-            m.cpus_by_priority[p.priority_at_placement] -= spec.cpus
-
-    def _adjust_terminating(self, m: Machine, spec: JobSpec, sign: int) -> None:
-        m.terminating_cpus += sign * spec.cpus
-        m.terminating_gpus += sign * spec.gpus
-        m.terminating_memory_gb += sign * spec.memory_gb
-
-    def enqueue(self, m: Machine, p: Placement) -> None:
-        """Written ahead for room to come: launched by the report that shows the room."""
-        m.prelaunch_queue[p.key] = p
-        m.prelaunch_cpus += p.job.spec.cpus
-        self.machines_with_prelaunch_queue[m.id] = m
-
-    def dequeue(self, m: Machine, p: Placement) -> None:
-        """The task does not wait on the machine any more; nothing happens if it did not."""
-        if m.prelaunch_queue.pop(p.key, None) is None:
+        if placement.phase is not PlacementPhase.ENDED:
+            spec = placement.job.spec
+            self._adjust_terminating(machine, spec, 1)
+            machine.cpus_by_priority[placement.priority_at_placement] -= spec.cpus
+
+    @staticmethod
+    def _adjust_terminating(machine: Machine, spec: JobSpec, sign: int) -> None:
+        machine.terminating_cpus += sign * spec.cpus
+        machine.terminating_gpus += sign * spec.gpus
+        machine.terminating_memory_gb += sign * spec.memory_gb
+
+    def enqueue(self, machine: Machine, placement: Placement) -> None:
+        """Add a recorded placement to wait on the machine until a heartbeat shows room for it."""
+        machine.prelaunch_queue[placement.key] = placement
+        machine.prelaunch_cpus += placement.job.spec.cpus
+        self.machines_with_prelaunch_queue[machine.id] = machine
+
+    def dequeue(self, machine: Machine, placement: Placement) -> None:
+        """Remove the placement from the prelaunch queue. Does nothing if it is not in it."""
+        if machine.prelaunch_queue.pop(placement.key, None) is None:
             return
-        m.prelaunch_cpus -= p.job.spec.cpus
-        if not m.prelaunch_queue:
-            m.prelaunch_cpus = 0.0
-            self.machines_with_prelaunch_queue.pop(m.id, None)
+        machine.prelaunch_cpus -= placement.job.spec.cpus
+        if not machine.prelaunch_queue:
+            machine.prelaunch_cpus = 0.0
+            self.machines_with_prelaunch_queue.pop(machine.id, None)
 
     def clear_reservations(self) -> None:
-        """Gives all held room back; see `hold`."""
-        for m in self._machines_with_reservations:
-            m.reserved_cpus = m.reserved_gpus = m.reserved_memory_gb = 0.0
+        """Drop all reservations; see `reserve`."""
+        for machine in self._machines_with_reservations:
+            machine.reserved_cpus = machine.reserved_gpus = machine.reserved_memory_gb = 0.0
         self._machines_with_reservations.clear()
 
-    def reserve(self, m: Machine, spec: JobSpec, number: int) -> None:
-        """Keeps room for so many tasks of the job until `clear_reservations`."""
-        if not m.reserved_cpus and not m.reserved_memory_gb and not m.reserved_gpus:
-            self._machines_with_reservations.append(m)
-        m.reserved_cpus += spec.cpus * number
-        m.reserved_gpus += spec.gpus * number
-        m.reserved_memory_gb += spec.memory_gb * number
-
-    def remove_placement(self, m: Machine, p: Placement) -> None:
-        """The machine lists the task no more."""
-        if m.placements.get(p.key) is p:
-            del m.placements[p.key]
-
-    def mark_deleted(self, m: Machine) -> None:
-        """The cloud said 200 to its deletion: whatever was there has ended."""
-        m.state = MachineState.DELETED
-        self.machines.pop(m.id, None)
-        self.machines_with_prelaunch_queue.pop(m.id, None)
-        self._deleted_machines[m.id] = None
+    def reserve(self, machine: Machine, spec: JobSpec, task_count: int) -> None:
+        """Reserve resources for `task_count` tasks of the job until `clear_reservations`."""
+        if (
+            not machine.reserved_cpus
+            and not machine.reserved_memory_gb
+            and not machine.reserved_gpus
+        ):
+            self._machines_with_reservations.append(machine)
+        machine.reserved_cpus += spec.cpus * task_count
+        machine.reserved_gpus += spec.gpus * task_count
+        machine.reserved_memory_gb += spec.memory_gb * task_count
+
+    def remove_placement(self, machine: Machine, placement: Placement) -> None:
+        """Remove the placement from its machine, unless a later one has replaced it."""
+        if machine.placements.get(placement.key) is placement:
+            del machine.placements[placement.key]
+
+    def mark_deleted(self, machine: Machine) -> None:
+        """Remove a machine whose deletion the cloud has confirmed: all its tasks have ended."""
+        machine.state = MachineState.DELETED
+        self.machines.pop(machine.id, None)
+        self.machines_with_prelaunch_queue.pop(machine.id, None)
+        self._deleted_machines[machine.id] = None
         self._peak_size = max(self._peak_size, len(self.machines))
-        most = max(
+        max_remembered = max(
             MIN_DELETED_MACHINES_REMEMBERED, DELETED_MACHINES_PER_PEAK_SIZE * self._peak_size
         )
-        while len(self._deleted_machines) > most:
+        while len(self._deleted_machines) > max_remembered:
             del self._deleted_machines[next(iter(self._deleted_machines))]
 
-    def record_image_use(self, m: Machine, image: str, size_gb: float) -> None:
-        """The machine uses the image; those that its cache can't hold any more are forgotten."""
-        m.cached_images.pop(image, None)
-        m.cached_images[image] = size_gb
-        total = sum(m.cached_images.values())
-        while total > m.type.cache_gb and len(m.cached_images) > 1:
-            oldest = next(iter(m.cached_images))
-            total -= m.cached_images.pop(oldest)
+    def record_image_use(self, machine: Machine, image: str, size_gb: float) -> None:
+        """Record that the machine uses the image; evict the images that its cache can't hold."""
+        machine.cached_images.pop(image, None)
+        machine.cached_images[image] = size_gb
+        total = sum(machine.cached_images.values())
+        while total > machine.type.cache_gb and len(machine.cached_images) > 1:
+            oldest = next(iter(machine.cached_images))
+            total -= machine.cached_images.pop(oldest)
+
+
+def _increase(sums: dict[_Key, float], key: _Key, amount: float) -> None:
+    sums[key] = sums.get(key, 0.0) + amount
--- a/src/eldercart/scheduling/summary.py
+++ b/src/eldercart/scheduling/summary.py
@@ -1,4 +1,4 @@
-"""The lines of the log that tell now and then how the leader's work stands."""
+"""Periodic log lines with the state of the cluster and of the leader's work."""
 
 import logging
 from collections.abc import Iterable
@@ -11,16 +11,16 @@
 log = logging.getLogger("eldercart.controller")
 
 
-def log_summary(scheduler: ClusterState, jobs_awaiting_cleanup: int) -> None:
-    """Writes both lines; `cleaning`: ended jobs whose records wait to be deleted."""
-    _log_prediction(scheduler)
-    _log_cluster(scheduler, jobs_awaiting_cleanup)
+def log_summary(cluster_state: ClusterState, jobs_awaiting_cleanup: int) -> None:
+    """Log predictions and cluster; `jobs_awaiting_cleanup` counts ended jobs with records left."""
+    _log_prediction(cluster_state)
+    _log_cluster(cluster_state, jobs_awaiting_cleanup)
 
 
-def _log_prediction(scheduler: ClusterState) -> None:
-    predictor = scheduler.predictor
-    tallies = " ".join(
-        f"{origin.value}={tally}" for origin, tally in predictor.reservation_outcomes.items()
+def _log_prediction(cluster_state: ClusterState) -> None:
+    predictor = cluster_state.predictor
+    outcomes = " ".join(
+        f"{origin.value}={outcome}" for origin, outcome in predictor.reservation_outcomes.items()
     )
     log.info(
         "prediction hits=%d misses=%d unused=%d booked=%d %s",
@@ -28,38 +28,38 @@
         predictor.misses,
         predictor.expired,
         len(predictor.soft_reservations),
-        tallies,
+        outcomes,
     )
 
 
-def _log_cluster(scheduler: ClusterState, cleaning: int) -> None:
-    machines = scheduler.inventory.machines.values()
-    jobs = scheduler.jobs.jobs.values()
+def _log_cluster(cluster_state: ClusterState, jobs_awaiting_cleanup: int) -> None:
+    machines = cluster_state.inventory.machines.values()
+    jobs = cluster_state.jobs.jobs.values()
     up = [machine for machine in machines if machine.state is MachineState.UP]
-    booting = sum(1 for machine in machines if machine.state is MachineState.BOOTING)
-    room = _capacity_of(up)
-    want_ordinary, want_any = scheduler.autoscaler.target_cpus()
+    booting_count = sum(1 for machine in machines if machine.state is MachineState.BOOTING)
+    capacity = _capacity_of(up)
+    on_demand_target, total_target = cluster_state.autoscaler.target_cpus()
     log.info(
         "summary jobs=%d up=%d booting=%d cpus=%g usable=%g running=%g free=%g queued=%g "
         "starting=%s waiting=%s want=%.0f/%.0f work=%.0f lost=%.0f ending=%d dirty=%d "
         "cleaning=%d",
         len(jobs),
         len(up),
-        booting,
-        room.cpus,
-        room.schedulable_cpus,
+        booting_count,
+        capacity.cpus,
+        capacity.schedulable_cpus,
         sum(job.running_count * job.spec.cpus for job in jobs),
-        room.free_cpus,
+        capacity.free_cpus,
         sum(job.enqueued_count * job.spec.cpus for job in jobs),
         _starting_cpus(up),
         _pending_cpus(jobs),
-        want_ordinary,
-        want_any,
-        scheduler.completed_cpu_s,
-        scheduler.lost_cpu_s,
-        len(scheduler.finalizing_jobs),
-        len(scheduler.dirty_jobs),
-        cleaning,
+        on_demand_target,
+        total_target,
+        cluster_state.completed_cpu_s,
+        cluster_state.lost_cpu_s,
+        len(cluster_state.finalizing_jobs),
+        len(cluster_state.dirty_jobs),
+        jobs_awaiting_cleanup,
     )
 
 
@@ -69,37 +69,36 @@
 
     cpus: float
     schedulable_cpus: float
-    free_cpus: float  # of the usable ones
+    free_cpus: float  # of the schedulable machines
 
 
 def _capacity_of(up: list[Machine]) -> _Capacity:
-    usable = [machine for machine in up if machine.is_schedulable]
+    schedulable = [machine for machine in up if machine.is_schedulable]
     return _Capacity(
-        sum(machine.type.cpus for machine in up),
-        sum(machine.type.cpus for machine in usable),
-        sum(machine.free_cpus for machine in usable),
+        cpus=sum(machine.type.cpus for machine in up),
+        schedulable_cpus=sum(machine.type.cpus for machine in schedulable),
+        free_cpus=sum(machine.free_cpus for machine in schedulable),
     )
 
 
 def _starting_cpus(up: list[Machine]) -> dict[str, float]:
-    """CPUs that are placed and do not run yet, by what they wait for."""
-    starting: dict[str, float] = {}
+    """Return the CPUs of placed tasks that do not run yet, by what they wait for."""
+    cpus_by_phase: dict[str, float] = {}
     for machine in up:
         for placement in machine.placements.values():
             if placement.phase in (PlacementPhase.RUNNING, PlacementPhase.ENDED):
                 continue
-            name = "stopping" if placement.is_terminating else placement.phase.name.lower()
-            starting[name] = starting.get(name, 0.0) + placement.job.spec.cpus
-    return starting
+            phase = "stopping" if placement.is_terminating else placement.phase.name.lower()
+            cpus_by_phase[phase] = cpus_by_phase.get(phase, 0.0) + placement.job.spec.cpus
+    return cpus_by_phase
 
 
 def _pending_cpus(jobs: Iterable[Job]) -> dict[str, float]:
-    """CPUs that wait to be placed, by class."""
-    waiting: dict[str, float] = {}
+    """Return the CPUs of tasks that wait to be placed, by job class."""
+    cpus_by_class: dict[str, float] = {}
     for job in jobs:
         if job.is_runnable:
-            spec = job.spec
-            waiting[spec.job_class] = (
-                waiting.get(spec.job_class, 0.0) + job.unplaced_count * spec.cpus
-            )
-    return waiting
+            job_class = job.spec.job_class
+            unplaced_cpus = job.unplaced_count * job.spec.cpus
+            cpus_by_class[job_class] = cpus_by_class.get(job_class, 0.0) + unplaced_cpus
+    return cpus_by_class
--- a/src/eldercart/units.py
+++ b/src/eldercart/units.py
@@ -1,6 +1,7 @@
-"""The small types: ids, versions and times.
+"""Types of identifiers, versions and times.
 
-They cost nothing at run time and keep a token from being passed as a revision.
+They are distinct only to the type checker and cost nothing at run time: a fencing token can't be
+passed where a revision is expected.
 """
 
 from typing import NamedTuple, NewType
@@ -12,16 +13,16 @@
 LeaseId = NewType("LeaseId", int)
 IncarnationId = NewType("IncarnationId", str)  # one start of one process
 
-FencingToken = NewType("FencingToken", int)  # the fencing token that workers compare
+FencingToken = NewType("FencingToken", int)  # the leader's term; workers obey the highest one seen
 Revision = NewType("Revision", int)  # a key's version in the state service; 0: absent
-LeaseToken = NewType("LeaseToken", int)  # of a duty's holder: the version of its key
+LeaseToken = NewType("LeaseToken", int)  # of a named lease's holder: the version of its key
 Attempt = NewType("Attempt", int)
-AgentEpoch = NewType("AgentEpoch", int)  # a worker's lease session
+AgentEpoch = NewType("AgentEpoch", int)  # rises each time a worker's lease has run out
 
-MonotonicTime = NewType("MonotonicTime", float)  # seconds of this process's steady clock
+MonotonicTime = NewType("MonotonicTime", float)  # seconds of this process's monotonic clock
 WallTime = NewType("WallTime", float)  # seconds of the time of day
 
-DEFAULT_INCARNATION = IncarnationId("0")  # for what is never started twice, as in tests
+DEFAULT_INCARNATION = IncarnationId("0")  # for processes that are never started twice, as in tests
 ABSENT_REVISION = Revision(0)
 NO_FENCING_TOKEN = FencingToken(0)
 NO_LEASE_TOKEN = LeaseToken(0)
@@ -29,22 +30,22 @@
 NO_AGENT_EPOCH = AgentEpoch(0)
 MONOTONIC_ZERO = MonotonicTime(0)
 DISTANT_FUTURE = MonotonicTime(float("inf"))
-DISTANT_PAST = MonotonicTime(-1e9)  # longer ago than any pause or lease: "has not happened yet"
+DISTANT_PAST = MonotonicTime(-1e9)  # longer ago than any timeout or lease: "has not happened yet"
 
 
 class HeartbeatSequence(NamedTuple):
-    """Which of two messages of a worker is the newer one."""
+    """Position of a worker's heartbeat among all of its heartbeats; the higher one is newer."""
 
     agent_epoch: AgentEpoch
     number: int
 
 
-# Reports that a relay has answered by itself: for each machine the last one.
+# For each machine the last heartbeat that a relay has acknowledged by itself.
 AcknowledgedHeartbeats = tuple[tuple[MachineId, HeartbeatSequence], ...]
 
 NO_HEARTBEAT = HeartbeatSequence(AgentEpoch(0), -1)
 
 
 def task_key(job: JobId, index: int) -> TaskKey:
-    """The key by which workers know the task."""
+    """Return the key by which workers know the task."""
     return TaskKey(f"{job}/{index}")
