--- a/src/eldercart/cluster/direct_kills.py
+++ b/src/eldercart/cluster/direct_kills.py
@@ -1,4 +1,4 @@
-"""Kills of cancelled tasks that go straight to the worker, besides going into its next answer."""
+"""Kills of cancelled tasks that are sent straight to the worker, besides its next response."""
 
 from dataclasses import dataclass
 
@@ -8,18 +8,19 @@
 from eldercart.wire import workers
 
 MIN_KILL_INTERVAL_S = 2.0  # between two direct commands to a machine
-KILLS_PER_CORE_SECOND = (
-    120.0  # a second on a whole core: a connection each, which costs a millisecond
-)
+# On a whole core: each direct command takes a connection, which costs a millisecond.
+KILLS_PER_CORE_SECOND = 120.0
 MIN_CORE_SHARE = 0.1  # of a core that is counted on
-# A worker drops an answer 4 s after it sent the report: by then a launch sent before the stop has
-# been carried out, or never will be.
+MAX_BUDGET_WINDOW_S = 1.0  # the send budget grows for so long while nothing is sent
+# A worker drops a response 4 s after it sent the heartbeat: by then a launch sent before the kill
+# has been carried out, or never will be.
 LAUNCH_EXPIRY_S = 4.5
+FIRST_AGENT_EPOCH = AgentEpoch(1)
 
 
 @dataclass(frozen=True, slots=True)
 class DirectKill:
-    """Kills that go straight to the worker."""
+    """Kills that go straight to one worker."""
 
     machine_id: MachineId
     address: str
@@ -28,89 +29,118 @@
 
 
 class DirectKills:
-    """Hands direct commands out at a bounded rate and reads what the workers answer.
+    """Hands out direct kills at a bounded rate and handles the workers' responses.
 
-    A worker may report to a node that still acts for the leader before, and that can't be told so
-    while the store is down: the order ends the task, and shows the worker the new epoch, after
-    which it obeys nobody else. It also comes before a task that is fetching its image starts. Only
-    kills go this way: a launch that the network holds back would run late."""
+    A worker may send its heartbeats to a node that still acts for the previous leader, and that
+    can't learn of the new one while the store is down: a direct kill ends the task, and shows the
+    worker the new fencing token, after which it obeys nobody else. It also arrives before a task
+    that is fetching its image starts. Only kills are sent directly: a launch that the network holds
+    back would run late.
+    """
 
-    def __init__(self, scheduler: ClusterState) -> None:
-        """Nothing was handed out yet."""
-        self._cluster_state = scheduler
-        self._last_sent_at = scheduler.started_at  # when direct commands were handed out last
+    def __init__(self, cluster_state: ClusterState) -> None:
+        """Start with nothing sent."""
+        self._cluster_state = cluster_state
+        self._last_sent_at = cluster_state.started_at
 
     def take(self, now: MonotonicTime) -> list[DirectKill]:
-        """The orders that may be sent now."""
-        orders: list[DirectKill] = []
-        waiting = self._cluster_state.pending_direct_kills
-        if not waiting:
-            return orders
-        allowed = self._send_budget(now)
-        for machine_id in list(waiting):
-            if len(orders) >= allowed:
+        """Return the direct kills to be sent now and remove their machines from the pending."""
+        cluster_state = self._cluster_state
+        kills: list[DirectKill] = []
+        if not cluster_state.pending_direct_kills:
+            return kills
+        budget = self._send_budget(now)
+        for machine_id in list(cluster_state.pending_direct_kills):
+            if len(kills) >= budget:
                 break
-            machine = self._cluster_state.inventory.get(machine_id)
+            machine = cluster_state.inventory.get(machine_id)
             if machine is None or machine.state not in (MachineState.UP, MachineState.DELETING):
-                del waiting[machine_id]
+                cluster_state.clear_direct_kill_request(machine_id)
                 continue
             if not machine.address or now - machine.last_direct_kill_at < MIN_KILL_INTERVAL_S:
                 continue
-            del waiting[machine_id]
-            order = self._build_direct_kill(machine)
-            if order is not None:
+            cluster_state.clear_direct_kill_request(machine_id)
+            kill = self._build_direct_kill(machine)
+            if kill is not None:
                 machine.last_direct_kill_at = now
-                orders.append(order)
-        if orders:
+                kills.append(kill)
+        if kills:
             self._last_sent_at = now
-        return orders
+        return kills
 
     def _send_budget(self, now: MonotonicTime) -> int:
+        """Return how many direct kills may be sent now."""
         rate = KILLS_PER_CORE_SECOND * max(MIN_CORE_SHARE, self._cluster_state.settings.core_share)
-        return int(min(1.0, now - self._last_sent_at) * rate)
+        return int(min(MAX_BUDGET_WINDOW_S, now - self._last_sent_at) * rate)
 
     def _build_direct_kill(self, machine: Machine) -> DirectKill | None:
-        kills = tuple(
+        commands = tuple(
             workers.Kill(placement.key, placement.attempt, 0.0)
             for placement in machine.placements_being_cancelled()
         )
-        if not kills:
+        if not commands:
             return None
-        session = max(machine.agent_epoch, machine.heartbeat_sequence.agent_epoch, AgentEpoch(1))
-        return DirectKill(machine.id, machine.address, session, kills[: workers.MAX_COMMANDS])
+        return DirectKill(
+            machine.id,
+            machine.address,
+            self._known_agent_epoch(machine),
+            commands[: workers.MAX_COMMANDS],
+        )
+
+    @staticmethod
+    def _known_agent_epoch(machine: Machine) -> AgentEpoch:
+        """Return the highest agent epoch that the machine has shown in any way."""
+        return max(machine.agent_epoch, machine.heartbeat_sequence.agent_epoch, FIRST_AGENT_EPOCH)
 
     def on_response(
-        self, report: workers.Heartbeat, executed: bool, sent: MonotonicTime, now: MonotonicTime
+        self,
+        heartbeat: workers.Heartbeat,
+        sent_at: MonotonicTime,
+        now: MonotonicTime,
+        *,
+        executed: bool,
     ) -> None:
-        """The worker's report after a direct command, or instead of it (another session)."""
-        scheduler = self._cluster_state
-        machine = scheduler.inventory.get(report.machine)
+        """Handle the worker's heartbeat after a direct kill.
+
+        `executed` is false if the worker refused the kill because of its agent epoch.
+        """
+        cluster_state = self._cluster_state
+        machine = cluster_state.inventory.get(heartbeat.machine)
         if machine is None:
             return
         machine.last_probe_success_at = now
-        session_rose = report.sequence.agent_epoch > max(
-            machine.agent_epoch, machine.heartbeat_sequence.agent_epoch, AgentEpoch(1)
-        )
-        machine.agent_epoch = max(machine.agent_epoch, report.sequence.agent_epoch)
+        agent_epoch = heartbeat.sequence.agent_epoch
+        has_risen = agent_epoch > self._known_agent_epoch(machine)
+        machine.agent_epoch = max(machine.agent_epoch, agent_epoch)
         if executed:
-            self._cancel_absent_placements(machine, report, sent, now)
-        elif session_rose:
-            # It was meant for an earlier session; once more for this one, at once.
+            self._cancel_absent_placements(machine, heartbeat, sent_at, now)
+        elif has_risen:
+            # It was meant for an earlier agent epoch; once more for this one, at once.
             machine.last_direct_kill_at = DISTANT_PAST
-            scheduler.pending_direct_kills[machine.id] = None
+            cluster_state.request_direct_kill(machine.id)
 
     def _cancel_absent_placements(
-        self, machine: Machine, report: workers.Heartbeat, sent: MonotonicTime, now: MonotonicTime
+        self,
+        machine: Machine,
+        heartbeat: workers.Heartbeat,
+        sent_at: MonotonicTime,
+        now: MonotonicTime,
     ) -> None:
-        """It has obeyed under this epoch, so nothing that an earlier leader sent can start a task
-        any more, and what this one sent has run or was dropped."""
-        if (
-            report.token != self._cluster_state.token
-            or report.sequence <= machine.heartbeat_sequence
-        ):
+        """Cancel the placements of cancelled jobs that the heartbeat does not list any more.
+
+        The worker has obeyed under this fencing token, so nothing that an earlier leader sent can
+        start a task any more, and what this leader sent has run or was dropped.
+        """
+        if heartbeat.token != self._cluster_state.token:
+            return
+        if heartbeat.sequence <= machine.heartbeat_sequence:
             return
-        there = {(t.key, t.attempt) for t in report.tasks if t.state != workers.TaskState.EXITED}
+        present = {
+            (task.key, task.attempt)
+            for task in heartbeat.tasks
+            if task.state != workers.TaskState.EXITED
+        }
         for placement in machine.placements_being_cancelled():
-            launches_over = sent - placement.job.cancelled_at >= LAUNCH_EXPIRY_S
-            if launches_over and (placement.key, placement.attempt) not in there:
+            launches_expired = sent_at - placement.job.cancelled_at >= LAUNCH_EXPIRY_S
+            if launches_expired and (placement.key, placement.attempt) not in present:
                 self._cluster_state.cancel_placement(placement, now)
--- a/src/eldercart/cluster/heartbeats.py
+++ b/src/eldercart/cluster/heartbeats.py
@@ -1,4 +1,4 @@
-"""Workers' reports: which count, what they tell of their machine, and whether it obeys."""
+"""Handling of workers' heartbeats: their order, the machine they describe, its responsiveness."""
 
 import logging
 
@@ -9,68 +9,84 @@
 from eldercart.scheduling.planner import Planner
 from eldercart.units import MachineId, MonotonicTime, NodeId
 from eldercart.wire import workers
+from eldercart.wire.cloud import MachineType
 
 log = logging.getLogger("eldercart.controller")
 
 
 class HeartbeatHandler:
-    """Takes reports in their order and answers them with commands."""
+    """Takes heartbeats in their order and answers them with commands."""
 
-    def __init__(self, scheduler: ClusterState, planner: Planner) -> None:
-        """Reads and changes the recorded state of `scheduler`."""
-        self._cluster_state = scheduler
-        self._reconciler = Reconciler(scheduler, planner)
+    def __init__(self, cluster_state: ClusterState, planner: Planner) -> None:
+        """Read and change `cluster_state`; `planner` fills room that a heartbeat shows."""
+        self._cluster_state = cluster_state
+        self._reconciler = Reconciler(cluster_state, planner)
 
     def on_heartbeat(
-        self, report: workers.Heartbeat, now: MonotonicTime, relay: NodeId | None
+        self, heartbeat: workers.Heartbeat, now: MonotonicTime, relay: NodeId | None
     ) -> list[workers.Command] | None:
-        """The commands to answer with; None: the report is overtaken and proves nothing."""
-        scheduler = self._cluster_state
-        machine = scheduler.inventory.get(report.machine)
+        """Return the commands to answer with, or None if a newer heartbeat was seen before.
+
+        `relay` is the node that forwarded the heartbeat; None if the leader received it itself.
+        """
+        machine = self._cluster_state.inventory.get(heartbeat.machine)
         if machine is None:
-            if scheduler.inventory.is_deleted(report.machine):
+            if self._cluster_state.inventory.is_deleted(heartbeat.machine):
                 # Its deletion was answered: this is a late copy and proves nothing.
                 return None
-            if report.token != scheduler.token:
-                # The first that is heard of it, and it may be a late copy from a machine deleted
-                # under an earlier leader. A live worker learns the epoch from this answer and
-                # shows it in its next report; a copy never can.
+            if not self._shows_current_token(heartbeat):
+                # The first heartbeat of this machine, and it may be a late copy from a machine
+                # deleted under an earlier leader. A live worker learns the token from this response
+                # and shows it in its next heartbeat; a copy never can.
                 return []
-            machine = self._register_machine(report, now)
-        if report.sequence <= machine.heartbeat_sequence:
+            machine = self._register_machine(heartbeat, now)
+        if heartbeat.sequence <= machine.heartbeat_sequence:
             # Held back by the network: what it says has been overtaken.
             return None
-        session_rose = (
-            machine.heartbeat_sequence.agent_epoch > 0
-            and report.sequence.agent_epoch > machine.heartbeat_sequence.agent_epoch
-        )
-        machine.heartbeat_sequence = report.sequence
+        agent_epoch_before = machine.heartbeat_sequence.agent_epoch
+        lease_has_expired = 0 < agent_epoch_before < heartbeat.sequence.agent_epoch
+        machine.heartbeat_sequence = heartbeat.sequence
         machine.relay = relay
-        machine.address = report.address
+        machine.address = heartbeat.address
         if machine.state is MachineState.BOOTING:
             self._mark_up(machine, now)
-        if report.token != scheduler.token:
+        if not self._shows_current_token(heartbeat):
             self._record_stale_token(machine, now)
             return []
-        if machine.stale_token_heartbeats:
-            machine.stale_token_heartbeats = 0
-            scheduler.responsiveness.record_executed_command(machine)
+        self._record_current_token(machine)
         machine.last_heartbeat_at = now
-        self._update_description(machine, report, now)
+        self._update_description(machine, heartbeat)
+        self._take_preemption_notice(machine, heartbeat, now)
         if not machine.is_confirmed:
             machine.is_confirmed = True
-            scheduler.is_planning_requested = True
-        elif session_rose:
+            self._cluster_state.is_planning_requested = True
+        elif lease_has_expired:
             self._record_ignored_response(machine, "lets its lease run out", now)
-        return self._respond(machine, report, now)
+        return self._respond(machine, heartbeat, now)
 
-    def _register_machine(self, report: workers.Heartbeat, now: MonotonicTime) -> Machine:
-        """A machine that no list or record has named yet."""
-        kind = self._cluster_state.types.get(report.type) or placeholder_type(report.type)
+    def _shows_current_token(self, heartbeat: workers.Heartbeat) -> bool:
+        return heartbeat.token == self._cluster_state.token
+
+    def _machine_type(self, name: str) -> MachineType:
+        return self._cluster_state.types.get(name) or placeholder_type(name)
+
+    def _register_machine(self, heartbeat: workers.Heartbeat, now: MonotonicTime) -> Machine:
+        """Add a machine that no list or record has named yet."""
         machine = self._cluster_state.inventory.add(
-            report.machine, kind, report.zone, report.spot, MachineState.UP, now, now
+            heartbeat.machine,
+            self._machine_type(heartbeat.type),
+            heartbeat.zone,
+            heartbeat.spot,
+            MachineState.UP,
+            now,
+            now,
+        )
+        log.info(
+            "machine adopted machine=%s type=%s zone=%s",
+            machine.id,
+            heartbeat.type,
+            heartbeat.zone,
         )
-        log.info("machine adopted machine=%s type=%s zone=%s", machine.id, report.type, report.zone)
         return machine
 
     def _mark_up(self, machine: Machine, now: MonotonicTime) -> None:
@@ -80,68 +96,80 @@
         log.debug("machine up machine=%s after=%.1f", machine.id, now - machine.provisioned_at)
 
     def _record_stale_token(self, machine: Machine, now: MonotonicTime) -> None:
-        """The worker has not seen this epoch: an older leader's response may still be obeyed, so
-        what this report lacks is no proof. Nor does it show that the machine lives now."""
+        """Count a heartbeat from a worker that has not seen this leader's fencing token.
+
+        An older leader's response may still be obeyed, so what this heartbeat lacks is no proof.
+        Nor does it show that the machine lives now.
+        """
         machine.stale_token_heartbeats += 1
         if machine.stale_token_heartbeats > 1:
             self._record_ignored_response(machine, "shows an old epoch", now)
 
-    def _update_description(
-        self, machine: Machine, report: workers.Heartbeat, now: MonotonicTime
-    ) -> None:
-        """Takes type, place and notice over from the report, which knows best."""
-        scheduler = self._cluster_state
+    def _record_current_token(self, machine: Machine) -> None:
+        if machine.stale_token_heartbeats:
+            machine.stale_token_heartbeats = 0
+            self._cluster_state.responsiveness.record_executed_command(machine)
+
+    def _update_description(self, machine: Machine, heartbeat: workers.Heartbeat) -> None:
+        """Take type, zone and kind from the heartbeat, which knows best."""
         if (
-            machine.type.name != report.type
-            or machine.zone != report.zone
-            or machine.is_spot != report.spot
+            machine.type.name != heartbeat.type
+            or machine.zone != heartbeat.zone
+            or machine.is_spot != heartbeat.spot
         ):
-            kind = scheduler.types.get(report.type) or placeholder_type(report.type)
-            scheduler.inventory.update_description(machine, kind, report.zone, report.spot)
-        if report.preemption_notice_s is not None and machine.reclaim_at is None:
-            machine.reclaim_at = MonotonicTime(now + report.preemption_notice_s)
+            self._cluster_state.inventory.update_description(
+                machine, self._machine_type(heartbeat.type), heartbeat.zone, heartbeat.spot
+            )
+
+    def _take_preemption_notice(
+        self, machine: Machine, heartbeat: workers.Heartbeat, now: MonotonicTime
+    ) -> None:
+        """Stop using a spot machine that the cloud is about to take back."""
+        notice_s = heartbeat.preemption_notice_s
+        if notice_s is not None and machine.reclaim_at is None:
+            machine.reclaim_at = MonotonicTime(now + notice_s)
             machine.is_unschedulable = True
-            log.info("spot notice machine=%s seconds=%.0f", machine.id, report.preemption_notice_s)
-            scheduler.autoscaling_due_at = now
+            log.info("spot notice machine=%s seconds=%.0f", machine.id, notice_s)
+            self._cluster_state.autoscaling_due_at = now
 
     def _respond(
-        self, machine: Machine, report: workers.Heartbeat, now: MonotonicTime
+        self, machine: Machine, heartbeat: workers.Heartbeat, now: MonotonicTime
     ) -> list[workers.Command]:
-        found = self._reconciler.reconcile(machine, report, now)
-        if found.has_command_effect:
+        result = self._reconciler.reconcile(machine, heartbeat, now)
+        if result.has_command_effect:
             self._cluster_state.responsiveness.record_executed_command(machine)
-        elif found.has_ignored_command:
+        elif result.has_ignored_command:
             self._record_ignored_response(machine, "does not do what it is told", now)
         machine.is_response_undelivered = False
-        return found.commands
+        return result.commands
 
-    # -- whether it obeys
+    # -- responsiveness
 
-    def _record_ignored_response(self, machine: Machine, why: str, now: MonotonicTime) -> None:
-        """An answer had no effect: one more sign that the machine does not hear."""
+    def _record_ignored_response(self, machine: Machine, reason: str, now: MonotonicTime) -> None:
+        """Count a response without effect, and delete the machine once it is unresponsive."""
         if machine.is_response_undelivered:
             machine.is_response_undelivered = False
         elif (
             self._cluster_state.responsiveness.record_ignored_response(machine, now)
             and machine.state is MachineState.UP
         ):
-            log.info("machine unresponsive machine=%s why=%s", machine.id, why)
+            log.info("machine unresponsive machine=%s why=%s", machine.id, reason)
             self._cluster_state.request_deletion(machine, now)
 
     def on_response_undelivered(self, machine_id: MachineId) -> None:
-        """The last answer surely came too late; that it had no effect is no sign."""
+        """Record that the last response came too late: that it had no effect is no evidence."""
         machine = self._cluster_state.inventory.get(machine_id)
         if machine is not None:
             machine.is_response_undelivered = True
 
     def on_relay_lost(self, relay: NodeId) -> None:
-        """The connection broke: answers on their way are lost, and that is no machine's doing."""
+        """Record that responses sent through the relay are lost, through no fault of a machine."""
         for machine in self._cluster_state.inventory.machines.values():
             if machine.relay == relay:
                 machine.is_response_undelivered = True
 
     def needs_next_heartbeat(self, machine_id: MachineId) -> bool:
-        """Whether the machine's next report is wanted even if it tells nothing new."""
+        """Return whether a relay should forward the machine's next heartbeat even if unchanged."""
         machine = self._cluster_state.inventory.get(machine_id)
         if machine is None or not machine.is_confirmed or machine.has_unknown_tasks:
             return True
--- a/src/eldercart/scheduling/cluster_state.py
+++ b/src/eldercart/scheduling/cluster_state.py
@@ -1,7 +1,7 @@
-"""What the parts of the leader's state machine work on together, and the few steps that all need.
+"""State that the parts of the leader's state machine share, and the steps common to them.
 
-The parts (jobs, fleet, rental, predictor) each own their data; the shared state names what is due
-next.
+Each part (jobs, machines, autoscaler, predictor) owns its data; the shared state holds what is
+pending between them.
 """
 
 import logging
@@ -21,11 +21,11 @@
 
 log = logging.getLogger("eldercart.controller")
 
-FAILOVER_GRACE_HEARTBEATS = 3  # report intervals for machines to show that tasks have ended
-KILL_TIMEOUT_SHARE, MAX_KILL_TIMEOUT_SHARE = (
-    0.6,
-    0.8,
-)  # of `cancel_s`: the rest is left for the deletion
+FAILOVER_GRACE_HEARTBEATS = 3  # heartbeat intervals in which machines show that tasks have ended
+# Shares of `cancel_s` after which a task that still runs costs its machine; what is left of the
+# time is for the deletion.
+KILL_TIMEOUT_SHARE = 0.6
+MAX_KILL_TIMEOUT_SHARE = 0.8  # where the cancellation was asked of an earlier leader
 
 
 class FinishedJob(NamedTuple):
@@ -36,21 +36,20 @@
 
 
 class ClusterState:
-    """The leader's shared state: the recorded state, what is due next, and steps that several parts
-    take."""
+    """The leader's shared state: recorded state, pending work and common steps."""
 
     def __init__(
         self,
         settings: NodeSettings,
         tuning: Tuning,
-        epoch: FencingToken,
+        token: FencingToken,
         types: dict[str, MachineType],
         now: MonotonicTime,
     ) -> None:
         """Empty state of a leadership that begins at `now`, with the machine types known so far."""
         self.settings = settings
         self.tuning = tuning
-        self.token = epoch
+        self.token = token
         self.types = types
         self.jobs = JobRegistry(0)
         self.inventory = MachineInventory()
@@ -61,158 +60,236 @@
         self.predictor = Predictor(tuning)
         self.health = Health(tuning.quarantine_jobs, tuning.error_backoff_s)
         self.responsiveness = Responsiveness(tuning.unheeded_answers, settings.lease_s / 2)
+        self.graph = DependencyGraph(self.jobs, self._estimated_remaining_s, self._deadline_at)
         self.started_at = now
-        self.wall_clock_offset_s = 0.0  # time of day at steady zero, good to the settings' bound
+        # Time of day minus monotonic time, exact to the bound that the settings give.
+        self.wall_clock_offset_s = 0.0
+        # Pending work of the planner, the autoscaler and the cloud requests.
         self.is_planning_requested = True
-        self.is_store_unavailable = False  # the last write was not carried out
         self.autoscaling_due_at = now
+        self.pending_deletions: dict[MachineId, None] = {}
+        # Pending writes.
+        self.is_store_unavailable = False  # the last write was not carried out
         self.dirty_jobs: dict[JobId, Job] = {}
         self.finalizing_jobs: dict[JobId, Job] = {}  # complete or cancelled, end not yet durable
-        self.upstream_cancelled_jobs: dict[
-            JobId, Job
-        ] = {}  # cancelled with a job before them, end not written
-        self.pending_deletions: dict[MachineId, None] = {}
-        self.pending_direct_kills: dict[
-            MachineId, None
-        ] = {}  # machines to be told directly what to kill
-        self.finished_jobs: list[FinishedJob] = []  # newly durable ends, for waiting answers
-        self.graph = DependencyGraph(self.jobs, self._estimated_remaining_s, self._deadline_at)
-        self.completed_cpu_s = self.lost_cpu_s = 0.0  # CPU seconds, as seen here
-        self.start_latencies_s: list[float] = []  # seconds from submission, of tasks that began
+        # Cancelled with a job that they depend on, end not yet written.
+        self.upstream_cancelled_jobs: dict[JobId, Job] = {}
+        # Pending commands.
+        self.pending_direct_kills: dict[MachineId, None] = {}
         self._machines_needing_command: dict[MachineId, Machine] = {}
+        # Events for the adapters.
+        self.finished_jobs: list[FinishedJob] = []
+        self.start_latencies_s: list[float] = []  # from readiness, of tasks that started
+        # CPU seconds, as seen by this leader.
+        self.completed_cpu_s = 0.0
+        self.lost_cpu_s = 0.0
+
+    # -- pending work
+
+    def mark_dirty(self, job: Job) -> None:
+        """Request a write of the job's changed placements."""
+        self.dirty_jobs[job.id] = job
+
+    def mark_finalizing(self, job: Job) -> None:
+        """Request a write of the job's end."""
+        self.finalizing_jobs[job.id] = job
+
+    def on_end_persisted(self, job: Job) -> None:
+        """Drop the request to write the job's end: it is durable."""
+        self.finalizing_jobs.pop(job.id, None)
+        self.upstream_cancelled_jobs.pop(job.id, None)
+
+    def request_planning(self) -> None:
+        """Make a planning pass due as soon as its minimum interval has passed."""
+        self.is_planning_requested = True
+
+    def request_autoscaling(self, due_at: MonotonicTime) -> None:
+        """Make the next comparison of demand and supply due at this time."""
+        self.autoscaling_due_at = due_at
+
+    def request_direct_kill(self, machine_id: MachineId) -> None:
+        """Request that kills of cancelled tasks are sent straight to the machine's worker."""
+        self.pending_direct_kills[machine_id] = None
+
+    def clear_direct_kill_request(self, machine_id: MachineId) -> None:
+        """Drop the request made by `request_direct_kill`."""
+        del self.pending_direct_kills[machine_id]
+
+    # -- events
+
+    def add_finished_job(self, job_id: JobId, outcome: str) -> None:
+        """Announce a durable end to the requests that wait for it."""
+        self.finished_jobs.append(FinishedJob(job_id, outcome))
+
+    def take_finished_jobs(self) -> list[FinishedJob]:
+        """Return the jobs whose ends became durable since the last call."""
+        finished, self.finished_jobs = self.finished_jobs, []
+        return finished
+
+    def add_start_latency(self, seconds: float) -> None:
+        """Record how long a task that started now has waited since its job was ready."""
+        self.start_latencies_s.append(seconds)
+
+    def take_start_latencies_s(self) -> list[float]:
+        """Return the seconds from readiness to start, of tasks that started since the last call."""
+        latencies, self.start_latencies_s = self.start_latencies_s, []
+        return latencies
 
     # -- dependencies
 
     def _estimated_remaining_s(self, job: Job) -> float:
-        """How long the job takes once it is ready, as far as can be told."""
+        """Return how long the job is expected to take once it is ready."""
         return self.predictor.expected_longest_run_s(job)
 
     def _deadline_at(self, job: Job) -> MonotonicTime:
-        """By its own deadline, which counts from the submission however long it waits."""
-        deadline = job.spec.deadline_s
-        return DISTANT_FUTURE if deadline is None else MonotonicTime(job.submitted_at + deadline)
+        """Return the job's own deadline, which counts from the submission."""
+        deadline_s = job.spec.deadline_s
+        if deadline_s is None:
+            return DISTANT_FUTURE
+        return MonotonicTime(job.submitted_at + deadline_s)
 
     def on_job_submitted(self, job: Job, now: MonotonicTime) -> None:
-        """A job has come into the job registry."""
+        """Take in a job that was added to the job registry."""
         effect = self.graph.add(job, now)
         if not job.upstream_cancelled:
             self.predictor.on_job_submitted(job, self.graph.dependents(job.id))
         self.apply_graph_change(effect, now)
 
-    def on_job_finished(self, job: JobId, how: str, now: MonotonicTime) -> None:
-        """A durable end: of a job in the job registry, or of one that others await."""
-        self.predictor.on_chain_job_ended(job, how, now)
-        self.apply_graph_change(self.graph.on_job_ended(job, how, now), now)
+    def on_job_finished(self, job: JobId, outcome: str, now: MonotonicTime) -> None:
+        """Take in a durable end of a job in the registry, or of one that others depend on."""
+        self.predictor.on_chain_job_ended(job, outcome, now)
+        self.apply_graph_change(self.graph.on_job_ended(job, outcome, now), now)
 
     def apply_graph_change(self, effect: DependencyEffect, now: MonotonicTime) -> None:
-        """Carries out what an end or a new job brings about in the graph."""
+        """Handle the jobs that became ready, or were cancelled with one that they depend on."""
         for job in effect.ready:
-            self.predictor.on_job_ready(job, now)
-            self.autoscaler.record_arrival(now)
-            self.is_planning_requested = True
-            self.autoscaling_due_at = now
-            if job.spec.dependencies:
-                log.info("job ready job=%s waited=%.1f", job.id, now - job.submitted_at)
+            self._on_job_ready(job, now)
         for job in effect.upstream_cancelled:
-            # Told from now on, whatever becomes of its own end: who asks after a change of leader
-            # is told the same, since it follows from the end of the job before it.
             if job.outcome is None:
-                log.info("job orphaned job=%s", job.id)
-                self.mark_cancelled(job, now, now)
-                self.predictor.cancel_reservation(job.id)
-                if job.id not in self.finalizing_jobs:
-                    self.upstream_cancelled_jobs[job.id] = job
-                self.kill_all_placements(job, now)
-                self.finished_jobs.append(FinishedJob(job.id, CANCELLED))
+                self._on_upstream_cancelled(job, now)
+
+    def _on_job_ready(self, job: Job, now: MonotonicTime) -> None:
+        self.predictor.on_job_ready(job, now)
+        self.autoscaler.record_arrival(now)
+        self.request_planning()
+        self.request_autoscaling(now)
+        if job.spec.dependencies:
+            log.info("job ready job=%s waited=%.1f", job.id, now - job.submitted_at)
+
+    def _on_upstream_cancelled(self, job: Job, now: MonotonicTime) -> None:
+        """Cancel the job, and announce that at once, whatever becomes of the write of its end.
+
+        Polls after a change of leader get the same answer, since it follows from the end of the
+        job that it depends on.
+        """
+        log.info("job orphaned job=%s", job.id)
+        self.mark_cancelled(job, now, now)
+        self.predictor.cancel_reservation(job.id)
+        if job.id not in self.finalizing_jobs:
+            self.upstream_cancelled_jobs[job.id] = job
+        self.kill_all_placements(job, now)
+        self.add_finished_job(job.id, CANCELLED)
 
     # -- tasks
 
-    def cancel_placement(self, p: Placement, now: MonotonicTime) -> None:
-        """The task is proven not to be on its machine."""
-        m = self.inventory.get(p.machine_id)
-        if m is not None:
-            if p.is_enqueued:
-                self.jobs.mark_dequeued(p)
-                self.inventory.dequeue(m, p)
-            elif p.phase is not PlacementPhase.ENDED:
-                self.inventory.release(m, p, now)
-            self.inventory.remove_placement(m, p)
-        if p.phase is PlacementPhase.ENDED:
+    def cancel_placement(self, placement: Placement, now: MonotonicTime) -> None:
+        """Remove a placement that is proven not to be on its machine; its task waits again."""
+        machine = self.inventory.get(placement.machine_id)
+        if machine is not None:
+            if placement.is_enqueued:
+                self.jobs.mark_dequeued(placement)
+                self.inventory.dequeue(machine, placement)
+            elif placement.phase is not PlacementPhase.ENDED:
+                self.inventory.release(machine, placement, now)
+            self.inventory.remove_placement(machine, placement)
+        if placement.phase is PlacementPhase.ENDED:
             return  # done; only the record is outstanding
-        self.lost_cpu_s += p.run_time_s(now) * p.job.spec.cpus
-        self.jobs.remove_placement(p, now, retry=True)
-        self.dirty_jobs[p.job.id] = p.job
-        self.is_planning_requested = True
+        job = placement.job
+        self.lost_cpu_s += placement.run_time_s(now) * job.spec.cpus
+        self.jobs.remove_placement(placement, now, retry=True)
+        self.mark_dirty(job)
+        self.request_planning()
 
-    def kill_placement(self, p: Placement, now: MonotonicTime) -> None:
-        """The task is to end where it is; one that was never launched is void at once."""
-        m = self.inventory.get(p.machine_id)
-        self.inventory.mark_terminating(m, p)
-        if not p.may_have_launched:
+    def kill_placement(self, placement: Placement, now: MonotonicTime) -> None:
+        """Kill the task where it is; one that was never launched is cancelled at once."""
+        machine = self.inventory.get(placement.machine_id)
+        self.inventory.mark_terminating(machine, placement)
+        if not placement.may_have_launched:
             # No launch was ever sent: it is nowhere.
-            self.cancel_placement(p, now)
-        elif m is not None:
-            self.mark_needs_command(m)
-            if p.job.is_cancelled and p.phase in (
+            self.cancel_placement(placement, now)
+        elif machine is not None:
+            self.mark_needs_command(machine)
+            if placement.job.is_cancelled and placement.phase in (
                 PlacementPhase.COMMITTED,
                 PlacementPhase.FETCHING,
             ):
-                self.pending_direct_kills[m.id] = None  # it would start before its machine reports
+                # It would start before its machine's next heartbeat.
+                self.request_direct_kill(machine.id)
 
     def kill_all_placements(self, job: Job, now: MonotonicTime) -> None:
-        """All tasks of the job are to end where they are."""
-        for p in list(job.placements()):
-            if p.phase is not PlacementPhase.ENDED:
-                self.kill_placement(p, now)
-
-    def mark_cancelled(self, job: Job, at: MonotonicTime, now: MonotonicTime) -> None:
-        """Its user asked at `at`, and the time for its tasks to go runs from then on, through any
-        number of leaders. One that takes over late lets the machines show first that the tasks
-        have ended, as far as there is time."""
-        s = self.settings
+        """Kill all tasks of the job where they are."""
+        for placement in list(job.placements()):
+            if placement.phase is not PlacementPhase.ENDED:
+                self.kill_placement(placement, now)
+
+    def mark_cancelled(self, job: Job, cancelled_at: MonotonicTime, now: MonotonicTime) -> None:
+        """Record that a user asked at `cancelled_at` to cancel the job.
+
+        The time for its tasks to end runs from then on, through any number of leaders. A leader
+        that is elected late lets the machines show first that the tasks have ended, as far as
+        there is time.
+        """
+        cancel_s = self.settings.cancel_s
+        grace_until = now + FAILOVER_GRACE_HEARTBEATS * self.settings.report_s
+        if now < cancelled_at + cancel_s:
+            grace_until = min(grace_until, cancelled_at + MAX_KILL_TIMEOUT_SHARE * cancel_s)
+        kill_deadline_at = max(cancelled_at + KILL_TIMEOUT_SHARE * cancel_s, grace_until)
         job.is_cancelled = True
-        job.cancelled_at = at
-        patience = now + FAILOVER_GRACE_HEARTBEATS * s.report_s
-        if now < at + s.cancel_s:
-            patience = min(patience, at + MAX_KILL_TIMEOUT_SHARE * s.cancel_s)
-        job.kill_deadline_at = MonotonicTime(max(at + KILL_TIMEOUT_SHARE * s.cancel_s, patience))
-
-    def mark_needs_command(self, m: Machine) -> None:
-        """There is something to tell the machine: its next report should come here."""
-        # One that waits for its deletion, too: the cloud may be out, and a cancelled task be there.
-        if not m.needs_command and m.state in (MachineState.UP, MachineState.DELETING):
-            m.needs_command = True
-            self._machines_needing_command[m.id] = m
+        job.cancelled_at = cancelled_at
+        job.kill_deadline_at = MonotonicTime(kill_deadline_at)
+
+    # -- machines
+
+    def mark_needs_command(self, machine: Machine) -> None:
+        """Record that the machine's next heartbeat should come here, to be given a command."""
+        # Also if it waits for its deletion: the cloud may be down, and a cancelled task be there.
+        if not machine.needs_command and machine.state in (MachineState.UP, MachineState.DELETING):
+            machine.needs_command = True
+            self._machines_needing_command[machine.id] = machine
 
     def take_machines_needing_command(self) -> dict[NodeId, list[MachineId]]:
-        """By the node that heard the machine last."""
-        out: dict[NodeId, list[MachineId]] = {}
-        for m in self._machines_needing_command.values():
-            m.needs_command = False
-            if m.relay is not None:
-                out.setdefault(m.relay, []).append(m.id)
+        """Return the machines marked since the last call, by the relay of their heartbeats."""
+        machine_ids_by_relay: dict[NodeId, list[MachineId]] = {}
+        for machine in self._machines_needing_command.values():
+            machine.needs_command = False
+            if machine.relay is not None:
+                machine_ids_by_relay.setdefault(machine.relay, []).append(machine.id)
         self._machines_needing_command.clear()
-        return out
+        return machine_ids_by_relay
 
-    def request_deletion(self, m: Machine, now: MonotonicTime) -> None:
-        """The machine is to be deleted, and nothing new starts there."""
-        m.state = MachineState.DELETING
-        m.is_unschedulable = True
-        self.pending_deletions[m.id] = None
-        self.autoscaling_due_at = now
+    def request_deletion(self, machine: Machine, now: MonotonicTime) -> None:
+        """Have the machine deleted; nothing new starts there."""
+        machine.state = MachineState.DELETING
+        machine.is_unschedulable = True
+        self.pending_deletions[machine.id] = None
+        self.request_autoscaling(now)
 
-    def cordon(self, m: Machine, why: str, now: MonotonicTime) -> None:
-        """Nothing new starts on the machine, unless too many others are deferred as well."""
-        if m.is_cordoned:
+    def cordon(self, machine: Machine, reason: str, now: MonotonicTime) -> None:
+        """Start nothing new on the machine, unless too many others are cordoned as well."""
+        if machine.is_cordoned:
             return
-        out = sum(1 for other in self.inventory.machines.values() if other.is_cordoned)
-        if out >= max(1, self.tuning.quarantine_share * len(self.inventory.machines)):
+        machines = self.inventory.machines
+        cordoned_count = sum(1 for other in machines.values() if other.is_cordoned)
+        if cordoned_count >= max(1, self.tuning.quarantine_share * len(machines)):
             # When many machines look bad at once, the evidence is more likely at fault.
             return
-        m.is_cordoned = True
-        m.cordoned_at = now
-        m.is_unschedulable = True
-        self.autoscaling_due_at = now
+        machine.is_cordoned = True
+        machine.cordoned_at = now
+        machine.is_unschedulable = True
+        self.request_autoscaling(now)
         log.info(
-            "machine quarantined machine=%s why=%s jobs=%s", m.id, why, sorted(m.failed_job_ids)
+            "machine quarantined machine=%s why=%s jobs=%s",
+            machine.id,
+            reason,
+            sorted(machine.failed_job_ids),
         )
--- /dev/null
+++ b/src/eldercart/scheduling/state_loader.py
@@ -0,0 +1,183 @@
+"""Loading of the stored records into the state of a new leader."""
+
+import logging
+from collections.abc import Iterable
+
+from eldercart.autoscaling.cloud_requests import placeholder_type
+from eldercart.cluster.inventory import MachineState
+from eldercart.jobs.registry import (
+    CLEANUP_PREFIX,
+    JOB_PREFIX,
+    Job,
+    Placement,
+    decode_cancellation_time,
+    decode_end_record,
+    decode_job_record,
+    resolved_list_reference,
+)
+from eldercart.persistence import learned_state
+from eldercart.persistence.transaction_writer import TransactionWriter
+from eldercart.scheduling import feasibility
+from eldercart.scheduling.cluster_state import ClusterState
+from eldercart.units import JobId, MonotonicTime, WallTime
+from eldercart.wire import MalformedMessage, users
+from eldercart.wire.state import Item
+from eldercart.wire.users import DependencyListReference, JobSpec
+
+log = logging.getLogger("eldercart.controller")
+
+
+class StateLoader:
+    """Adds jobs, placements and cleanup markers from the store to the cluster state."""
+
+    def __init__(self, cluster_state: ClusterState, transaction_writer: TransactionWriter) -> None:
+        """Load into `cluster_state` and into the records that `transaction_writer` maintains."""
+        self._cluster_state = cluster_state
+        self._transaction_writer = transaction_writer
+        self._jobs = cluster_state.jobs
+        # Cleanup markers of ended jobs whose records are not read yet.
+        self._unresolved_cleanup_markers: dict[JobId, Item] = {}
+
+    def load(
+        self,
+        job_items: Iterable[Item],
+        placement_items: Iterable[Item],
+        cleanup_items: Iterable[Item],
+        now: MonotonicTime,
+        learned_state_items: Iterable[Item] = (),
+        incomplete_jobs: Iterable[Item] = (),
+    ) -> None:
+        """Load all records. Every recorded placement may be on its machine.
+
+        `incomplete_jobs` are job records whose dependency lists are not read yet;
+        `load_job_record` takes them later.
+        """
+        for item in learned_state_items:
+            learned_state.restore_learned_state(self._cluster_state, item.key, item.value)
+        job_items = list(job_items)
+        for item in job_items:
+            self.load_job_record(item, now)
+        placement_records = self._transaction_writer.placement_records
+        placements = placement_records.load_records(placement_items, self._jobs, now)
+        recorded = {item.key[len(JOB_PREFIX) :] for item in (*job_items, *incomplete_jobs)}
+        self._load_cleanup_markers(cleanup_items, recorded, now)
+        for job in self._jobs.jobs.values():
+            self._finish_load(job, now)
+        self._load_placements(placements, now)
+        log.info(
+            "took over epoch=%d jobs=%d placements=%d orphans=%d",
+            self._cluster_state.token,
+            len(self._jobs.jobs),
+            len(placements),
+            len(self._transaction_writer.orphaned_keys),
+        )
+
+    def load_job_record(self, item: Item, now: MonotonicTime) -> None:
+        """Add the job of a job record, from a read or a watch; an unreadable one is logged."""
+        job_id = JobId(item.key[len(JOB_PREFIX) :])
+        if job_id in self._jobs:
+            return
+        try:
+            spec, tasks_per_chunk, accepted_at = decode_job_record(job_id, item.value)
+        except (MalformedMessage, KeyError, TypeError, ValueError) as err:
+            log.error("job record unreadable job=%s: %s", job_id, err)
+            return
+        reference = resolved_list_reference(item.value)
+        self.add_job(spec, tasks_per_chunk, WallTime(accepted_at), now, reference)
+        marker = self._unresolved_cleanup_markers.pop(job_id, None)
+        if marker is not None:
+            self._load_finished_job(self._jobs.jobs[job_id], marker, now)
+
+    def add_job(
+        self,
+        spec: JobSpec,
+        tasks_per_chunk: int,
+        accepted_at: WallTime,
+        now: MonotonicTime,
+        dependency_list_reference: DependencyListReference | None = None,
+    ) -> None:
+        """Add an accepted job, unless it is known.
+
+        `dependency_list_reference` is where its dependencies are stored, if not in its record.
+        """
+        if spec.id in self._jobs:
+            return
+        offset_s = self._cluster_state.wall_clock_offset_s
+        submitted_at = MonotonicTime(min(now, accepted_at - offset_s))
+        job = self._jobs.add(spec, tasks_per_chunk, submitted_at, dependency_list_reference)
+        self._cluster_state.on_job_submitted(job, now)
+        log.info(
+            "job accepted job=%s class=%s team=%s tasks=%d cpus=%g image=%s",
+            spec.id,
+            spec.job_class,
+            spec.team,
+            spec.task_count,
+            spec.cpus,
+            spec.image,
+        )
+
+    def _load_cleanup_markers(
+        self, markers: Iterable[Item], recorded: set[str], now: MonotonicTime
+    ) -> None:
+        """Load the jobs that have ended and wait to be cleaned up.
+
+        A marker without a job record is a leftover. One whose record can't be read yet is retained,
+        or whoever can read the record would take the job for unfinished.
+        """
+        for item in markers:
+            job_id = JobId(item.key[len(CLEANUP_PREFIX) :])
+            job = self._jobs.get(job_id)
+            if job is not None:
+                self._load_finished_job(job, item, now)
+            elif job_id in recorded:
+                self._unresolved_cleanup_markers[job_id] = item
+            else:
+                self._transaction_writer.orphaned_keys.append((item.key, item.version))
+
+    def _load_finished_job(self, job: Job, marker: Item, now: MonotonicTime) -> None:
+        job.outcome = decode_end_record(marker.value)
+        if job.outcome == users.CANCELLED:
+            cancelled_at = self._decode_cancelled_at(marker, now)
+            self._cluster_state.mark_cancelled(job, cancelled_at, now)
+        self._transaction_writer.jobs_to_clean_up[job.id] = job
+        self._cluster_state.on_job_finished(job.id, job.outcome, now)
+
+    def _decode_cancelled_at(self, marker: Item, now: MonotonicTime) -> MonotonicTime:
+        """Return when the cancellation was asked for; `now` if the marker does not say."""
+        wall_time = decode_cancellation_time(marker.value)
+        if wall_time is None:
+            return now
+        return MonotonicTime(min(now, wall_time - self._cluster_state.wall_clock_offset_s))
+
+    def _finish_load(self, job: Job, now: MonotonicTime) -> None:
+        """Derive the job's progress once all of its records are loaded."""
+        self._jobs.finish_load(job)
+        if job.chunks:
+            effect = self._cluster_state.graph.on_job_started(job, now)
+            self._cluster_state.apply_graph_change(effect, now)
+        if job.is_complete and job.outcome is None:
+            self._cluster_state.mark_finalizing(job)
+
+    def _load_placements(self, placements: list[Placement], now: MonotonicTime) -> None:
+        """Let each recorded placement take its resources: its task may be on the machine."""
+        inventory = self._cluster_state.inventory
+        # Until then a machine without a heartbeat is not taken for dead.
+        grace_until = MonotonicTime(now + self._cluster_state.tuning.takeover_grace_s)
+        for placement in placements:
+            machine = inventory.get(placement.machine_id)
+            if machine is None:
+                # Type and zone come with its heartbeat; until then nothing new starts on it.
+                machine = inventory.add(
+                    placement.machine_id,
+                    placeholder_type("?"),
+                    feasibility.UNKNOWN_ZONE,
+                    True,
+                    MachineState.UP,
+                    now,
+                    grace_until,
+                )
+            placement.is_terminating = placement.job.outcome is not None
+            inventory.allocate(machine, placement)
+            # Its run time will be seen only in part. Taken for a whole one it would make all
+            # later tasks of its job look slow, and healthy machines with them.
+            placement.is_start_known = False
--- a/src/eldercart/server/leadership/worker_requests.py
+++ b/src/eldercart/server/leadership/worker_requests.py
@@ -57,7 +57,9 @@
             if report.token > controller.token:
                 node.observe_token(report.token, "a worker has seen a higher epoch")
             else:
-                controller.on_direct_kill_response(report, status == EXECUTED, sent, node.clock())
+                controller.on_direct_kill_response(
+                    report, sent, node.clock(), executed=status == EXECUTED
+                )
                 node.leader_service.process_events_soon()
 
         body = workers.direct_commands_body(controller.token, order.agent_epoch, order.commands)
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -212,7 +212,7 @@
     assert a.stopping()
     now = MonotonicTime(a.w.now + after)
     report = report_of(a.machine, **changes)
-    a.c.on_direct_kill_response(report, executed, now, now)  # type: ignore[arg-type]
+    a.c.on_direct_kill_response(report, now, now, executed=executed)  # type: ignore[arg-type]
     assert a.stopping() is not clean, name
 
 
@@ -224,11 +224,11 @@
     (order,) = a.c.take_direct_kills(now)
     assert order.agent_epoch == 1 and len(order.commands) == 1
     assert a.c.take_direct_kills(MonotonicTime(now + 0.5)) == [], "not while an answer may come"
-    a.c.on_direct_kill_response(report_of(a.machine, stint=4), False, now, now)  # type: ignore[arg-type]
+    a.c.on_direct_kill_response(report_of(a.machine, stint=4), now, now, executed=False)  # type: ignore[arg-type]
     (again,) = a.c.take_direct_kills(MonotonicTime(now + 0.6))
     assert again.agent_epoch == 4
     # The same once more is not a new session: no loop of questions and answers.
-    a.c.on_direct_kill_response(report_of(a.machine, stint=4), False, now, now)  # type: ignore[arg-type]
+    a.c.on_direct_kill_response(report_of(a.machine, stint=4), now, now, executed=False)  # type: ignore[arg-type]
     assert a.c.take_direct_kills(MonotonicTime(now + 0.7)) == []
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -220,7 +220,9 @@
                 workers.direct_commands_body(c.token, order.agent_epoch, order.commands)
             )
             self.orders += 1
-            c.on_direct_kill_response(workers.parse_heartbeat(report), status == 200, now, now)
+            c.on_direct_kill_response(
+                workers.parse_heartbeat(report), now, now, executed=status == 200
+            )
 
     def lead(self, c: Scheduler, now: MonotonicTime) -> None:
         """What the leader does by itself, before anything is carried out for it."""
