--- a/src/eldercart/cluster/direct_kills.py
+++ b/src/eldercart/cluster/direct_kills.py
@@ -46,20 +46,22 @@
     def take(self, now: MonotonicTime) -> list[DirectKill]:
         """Return the direct kills to be sent now and remove their machines from the pending."""
         cluster_state = self._cluster_state
+        pending = cluster_state.pending_commands
         kills: list[DirectKill] = []
-        if not cluster_state.pending_direct_kills:
+        machine_ids = pending.direct_kills()
+        if not machine_ids:
             return kills
         budget = self._send_budget(now)
-        for machine_id in list(cluster_state.pending_direct_kills):
+        for machine_id in machine_ids:
             if len(kills) >= budget:
                 break
             machine = cluster_state.inventory.get(machine_id)
             if machine is None or machine.state not in (MachineState.UP, MachineState.DELETING):
-                cluster_state.clear_direct_kill_request(machine_id)
+                pending.remove_direct_kill(machine_id)
                 continue
             if not machine.address or now - machine.last_direct_kill_at < MIN_KILL_INTERVAL_S:
                 continue
-            cluster_state.clear_direct_kill_request(machine_id)
+            pending.remove_direct_kill(machine_id)
             kill = self._build_direct_kill(machine)
             if kill is not None:
                 machine.last_direct_kill_at = now
@@ -117,7 +119,7 @@
         elif has_risen:
             # It was meant for an earlier agent epoch; once more for this one, at once.
             machine.last_direct_kill_at = DISTANT_PAST
-            cluster_state.request_direct_kill(machine.id)
+            cluster_state.pending_commands.request_direct_kill(machine.id)
 
     def _cancel_absent_placements(
         self,
--- a/src/eldercart/cluster/heartbeats.py
+++ b/src/eldercart/cluster/heartbeats.py
@@ -1,6 +1,7 @@
 """Handling of workers' heartbeats: their order, the machine they describe, its responsiveness."""
 
 import logging
+from enum import Enum
 
 from eldercart.autoscaling.cloud_requests import placeholder_type
 from eldercart.cluster.inventory import RESOURCE_EPSILON, Machine, MachineState
@@ -14,6 +15,14 @@
 log = logging.getLogger("eldercart.controller")
 
 
+class UnresponsiveReason(Enum):
+    """Why a response to a heartbeat counts as ignored."""
+
+    STALE_TOKEN = "stale_token"
+    LEASE_EXPIRED = "lease_expired"
+    COMMAND_IGNORED = "command_ignored"
+
+
 class HeartbeatHandler:
     """Takes heartbeats in their order and answers them with commands."""
 
@@ -43,8 +52,7 @@
         if heartbeat.sequence <= machine.heartbeat_sequence:
             # Held back by the network: what it says has been overtaken.
             return None
-        agent_epoch_before = machine.heartbeat_sequence.agent_epoch
-        lease_has_expired = 0 < agent_epoch_before < heartbeat.sequence.agent_epoch
+        lease_has_expired = self._has_lease_expired(machine, heartbeat)
         machine.heartbeat_sequence = heartbeat.sequence
         machine.relay = relay
         machine.address = heartbeat.address
@@ -53,15 +61,34 @@
         if not self._shows_current_token(heartbeat):
             self._record_stale_token(machine, now)
             return []
+        return self._on_current_heartbeat(
+            machine, heartbeat, now, lease_has_expired=lease_has_expired
+        )
+
+    @staticmethod
+    def _has_lease_expired(machine: Machine, heartbeat: workers.Heartbeat) -> bool:
+        """Return whether the worker's lease has run out since the last heartbeat, if any."""
+        agent_epoch_before = machine.heartbeat_sequence.agent_epoch
+        return 0 < agent_epoch_before < heartbeat.sequence.agent_epoch
+
+    def _on_current_heartbeat(
+        self,
+        machine: Machine,
+        heartbeat: workers.Heartbeat,
+        now: MonotonicTime,
+        *,
+        lease_has_expired: bool,
+    ) -> list[workers.Command]:
+        """Handle the newest heartbeat of a worker that has seen this leader's fencing token."""
         self._record_current_token(machine)
         machine.last_heartbeat_at = now
         self._update_description(machine, heartbeat)
         self._take_preemption_notice(machine, heartbeat, now)
         if not machine.is_confirmed:
             machine.is_confirmed = True
-            self._cluster_state.is_planning_requested = True
+            self._cluster_state.request_planning()
         elif lease_has_expired:
-            self._record_ignored_response(machine, "lets its lease run out", now)
+            self._record_ignored_response(machine, UnresponsiveReason.LEASE_EXPIRED, now)
         return self._respond(machine, heartbeat, now)
 
     def _shows_current_token(self, heartbeat: workers.Heartbeat) -> bool:
@@ -82,7 +109,7 @@
             now,
         )
         log.info(
-            "machine adopted machine=%s type=%s zone=%s",
+            "machine registered machine=%s type=%s zone=%s",
             machine.id,
             heartbeat.type,
             heartbeat.zone,
@@ -92,8 +119,8 @@
     def _mark_up(self, machine: Machine, now: MonotonicTime) -> None:
         machine.state = MachineState.UP
         machine.idle_since = machine.last_heartbeat_at = now
-        self._cluster_state.is_planning_requested = True
-        log.debug("machine up machine=%s after=%.1f", machine.id, now - machine.provisioned_at)
+        self._cluster_state.request_planning()
+        log.debug("machine up machine=%s boot_s=%.1f", machine.id, now - machine.provisioned_at)
 
     def _record_stale_token(self, machine: Machine, now: MonotonicTime) -> None:
         """Count a heartbeat from a worker that has not seen this leader's fencing token.
@@ -103,7 +130,7 @@
         """
         machine.stale_token_heartbeats += 1
         if machine.stale_token_heartbeats > 1:
-            self._record_ignored_response(machine, "shows an old epoch", now)
+            self._record_ignored_response(machine, UnresponsiveReason.STALE_TOKEN, now)
 
     def _record_current_token(self, machine: Machine) -> None:
         if machine.stale_token_heartbeats:
@@ -129,8 +156,8 @@
         if notice_s is not None and machine.reclaim_at is None:
             machine.reclaim_at = MonotonicTime(now + notice_s)
             machine.is_unschedulable = True
-            log.info("spot notice machine=%s seconds=%.0f", machine.id, notice_s)
-            self._cluster_state.autoscaling_due_at = now
+            log.info("spot preemption notice machine=%s notice_s=%.0f", machine.id, notice_s)
+            self._cluster_state.request_autoscaling(now)
 
     def _respond(
         self, machine: Machine, heartbeat: workers.Heartbeat, now: MonotonicTime
@@ -139,13 +166,15 @@
         if result.has_command_effect:
             self._cluster_state.responsiveness.record_executed_command(machine)
         elif result.has_ignored_command:
-            self._record_ignored_response(machine, "does not do what it is told", now)
+            self._record_ignored_response(machine, UnresponsiveReason.COMMAND_IGNORED, now)
         machine.is_response_undelivered = False
         return result.commands
 
     # -- responsiveness
 
-    def _record_ignored_response(self, machine: Machine, reason: str, now: MonotonicTime) -> None:
+    def _record_ignored_response(
+        self, machine: Machine, reason: UnresponsiveReason, now: MonotonicTime
+    ) -> None:
         """Count a response without effect, and delete the machine once it is unresponsive."""
         if machine.is_response_undelivered:
             machine.is_response_undelivered = False
@@ -153,7 +182,7 @@
             self._cluster_state.responsiveness.record_ignored_response(machine, now)
             and machine.state is MachineState.UP
         ):
-            log.info("machine unresponsive machine=%s why=%s", machine.id, reason)
+            log.info("machine unresponsive machine=%s reason=%s", machine.id, reason.value)
             self._cluster_state.request_deletion(machine, now)
 
     def on_response_undelivered(self, machine_id: MachineId) -> None:
--- a/src/eldercart/cluster/machine_monitor.py
+++ b/src/eldercart/cluster/machine_monitor.py
@@ -57,7 +57,7 @@
         """Repeat the kills: until the cloud has answered its deletion the machine may be alive."""
         if any(placement.is_terminating for placement in machine.placements.values()):
             self._cluster_state.mark_needs_command(machine)
-            self._cluster_state.request_direct_kill(machine.id)
+            self._cluster_state.pending_commands.request_direct_kill(machine.id)
 
     def _check_machine(
         self, machine: Machine, timeout_s: float, now: MonotonicTime, *, tasks_due: bool
@@ -68,11 +68,11 @@
         if machine.state is MachineState.BOOTING:
             if self._failure_detector.is_boot_overdue(machine, now):
                 boot_s = now - machine.provisioned_at
-                log.info("machine late machine=%s seconds=%.1f", machine.id, boot_s)
+                log.info("machine boot overdue machine=%s boot_s=%.1f", machine.id, boot_s)
                 cluster_state.request_deletion(machine, now)
         elif self._failure_detector.is_dead(machine, timeout_s, now):
             silence_s = now - machine.last_heartbeat_at
-            log.info("machine silent machine=%s seconds=%.1f", machine.id, silence_s)
+            log.info("machine heartbeat timeout machine=%s silence_s=%.1f", machine.id, silence_s)
             cluster_state.request_deletion(machine, now)
         elif machine.is_cordoned and not machine.live_task_count:
             cluster_state.request_deletion(machine, now)
@@ -115,7 +115,7 @@
             self._cluster_state.mark_needs_command(machine)
         direct_after_s = DIRECT_KILL_AFTER_HEARTBEATS * self._cluster_state.settings.report_s
         if is_being_cancelled(placement) and now - placement.job.cancelled_at > direct_after_s:
-            self._cluster_state.request_direct_kill(machine.id)
+            self._cluster_state.pending_commands.request_direct_kill(machine.id)
 
     def _is_straggler(self, placement: Placement, now: MonotonicTime) -> bool:
         return placement.phase is PlacementPhase.RUNNING and (
@@ -124,7 +124,7 @@
 
     def _kill_straggler(self, machine: Machine, placement: Placement, now: MonotonicTime) -> None:
         cluster_state = self._cluster_state
-        log.info("straggler task=%s machine=%s", placement.key, machine.id)
+        log.info("straggler killed task=%s machine=%s", placement.key, machine.id)
         placement.job.avoid_machine(machine.id, now)
         cluster_state.kill_placement(placement, now)
         if cluster_state.health.record_straggler(machine, placement.job):
--- a/src/eldercart/scheduling/cluster_state.py
+++ b/src/eldercart/scheduling/cluster_state.py
@@ -10,12 +10,13 @@
 from eldercart.autoscaling.autoscaler import Autoscaler
 from eldercart.cluster.health import Health, Responsiveness
 from eldercart.cluster.inventory import Machine, MachineInventory, MachineState
+from eldercart.cluster.pending_commands import PendingCommands
 from eldercart.jobs.dependency_graph import DependencyEffect, DependencyGraph
 from eldercart.jobs.registry import Job, JobRegistry, Placement, PlacementPhase
 from eldercart.prediction.predictor import Predictor
 from eldercart.scheduling.feasibility import ServiceLevelObjectives
 from eldercart.settings import NodeSettings, Tuning
-from eldercart.units import DISTANT_FUTURE, FencingToken, JobId, MachineId, MonotonicTime, NodeId
+from eldercart.units import DISTANT_FUTURE, FencingToken, JobId, MachineId, MonotonicTime
 from eldercart.wire.cloud import MachineType
 from eldercart.wire.users import CANCELLED
 
@@ -45,8 +46,13 @@
         token: FencingToken,
         types: dict[str, MachineType],
         now: MonotonicTime,
+        wall_clock_offset_s: float,
     ) -> None:
-        """Empty state of a leadership that begins at `now`, with the machine types known so far."""
+        """Empty state of a leadership that begins at `now`, with the machine types known so far.
+
+        `wall_clock_offset_s` is the time of day minus the monotonic time, exact to the bound that
+        the settings give.
+        """
         self.settings = settings
         self.tuning = tuning
         self.token = token
@@ -62,8 +68,7 @@
         self.responsiveness = Responsiveness(tuning.unheeded_answers, settings.lease_s / 2)
         self.graph = DependencyGraph(self.jobs, self._estimated_remaining_s, self._deadline_at)
         self.started_at = now
-        # Time of day minus monotonic time, exact to the bound that the settings give.
-        self.wall_clock_offset_s = 0.0
+        self.wall_clock_offset_s = wall_clock_offset_s
         # Pending work of the planner, the autoscaler and the cloud requests.
         self.is_planning_requested = True
         self.autoscaling_due_at = now
@@ -74,9 +79,7 @@
         self.finalizing_jobs: dict[JobId, Job] = {}  # complete or cancelled, end not yet durable
         # Cancelled with a job that they depend on, end not yet written.
         self.upstream_cancelled_jobs: dict[JobId, Job] = {}
-        # Pending commands.
-        self.pending_direct_kills: dict[MachineId, None] = {}
-        self._machines_needing_command: dict[MachineId, Machine] = {}
+        self.pending_commands = PendingCommands()
         # Events for the adapters.
         self.finished_jobs: list[FinishedJob] = []
         self.start_latencies_s: list[float] = []  # from readiness, of tasks that started
@@ -107,14 +110,6 @@
         """Make the next comparison of demand and supply due at this time."""
         self.autoscaling_due_at = due_at
 
-    def request_direct_kill(self, machine_id: MachineId) -> None:
-        """Request that kills of cancelled tasks are sent straight to the machine's worker."""
-        self.pending_direct_kills[machine_id] = None
-
-    def clear_direct_kill_request(self, machine_id: MachineId) -> None:
-        """Drop the request made by `request_direct_kill`."""
-        del self.pending_direct_kills[machine_id]
-
     # -- events
 
     def add_finished_job(self, job_id: JobId, outcome: str) -> None:
@@ -174,7 +169,7 @@
         self.request_planning()
         self.request_autoscaling(now)
         if job.spec.dependencies:
-            log.info("job ready job=%s waited=%.1f", job.id, now - job.submitted_at)
+            log.info("job ready job=%s waited_s=%.1f", job.id, now - job.submitted_at)
 
     def _on_upstream_cancelled(self, job: Job, now: MonotonicTime) -> None:
         """Cancel the job, and announce that at once, whatever becomes of the write of its end.
@@ -182,7 +177,7 @@
         Polls after a change of leader get the same answer, since it follows from the end of the
         job that it depends on.
         """
-        log.info("job orphaned job=%s", job.id)
+        log.info("job cancelled with its dependency job=%s", job.id)
         self.mark_cancelled(job, now, now)
         self.predictor.cancel_reservation(job.id)
         if job.id not in self.finalizing_jobs:
@@ -224,7 +219,7 @@
                 PlacementPhase.FETCHING,
             ):
                 # It would start before its machine's next heartbeat.
-                self.request_direct_kill(machine.id)
+                self.pending_commands.request_direct_kill(machine.id)
 
     def kill_all_placements(self, job: Job, now: MonotonicTime) -> None:
         """Kill all tasks of the job where they are."""
@@ -252,20 +247,7 @@
 
     def mark_needs_command(self, machine: Machine) -> None:
         """Record that the machine's next heartbeat should come here, to be given a command."""
-        # Also if it waits for its deletion: the cloud may be down, and a cancelled task be there.
-        if not machine.needs_command and machine.state in (MachineState.UP, MachineState.DELETING):
-            machine.needs_command = True
-            self._machines_needing_command[machine.id] = machine
-
-    def take_machines_needing_command(self) -> dict[NodeId, list[MachineId]]:
-        """Return the machines marked since the last call, by the relay of their heartbeats."""
-        machine_ids_by_relay: dict[NodeId, list[MachineId]] = {}
-        for machine in self._machines_needing_command.values():
-            machine.needs_command = False
-            if machine.relay is not None:
-                machine_ids_by_relay.setdefault(machine.relay, []).append(machine.id)
-        self._machines_needing_command.clear()
-        return machine_ids_by_relay
+        self.pending_commands.mark_needs_command(machine)
 
     def request_deletion(self, machine: Machine, now: MonotonicTime) -> None:
         """Have the machine deleted; nothing new starts there."""
@@ -288,7 +270,7 @@
         machine.is_unschedulable = True
         self.request_autoscaling(now)
         log.info(
-            "machine quarantined machine=%s why=%s jobs=%s",
+            "machine cordoned machine=%s reason=%s jobs=%s",
             machine.id,
             reason,
             sorted(machine.failed_job_ids),
--- a/src/eldercart/scheduling/scheduler.py
+++ b/src/eldercart/scheduling/scheduler.py
@@ -110,8 +110,7 @@
         self.settings = settings
         self.tuning = tuning
         self.token = token
-        self.cluster_state = ClusterState(settings, tuning, token, types, now)
-        self.cluster_state.wall_clock_offset_s = wall_time - now
+        self.cluster_state = ClusterState(settings, tuning, token, types, now, wall_time - now)
         self.jobs = self.cluster_state.jobs
         self.inventory = self.cluster_state.inventory
         self.planner = Planner(self.cluster_state)
@@ -211,7 +210,7 @@
             self.cluster_state.mark_cancelled(job, now, now)
             self.cluster_state.mark_finalizing(job)
             self.cluster_state.kill_all_placements(job, now)
-            log.info("cancel asked job=%s", job_id)
+            log.info("job cancellation requested job=%s", job_id)
         return LookupFailure.UNDECIDED
 
     # -- workers
@@ -237,7 +236,7 @@
 
     def take_machines_needing_command(self) -> dict[NodeId, list[MachineId]]:
         """Return by relay the machines whose next heartbeats should be forwarded."""
-        return self.cluster_state.take_machines_needing_command()
+        return self.cluster_state.pending_commands.take_machines_needing_command()
 
     def on_relay_lost(self, relay: NodeId) -> None:
         """Record that the connection to the relay broke, and that what was sent on it is lost."""
--- a/src/eldercart/scheduling/state_loader.py
+++ b/src/eldercart/scheduling/state_loader.py
@@ -65,7 +65,7 @@
             self._finish_load(job, now)
         self._load_placements(placements, now)
         log.info(
-            "took over epoch=%d jobs=%d placements=%d orphans=%d",
+            "failover complete token=%d jobs=%d placements=%d orphaned_keys=%d",
             self._cluster_state.token,
             len(self._jobs.jobs),
             len(placements),
@@ -171,10 +171,10 @@
                     placement.machine_id,
                     placeholder_type("?"),
                     feasibility.UNKNOWN_ZONE,
-                    True,
-                    MachineState.UP,
-                    now,
-                    grace_until,
+                    is_spot=True,
+                    state=MachineState.UP,
+                    provisioned_at=now,
+                    last_heartbeat_at=grace_until,
                 )
             placement.is_terminating = placement.job.outcome is not None
             inventory.allocate(machine, placement)
--- a/src/eldercart/scheduling/summary.py
+++ b/src/eldercart/scheduling/summary.py
@@ -23,7 +23,7 @@
         f"{origin.value}={outcome}" for origin, outcome in predictor.reservation_outcomes.items()
     )
     log.info(
-        "prediction hits=%d misses=%d unused=%d booked=%d %s",
+        "prediction hits=%d misses=%d expired=%d reserved=%d %s",
         predictor.hits,
         predictor.misses,
         predictor.expired,
@@ -40,9 +40,10 @@
     capacity = _capacity_of(up)
     on_demand_target, total_target = cluster_state.autoscaler.target_cpus()
     log.info(
-        "summary jobs=%d up=%d booting=%d cpus=%g usable=%g running=%g free=%g queued=%g "
-        "starting=%s waiting=%s want=%.0f/%.0f work=%.0f lost=%.0f ending=%d dirty=%d "
-        "cleaning=%d",
+        "summary jobs=%d up=%d booting=%d cpus=%g schedulable_cpus=%g running_cpus=%g "
+        "free_cpus=%g enqueued_cpus=%g starting_cpus=%s pending_cpus=%s "
+        "target_on_demand_cpus=%.0f target_cpus=%.0f completed_cpu_s=%.0f lost_cpu_s=%.0f "
+        "finalizing_jobs=%d dirty_jobs=%d jobs_awaiting_cleanup=%d",
         len(jobs),
         len(up),
         booting_count,
@@ -88,7 +89,7 @@
         for placement in machine.placements.values():
             if placement.phase in (PlacementPhase.RUNNING, PlacementPhase.ENDED):
                 continue
-            phase = "stopping" if placement.is_terminating else placement.phase.name.lower()
+            phase = "terminating" if placement.is_terminating else placement.phase.name.lower()
             cpus_by_phase[phase] = cpus_by_phase.get(phase, 0.0) + placement.job.spec.cpus
     return cpus_by_phase
 
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -219,7 +219,7 @@
 def test_direct_command_to_a_new_session_goes_out_again_at_once() -> None:
     a = CancelledTaskFixture()
     a.w.cancel("wk-1")
-    a.c.cluster_state.pending_direct_kills[MachineId(a.machine.id)] = None
+    a.c.cluster_state.pending_commands.request_direct_kill(MachineId(a.machine.id))
     now = MonotonicTime(a.w.now + 3.0)
     (order,) = a.c.take_direct_kills(now)
     assert order.agent_epoch == 1 and len(order.commands) == 1
