--- a/src/eldercart/cli/duties.py
+++ b/src/eldercart/cli/duties.py
@@ -45,23 +45,23 @@
         case "list":
             return Request("duties", "GET", "/duties", None)
         case "show":
-            return Request(args.lease_name, "GET", f"/duties/{args.lease_name}", None)
+            return Request(args.duty, "GET", f"/duties/{args.duty}", None)
         case "hand-over":
             return Request(
-                args.lease_name,
+                args.duty,
                 "POST",
-                f"/duties/{args.lease_name}/hand-over",
+                f"/duties/{args.duty}/hand-over",
                 encode_hand_over_request(args.to),
             )
         case "pause":
             return Request(
-                args.lease_name,
+                args.duty,
                 "POST",
-                f"/duties/{args.lease_name}/pause",
+                f"/duties/{args.duty}/pause",
                 encode_pause_request(args.reason),
             )
         case _:
-            return Request(args.lease_name, "POST", f"/duties/{args.lease_name}/resume", b"{}")
+            return Request(args.duty, "POST", f"/duties/{args.duty}/resume", b"{}")
 
 
 def _parse_answer(reply: Response) -> dict[str, Any]:
@@ -87,11 +87,11 @@
         case "show":
             return _format_details(answer)
         case "hand-over":
-            return [f"{args.lease_name}: is being handed over to {args.to}"]
+            return [f"{args.duty}: is being handed over to {args.to}"]
         case "pause":
-            return [f"{args.lease_name}: paused"]
+            return [f"{args.duty}: paused"]
         case _:
-            return [f"{args.lease_name}: resumed"]
+            return [f"{args.duty}: resumed"]
 
 
 def _format_row(report: dict[str, Any]) -> str:
