--- a/src/eldercart/autoscaling/cloud_requests.py
+++ b/src/eldercart/autoscaling/cloud_requests.py
@@ -7,7 +7,7 @@
 from eldercart.autoscaling.autoscaler import ScaleOutRequest
 from eldercart.cluster.inventory import MachineState
 from eldercart.jobs.registry import PlacementPhase
-from eldercart.scheduling import feasibility
+from eldercart.scheduling import feasibility, machine_selection
 from eldercart.scheduling.cluster_state import ClusterState
 from eldercart.units import DISTANT_PAST, JobId, MachineId, MonotonicTime
 from eldercart.wire import MalformedMessage, cloud
@@ -106,7 +106,7 @@
                 (j, zone)
                 for j in scheduler.jobs.jobs.values()
                 if (j.unplaced_count or j.enqueued_count) and j.is_runnable
-                if (zone := feasibility.required_zone(j, scheduler.inventory)) is not None
+                if (zone := machine_selection.required_zone(j, scheduler.inventory)) is not None
                 or not all(
                     feasibility.fits_machine_type(j.spec, kind) for kind in scheduler.types.values()
                 )
--- a/src/eldercart/scheduling/cluster_state.py
+++ b/src/eldercart/scheduling/cluster_state.py
@@ -13,7 +13,7 @@
 from eldercart.jobs.dependency_graph import DependencyEffect, DependencyGraph
 from eldercart.jobs.registry import Job, JobRegistry, Placement, PlacementPhase
 from eldercart.prediction.predictor import Predictor
-from eldercart.scheduling.feasibility import ServiceLevelObjectives
+from eldercart.scheduling.objectives import ServiceLevelObjectives
 from eldercart.settings import NodeSettings, Tuning
 from eldercart.units import DISTANT_FUTURE, FencingToken, JobId, MachineId, MonotonicTime, NodeId
 from eldercart.wire.cloud import MachineType
--- /dev/null
+++ b/src/eldercart/scheduling/machine_selection.py
@@ -0,0 +1,182 @@
+"""Which machines the tasks of a job are placed on: scores, and the rules on zones."""
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from eldercart.cluster.inventory import Machine, MachineInventory
+from eldercart.jobs.registry import Job, PlacementPhase
+from eldercart.scheduling.feasibility import (
+    UNKNOWN_ZONE,
+    capacity_for,
+    is_feasible,
+    quota_headroom,
+)
+from eldercart.settings.platform import Team
+from eldercart.units import MonotonicTime
+from eldercart.wire.users import JobSpec
+
+MIN_FETCH_GB_PER_S = 1e-3  # of a machine type that states none
+
+
+class MachineScore(NamedTuple):
+    """How well a machine suits a job; lower is better."""
+
+    is_other_kind: bool  # spot or on-demand, unlike what the job should use
+    fetch_s: float
+    price_per_cpu: float
+    free_cpus: float
+
+
+@dataclass(frozen=True, slots=True)
+class Assignment:
+    """A number of tasks of a job for one machine."""
+
+    machine: Machine
+    task_count: int
+
+
+class _Candidate(NamedTuple):
+    """A feasible machine, and how many tasks of the job fit there now."""
+
+    machine: Machine
+    capacity: int
+
+
+def tasks_by_zone(job: Job, inventory: MachineInventory) -> dict[str, int]:
+    """Return how many tasks of the job may be running in each zone."""
+    counts: dict[str, int] = {}
+    for placement in job.placements():
+        if placement.phase is not PlacementPhase.ENDED:
+            machine = inventory.get(placement.machine_id)
+            if machine is not None:
+                counts[machine.zone] = counts.get(machine.zone, 0) + 1
+    return counts
+
+
+def required_zone(job: Job, inventory: MachineInventory) -> str | None:
+    """Return the only zone where the job's next task may run: the one that it asks for, or the one
+    where its other tasks are if it must stay in a single zone; None if it is free."""
+    if job.spec.zone is None and job.spec.single_zone:
+        zones = tasks_by_zone(job, inventory)
+        return next(iter(zones)) if len(zones) == 1 and UNKNOWN_ZONE not in zones else None
+    return job.spec.zone
+
+
+def pending_fetch_gb(machine: Machine, image: str) -> float:
+    """Return the GB of other images that tasks on the machine wait for: fetched at once, they
+    share the machine's rate."""
+    if not machine.live_task_count:
+        return 0.0
+    sizes_gb = {
+        placement.job.spec.image: placement.job.spec.image_gb
+        for placement in machine.placements.values()
+        if placement.phase < PlacementPhase.RUNNING
+        and (not placement.has_been_reported or placement.phase is PlacementPhase.FETCHING)
+    }
+    return sum(size_gb for name, size_gb in sizes_gb.items() if name != image)
+
+
+def score(spec: JobSpec, machine: Machine, *, prefers_on_demand: bool = False) -> MachineScore:
+    """Return how well the machine suits tasks of the job.
+
+    On-demand machines are left for jobs that may use nothing else; then a cached image (as
+    heartbeats and starts have shown) or the shortest fetch counts; then the cheaper type, so that
+    the dearer ones come free and are returned; then the fullest machine, so that whole machines
+    come free. `prefers_on_demand` is for jobs that a reclaimed spot machine has interrupted: what
+    it took is long, or it would have ended, and would be lost again.
+    """
+    machine_type = machine.type
+    fetch_s = 0.0
+    if spec.image not in machine.cached_images:
+        fetch_gb = spec.image_gb + pending_fetch_gb(machine, spec.image)
+        fetch_s = fetch_gb / max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
+    price = machine_type.spot_price if machine.is_spot else machine_type.price
+    return MachineScore(
+        machine.is_spot if prefers_on_demand else spec.allows_spot and not machine.is_spot,
+        fetch_s,
+        price / max(machine_type.cpus, 1.0),
+        machine.free_cpus,
+    )
+
+
+def select_machines(
+    job: Job,
+    wanted: int,
+    machines: Iterable[Machine],
+    inventory: MachineInventory,
+    teams: dict[str, Team],
+    now: MonotonicTime,
+) -> list[Assignment]:
+    """Return machines for at most `wanted` tasks of the job, those with the best scores first,
+    within its team's quota and its rules on zones."""
+    wanted = min(wanted, quota_headroom(job.spec, inventory, teams))
+    if wanted <= 0:
+        return []
+    candidates = _feasible_machines(job, machines, now)
+    if not candidates:
+        return []
+    spec = job.spec
+    zones: dict[str, int] = {}
+    if spec.single_zone or spec.spread:
+        zones = tasks_by_zone(job, inventory)
+        if UNKNOWN_ZONE in zones:
+            # After a failover: where some of its tasks are comes with the next heartbeats.
+            return []
+    if spec.single_zone:
+        # Whatever may still run counts, also where its machine is given up: it may go on.
+        zone = next(iter(zones)) if zones else _zone_with_most_capacity(candidates, wanted)
+        candidates = [candidate for candidate in candidates if candidate.machine.zone == zone]
+    zone_limit = (spec.task_count + 1) // 2 if spec.spread else None
+    return _assign_in_order(candidates, wanted, zones, zone_limit)
+
+
+def _feasible_machines(
+    job: Job, machines: Iterable[Machine], now: MonotonicTime
+) -> list[_Candidate]:
+    """Return the machines where at least one task of the job fits now, the best score first."""
+    spec = job.spec
+    candidates = [
+        _Candidate(machine, capacity)
+        for machine in machines
+        if machine.launch_backoff_until <= now
+        and is_feasible(spec, machine)
+        and not job.avoids_machine(machine.id, now)
+        and (capacity := capacity_for(spec, machine)) > 0
+    ]
+    prefers_on_demand = job.prefers_on_demand
+    candidates.sort(
+        key=lambda candidate: (
+            score(spec, candidate.machine, prefers_on_demand=prefers_on_demand),
+            candidate.machine.id,  # makes the order total
+        )
+    )
+    return candidates
+
+
+def _zone_with_most_capacity(candidates: list[_Candidate], wanted: int) -> str:
+    """Return the zone with room for the most of the wanted tasks."""
+    capacity: dict[str, int] = {}
+    for machine, task_count in candidates:
+        capacity[machine.zone] = capacity.get(machine.zone, 0) + task_count
+    return max(capacity, key=lambda zone: (min(capacity[zone], wanted), zone))
+
+
+def _assign_in_order(
+    candidates: list[_Candidate], wanted: int, zones: dict[str, int], zone_limit: int | None
+) -> list[Assignment]:
+    """Return the first candidates that hold the wanted tasks, with at most `zone_limit` tasks in a
+    zone, those that are there already (`zones`) among them."""
+    assignments = []
+    for machine, capacity in candidates:
+        task_count = min(capacity, wanted)
+        if zone_limit is not None:
+            task_count = min(task_count, zone_limit - zones.get(machine.zone, 0))
+            if task_count <= 0:
+                continue
+            zones[machine.zone] = zones.get(machine.zone, 0) + task_count
+        assignments.append(Assignment(machine, task_count))
+        wanted -= task_count
+        if wanted <= 0:
+            break
+    return assignments
--- /dev/null
+++ b/src/eldercart/scheduling/prelaunch_queue.py
@@ -0,0 +1,154 @@
+"""Tasks enqueued on machines ahead of free capacity.
+
+Such a placement is recorded but not launched. The heartbeat that shows the capacity is then
+answered with the launch, and no write stands between; in an outage of the state store work goes on
+as far as the queues reach.
+"""
+
+from dataclasses import dataclass
+
+from eldercart.cluster.inventory import RESOURCE_EPSILON, Machine, MachineInventory
+from eldercart.jobs.registry import Job
+from eldercart.scheduling.cluster_state import ClusterState
+from eldercart.scheduling.feasibility import is_feasible
+from eldercart.units import JobId, MachineId, MonotonicTime
+from eldercart.wire.users import JobSpec
+
+
+@dataclass(slots=True)
+class EnqueuedTasks:
+    """The tasks of one job that are enqueued on one machine."""
+
+    machine: Machine
+    spec: JobSpec
+    task_count: int = 1
+
+
+EnqueuedByPriority = dict[int, dict[tuple[MachineId, JobId], EnqueuedTasks]]
+
+
+def enqueued_by_priority(inventory: MachineInventory) -> EnqueuedByPriority:
+    """Return all enqueued tasks by the priority of their jobs."""
+    by_priority: EnqueuedByPriority = {}
+    for machine in inventory.machines_with_prelaunch_queue.values():
+        for placement in machine.prelaunch_queue.values():
+            job = placement.job
+            same_priority = by_priority.setdefault(job.priority, {})
+            enqueued = same_priority.get((machine.id, job.id))
+            if enqueued is None:
+                same_priority[machine.id, job.id] = EnqueuedTasks(machine, job.spec)
+            else:
+                enqueued.task_count += 1
+    return by_priority
+
+
+def cancel_stale(cluster: ClusterState, now: MonotonicTime) -> None:
+    """Cancel what is enqueued on a machine that no longer takes anything, or where the capacity
+    has not come: it was never launched, so it may go elsewhere at once."""
+    enqueued_before = now - cluster.tuning.ahead_patience_s
+    stale = [
+        placement
+        for machine in cluster.inventory.machines_with_prelaunch_queue.values()
+        for placement in machine.prelaunch_queue.values()
+        if placement.enqueued_at < enqueued_before or not machine.is_schedulable
+    ]
+    for placement in stale:
+        cluster.cancel_placement(placement, now)
+
+
+class PrelaunchQueues:
+    """The prelaunch queues of all schedulable machines, during one planning pass."""
+
+    def __init__(
+        self,
+        cluster: ClusterState,
+        machines: list[Machine],
+        min_task_cpus: float,
+        now: MonotonicTime,
+    ) -> None:
+        """`min_task_cpus`: the fewest CPUs that a task of this pass needs."""
+        self._cluster = cluster
+        self._machines = machines
+        self._min_task_cpus = min_task_cpus
+        self._now = now
+        self._machines_with_space: list[Machine] | None = None  # found when first needed
+
+    def enqueue(
+        self, job: Job, machine: Machine, task_count: int, *, exempt_from_preemption: bool = False
+    ) -> None:
+        """Enqueue tasks of the job on the machine, and reserve capacity there for them."""
+        cluster = self._cluster
+        for index in cluster.jobs.take_unplaced_tasks(job, task_count):
+            placement = cluster.jobs.add_placement(job, index, machine.id, self._now)
+            placement.is_exempt_from_preemption = exempt_from_preemption
+            cluster.jobs.mark_enqueued(placement, self._now)
+            cluster.inventory.enqueue(machine, placement)
+            cluster.inventory.reserve(machine, job.spec, 1)
+        cluster.dirty_jobs[job.id] = job
+
+    def enqueue_ahead(self, job: Job, task_count: int, *, is_starving: bool) -> None:
+        """Enqueue at most `task_count` tasks of the job wherever queues have space: where its image
+        is cached first, then on the shortest queues. A starving job finds space for one task in
+        any queue, and is not preempted."""
+        if job.spec.cpus <= 0:
+            return
+        if self._machines_with_space is None:
+            self._machines_with_space = self._with_space(self._machines, self._min_task_cpus)
+        if is_starving:
+            candidates = self._machines
+        else:
+            candidates = self._with_space(self._machines_with_space, job.spec.cpus)
+        candidates = self._best_queues_first(job, candidates)
+        if not candidates:
+            return
+        for machine in candidates:
+            capacity = self._queue_capacity(job.spec, machine, is_starving=is_starving)
+            enqueued = min(task_count, capacity)
+            if enqueued <= 0:
+                break
+            task_count -= enqueued
+            self.enqueue(job, machine, enqueued, exempt_from_preemption=is_starving)
+        self._machines_with_space = self._with_space(self._machines_with_space, self._min_task_cpus)
+
+    def cancel(self, job: Job, task_count: int) -> None:
+        """Cancel enqueued tasks of the job, the last ones first, since there is free capacity
+        elsewhere: nothing was launched, so they may move."""
+        if task_count <= 0:
+            return
+        enqueued = [placement for placement in job.placements() if placement.is_enqueued]
+        enqueued.sort(key=lambda placement: (-placement.enqueued_at, placement.key))
+        for placement in enqueued[:task_count]:
+            self._cluster.cancel_placement(placement, self._now)
+
+    def _with_space(self, machines: list[Machine], cpus: float) -> list[Machine]:
+        """Return those whose queues have space for so many more CPUs."""
+        share = self._cluster.tuning.ahead_share
+        return [
+            machine
+            for machine in machines
+            if machine.type.cpus * share - machine.prelaunch_cpus + RESOURCE_EPSILON >= cpus
+        ]
+
+    def _best_queues_first(self, job: Job, machines: list[Machine]) -> list[Machine]:
+        """Return those where the job may run: with its image first, then the shortest queues."""
+        spec, now = job.spec, self._now
+        feasible = [
+            machine
+            for machine in machines
+            if not job.avoids_machine(machine.id, now) and is_feasible(spec, machine)
+        ]
+        feasible.sort(
+            key=lambda machine: (
+                spec.image not in machine.cached_images,
+                len(machine.prelaunch_queue),
+                machine.id,
+            )
+        )
+        return feasible
+
+    def _queue_capacity(self, spec: JobSpec, machine: Machine, *, is_starving: bool) -> int:
+        """Return how many tasks of the job the machine's queue has space for."""
+        space_cpus = machine.type.cpus * self._cluster.tuning.ahead_share - machine.prelaunch_cpus
+        if is_starving:
+            space_cpus = max(space_cpus, spec.cpus)
+        return int((space_cpus + RESOURCE_EPSILON) / spec.cpus)
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -9,8 +9,10 @@
 from eldercart.cluster.inventory import MachineInventory
 from eldercart.jobs.dependency_graph import DependencyGraph
 from eldercart.jobs.registry import Job, JobRegistry
-from eldercart.scheduling.feasibility import ServiceLevelObjectives, order_jobs, select_victims
-from eldercart.scheduling.planner import _PlanningPass
+from eldercart.scheduling.objectives import ServiceLevelObjectives
+from eldercart.scheduling.planning_pass import PlanningPass
+from eldercart.scheduling.preemption import select_victims
+from eldercart.scheduling.queue_order import QueueOrderContext, order_jobs
 from eldercart.scheduling.scheduler import JobStatus, LookupFailure, TransactionOutcome
 from eldercart.server.leadership.user_answers import UserAnswers
 from eldercart.units import DISTANT_FUTURE, JobId, MonotonicTime, Revision
@@ -778,12 +780,14 @@
     g.add("b", "a", urgency="urgent")
     ordered = order_jobs(
         [other, a],
-        MachineInventory(),
-        {},
-        ServiceLevelObjectives({}, {}),
-        lambda priority, spot: 100.0,
-        lambda job: 6.0,
-        lambda job: 6.0,
+        QueueOrderContext(
+            MachineInventory(),
+            {},
+            ServiceLevelObjectives({}, {}),
+            lambda priority, spot: 100.0,
+            lambda job: 6.0,
+            lambda job: 6.0,
+        ),
         MonotonicTime(0.0),
     )
     assert ordered == [a, other]
@@ -985,23 +989,23 @@
 
 
 def test_no_ordinary_machines_are_kept_for_a_job_that_waits() -> None:
-    """`_PlanningPass._ordinary_kept`: up to the priority of jobs that may start, not of those that
-    wait."""
+    """`PlanningPass._priority_barred_from_on_demand`: up to the priority of jobs that may start,
+    not of those that wait."""
     w = World(23)
     w.submit("wk-a", parcels=50, urgency="idle", loaners=False, run_s=60.0)
     w.submit("wk-b", parcels=50, urgency="urgent", loaners=False, awaits=["wk-c"], run_s=5.0)
     w.jobs["wk-c"] = submission("wk-c")
     c = w.scheduler
     assert c is not None
-    assert (
-        _PlanningPass(c.planner, [], [], MonotonicTime(w.now))._priority_barred_from_on_demand()
-        == 0
+    planning_pass = PlanningPass(
+        c.planner.cluster, [], [], lambda machine_count: 0, MonotonicTime(w.now)
     )
+    assert planning_pass._priority_barred_from_on_demand() == 0
 
 
 @pytest.mark.parametrize("needed", [True, False])
 def test_running_tasks_that_an_urgent_job_has_come_to_need_are_not_stopped(needed: bool) -> None:
-    """`cheapest_victims`: the descendant came after they were placed, as idle ones."""
+    """`select_victims`: the descendant came after they were placed, as idle ones."""
     w = World(24, capacity=1)
     w.submit("wk-a", parcels=8, urgency="idle", run_s=60.0, haulS=60.0)
     w.run(12.0)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -5,7 +5,7 @@
 import pytest
 
 from eldercart.persistence import learned_state
-from eldercart.scheduling import feasibility
+from eldercart.scheduling import feasibility, machine_selection
 from eldercart.scheduling.scheduler import JobStatus
 from eldercart.units import JobId, MonotonicTime
 from eldercart.wire import workers
@@ -293,13 +293,13 @@
     assert before
     machines = list(c.inventory.machines.values())
     assert (
-        feasibility.select_machines(
+        machine_selection.select_machines(
             job, 5, machines, c.inventory, w.settings.teams, MonotonicTime(w.now)
         )
         == []
     )
     w.run(3)
-    assert feasibility.UNKNOWN_ZONE not in feasibility.tasks_by_zone(job, c.inventory)
+    assert feasibility.UNKNOWN_ZONE not in machine_selection.tasks_by_zone(job, c.inventory)
     finish(w)
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -21,7 +21,9 @@
 )
 from eldercart.jobs.registry import Job, JobRegistry
 from eldercart.prediction.predictor import Predictor
-from eldercart.scheduling import feasibility
+from eldercart.scheduling.machine_selection import score
+from eldercart.scheduling.objectives import ServiceLevelObjectives
+from eldercart.scheduling.queue_order import QueueOrderContext, order_jobs
 from eldercart.server.controller_node import is_healthy
 from eldercart.server.store.token_bucket import TokenBucket
 from eldercart.settings import InvalidSettings, load_tuning
@@ -340,7 +342,7 @@
 
 # -- order
 
-NONE = feasibility.ServiceLevelObjectives({}, {})
+NONE = ServiceLevelObjectives({}, {})
 
 
 def test_order_of_jobs() -> None:
@@ -356,14 +358,16 @@
         spec = users.parse_submission(submission(f"wk-{i:06d}", **changes))
         registry.add(spec, 100, MonotonicTime(0.0))
     fleet.cpus_by_team["t2"] = 40.0
-    ordered = feasibility.order_jobs(
+    ordered = order_jobs(
         list(registry.jobs.values()),
-        fleet,
-        teams,
-        NONE,
-        lambda p, s: 100.0,
-        lambda j: 6.0,
-        lambda j: 6.0,
+        QueueOrderContext(
+            fleet,
+            teams,
+            NONE,
+            lambda p, s: 100.0,
+            lambda j: 6.0,
+            lambda j: 6.0,
+        ),
         MonotonicTime(1.0),
     )
     assert [j.id[-1] for j in ordered] == ["3", "2", "1", "0"]
@@ -375,14 +379,16 @@
     for i, tasks in enumerate((400, 10, 10, 10)):
         body = submission(f"wk-{i:06d}", parcels=tasks, dueS=40.0 + i)
         registry.add(users.parse_submission(body), 100, MonotonicTime(0.0))
-    ordered = feasibility.order_jobs(
+    ordered = order_jobs(
         list(registry.jobs.values()),
-        MachineInventory(),
-        parse_platform(PLATFORM).teams,
-        NONE,
-        lambda p, s: 16.0,
-        lambda j: 6.0,
-        lambda j: 6.0,
+        QueueOrderContext(
+            MachineInventory(),
+            parse_platform(PLATFORM).teams,
+            NONE,
+            lambda p, s: 16.0,
+            lambda j: 6.0,
+            lambda j: 6.0,
+        ),
         MonotonicTime(1.0),
     )
     assert [j.id[-1] for j in ordered] == ["1", "2", "3", "0"]
@@ -402,14 +408,16 @@
     for i, changes in enumerate(rows):
         body = submission(f"wk-{i:06d}", **({"loaners": False} | changes))
         registry.add(users.parse_submission(body), 100, MonotonicTime(0.0))
-    ordered = feasibility.order_jobs(
+    ordered = order_jobs(
         list(registry.jobs.values()),
-        MachineInventory(),
-        parse_platform(PLATFORM).teams,
-        NONE,
-        lambda p, spot: 1000.0 if spot else 16.0,
-        lambda j: 6.0,
-        lambda j: 6.0,
+        QueueOrderContext(
+            MachineInventory(),
+            parse_platform(PLATFORM).teams,
+            NONE,
+            lambda p, spot: 1000.0 if spot else 16.0,
+            lambda j: 6.0,
+            lambda j: 6.0,
+        ),
         MonotonicTime(1.0),
     )
     assert [j.id[-1] for j in ordered] == ["1", "2", "0", "3"]
@@ -428,10 +436,10 @@
     p = registry.add_placement(registry.add(spec, 100, now), 0, busy.id, now)
     fleet.allocate(busy, p)
     other = users.parse_submission(submission("wk-000002", kit="two", imageGb=2.0))
-    assert feasibility.score(other, busy) > feasibility.score(other, idle)
-    assert feasibility.score(spec, busy) < feasibility.score(spec, idle), "one fetch serves both"
+    assert score(other, busy) > score(other, idle)
+    assert score(spec, busy) < score(spec, idle), "one fetch serves both"
     fleet.record_image_use(busy, "two", 2.0)
-    assert feasibility.score(other, busy) < feasibility.score(other, idle)
+    assert score(other, busy) < score(other, idle)
 
 
 # -- health
@@ -469,14 +477,12 @@
 
 
 def test_promises_count_back_to_a_start() -> None:
-    p = feasibility.ServiceLevelObjectives(
-        {"slow": (8.0, 20.0)}, {"slow": (60.0,)}, {"slow": (1.0, 1.5)}
-    )
+    p = ServiceLevelObjectives({"slow": (8.0, 20.0)}, {"slow": (60.0,)}, {"slow": (1.0, 1.5)})
     late = job(1, "a", dueS=30.0)
     assert p.latest_start_times(late, 12.0) == [9.0, 19.0, 21.0, 34.0, 49.0]
     assert p.preemption_allowed_at(late, 3.0, 5.0) == pytest.approx(1.0 + 0.55 * 8.0)
     assert p.preemption_allowed_at(late, 6.0, 5.0) == pytest.approx(1.0 + 2.0)
-    assert feasibility.ServiceLevelObjectives({}, {}).preemption_allowed_at(late, 3.0, 5.0) == 6.0
+    assert ServiceLevelObjectives({}, {}).preemption_allowed_at(late, 3.0, 5.0) == 6.0
 
 
 def test_demand_is_expected_while_submissions_come() -> None:
