--- a/src/eldercart/cluster/heartbeats.py
+++ b/src/eldercart/cluster/heartbeats.py
@@ -2,7 +2,7 @@
 
 import logging
 
-from eldercart.autoscaling.cloud_requests import placeholder_type
+from eldercart.autoscaling.inventory_updates import placeholder_type
 from eldercart.cluster.inventory import RESOURCE_EPSILON, Machine, MachineState
 from eldercart.cluster.reconciliation import Reconciler
 from eldercart.scheduling.cluster_state import ClusterState
--- a/src/eldercart/scheduling/cluster_state.py
+++ b/src/eldercart/scheduling/cluster_state.py
@@ -107,7 +107,7 @@
     def apply_graph_change(self, effect: DependencyEffect, now: MonotonicTime) -> None:
         """Carries out what an end or a new job brings about in the graph."""
         for job in effect.ready:
-            self.predictor.on_job_ready(job, now)
+            self.predictor.on_job_ready(job)
             self.autoscaler.record_arrival(now)
             self.is_planning_requested = True
             self.autoscaling_due_at = now
--- a/src/eldercart/scheduling/scheduler.py
+++ b/src/eldercart/scheduling/scheduler.py
@@ -14,14 +14,14 @@
 from enum import Enum
 from itertools import islice
 
-from eldercart.autoscaling.cloud_requests import (
+from eldercart.autoscaling.cloud_requests import CloudRequestQueue
+from eldercart.autoscaling.inventory_updates import placeholder_type
+from eldercart.autoscaling.request_types import (
     CloudRequest,
-    CloudRequestQueue,
     DeleteMachines,
     GetCatalog,
     ListMachines,
     ScaleOut,
-    placeholder_type,
 )
 from eldercart.cluster.direct_kills import DirectKill, DirectKills
 from eldercart.cluster.failure_detector import FailureDetector, Probe
--- a/src/eldercart/server/singleton/gated_cloud_requests.py
+++ b/src/eldercart/server/singleton/gated_cloud_requests.py
@@ -5,12 +5,8 @@
 import time
 from typing import TYPE_CHECKING
 
-from eldercart.autoscaling.cloud_requests import (
-    DeleteMachines,
-    RequestAdmission,
-    ScaleOut,
-    is_capacity_refusal,
-)
+from eldercart.autoscaling.cloud_requests import RequestAdmission, is_capacity_refusal
+from eldercart.autoscaling.request_types import DeleteMachines, ScaleOut
 from eldercart.scheduling.scheduler import CloudRequest, Scheduler
 from eldercart.server.leadership.cloud_requests import CloudRequests, CloudResponseCallback
 from eldercart.server.store.client import RESERVE_JOB_OUTCOMES
--- a/src/eldercart/server/singleton/lease_service.py
+++ b/src/eldercart/server/singleton/lease_service.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from eldercart.autoscaling.autoscaler import MachineOffering, ScaleOutRequest
+from eldercart.autoscaling.request_types import MachineOffering, ScaleOutRequest
 from eldercart.election.state_machine import GrantLease, KeepLeaseAlive, Role
 from eldercart.persistence.learned_state import VALUE_FILL_RATIO
 from eldercart.persistence.transaction_writer import CleanupPermit
--- a/src/eldercart/singleton/write_ahead_gate.py
+++ b/src/eldercart/singleton/write_ahead_gate.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from eldercart.autoscaling.cloud_requests import CloudRequest, DeleteMachines, ScaleOut
+from eldercart.autoscaling.request_types import CloudRequest, DeleteMachines, ScaleOut
 from eldercart.singleton.intents import IntentLog, IntentWrite, WriteOutcome
 from eldercart.units import FencingToken, LeaseToken, MachineId, MonotonicTime, Revision, WallTime
 from eldercart.wire.named_leases import Intent, LeaseName, ScaleInIntent, ScaleOutIntent
--- a/tests/duty_world.py
+++ b/tests/duty_world.py
@@ -12,8 +12,12 @@
 
 import orjson
 
-from eldercart.autoscaling.autoscaler import MachineOffering, ScaleOutRequest
-from eldercart.autoscaling.cloud_requests import DeleteMachines, ScaleOut
+from eldercart.autoscaling.request_types import (
+    DeleteMachines,
+    MachineOffering,
+    ScaleOut,
+    ScaleOutRequest,
+)
 from eldercart.election.state_machine import (
     Campaign,
     Election,
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -6,8 +6,12 @@
 import orjson
 import pytest
 
-from eldercart.autoscaling.autoscaler import MachineOffering, ScaleOutRequest
-from eldercart.autoscaling.cloud_requests import DeleteMachines, ScaleOut
+from eldercart.autoscaling.request_types import (
+    DeleteMachines,
+    MachineOffering,
+    ScaleOut,
+    ScaleOutRequest,
+)
 from eldercart.election.state_machine import GrantLease, KeepLeaseAlive
 from eldercart.singleton.holder_preference import candidate_rank, is_overloaded
 from eldercart.singleton.intents import (
--- a/tests/test_duty_schedules.py
+++ b/tests/test_duty_schedules.py
@@ -6,8 +6,7 @@
 import pytest
 
 from duty_world import World, check_end, check_history
-from eldercart.autoscaling.autoscaler import MachineOffering, ScaleOutRequest
-from eldercart.autoscaling.cloud_requests import ScaleOut
+from eldercart.autoscaling.request_types import MachineOffering, ScaleOut, ScaleOutRequest
 from eldercart.election.state_machine import LEADER_KEY
 from eldercart.singleton.intents import IntentLog
 from eldercart.singleton.write_ahead_gate import WriteAheadGate
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -20,7 +20,7 @@
     Role,
 )
 from eldercart.jobs.registry import Job, JobRegistry
-from eldercart.prediction.predictor import Predictor
+from eldercart.prediction.predictor import Predictor, ReservationWindow
 from eldercart.scheduling.machine_selection import score
 from eldercart.scheduling.objectives import ServiceLevelObjectives
 from eldercart.scheduling.queue_order import QueueOrderContext, order_jobs
@@ -288,7 +288,7 @@
 def train(p: Predictor, images: str, outcomes: str) -> list[Job]:
     jobs = [job(i, image) for i, image in enumerate(images)]
     for j in jobs:
-        p.on_job_ready(j, j.submitted_at)
+        p.on_job_ready(j)
     for j, outcome in zip(jobs, outcomes, strict=False):
         p.on_stream_job_ended(j, users.DONE if outcome == "d" else users.CANCELLED)
     return jobs
@@ -318,24 +318,24 @@
     p = Predictor(load_tuning(values={"path_length": 1}))
     jobs = train(p, "ab" * 12, "d" * 14)
     for j in jobs[14:]:
-        p.reserve_for_stream(j, 1.0, 10.0, load, MonotonicTime(30.0))
+        p.reserve_for_stream(j, 1.0, ReservationWindow(10.0, load, MonotonicTime(30.0)))
     assert len(p.soft_reservations) == depth
 
 
 def test_bookings_are_made_late_taken_up_and_returned() -> None:
     p = Predictor(load_tuning(values={"path_length": 1}))
     jobs = train(p, "ababab", "ddddd")
-    p.reserve_for_stream(jobs[5], 30.0, 10.0, 0.0, MonotonicTime(10.0))
+    p.reserve_for_stream(jobs[5], 30.0, ReservationWindow(10.0, 0.0, MonotonicTime(10.0)))
     assert not p.soft_reservations, "more than a boot ahead"
-    p.reserve_for_stream(jobs[5], 5.0, 10.0, 0.0, MonotonicTime(10.0))
+    p.reserve_for_stream(jobs[5], 5.0, ReservationWindow(10.0, 0.0, MonotonicTime(10.0)))
     assert [b.image for b in p.soft_reservations] == ["a"]
     assert p.reserved_cpus() == pytest.approx((0.0, 12.0))
-    p.on_job_ready(job(20, "a"), MonotonicTime(12.0))
+    p.on_job_ready(job(20, "a"))
     assert (p.hits, p.misses, p.soft_reservations) == (1, 0, [])
-    p.reserve_for_stream(jobs[5], 5.0, 10.0, 0.0, MonotonicTime(10.0))
-    p.on_job_ready(job(21, "z"), MonotonicTime(13.0))
+    p.reserve_for_stream(jobs[5], 5.0, ReservationWindow(10.0, 0.0, MonotonicTime(10.0)))
+    p.on_job_ready(job(21, "z"))
     assert (p.hits, p.misses, p.soft_reservations) == (1, 1, [])
-    p.reserve_for_stream(jobs[5], 5.0, 10.0, 0.0, MonotonicTime(10.0))
+    p.reserve_for_stream(jobs[5], 5.0, ReservationWindow(10.0, 0.0, MonotonicTime(10.0)))
     p.expire(MonotonicTime(99.0))
     assert (p.expired, p.soft_reservations) == (1, [])
 
--- a/tests/test_prediction.py
+++ b/tests/test_prediction.py
@@ -6,7 +6,7 @@
 import pytest
 
 from eldercart.jobs.registry import Job
-from eldercart.prediction.predictor import Predictor
+from eldercart.prediction.predictor import Predictor, ReservationWindow
 from eldercart.prediction.soft_reservations import ReservationOrigin, ReservationOutcomes
 from eldercart.settings import load_tuning
 from eldercart.units import JobId, MachineId, MonotonicTime
@@ -43,7 +43,7 @@
         self.ending |= {JobId("wk-" + n.replace("_", "-")): s for n, s in left.items()}
         for expected in self.predictor.chains.predict_successors(self.ending):
             self.predictor.reserve_for_chain(
-                expected, expected.cpus, BOOT_S, load, MonotonicTime(self.now)
+                expected, expected.cpus, ReservationWindow(BOOT_S, load, MonotonicTime(self.now))
             )
 
     def wait(self, seconds: float) -> None:
@@ -266,7 +266,7 @@
         c.submit(name, kit=f"image-{i}")
     c.submit("c-1", *names)
     c.end(*names)
-    table = c.predictor.chains._statistics
+    table = c.predictor.chains._table.by_path
     assert len(table) == 3000
     assert not any(
         s.fan_in for e in table.values() for s in e.successors["done"].by_pipeline.values()
@@ -369,7 +369,7 @@
     c.learn("a", "b", "c")
     running_pair(c)
     c.near_end(b_1=3.0)
-    c.predictor.on_job_ready(c.submit("c-7"), MonotonicTime(c.now))
+    c.predictor.on_job_ready(c.submit("c-7"))
     assert c.booked() == [("c", 12.0)] and c.tally == (0, 0, 0)
     assert c.predictor.reservation_outcomes[ReservationOrigin.STREAM] == ReservationOutcomes()
 
@@ -379,14 +379,16 @@
     c = Chains()
     independent = [c.submit(f"c-{number}") for number in range(6)]
     for job in independent:
-        c.predictor.on_job_ready(job, MonotonicTime(c.now))
+        c.predictor.on_job_ready(job)
         c.predictor.on_stream_job_ended(job, users.DONE)
-    c.predictor.reserve_for_stream(independent[-1], 1.0, BOOT_S, 0.0, MonotonicTime(c.now))
+    c.predictor.reserve_for_stream(
+        independent[-1], 1.0, ReservationWindow(BOOT_S, 0.0, MonotonicTime(c.now))
+    )
     assert c.booked() == [("c", pytest.approx(12.0))]
     c.submit("b-1")
     late = c.submit("c-9", "b-1")
-    c.predictor.on_job_ready(late, MonotonicTime(c.now))
-    c.predictor.reserve_for_stream(late, 1.0, BOOT_S, 0.0, MonotonicTime(c.now))
+    c.predictor.on_job_ready(late)
+    c.predictor.reserve_for_stream(late, 1.0, ReservationWindow(BOOT_S, 0.0, MonotonicTime(c.now)))
     assert c.booked() == [("c", pytest.approx(12.0))]
     assert c.predictor.reservation_outcomes[ReservationOrigin.STREAM] == ReservationOutcomes()
 
@@ -399,7 +401,7 @@
     running_pair(c, "2")
     c.near_end(b_2=3.0)
     assert c.booked() == []
-    assert set(c.predictor.chains._statistics) == {("t2/a/img",)}, "of the two that are done"
+    assert set(c.predictor.chains._table.by_path) == {("t2/a/img",)}, "of the two that are done"
 
 
 def test_room_that_the_upstream_holds_is_not_asked_for_twice() -> None:
