--- a/src/eldercart/scheduling/cluster_state.py
+++ b/src/eldercart/scheduling/cluster_state.py
@@ -13,7 +13,7 @@
 from eldercart.jobs.dependency_graph import DependencyEffect, DependencyGraph
 from eldercart.jobs.registry import Job, JobRegistry, Placement, PlacementPhase
 from eldercart.prediction.predictor import Predictor
-from eldercart.scheduling.feasibility import ServiceLevelObjectives
+from eldercart.scheduling.objectives import ServiceLevelObjectives
 from eldercart.settings import NodeSettings, Tuning
 from eldercart.units import DISTANT_FUTURE, FencingToken, JobId, MachineId, MonotonicTime, NodeId
 from eldercart.wire.cloud import MachineType
@@ -107,7 +107,7 @@
     def apply_graph_change(self, effect: DependencyEffect, now: MonotonicTime) -> None:
         """Carries out what an end or a new job brings about in the graph."""
         for job in effect.ready:
-            self.predictor.on_job_ready(job, now)
+            self.predictor.on_job_ready(job)
             self.autoscaler.record_arrival(now)
             self.is_planning_requested = True
             self.autoscaling_due_at = now
