--- a/src/eldercart/election/state_machine.py
+++ b/src/eldercart/election/state_machine.py
@@ -1,14 +1,22 @@
-"""Leadership, as a state machine without I/O.
+"""Leader election as a state machine without I/O or clock.
 
-The leader key in the state service hangs on a short lease there. Creating the key
-is the election; the key's version is the epoch, which workers compare as their fencing token and
-on which every write of the leader is guarded. Versions only grow, so epochs do.
+Creating the leader key in the state service is the election. The key hangs on a short lease, and
+its version is the fencing token: workers compare it, and every write of the leader is conditional
+on it. Versions only grow, so a later leader's token is always higher.
 """
 
 import math
-from dataclasses import dataclass
 from enum import Enum
 
+from eldercart.election.actions import (
+    Campaign,
+    ElectionAction,
+    GrantLease,
+    KeepLeaseAlive,
+    ReadLeaderKey,
+    RevokeLease,
+)
+from eldercart.election.store_lease import StoreLease
 from eldercart.units import (
     ABSENT_REVISION,
     DEFAULT_INCARNATION,
@@ -20,15 +28,26 @@
     NodeId,
     Revision,
 )
+from eldercart.wire.leader_key import LEADER_KEY, LeaderRecord, leader_value, parse_leader
 from eldercart.wire.state import Item, Put, Transaction
 
-LEADER_KEY = "lead"
-
-# Parts of the lease's life.
-RETRIES_PER_LEASE = 16  # one is the pause after an action that was not carried out
-KEEP_ALIVES_PER_LEASE = 5  # one is the time from a renewal to the next
-READS_PER_LEASE = 2  # one is the time between two reads of the leader key, besides the watch on it
-RESIGNATION_BACKOFF_LEASES = 3  # for which a node that has resigned does not claim the leadership
+__all__ = [
+    "LEADER_KEY",
+    "Campaign",
+    "Election",
+    "ElectionAction",
+    "GrantLease",
+    "KeepLeaseAlive",
+    "ReadLeaderKey",
+    "RevokeLease",
+    "Role",
+]
+
+# Intervals, as parts of the lease's time to live.
+RETRIES_PER_LEASE = 16  # pauses after a failed action
+KEEP_ALIVES_PER_LEASE = 5
+READS_PER_LEASE = 2  # reads of the leader key, beside the watch on it
+RESIGNATION_BACKOFF_LEASES = 3  # time to live spans without a campaign after a resignation
 
 
 class Role(Enum):
@@ -38,106 +57,75 @@
     LEADER = "leader"
 
 
-@dataclass(frozen=True, slots=True)
-class ReadLeaderKey:
-    """Read the leader key."""
-
-
-@dataclass(frozen=True, slots=True)
-class GrantLease:
-    """Open a lease of that many seconds in the state service."""
-
-    ttl_s: float
-
-
-@dataclass(frozen=True, slots=True)
-class KeepLeaseAlive:
-    """Renew the lease."""
-
-    lease_id: LeaseId
-
-
-@dataclass(frozen=True, slots=True)
-class RevokeLease:
-    """End the lease, and with it the leader key on it."""
-
-    lease_id: LeaseId
-
-
-@dataclass(frozen=True, slots=True)
-class Campaign:
-    """Create the leader key, if it is absent."""
-
-    transaction: Transaction
-
-
-ElectionAction = ReadLeaderKey | GrantLease | KeepLeaseAlive | RevokeLease | Campaign
-
-
 class Election:
-    """One action is in flight at a time: `next_action`, carry it out, report its result."""
+    """One node's part in the election of the leader.
+
+    One action is in flight at a time: take it from `next_action`, carry it out, and hand its
+    result in to the `on_...` method for that action, or to `on_action_failed`. All times are
+    monotonic.
+    """
 
     def __init__(
         self,
-        label: NodeId,
-        lease_s: float,
+        node_id: NodeId,
+        lease_ttl_s: float,
         drift_margin: float,
         incarnation: IncarnationId = DEFAULT_INCARNATION,
     ) -> None:
-        """A follower. The leader's lease lasts for `hold_s` seconds; the share `drift_margin` of
-        them is not counted on, for the clocks' sake."""
-        self.node_id = label
-        # of this start: a claim of an earlier one may still be carried out
+        """A follower. The leader's lease lasts for `lease_ttl_s` seconds, of which the share
+        `drift_margin` is left to clock drift. `incarnation` tells this start of the process from
+        earlier ones, whose campaigns may still be carried out."""
+        self.node_id = node_id
         self.incarnation = incarnation
         self.role = Role.FOLLOWER
         self.token = FencingToken(0)
         self.leader: NodeId | None = None
-        self._lease_ttl_s = lease_s
-        self._usable_lease_s = lease_s * (1 - drift_margin)
-        self._lease_id: LeaseId | None = None
-        self._lease_expires_at = DISTANT_PAST
+        self._lease = StoreLease(lease_ttl_s, drift_margin, KEEP_ALIVES_PER_LEASE)
+        self._retry_delay_s = lease_ttl_s / RETRIES_PER_LEASE
         self._action_sent_at = MonotonicTime(0)
         self._next_read_at = DISTANT_PAST
-        self._next_keep_alive_at = DISTANT_PAST
         self._is_key_absent = False  # the last read found no leader key
-        self._stale_lease_id: LeaseId | None = None
+        self._stale_lease_id: LeaseId | None = None  # to be revoked
         self._next_revoke_at = DISTANT_PAST
         self._action_in_flight: ElectionAction | None = None
         self._candidacy_deferred_until = DISTANT_PAST
 
-    # -- what others may ask
+    # -- queries
 
     def is_within_lease(self, now: MonotonicTime) -> bool:
-        """Whether no other node can be leader now. Counted from before the renewal was sent."""
-        return self.role is Role.LEADER and now < self._lease_expires_at
+        """Return whether this node leads and no other node can have been elected."""
+        return self.role is Role.LEADER and now < self._lease.expires_at
 
     @property
     def lease_expires_at(self) -> MonotonicTime:
-        """Until when no other node can have been elected."""
-        return self._lease_expires_at
+        """When the lease expires; until then no other node can be elected."""
+        return self._lease.expires_at
 
     @property
     def lease_confirmed_at(self) -> MonotonicTime:
-        """When the renewal was sent that the store confirmed last."""
-        return MonotonicTime(self._lease_expires_at - self._usable_lease_s)
+        """When the keep-alive was sent that the state service confirmed last."""
+        return self._lease.confirmed_at
 
     def may_call_cloud(self, now: MonotonicTime, refused_at: MonotonicTime) -> bool:
-        """Whether the cloud may be asked for machines or deletions. Nothing guards those calls as
-        the leader key guards a write, so a leader that slept past its lease must not carry out what
-        it had decided before: another one may run tasks there by now. In an outage of the state
-        service, which answers and refuses (last at `refused_at`), nobody else is elected; if it
-        refuses this node alone, the peers soon tell of the new epoch."""
-        refused = self.role is Role.LEADER and refused_at >= now - self._lease_ttl_s
-        return refused or self.is_within_lease(now)
+        """Return whether the cloud may be asked for machines or deletions.
+
+        No token fences those calls as it fences a write, so a leader that slept past its lease must
+        not carry out what it had decided before: another one may run tasks there by now. In an
+        outage of the state service, which answers and refuses (last at `refused_at`), nobody else
+        is elected; if it refuses this node alone, the peers soon report the new token.
+        """
+        is_store_refusing = self.role is Role.LEADER and refused_at >= now - self._lease.ttl_s
+        return is_store_refusing or self.is_within_lease(now)
 
-    # -- inputs
+    # -- events
 
     def on_leader_key_changed(self, now: MonotonicTime) -> None:
-        """A watch says that the leader key has changed."""
+        """The watch reports a change of the leader key."""
         self._next_read_at = now
 
     def observe_token(self, token: FencingToken, now: MonotonicTime) -> bool:
-        """A peer's message or a worker's report carries a higher epoch: somebody else leads."""
+        """Take the token of a peer's message or a worker's heartbeat; a higher one means that
+        another node leads. Return whether this node has stepped down."""
         if token <= self.token:
             return False
         if self.role is Role.LEADER:
@@ -147,37 +135,38 @@
         return False
 
     def observe_leader(self, leader: NodeId, token: FencingToken) -> None:
-        """The leader of `epoch` says so itself: as good as a read of the key, and sooner."""
+        """Take the leader's own word that it leads under `token`. As good as a read of the key,
+        and sooner."""
         if self.role is Role.FOLLOWER and token >= self.token:
             self.token = token
             self.leader = leader
 
     def on_write_fenced(self, now: MonotonicTime) -> None:
-        """A write guarded on the leader key failed on that guard."""
+        """A write failed because the leader key had another version."""
         if self.role is Role.LEADER:
             self._step_down(now)
 
     def resign(self, now: MonotonicTime) -> None:
-        """Gives the lease up for one that can do more, and stands back for a while."""
+        """Give the leadership up, and leave it to other nodes for a while."""
         if self.role is not Role.LEADER:
             return
-        lease = self._lease_id
+        lease_id = self._lease.lease_id
         self._step_down(now)
-        self._stale_lease_id = lease
+        self._stale_lease_id = lease_id
         self._candidacy_deferred_until = MonotonicTime(
-            now + RESIGNATION_BACKOFF_LEASES * self._lease_ttl_s
+            now + RESIGNATION_BACKOFF_LEASES * self._lease.ttl_s
         )
 
     def defer_candidacy(self, until: MonotonicTime) -> None:
-        """Leaves the leadership to another node, if that claims it before `until`."""
+        """Do not campaign before `until`, so that another node can win."""
         self._candidacy_deferred_until = max(self._candidacy_deferred_until, until)
 
     def resign_permanently(self, now: MonotonicTime) -> None:
-        """Gives the lease up for good: this node is about to end."""
+        """Give the leadership up for good, as this node is about to shut down."""
         self.resign(now)
         if self._stale_lease_id is None:
-            # A claim on it may be under way, or be carried out later although it had no answer.
-            self._stale_lease_id = self._lease_id
+            # A campaign on it may be in flight, or be applied later although it had no answer.
+            self._stale_lease_id = self._lease.lease_id
         self._candidacy_deferred_until = MonotonicTime(math.inf)
 
     @property
@@ -186,7 +175,7 @@
         return self._stale_lease_id is not None or isinstance(self._action_in_flight, Campaign)
 
     def next_action(self, now: MonotonicTime) -> ElectionAction | None:
-        """What is to be carried out now; its outcome must be handed in before the next."""
+        """Return the action to carry out now; None while one is in flight or none is due."""
         if self._action_in_flight is not None:
             return None
         action = self._choose_action(now)
@@ -199,100 +188,104 @@
 
     def _choose_action(self, now: MonotonicTime) -> ElectionAction | None:
         if self.role is Role.LEADER:
-            if now >= self._next_keep_alive_at and self._lease_id is not None:
-                return KeepLeaseAlive(self._lease_id)
-            return None
+            return self._choose_action_as_leader(now)
         if self._stale_lease_id is not None and now >= self._next_revoke_at:
             return RevokeLease(self._stale_lease_id)
         if self._is_key_absent and now >= self._candidacy_deferred_until:
-            if self._lease_id is None or now >= self._lease_expires_at:
-                return GrantLease(self._lease_ttl_s)
-            txn = Transaction(
-                {LEADER_KEY: ABSENT_REVISION},
-                [Put(LEADER_KEY, {"node": self.node_id, "life": self.incarnation}, self._lease_id)],
-            )
-            return Campaign(txn)
+            if not self._lease.is_usable(now):
+                return GrantLease(self._lease.ttl_s)
+            return Campaign(self._campaign_transaction())
         if now >= self._next_read_at:
             return ReadLeaderKey()
         return None
 
+    def _choose_action_as_leader(self, now: MonotonicTime) -> ElectionAction | None:
+        lease_id = self._lease.lease_id
+        if lease_id is not None and now >= self._lease.next_keep_alive_at:
+            return KeepLeaseAlive(lease_id)
+        return None
+
+    def _campaign_transaction(self) -> Transaction:
+        value = leader_value(LeaderRecord(self.node_id, self.incarnation))
+        return Transaction(
+            {LEADER_KEY: ABSENT_REVISION}, [Put(LEADER_KEY, value, self._lease.lease_id)]
+        )
+
+    # -- results of actions
+
     def on_action_failed(self, action: ElectionAction, now: MonotonicTime) -> None:
-        """No answer, 429 or 503: not carried out, or nobody knows."""
+        """The action was refused for now (429, 503) or had no answer; it may have been applied."""
         self._action_in_flight = None
-        pause = self._lease_ttl_s / RETRIES_PER_LEASE
+        retry_at = MonotonicTime(now + self._retry_delay_s)
         if isinstance(action, KeepLeaseAlive):
-            self._next_keep_alive_at = MonotonicTime(now + pause)
-        elif isinstance(action, Campaign):
-            # It may have been applied or may be yet: the key itself must tell.
-            self._is_key_absent = False
-            self._next_read_at = MonotonicTime(now + pause)
-        elif isinstance(action, RevokeLease):
+            self._lease.next_keep_alive_at = retry_at
+            return
+        self._next_read_at = retry_at
+        if isinstance(action, RevokeLease):
             # Tried again until it is answered; reads of the key go on in between.
-            self._next_revoke_at = MonotonicTime(now + 2 * pause)
-            self._next_read_at = MonotonicTime(now + pause)
+            self._next_revoke_at = MonotonicTime(now + 2 * self._retry_delay_s)
         else:
+            # A campaign may have been applied, or may be yet: only a read of the key can tell.
             self._is_key_absent = False
-            self._next_read_at = MonotonicTime(now + pause)
 
     def on_leader_key_read(self, item: Item | None, now: MonotonicTime) -> None:
         """The leader key as a read found it; None: it is absent."""
         self._action_in_flight = None
         self._is_key_absent = item is None
         # The watch on the key is the usual alarm; this is the backstop if it hangs.
-        self._next_read_at = MonotonicTime(now + self._lease_ttl_s / READS_PER_LEASE)
+        self._next_read_at = MonotonicTime(now + self._lease.ttl_s / READS_PER_LEASE)
         if item is None:
             self.leader = None
             return
-        node = item.value.get("node") if isinstance(item.value, dict) else None
-        if node == self.node_id:
-            mine = isinstance(item.value, dict) and item.value.get("life") == self.incarnation
-            held = self._lease_id is not None and item.lease == self._lease_id
-            if mine and held and now < self._lease_expires_at:
-                self._become_leader(
-                    FencingToken(item.version), now
-                )  # a claim whose response was lost
-            elif item.lease is not None:
-                # Left by an earlier incarnation of this process: nobody leads under it any more.
-                self._stale_lease_id = item.lease
+        holder = parse_leader(item.value)
+        if holder.node == self.node_id:
+            self._on_own_key_read(item, holder, now)
             return
-        self.leader = NodeId(node) if isinstance(node, str) else None
+        self.leader = holder.node
         self.token = max(self.token, FencingToken(item.version))
 
-    def on_lease_granted(self, lease: LeaseId, now: MonotonicTime) -> None:
-        """The lease was opened; it counts from before the request was sent."""
+    def _on_own_key_read(self, item: Item, holder: LeaderRecord, now: MonotonicTime) -> None:
+        is_on_own_lease = self._lease.is_usable(now) and item.lease == self._lease.lease_id
+        if holder.incarnation == self.incarnation and is_on_own_lease:
+            # A campaign whose response was lost.
+            self._become_leader(FencingToken(item.version), now)
+        elif item.lease is not None:
+            # Left by an earlier incarnation of this process: nobody leads under it any more.
+            self._stale_lease_id = item.lease
+
+    def on_lease_granted(self, lease_id: LeaseId, now: MonotonicTime) -> None:
+        """The lease was opened."""
         self._action_in_flight = None
-        self._lease_id = lease
-        self._lease_expires_at = MonotonicTime(self._action_sent_at + self._usable_lease_s)
+        self._lease.on_granted(lease_id, self._action_sent_at)
 
     def on_keep_alive(self, alive: bool, now: MonotonicTime) -> bool:
-        """Returns whether the node is deposed by this."""
+        """The keep-alive was answered: the lease is still `alive`, or has ended. Return whether
+        this node has stepped down."""
         self._action_in_flight = None
         if alive:
-            self._lease_expires_at = MonotonicTime(self._action_sent_at + self._usable_lease_s)
-            self._next_keep_alive_at = MonotonicTime(
-                self._action_sent_at + self._lease_ttl_s / KEEP_ALIVES_PER_LEASE
-            )
+            self._lease.on_kept_alive(self._action_sent_at)
             return False
         self._step_down(now)
         return True
 
     def on_lease_revoked(self, now: MonotonicTime) -> None:
-        """The lease that was left over has ended."""
+        """The stale lease has ended."""
         self._action_in_flight = None
-        if self._lease_id == self._stale_lease_id:
-            self._lease_id = None
+        if self._lease.lease_id == self._stale_lease_id:
+            self._lease.on_lost()
         self._stale_lease_id = None
         self._next_read_at = now
 
     def on_campaign_result(
         self, revision: Revision | None, now: MonotonicTime, lease_lost: bool = False
     ) -> None:
-        """The claim's answer; None: somebody else holds the key, or the lease has ended."""
+        """The campaign was answered: won at `revision`, or (None) lost, as another node holds the
+        key or, with `lease_lost`, as the lease has ended."""
         self._action_in_flight = None
         self._is_key_absent = False
         if revision is None:
             if lease_lost:
-                self._lease_id = None
+                self._lease.on_lost()
             self._next_read_at = now
             return
         self._become_leader(FencingToken(revision), now)
@@ -302,12 +295,11 @@
         self.token = token
         self.leader = self.node_id
         self._is_key_absent = False
-        self._next_keep_alive_at = now
+        self._lease.next_keep_alive_at = now
 
     def _step_down(self, now: MonotonicTime) -> None:
         self.role = Role.FOLLOWER
         self.leader = None
-        self._lease_id = None
-        self._lease_expires_at = DISTANT_PAST
+        self._lease.on_lost()
         self._next_read_at = now
         self._is_key_absent = False
--- /dev/null
+++ b/src/eldercart/wire/leader_key.py
@@ -0,0 +1,34 @@
+"""The stored leader key: who leads, on a lease of the state service.
+
+The key's version is the leader's fencing token.
+"""
+
+from dataclasses import dataclass
+from typing import Any
+
+from eldercart.units import IncarnationId, NodeId
+
+LEADER_KEY = "lead"
+
+
+@dataclass(frozen=True, slots=True)
+class LeaderRecord:
+    """The holder of the leader key; a field that can't be read is None."""
+
+    node: NodeId | None
+    incarnation: IncarnationId | None
+
+
+def leader_value(record: LeaderRecord) -> dict[str, Any]:
+    """Return the value to store under the leader key."""
+    return {"node": record.node, "life": record.incarnation}
+
+
+def parse_leader(value: Any) -> LeaderRecord:
+    """Decode the value of the leader key. Never fails: whoever wrote it, the key is held."""
+    fields = value if isinstance(value, dict) else {}
+    node, incarnation = fields.get("node"), fields.get("life")
+    return LeaderRecord(
+        NodeId(node) if isinstance(node, str) else None,
+        IncarnationId(incarnation) if isinstance(incarnation, str) else None,
+    )
