--- a/src/eldercart/server/singleton/lease_service.py
+++ b/src/eldercart/server/singleton/lease_service.py
@@ -16,15 +16,10 @@
 from eldercart.server.singleton.lease_watch import LeaseWatcher
 from eldercart.server.singleton.operator_requests import PATH_PREFIX, OperatorRequests
 from eldercart.settings.features import Maintenance, SingletonFeatures
+from eldercart.singleton.candidate_actions import Acquire, ReadDirectory, Release
+from eldercart.singleton.eligibility import ClusterView
 from eldercart.singleton.holder_preference import AFFINITY, Affinity
-from eldercart.singleton.lease_candidate import (
-    Acquire,
-    ClusterView,
-    LeaseCandidate,
-    LeaseState,
-    ReadDirectory,
-    Release,
-)
+from eldercart.singleton.lease_candidate import LeaseCandidate, LeaseState
 from eldercart.singleton.write_ahead_gate import DispatchMode, DispatchPolicy, WriteAheadGate
 from eldercart.units import NO_FENCING_TOKEN, LeaseId, MonotonicTime, NodeId, Revision, WallTime
 from eldercart.wire.named_leases import (
--- a/src/eldercart/singleton/lease_candidate.py
+++ b/src/eldercart/singleton/lease_candidate.py
@@ -1,32 +1,33 @@
-"""One node's part in the duties: when it asks for one, holds it, drains it and gives it up.
+"""One node's part in the named leases: when it acquires, holds, drains and releases them.
 
-A duty is held by whoever created its key in the state service last. The key's version is the
-token on which every write of the holder is guarded, so a node that believes wrongly that it holds
-a duty writes nothing. The lease only says when others may take the key without asking, and the
-node's own clock only keeps it from trying in vain.
+A named lease is held by the node that created its holder key in the state service last. The key's
+version is the fencing token on which every write of the holder is conditional, so a node that
+wrongly believes to hold a lease writes nothing. The time to live only says when others may take the
+key without asking, and the node's own clock only keeps it from trying in vain.
 """
 
 from collections.abc import Collection
 from dataclasses import dataclass
 from enum import Enum
 
-from eldercart.election.state_machine import LEADER_KEY, GrantLease, KeepLeaseAlive
-from eldercart.singleton.holder_preference import AFFINITY, Affinity, candidate_rank, is_overloaded
+from eldercart.election.actions import GrantLease, KeepLeaseAlive
+from eldercart.election.store_lease import StoreLease
+from eldercart.singleton.candidate_actions import Acquire, CandidateAction, ReadDirectory, Release
+from eldercart.singleton.eligibility import ClusterView, EligibilityRules, IneligibilityReason
+from eldercart.singleton.holder_preference import AFFINITY, Affinity, candidate_rank
 from eldercart.singleton.lease_directory import LeaseDirectory, LeaseEntry
 from eldercart.units import (
     ABSENT_REVISION,
     DISTANT_PAST,
-    NO_FENCING_TOKEN,
     NO_LEASE_TOKEN,
-    FencingToken,
     IncarnationId,
     LeaseId,
     LeaseToken,
     MonotonicTime,
     NodeId,
     Revision,
-    WallTime,
 )
+from eldercart.wire.leader_key import LEADER_KEY
 from eldercart.wire.named_leases import (
     HolderRecord,
     LeaseName,
@@ -37,13 +38,14 @@
 )
 from eldercart.wire.state import DeleteKey, Item, Put, Transaction
 
-KEEP_ALIVES_PER_LEASE = 3  # of a lease; one is the time from a renewal to the next
-RETRIES_PER_LEASE = 12  # of a lease; one is the pause after an action that was not carried out
-RANK_DELAYS_PER_LEASE = 4  # of a lease; one is the time for which the next best candidate waits
+# Intervals, as parts of the lease's time to live.
+KEEP_ALIVES_PER_LEASE = 3
+RETRIES_PER_LEASE = 12  # pauses after a failed action
+RANK_DELAYS_PER_LEASE = 4  # for each better candidate, a node waits for one of them
 
 
 class LeaseState(Enum):
-    """What a node is for a duty, as far as it knows."""
+    """What a node is for a named lease, as far as it knows."""
 
     OBSERVER = "observer"  # may not hold it now
     CANDIDATE = "candidate"
@@ -52,63 +54,11 @@
     LOST = "lost"  # held it, and cannot know any more whether another node does
 
 
-class IneligibilityReason(Enum):
-    """Why this node may not hold a duty, or not go on holding it."""
-
-    DISABLED = "this node does not take part in it"
-    NOT_SUPPORTED_BY_ALL = "not every node takes part in it"
-    PAUSED = "it is paused"
-    NOT_LEADER = "it belongs to the leader"
-    BEING_HANDED_OVER = "it is being handed over to another node"
-    LAGGING = "this node is too slow"
-    UNBALANCED = "another node holds fewer duties"
-
-
-@dataclass(frozen=True, slots=True)
-class ClusterView:
-    """What a node knows beside the stored keys, when it decides."""
-
-    now: MonotonicTime
-    wall_time: WallTime
-    leader: NodeId | None = None  # as far as this node knows
-    leader_token: FencingToken = NO_FENCING_TOKEN  # under which this node leads; 0: it does not
-    supported_leases: Collection[LeaseName] = ()  # duties that every node takes part in
-    candidates: Collection[NodeId] = ()  # nodes that are reachable, this one included
-    busy_leases: Collection[LeaseName] = ()  # duties of which something is under way here
-    is_lagging: bool = False
-    is_shutting_down: bool = False  # this node is about to end
-
-
-@dataclass(frozen=True, slots=True)
-class Acquire:
-    """Create the duty's key."""
-
-    lease_name: LeaseName
-    transaction: Transaction
-    record: HolderRecord
-
-
-@dataclass(frozen=True, slots=True)
-class Release:
-    """Delete the duty's key."""
-
-    lease_name: LeaseName
-    transaction: Transaction
-
-
-@dataclass(frozen=True, slots=True)
-class ReadDirectory:
-    """Read the keys of all duties."""
-
-
-CandidateAction = GrantLease | KeepLeaseAlive | Acquire | Release | ReadDirectory
-
-
 @dataclass(slots=True)
 class _LeaseStatus:
-    """This node's dealings with one duty."""
+    """What this node is for one named lease, and since when."""
 
-    token: LeaseToken = NO_LEASE_TOKEN  # under which it holds the duty
+    token: LeaseToken = NO_LEASE_TOKEN  # under which this node holds it
     state: LeaseState = LeaseState.OBSERVER
     ineligibility: IneligibilityReason | None = None
     candidate_since: MonotonicTime | None = None
@@ -118,144 +68,168 @@
 
 
 class LeaseCandidate:
-    """One action is under way at a time: `next_action`, carry it out, report its result."""
+    """Acquires and releases the named leases of one node, all on one lease of the state service.
+
+    One action is in flight at a time: take it from `next_action`, carry it out, and hand its result
+    in to the `on_...` method for that action, or to `on_action_failed`. All times are monotonic.
+    """
 
     def __init__(
         self,
-        label: NodeId,
+        node_id: NodeId,
         incarnation: IncarnationId,
-        duties: Collection[LeaseName],
-        lease_s: float,
+        lease_names: Collection[LeaseName],
+        lease_ttl_s: float,
         drift_margin: float,
         hand_over_s: float,
-        stay_s: float,
+        min_hold_s: float,
     ) -> None:
-        """A node that takes part in `duties`. A hand-over that its receiver does not take up is
-        void after `hand_over_s`; a duty that was taken is not given up for balance before
-        `stay_s`."""
-        self.node_id = label
+        """A node that takes part in `lease_names`. A hand-over that its receiver does not take up
+        is void after `hand_over_s`; a lease that was acquired is not given up for balance before
+        `min_hold_s`. All of them in seconds."""
+        self.node_id = node_id
         self.incarnation = incarnation
-        self.lease_names = frozenset(duties)
         self.directory = LeaseDirectory()
-        self._lease_ttl_s = lease_s
-        self._usable_lease_s = lease_s * (1 - drift_margin)
+        self._rules = EligibilityRules(node_id, frozenset(lease_names), min_hold_s)
+        self._lease = StoreLease(lease_ttl_s, drift_margin, KEEP_ALIVES_PER_LEASE)
         self._hand_over_s = hand_over_s
-        self._min_hold_s = stay_s
-        self._statuses = {duty: _LeaseStatus() for duty in LeaseName}
-        self._lease_id: LeaseId | None = None
-        self._lease_expires_at = DISTANT_PAST
-        self._next_keep_alive_at = DISTANT_PAST
+        self._statuses = {lease_name: _LeaseStatus() for lease_name in LeaseName}
         self._is_read_pending = True
         self._is_fenced = False  # a token of this node was refused, and nothing was read since
         self._retry_at = DISTANT_PAST
         self._action_in_flight: CandidateAction | None = None
         self._action_sent_at = DISTANT_PAST
 
-    # -- what others may ask
-
-    def usable_token(self, duty: LeaseName, now: MonotonicTime) -> LeaseToken | None:
-        """The token under which new work may begin; None while there is none. That the lease has
-        time left is no proof of anything: the state service compares the token."""
-        tenure = self._statuses[duty]
-        if (
-            tenure.state is LeaseState.HOLDER
-            and now < self._lease_expires_at
-            and not self._is_fenced
-        ):
-            return tenure.token
-        return None
+    # -- queries
+
+    def usable_token(self, lease_name: LeaseName, now: MonotonicTime) -> LeaseToken | None:
+        """Return the token under which new work may begin, or None while there is none. That the
+        lease has time left proves nothing: the state service compares the token."""
+        status = self._statuses[lease_name]
+        is_holder = status.state is LeaseState.HOLDER and now < self._lease.expires_at
+        return status.token if is_holder and not self._is_fenced else None
 
-    def held_token(self, duty: LeaseName) -> LeaseToken | None:
-        """The token under which work that has begun may be finished, also while it drains."""
-        tenure = self._statuses[duty]
-        return tenure.token if tenure.state in (LeaseState.HOLDER, LeaseState.DRAINING) else None
+    def held_token(self, lease_name: LeaseName) -> LeaseToken | None:
+        """Return the token under which work in flight may be finished, also while draining."""
+        status = self._statuses[lease_name]
+        return status.token if status.state in (LeaseState.HOLDER, LeaseState.DRAINING) else None
 
-    def state(self, duty: LeaseName) -> LeaseState:
-        """What this node is for the duty."""
-        return self._statuses[duty].state
+    def state(self, lease_name: LeaseName) -> LeaseState:
+        """Return what this node is for the lease."""
+        return self._statuses[lease_name].state
 
-    def ineligibility(self, duty: LeaseName) -> IneligibilityReason | None:
-        """Why this node does not hold the duty; None: nothing speaks against it."""
-        return self._statuses[duty].ineligibility
+    def ineligibility(self, lease_name: LeaseName) -> IneligibilityReason | None:
+        """Return why this node may not hold the lease, or None if it may."""
+        return self._statuses[lease_name].ineligibility
 
     def is_read_pending(self) -> bool:
-        """Whether the board waits for a read."""
+        """Return whether the directory has to be read before anything else."""
         return self._is_read_pending
 
+    def is_reserved_for_other_node(self, lease_name: LeaseName, now: MonotonicTime) -> bool:
+        """Return whether the lease is being handed over to another node. How long that lasts goes
+        by this node's own clock, which can at worst make it a candidate too early: the state
+        service decides."""
+        hand_over = self.directory.entry(lease_name).hand_over
+        if hand_over is None or hand_over.receiver == self.node_id:
+            return False
+        return now - self._statuses[lease_name].hand_over_seen_at < self._hand_over_s
+
     # -- decisions
 
-    def next_action(self, situation: ClusterView) -> CandidateAction | None:
-        """What is to be carried out now; its outcome must be handed in before the next."""
-        self._update_states(situation)
-        if self._action_in_flight is not None or situation.now < self._retry_at:
+    def next_action(self, view: ClusterView) -> CandidateAction | None:
+        """Return the action to carry out now; None while one is in flight or none is due."""
+        self._update_states(view)
+        if self._action_in_flight is not None or view.now < self._retry_at:
             return None
-        action = self._choose_action(situation)
+        action = self._choose_action(view)
         if action is not None:
             self._action_in_flight = action
-            self._action_sent_at = situation.now
+            self._action_sent_at = view.now
         return action
 
-    def _choose_action(self, situation: ClusterView) -> CandidateAction | None:
-        now = situation.now
+    def _choose_action(self, view: ClusterView) -> CandidateAction | None:
         if self._is_read_pending:
             return ReadDirectory()
-        if self._lease_id is not None and now >= self._next_keep_alive_at and self._needs_lease():
-            return KeepLeaseAlive(self._lease_id)
-        for duty, tenure in self._statuses.items():
-            if tenure.state is LeaseState.DRAINING and duty not in situation.busy_leases:
-                return self._release(duty, tenure)
-        for duty, tenure in self._statuses.items():
-            if tenure.state is LeaseState.CANDIDATE and self._may_acquire(duty, situation):
-                if self._lease_id is None or now >= self._lease_expires_at:
-                    return GrantLease(self._lease_ttl_s)
-                return self._acquire(duty, situation)
-        return None
+        return (
+            self._choose_keep_alive(view.now)
+            or self._choose_release(view)
+            or self._choose_acquisition(view)
+        )
+
+    def _choose_keep_alive(self, now: MonotonicTime) -> KeepLeaseAlive | None:
+        lease_id = self._lease.lease_id
+        if lease_id is None or now < self._lease.next_keep_alive_at or not self._needs_lease():
+            return None
+        return KeepLeaseAlive(lease_id)
 
     def _needs_lease(self) -> bool:
         return any(
-            tenure.state in (LeaseState.HOLDER, LeaseState.DRAINING, LeaseState.LOST)
-            for tenure in self._statuses.values()
+            status.state in (LeaseState.HOLDER, LeaseState.DRAINING, LeaseState.LOST)
+            for status in self._statuses.values()
         )
 
-    def _update_states(self, situation: ClusterView) -> None:
-        """Brings the state of each duty up to what is known now."""
-        for duty, tenure in self._statuses.items():
-            entry = self.directory.entry(duty)
-            mine = self._is_held_by_this_node(entry)
-            self._record_times(tenure, entry, mine, situation.now)
-            tenure.ineligibility = self._find_ineligibility(duty, tenure, entry, situation)
-            if mine:
-                self._update_held(tenure, situation.now)
+    def _choose_release(self, view: ClusterView) -> Release | None:
+        for lease_name, status in self._statuses.items():
+            if status.state is LeaseState.DRAINING and lease_name not in view.busy_leases:
+                return self._release(lease_name, status)
+        return None
+
+    def _choose_acquisition(self, view: ClusterView) -> GrantLease | Acquire | None:
+        for lease_name, status in self._statuses.items():
+            if status.state is LeaseState.CANDIDATE and self._may_acquire(lease_name, view):
+                if not self._lease.is_usable(view.now):
+                    return GrantLease(self._lease.ttl_s)
+                return self._acquire(lease_name, view)
+        return None
+
+    # -- states
+
+    def _update_states(self, view: ClusterView) -> None:
+        """Bring the state of each lease up to what is known now."""
+        for lease_name, status in self._statuses.items():
+            entry = self.directory.entry(lease_name)
+            is_held = self._is_held_by_this_node(entry)
+            self._record_times(status, entry, is_held, view.now)
+            status.ineligibility = self._rules.find_ineligibility(
+                lease_name,
+                self.directory,
+                view,
+                is_reserved=self.is_reserved_for_other_node(lease_name, view.now),
+                held_since=status.held_since if is_held else None,
+            )
+            if is_held:
+                self._update_held(status, view.now)
             else:
-                self._update_not_held(tenure, situation.now)
+                self._update_not_held(status, view.now)
 
-    def _update_held(self, tenure: _LeaseStatus, now: MonotonicTime) -> None:
-        if tenure.ineligibility is not None:
-            tenure.state = LeaseState.DRAINING
-        elif self._lease_id is None or now >= self._lease_expires_at:
-            tenure.state = LeaseState.LOST
+    def _update_held(self, status: _LeaseStatus, now: MonotonicTime) -> None:
+        if status.ineligibility is not None:
+            status.state = LeaseState.DRAINING
+        elif not self._lease.is_usable(now):
+            status.state = LeaseState.LOST
         else:
-            tenure.state = LeaseState.HOLDER
+            status.state = LeaseState.HOLDER
 
-    def _update_not_held(self, tenure: _LeaseStatus, now: MonotonicTime) -> None:
-        tenure.token = NO_LEASE_TOKEN
-        if tenure.ineligibility is not None:
-            tenure.state = LeaseState.OBSERVER
-            tenure.candidate_since = None
+    def _update_not_held(self, status: _LeaseStatus, now: MonotonicTime) -> None:
+        status.token = NO_LEASE_TOKEN
+        if status.ineligibility is not None:
+            status.state = LeaseState.OBSERVER
+            status.candidate_since = None
             return
-        tenure.state = LeaseState.CANDIDATE
-        if tenure.candidate_since is None:
-            tenure.candidate_since = now
+        status.state = LeaseState.CANDIDATE
+        if status.candidate_since is None:
+            status.candidate_since = now
 
     def _record_times(
-        self, tenure: _LeaseStatus, entry: LeaseEntry, mine: bool, now: MonotonicTime
+        self, status: _LeaseStatus, entry: LeaseEntry, is_held: bool, now: MonotonicTime
     ) -> None:
-        if mine and tenure.token != entry.token:
-            tenure.token = entry.token
-            tenure.held_since = now
-        if entry.hand_over_version != tenure.hand_over_version:
-            tenure.hand_over_version = entry.hand_over_version
-            tenure.hand_over_seen_at = now
+        if is_held and status.token != entry.token:
+            status.token = entry.token
+            status.held_since = now
+        if entry.hand_over_version != status.hand_over_version:
+            status.hand_over_version = entry.hand_over_version
+            status.hand_over_seen_at = now
 
     def _is_held_by_this_node(self, entry: LeaseEntry) -> bool:
         holder = entry.holder
@@ -265,151 +239,109 @@
             and holder.incarnation == self.incarnation
         )
 
-    def _find_ineligibility(
-        self, duty: LeaseName, tenure: _LeaseStatus, entry: LeaseEntry, situation: ClusterView
-    ) -> IneligibilityReason | None:
-        if duty not in self.lease_names or situation.is_shutting_down:
-            return IneligibilityReason.DISABLED
-        if duty not in situation.supported_leases:
-            return IneligibilityReason.NOT_SUPPORTED_BY_ALL
-        if entry.is_paused:
-            return IneligibilityReason.PAUSED
-        if AFFINITY[duty] is Affinity.LEADER and situation.leader_token == NO_FENCING_TOKEN:
-            return IneligibilityReason.NOT_LEADER
-        if self.is_reserved_for_other_node(duty, situation.now):
-            return IneligibilityReason.BEING_HANDED_OVER
-        if AFFINITY[duty] is Affinity.ANY:
-            return self._find_preference_ineligibility(tenure, entry, situation)
-        return None
-
-    def _find_preference_ineligibility(
-        self, tenure: _LeaseStatus, entry: LeaseEntry, situation: ClusterView
-    ) -> IneligibilityReason | None:
-        if situation.is_lagging:
-            return IneligibilityReason.LAGGING
-        if (
-            not self._is_held_by_this_node(entry)
-            or situation.now - tenure.held_since < self._min_hold_s
-        ):
-            return None
-        snapshot = self.directory.snapshot
-        if is_overloaded(self.node_id, situation.candidates, situation.leader, snapshot):
-            return IneligibilityReason.UNBALANCED
-        return None
-
-    def is_reserved_for_other_node(self, duty: LeaseName, now: MonotonicTime) -> bool:
-        """Whether the duty is kept for another node. How long that lasts goes by this node's own
-        clock, which can at worst make it a candidate too early: the store decides."""
-        entry, tenure = self.directory.entry(duty), self._statuses[duty]
-        if entry.hand_over is None or entry.hand_over.receiver == self.node_id:
-            return False
-        return now - tenure.hand_over_seen_at < self._hand_over_s
-
     # -- acquiring and releasing
 
-    def _may_acquire(self, duty: LeaseName, situation: ClusterView) -> bool:
-        entry, tenure = self.directory.entry(duty), self._statuses[duty]
-        if AFFINITY[duty] is Affinity.LEADER:
+    def _may_acquire(self, lease_name: LeaseName, view: ClusterView) -> bool:
+        entry, status = self.directory.entry(lease_name), self._statuses[lease_name]
+        if AFFINITY[lease_name] is Affinity.LEADER:
             return True  # whoever held it before is not the leader, and writes nothing any more
         if entry.is_held and not self._is_left_by_earlier_incarnation(entry):
-            tenure.candidate_since = situation.now
+            status.candidate_since = view.now
             return False
         if entry.hand_over is not None and entry.hand_over.receiver == self.node_id:
             return True
-        place = candidate_rank(
-            self.node_id, situation.candidates, situation.leader, self.directory.snapshot
-        )
-        waited = situation.now - (tenure.candidate_since or situation.now)
-        return waited >= place * self._lease_ttl_s / RANK_DELAYS_PER_LEASE
+        rank = candidate_rank(self.node_id, view.candidates, view.leader, self.directory.snapshot)
+        waited_s = view.now - (status.candidate_since or view.now)
+        return waited_s >= rank * self._lease.ttl_s / RANK_DELAYS_PER_LEASE
 
     def _is_left_by_earlier_incarnation(self, entry: LeaseEntry) -> bool:
         return entry.holder is not None and entry.holder.node == self.node_id
 
-    def _acquire(self, duty: LeaseName, situation: ClusterView) -> Acquire:
-        """The key is created, or replaced in the version that was seen: of two nodes that see the
-        same, one is refused. Nobody acquires a duty that is paused meanwhile."""
-        entry = self.directory.entry(duty)
-        record = HolderRecord(self.node_id, self.incarnation, situation.wall_time)
-        txn = Transaction(
-            {holder_key(duty): Revision(entry.token), pause_key(duty): ABSENT_REVISION},
-            [Put(holder_key(duty), holder_value(record), self._lease_id)],
+    def _acquire(self, lease_name: LeaseName, view: ClusterView) -> Acquire:
+        """Create the key, or replace it in the version that was seen: of two nodes that see the
+        same, one is refused. Nobody acquires a lease that is paused meanwhile."""
+        entry = self.directory.entry(lease_name)
+        record = HolderRecord(self.node_id, self.incarnation, view.wall_time)
+        transaction = Transaction(
+            {holder_key(lease_name): Revision(entry.token), pause_key(lease_name): ABSENT_REVISION},
+            [Put(holder_key(lease_name), holder_value(record), self._lease.lease_id)],
         )
-        if AFFINITY[duty] is Affinity.LEADER:
-            txn.conditions[LEADER_KEY] = Revision(situation.leader_token)
+        if AFFINITY[lease_name] is Affinity.LEADER:
+            transaction.conditions[LEADER_KEY] = Revision(view.leader_token)
         if entry.hand_over_version != ABSENT_REVISION:
-            txn.conditions[hand_over_key(duty)] = entry.hand_over_version
-            txn.operations.append(DeleteKey(hand_over_key(duty)))
-        return Acquire(duty, txn, record)
+            transaction.conditions[hand_over_key(lease_name)] = entry.hand_over_version
+            transaction.operations.append(DeleteKey(hand_over_key(lease_name)))
+        return Acquire(lease_name, transaction, record)
 
-    def _release(self, duty: LeaseName, tenure: _LeaseStatus) -> Release:
-        key = holder_key(duty)
-        return Release(duty, Transaction({key: Revision(tenure.token)}, [DeleteKey(key)]))
+    def _release(self, lease_name: LeaseName, status: _LeaseStatus) -> Release:
+        key = holder_key(lease_name)
+        return Release(lease_name, Transaction({key: Revision(status.token)}, [DeleteKey(key)]))
 
-    # -- inputs
+    # -- results of actions
 
     def on_action_failed(self, now: MonotonicTime) -> None:
-        """No answer, 429 or 503: not carried out, or nobody knows. Only a read can tell then."""
+        """The action was refused for now (429, 503) or had no answer. Only a read can tell whether
+        it was applied."""
         action = self._action_in_flight
         self._action_in_flight = None
-        self._retry_at = MonotonicTime(now + self._lease_ttl_s / RETRIES_PER_LEASE)
+        self._retry_at = MonotonicTime(now + self._lease.ttl_s / RETRIES_PER_LEASE)
         if not isinstance(action, GrantLease | KeepLeaseAlive):
             self._is_read_pending = True
 
-    def on_lease_granted(self, lease: LeaseId) -> None:
-        """The lease was opened; it counts from before the request was sent."""
+    def on_lease_granted(self, lease_id: LeaseId) -> None:
+        """The lease was opened."""
         self._action_in_flight = None
-        self._lease_id = lease
-        self._lease_expires_at = MonotonicTime(self._action_sent_at + self._usable_lease_s)
-        self._next_keep_alive_at = MonotonicTime(
-            self._action_sent_at + self._lease_ttl_s / KEEP_ALIVES_PER_LEASE
-        )
+        self._lease.on_granted(lease_id, self._action_sent_at)
 
     def on_keep_alive(self, alive: bool) -> None:
-        """The renewal's answer: a lease that has ended took its keys with it."""
+        """The keep-alive was answered: the lease is still `alive`, or has ended and taken its keys
+        with it."""
         self._action_in_flight = None
         if alive:
-            self._lease_expires_at = MonotonicTime(self._action_sent_at + self._usable_lease_s)
-            self._next_keep_alive_at = MonotonicTime(
-                self._action_sent_at + self._lease_ttl_s / KEEP_ALIVES_PER_LEASE
-            )
+            self._lease.on_kept_alive(self._action_sent_at)
             return
-        self._lease_id = None
-        self._lease_expires_at = DISTANT_PAST
+        self._lease.on_lost()
         self._is_read_pending = True
 
     def on_acquired(self, revision: Revision) -> None:
-        """The key was created at `revision`."""
+        """The holder key was written at `revision`."""
         action = self._action_in_flight
         self._action_in_flight = None
         if not isinstance(action, Acquire):
             return
         key = holder_key(action.lease_name)
         events: list[Item | DeleteKey] = [Item(key, holder_value(action.record), revision)]
-        events += [write for write in action.transaction.operations if isinstance(write, DeleteKey)]
+        events += [
+            operation
+            for operation in action.transaction.operations
+            if isinstance(operation, DeleteKey)
+        ]
         self.directory.apply_own_writes(events, revision)
 
     def on_released(self, revision: Revision) -> None:
-        """The key was deleted at `revision`."""
+        """The holder key was deleted at `revision`."""
         action = self._action_in_flight
         self._action_in_flight = None
         if isinstance(action, Release):
             self.directory.apply_own_writes([DeleteKey(holder_key(action.lease_name))], revision)
 
-    def on_transaction_rejected(self, lease_lost: bool = False) -> None:
-        """A transaction was refused for one of its guards, or for the lease."""
+    def on_transaction_rejected(self, *, lease_lost: bool = False) -> None:
+        """A transaction was refused for one of its conditions, or (`lease_lost`) as the lease that
+        it writes under has ended."""
         self._action_in_flight = None
         self._is_read_pending = True
         if lease_lost:
-            self._lease_id = None
-            self._lease_expires_at = DISTANT_PAST
-
-    def on_write_fenced(self) -> None:
-        """A write under a token of this node was refused: another node holds the duty."""
-        self._is_read_pending = True
-        self._is_fenced = True
+            self._lease.on_lost()
 
     def on_directory_read(self) -> None:
-        """The board has taken a read."""
+        """The directory has taken a fresh read."""
         self._action_in_flight = None
         self._is_read_pending = False
         self._is_fenced = False
+
+    # -- other events
+
+    def on_write_fenced(self) -> None:
+        """A write under a token of this node was refused: another node holds the lease."""
+        self._is_read_pending = True
+        self._is_fenced = True
--- a/tests/duty_world.py
+++ b/tests/duty_world.py
@@ -23,15 +23,10 @@
     RevokeLease,
     Role,
 )
+from eldercart.singleton.candidate_actions import Acquire, ReadDirectory, Release
+from eldercart.singleton.eligibility import ClusterView
 from eldercart.singleton.intents import WriteOutcome
-from eldercart.singleton.lease_candidate import (
-    Acquire,
-    LeaseCandidate,
-    LeaseState,
-    ReadDirectory,
-    Release,
-)
-from eldercart.singleton.lease_candidate import ClusterView as DutySituation
+from eldercart.singleton.lease_candidate import LeaseCandidate, LeaseState
 from eldercart.singleton.write_ahead_gate import DispatchMode, DispatchPolicy, WriteAheadGate
 from eldercart.units import (
     NO_FENCING_TOKEN,
@@ -490,9 +485,9 @@
 
     # -- duties
 
-    def _cluster_view(self, now: MonotonicTime) -> DutySituation:
+    def _cluster_view(self, now: MonotonicTime) -> ClusterView:
         busy = [duty for duty in LeaseName if self.gate is not None and self.gate.is_busy(duty)]
-        return DutySituation(
+        return ClusterView(
             now=now,
             wall_time=WallTime(max(0.0, now)),
             leader=self.election.leader,
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -9,6 +9,8 @@
 from eldercart.autoscaling.autoscaler import MachineOffering, ScaleOutRequest
 from eldercart.autoscaling.cloud_requests import DeleteMachines, ScaleOut
 from eldercart.election.state_machine import GrantLease, KeepLeaseAlive
+from eldercart.singleton.candidate_actions import Acquire, ReadDirectory, Release
+from eldercart.singleton.eligibility import ClusterView, IneligibilityReason
 from eldercart.singleton.holder_preference import candidate_rank, is_overloaded
 from eldercart.singleton.intents import (
     BATCH_INTERVAL_S,
@@ -17,15 +19,7 @@
     IntentStage,
     WriteOutcome,
 )
-from eldercart.singleton.lease_candidate import (
-    Acquire,
-    ClusterView,
-    IneligibilityReason,
-    LeaseCandidate,
-    LeaseState,
-    ReadDirectory,
-    Release,
-)
+from eldercart.singleton.lease_candidate import LeaseCandidate, LeaseState
 from eldercart.singleton.lease_directory import EMPTY_ENTRY, LeaseDirectory
 from eldercart.singleton.status_report import StatusContext, lease_status, unheld_reason
 from eldercart.singleton.write_ahead_gate import DispatchMode, DispatchPolicy, WriteAheadGate
