--- a/src/eldercart/cluster/heartbeats.py
+++ b/src/eldercart/cluster/heartbeats.py
@@ -3,7 +3,7 @@
 import logging
 from enum import Enum
 
-from eldercart.autoscaling.cloud_requests import placeholder_type
+from eldercart.autoscaling.inventory_updates import placeholder_type
 from eldercart.cluster.inventory import RESOURCE_EPSILON, Machine, MachineState
 from eldercart.cluster.reconciliation import Reconciler
 from eldercart.scheduling.cluster_state import ClusterState
--- a/src/eldercart/scheduling/cluster_state.py
+++ b/src/eldercart/scheduling/cluster_state.py
@@ -14,7 +14,7 @@
 from eldercart.jobs.dependency_graph import DependencyEffect, DependencyGraph
 from eldercart.jobs.registry import Job, JobRegistry, Placement, PlacementPhase
 from eldercart.prediction.predictor import Predictor
-from eldercart.scheduling.feasibility import ServiceLevelObjectives
+from eldercart.scheduling.objectives import ServiceLevelObjectives
 from eldercart.settings import NodeSettings, Tuning
 from eldercart.units import DISTANT_FUTURE, FencingToken, JobId, MachineId, MonotonicTime
 from eldercart.wire.cloud import MachineType
@@ -164,7 +164,7 @@
                 self._on_upstream_cancelled(job, now)
 
     def _on_job_ready(self, job: Job, now: MonotonicTime) -> None:
-        self.predictor.on_job_ready(job, now)
+        self.predictor.on_job_ready(job)
         self.autoscaler.record_arrival(now)
         self.request_planning()
         self.request_autoscaling(now)
--- a/src/eldercart/scheduling/scheduler.py
+++ b/src/eldercart/scheduling/scheduler.py
@@ -21,9 +21,9 @@
 from enum import Enum
 from itertools import islice
 
-from eldercart.autoscaling.cloud_requests import (
+from eldercart.autoscaling.cloud_requests import CloudRequestQueue
+from eldercart.autoscaling.request_types import (
     CloudRequest,
-    CloudRequestQueue,
     DeleteMachines,
     GetCatalog,
     ListMachines,
--- a/src/eldercart/scheduling/state_loader.py
+++ b/src/eldercart/scheduling/state_loader.py
@@ -3,7 +3,7 @@
 import logging
 from collections.abc import Iterable
 
-from eldercart.autoscaling.cloud_requests import placeholder_type
+from eldercart.autoscaling.inventory_updates import placeholder_type
 from eldercart.cluster.inventory import MachineState
 from eldercart.jobs.registry import (
     CLEANUP_PREFIX,
