--- a/src/eldercart/autoscaling/cloud_requests.py
+++ b/src/eldercart/autoscaling/cloud_requests.py
@@ -276,7 +276,7 @@
             self._apply_created(request, cloud.parse_created_machines(body), now)
         elif status == HTTP_UNAVAILABLE and is_capacity_refusal(body):
             self._apply_refusal(request, now)
-            self.cluster.autoscaling_due_at = now
+            self.cluster.request_autoscaling(now)
             log.info(
                 "scale-out refused type=%s zone=%s spot=%s",
                 offering.type,
@@ -313,4 +313,4 @@
         )
         if len(machine_ids) < request.machine_count:
             cluster.autoscaler.record_refusal(offering, now)
-        cluster.autoscaling_due_at = now
+        cluster.request_autoscaling(now)
--- a/src/eldercart/autoscaling/inventory_updates.py
+++ b/src/eldercart/autoscaling/inventory_updates.py
@@ -42,8 +42,8 @@
         if machine_type is not None and machine_type is not machine.type:
             inventory.update_description(machine, machine_type, machine.zone, machine.is_spot)
     if is_first:
-        cluster.is_planning_requested = True
-        cluster.autoscaling_due_at = now
+        cluster.request_planning()
+        cluster.request_autoscaling(now)
 
 
 def apply_deletion(cluster: ClusterState, machine_id: MachineId, now: MonotonicTime) -> None:
--- a/src/eldercart/scheduling/planner.py
+++ b/src/eldercart/scheduling/planner.py
@@ -80,7 +80,7 @@
         for job in self.cluster.jobs.jobs.values():
             if (job.enqueued_count or job.unplaced_count) and job.is_runnable:
                 if job.backoff_until > now:
-                    self.cluster.is_planning_requested = True
+                    self.cluster.request_planning()
                     continue
                 waiting.append(job)
         return waiting
--- a/src/eldercart/scheduling/planning_pass.py
+++ b/src/eldercart/scheduling/planning_pass.py
@@ -187,7 +187,7 @@
                 placement = cluster.jobs.add_placement(job, index, assignment.machine.id, now)
                 placement.is_exempt_from_preemption = exempt_from_preemption
                 cluster.inventory.allocate(assignment.machine, placement)
-        cluster.dirty_jobs[job.id] = job
+        cluster.mark_dirty(job)
         min_task_cpus = self._min_task_cpus
         self._open_machines = [
             machine
--- a/src/eldercart/scheduling/prelaunch_queue.py
+++ b/src/eldercart/scheduling/prelaunch_queue.py
@@ -84,7 +84,7 @@
             cluster.jobs.mark_enqueued(placement, self._now)
             cluster.inventory.enqueue(machine, placement)
             cluster.inventory.reserve(machine, job.spec, 1)
-        cluster.dirty_jobs[job.id] = job
+        cluster.mark_dirty(job)
 
     def enqueue_ahead(self, job: Job, task_count: int, *, is_starving: bool) -> None:
         """Enqueue at most `task_count` tasks of the job wherever queues have space: where its image
