--- a/src/eldercart/cluster/heartbeats.py
+++ b/src/eldercart/cluster/heartbeats.py
@@ -38,12 +38,14 @@
 
         `relay` is the node that forwarded the heartbeat; None if the leader received it itself.
         """
-        machine = self._cluster_state.inventory.get(heartbeat.machine)
+        cluster_state = self._cluster_state
+        shows_current_token = heartbeat.token == cluster_state.token
+        machine = cluster_state.inventory.get(heartbeat.machine)
         if machine is None:
-            if self._cluster_state.inventory.is_deleted(heartbeat.machine):
+            if cluster_state.inventory.is_deleted(heartbeat.machine):
                 # Its deletion was answered: this is a late copy and proves nothing.
                 return None
-            if not self._shows_current_token(heartbeat):
+            if not shows_current_token:
                 # The first heartbeat of this machine, and it may be a late copy from a machine
                 # deleted under an earlier leader. A live worker learns the token from this response
                 # and shows it in its next heartbeat; a copy never can.
@@ -52,48 +54,30 @@
         if heartbeat.sequence <= machine.heartbeat_sequence:
             # Held back by the network: what it says has been overtaken.
             return None
-        lease_has_expired = self._has_lease_expired(machine, heartbeat)
+        agent_epoch_before = machine.heartbeat_sequence.agent_epoch
+        lease_has_expired = 0 < agent_epoch_before < heartbeat.sequence.agent_epoch
         machine.heartbeat_sequence = heartbeat.sequence
         machine.relay = relay
         machine.address = heartbeat.address
         if machine.state is MachineState.BOOTING:
             self._mark_up(machine, now)
-        if not self._shows_current_token(heartbeat):
+        if not shows_current_token:
             self._record_stale_token(machine, now)
             return []
-        return self._on_current_heartbeat(
-            machine, heartbeat, now, lease_has_expired=lease_has_expired
-        )
-
-    @staticmethod
-    def _has_lease_expired(machine: Machine, heartbeat: workers.Heartbeat) -> bool:
-        """Return whether the worker's lease has run out since the last heartbeat, if any."""
-        agent_epoch_before = machine.heartbeat_sequence.agent_epoch
-        return 0 < agent_epoch_before < heartbeat.sequence.agent_epoch
-
-    def _on_current_heartbeat(
-        self,
-        machine: Machine,
-        heartbeat: workers.Heartbeat,
-        now: MonotonicTime,
-        *,
-        lease_has_expired: bool,
-    ) -> list[workers.Command]:
-        """Handle the newest heartbeat of a worker that has seen this leader's fencing token."""
-        self._record_current_token(machine)
+        if machine.stale_token_heartbeats:
+            machine.stale_token_heartbeats = 0
+            cluster_state.responsiveness.record_executed_command(machine)
         machine.last_heartbeat_at = now
         self._update_description(machine, heartbeat)
-        self._take_preemption_notice(machine, heartbeat, now)
+        if heartbeat.preemption_notice_s is not None and machine.reclaim_at is None:
+            self._schedule_reclaim(machine, heartbeat.preemption_notice_s, now)
         if not machine.is_confirmed:
             machine.is_confirmed = True
-            self._cluster_state.request_planning()
+            cluster_state.request_planning()
         elif lease_has_expired:
             self._record_ignored_response(machine, UnresponsiveReason.LEASE_EXPIRED, now)
         return self._respond(machine, heartbeat, now)
 
-    def _shows_current_token(self, heartbeat: workers.Heartbeat) -> bool:
-        return heartbeat.token == self._cluster_state.token
-
     def _machine_type(self, name: str) -> MachineType:
         return self._cluster_state.types.get(name) or placeholder_type(name)
 
@@ -132,11 +116,6 @@
         if machine.stale_token_heartbeats > 1:
             self._record_ignored_response(machine, UnresponsiveReason.STALE_TOKEN, now)
 
-    def _record_current_token(self, machine: Machine) -> None:
-        if machine.stale_token_heartbeats:
-            machine.stale_token_heartbeats = 0
-            self._cluster_state.responsiveness.record_executed_command(machine)
-
     def _update_description(self, machine: Machine, heartbeat: workers.Heartbeat) -> None:
         """Take type, zone and kind from the heartbeat, which knows best."""
         if (
@@ -148,16 +127,12 @@
                 machine, self._machine_type(heartbeat.type), heartbeat.zone, heartbeat.spot
             )
 
-    def _take_preemption_notice(
-        self, machine: Machine, heartbeat: workers.Heartbeat, now: MonotonicTime
-    ) -> None:
-        """Stop using a spot machine that the cloud is about to take back."""
-        notice_s = heartbeat.preemption_notice_s
-        if notice_s is not None and machine.reclaim_at is None:
-            machine.reclaim_at = MonotonicTime(now + notice_s)
-            machine.is_unschedulable = True
-            log.info("spot preemption notice machine=%s notice_s=%.0f", machine.id, notice_s)
-            self._cluster_state.request_autoscaling(now)
+    def _schedule_reclaim(self, machine: Machine, notice_s: float, now: MonotonicTime) -> None:
+        """Stop using a spot machine that the cloud takes back in `notice_s` seconds."""
+        machine.reclaim_at = MonotonicTime(now + notice_s)
+        machine.is_unschedulable = True
+        log.info("spot preemption notice machine=%s notice_s=%.0f", machine.id, notice_s)
+        self._cluster_state.request_autoscaling(now)
 
     def _respond(
         self, machine: Machine, heartbeat: workers.Heartbeat, now: MonotonicTime
--- a/src/eldercart/cluster/machine_monitor.py
+++ b/src/eldercart/cluster/machine_monitor.py
@@ -83,6 +83,7 @@
 
     def _check_tasks(self, machine: Machine, now: MonotonicTime) -> None:
         cluster_state = self._cluster_state
+        health = cluster_state.health
         if machine.prelaunch_queue and machine.free_cpus > RESOURCE_EPSILON:
             cluster_state.mark_needs_command(machine)
         cordon_grace_over = now - machine.cordoned_at > CORDON_GRACE_S
@@ -98,7 +99,7 @@
                     log.info("kill overdue machine=%s task=%s", machine.id, placement.key)
                     cluster_state.request_deletion(machine, now)
                     return
-            elif self._is_straggler(placement, now):
+            elif placement.phase is PlacementPhase.RUNNING and health.is_straggler(placement, now):
                 self._kill_straggler(machine, placement, now)
 
     def _kill_all_placements(self, machine: Machine, now: MonotonicTime) -> None:
@@ -117,11 +118,6 @@
         if is_being_cancelled(placement) and now - placement.job.cancelled_at > direct_after_s:
             self._cluster_state.pending_commands.request_direct_kill(machine.id)
 
-    def _is_straggler(self, placement: Placement, now: MonotonicTime) -> bool:
-        return placement.phase is PlacementPhase.RUNNING and (
-            self._cluster_state.health.is_straggler(placement, now)
-        )
-
     def _kill_straggler(self, machine: Machine, placement: Placement, now: MonotonicTime) -> None:
         cluster_state = self._cluster_state
         log.info("straggler killed task=%s machine=%s", placement.key, machine.id)
