--- a/src/eldercart/cluster/reconciliation.py
+++ b/src/eldercart/cluster/reconciliation.py
@@ -1,5 +1,7 @@
-"""A report's tasks against the recorded state: what has changed, and what the machine is told to
-do."""
+"""Reconciliation of the tasks in a heartbeat with the recorded placements.
+
+It updates the placements and collects the commands that answer the heartbeat.
+"""
 
 import logging
 from dataclasses import dataclass, field
@@ -15,37 +17,38 @@
 
 log = logging.getLogger("eldercart.controller")
 
-# Looked up once, as they are compared with each task of each report.
+# Looked up once, as they are compared with each task of each heartbeat.
 RUNNING, SAVING, EXITED = TaskState.RUNNING, TaskState.SAVING, TaskState.EXITED
-REJECTED_START_BACKOFF_HEARTBEATS = (
-    2  # report intervals for which a machine that refused a start gets no other
-)
+# heartbeat intervals for which a machine that rejected a start gets no other
+REJECTED_START_BACKOFF_HEARTBEATS = 2
 
 
 @dataclass(slots=True)
 class ReconciliationResult:
-    """What one report showed, and the commands that answer it."""
+    """What one heartbeat showed, and the commands that answer it."""
 
     commands: list[workers.Command] = field(default_factory=list)
-    has_unknown_tasks: bool = False  # it has live tasks that no record knows
-    has_command_effect: bool = False  # something that it was told has had its effect
-    has_ignored_command: bool = False  # something that it was told has had none
+    has_unknown_tasks: bool = False  # the machine has live tasks that no record knows
+    has_command_effect: bool = False  # an earlier command has had its effect
+    has_ignored_command: bool = False  # an earlier command has had none
 
 
 class Reconciler:
-    """Brings the recorded state into line with reports of the current epoch, each newer than the
-    last."""
+    """Reconciles the recorded placements with heartbeats.
+
+    The heartbeats must carry the current token, and each of a machine must be newer than its last.
+    """
 
     def __init__(self, cluster_state: ClusterState, planner: Planner) -> None:
-        """Shares the recorded state with the planner, whose waiting jobs keep their room."""
+        """Share the recorded state with the planner, whose unplaced jobs keep their room."""
         self._cluster_state = cluster_state
         self._planner = planner
-        self._heartbeat_number = 0  # of the report being read: what it lists carries the same
+        self._heartbeat_number = 0  # of this heartbeat; the placements that it lists carry it
 
     def reconcile(
         self, machine: Machine, heartbeat: workers.Heartbeat, now: MonotonicTime
     ) -> ReconciliationResult:
-        """Reads what the report lists, then what it lacks, then launches what has room."""
+        """Handle the listed tasks, then the missing ones, then launch what has room."""
         found = ReconciliationResult()
         self._heartbeat_number += 1
         self._reconcile_listed(machine, heartbeat, found, now)
@@ -58,7 +61,7 @@
             self._launch_enqueued(machine, found, now)
         return found
 
-    # -- what the report lists
+    # -- tasks that the heartbeat lists
 
     def _reconcile_listed(
         self,
@@ -67,23 +70,23 @@
         found: ReconciliationResult,
         now: MonotonicTime,
     ) -> None:
-        mark = self._heartbeat_number
-        placed = machine.placements
+        heartbeat_number = self._heartbeat_number
+        placements = machine.placements
         for task in heartbeat.tasks:
-            key, attempt, state, why = task
-            placement = placed.get(key)
+            key, attempt, state, cause = task
+            placement = placements.get(key)
             if placement is None or placement.attempt != attempt:
                 self._reject_unplaced_task(machine, placement, task, found)
                 continue
-            placement.last_heartbeat_number = mark
+            placement.last_heartbeat_number = heartbeat_number
             placement.may_have_launched = True
             if placement.phase is PlacementPhase.ENDED:
-                continue  # done, not yet durable: no clear yet
+                continue  # done, not yet durable: not cleared yet
             if state == EXITED:
                 found.has_command_effect = True
-                self._on_exited(machine, placement, why, now)
-                if key not in placed:
-                    # Not of a done one: until it is durable, this is the record.
+                self._on_exited(machine, placement, cause, now)
+                if key not in placements:
+                    # A done task is not cleared: until that is durable, this is the record.
                     found.commands.append(workers.Clear(key, attempt))
                 continue
             if not placement.has_been_reported:
@@ -101,7 +104,10 @@
         task: workers.TaskStatus,
         found: ReconciliationResult,
     ) -> None:
-        """Not ours any more, or another attempt (`placement`: ours): out with it."""
+        """Clear or kill a task that is not placed here, or of which another attempt is.
+
+        `placement` is that other attempt.
+        """
         if task.state == EXITED:
             found.commands.append(workers.Clear(task.key, task.attempt))
         else:
@@ -110,13 +116,13 @@
             if placement is None:
                 log.debug("unknown task machine=%s task=%s", machine.id, task.key)
         if placement is not None:
-            # A launch beside it would be refused: wait until it is cleared.
+            # A launch beside it would be rejected: wait until it is cleared.
             placement.last_heartbeat_number = self._heartbeat_number
 
     def _on_first_listed(
         self, machine: Machine, placement: Placement, found: ReconciliationResult
     ) -> None:
-        """The launch has had its effect, and the image is there or on its way."""
+        """Note that the launch has had its effect, and that the image is there or on its way."""
         placement.has_been_reported = True
         self._cluster_state.inventory.record_image_use(
             machine, placement.job.spec.image, placement.job.spec.image_gb
@@ -126,18 +132,18 @@
             placement.unacknowledged_commands = 0
 
     def _update_phase(self, placement: Placement, state: str, now: MonotonicTime) -> None:
-        """The task is listed in another state than running on."""
-        scheduler = self._cluster_state
+        """Follow the state of a listed task, unless it was running and still is."""
+        jobs = self._cluster_state.jobs
         if state == RUNNING:
-            scheduler.start_latencies_s.append(now - placement.job.ready_at)
-            scheduler.jobs.set_phase(placement, PlacementPhase.RUNNING, now)
+            self._cluster_state.start_latencies_s.append(now - placement.job.ready_at)
+            jobs.set_phase(placement, PlacementPhase.RUNNING, now)
         elif state == SAVING:
-            scheduler.jobs.set_phase(placement, PlacementPhase.SAVING, now)
+            jobs.set_phase(placement, PlacementPhase.SAVING, now)
         elif placement.phase is not PlacementPhase.FETCHING:
-            scheduler.jobs.set_phase(placement, PlacementPhase.FETCHING, now)
+            jobs.set_phase(placement, PlacementPhase.FETCHING, now)
 
     def _repeat_kill(self, placement: Placement, state: str, found: ReconciliationResult) -> None:
-        """Told in every answer until a newer report lacks the task."""
+        """Repeat the kill in every answer until a newer heartbeat lacks the task."""
         if state == SAVING:
             found.has_command_effect = True
         elif placement.unacknowledged_commands:
@@ -147,7 +153,7 @@
         grace_s = 0.0 if placement.job.is_cancelled else placement.job.spec.checkpoint_save_s
         found.commands.append(workers.Kill(placement.key, placement.attempt, grace_s))
 
-    # -- tasks that have ended
+    # -- tasks that have exited
 
     def _on_exited(
         self, machine: Machine, placement: Placement, cause: str | None, now: MonotonicTime
@@ -156,71 +162,64 @@
         if job.is_runnable and cause == ExitCause.DONE:
             self._on_done(machine, placement, now)
             return
-        # If its job isn't open, its end is decided or even durable (a new leader may load such a
-        # job before its records are deleted); to end it once more would be refused for ever.
+        # If its job isn't runnable, its end is decided or even durable (a new leader may load such
+        # a job before its records are deleted); to end it once more would be rejected for ever.
         if job.is_runnable:
             self._on_failed(machine, placement, cause, now)
         self._cluster_state.cancel_placement(placement, now)
 
     def _on_done(self, machine: Machine, placement: Placement, now: MonotonicTime) -> None:
-        scheduler = self._cluster_state
+        cluster_state = self._cluster_state
         job = placement.job
-        ran = placement.run_time_s(now) if placement.is_start_known else 0.0
-        scheduler.inventory.release(machine, placement, now)
-        scheduler.jobs.mark_done(placement, now)
-        scheduler.dirty_jobs[job.id] = job
+        run_time_s = placement.run_time_s(now) if placement.is_start_known else 0.0
+        cluster_state.inventory.release(machine, placement, now)
+        cluster_state.jobs.mark_done(placement, now)
+        cluster_state.dirty_jobs[job.id] = job
         if job.unplaced_count or job.enqueued_count or self._planner.unplaced_jobs:
-            scheduler.is_planning_requested = True
+            cluster_state.is_planning_requested = True
         job.has_started = True
-        scheduler.completed_cpu_s += ran * job.spec.cpus
-        scheduler.predictor.record_run_time(job, ran)
-        if scheduler.health.record_task_success(machine, job, ran):
-            scheduler.cordon(machine, "slow", now)
+        cluster_state.completed_cpu_s += run_time_s * job.spec.cpus
+        cluster_state.predictor.record_run_time(job, run_time_s)
+        if cluster_state.health.record_task_success(machine, job, run_time_s):
+            cluster_state.cordon(machine, "slow", now)
         if job.is_complete:
-            scheduler.finalizing_jobs[job.id] = job
+            cluster_state.finalizing_jobs[job.id] = job
 
     def _on_failed(
         self, machine: Machine, placement: Placement, cause: str | None, now: MonotonicTime
     ) -> None:
-        """Stopped, failed or refused: evidence against the machine or the job, if any."""
-        scheduler = self._cluster_state
+        """Handle a task that was killed, failed or was rejected.
+
+        That may be evidence against the machine or the job.
+        """
+        cluster_state = self._cluster_state
         if cause == ExitCause.ERROR and not placement.is_terminating:
-            log.info(
-                "task failed machine=%s task=%s attempt=%d",
-                machine.id,
-                placement.key,
-                placement.attempt,
-            )
-            if scheduler.health.record_task_failure(machine, placement.job, now):
-                scheduler.cordon(machine, "failing", now)
+            _log_task_event("task failed", machine, placement)
+            if cluster_state.health.record_task_failure(machine, placement.job, now):
+                cluster_state.cordon(machine, "failing", now)
         elif cause in (ExitCause.NO_CAPACITY, ExitCause.BUSY, ExitCause.UNKNOWN_TASK):
-            self._on_start_rejected(machine, placement.job, placement, cause, now)
+            self._on_start_rejected(machine, placement, cause, now)
 
     def _on_start_rejected(
-        self,
-        machine: Machine,
-        job: Job,
-        placement: Placement,
-        cause: str | None,
-        now: MonotonicTime,
+        self, machine: Machine, placement: Placement, cause: str | None, now: MonotonicTime
     ) -> None:
-        scheduler = self._cluster_state
-        log.info("start refused machine=%s task=%s why=%s", machine.id, placement.key, cause)
-        machine.launch_backoff_until = MonotonicTime(
-            now + REJECTED_START_BACKOFF_HEARTBEATS * scheduler.settings.report_s
-        )
+        cluster_state = self._cluster_state
+        log.info("start rejected machine=%s task=%s cause=%s", machine.id, placement.key, cause)
+        backoff_s = REJECTED_START_BACKOFF_HEARTBEATS * cluster_state.settings.report_s
+        machine.launch_backoff_until = MonotonicTime(now + backoff_s)
         if cause == ExitCause.UNKNOWN_TASK:
-            job.backoff_until = MonotonicTime(now + scheduler.tuning.error_backoff_s)
+            error_backoff_s = cluster_state.tuning.error_backoff_s
+            placement.job.backoff_until = MonotonicTime(now + error_backoff_s)
 
-    # -- what the report lacks
+    # -- tasks that the heartbeat lacks
 
     def _reconcile_absent(
         self, machine: Machine, found: ReconciliationResult, now: MonotonicTime
     ) -> None:
         absent = [
-            p
-            for p in machine.placements.values()
-            if p.last_heartbeat_number != self._heartbeat_number
+            placement
+            for placement in machine.placements.values()
+            if placement.last_heartbeat_number != self._heartbeat_number
         ]
         for placement in absent:
             if placement.phase is PlacementPhase.ENDED or placement.phase is PlacementPhase.PLANNED:
@@ -231,31 +230,29 @@
                 self._relaunch(placement, found)
 
     def _is_given_up(self, machine: Machine, placement: Placement) -> bool:
-        """Whether a task that a newer report lacks is given up there instead of launched."""
+        """Return whether a task that a newer heartbeat lacks is given up instead of launched."""
         if placement.is_terminating or not placement.job.is_runnable:
             return True
         if placement.has_been_reported:
-            # It was there and a newer report lacks it: its session ended.
-            log.info(
-                "task lost machine=%s task=%s attempt=%d",
-                machine.id,
-                placement.key,
-                placement.attempt,
-            )
+            # It was there and a newer heartbeat lacks it: its agent epoch has ended.
+            _log_task_event("task lost", machine, placement)
             return True
         if machine.state is not MachineState.UP or machine.is_unschedulable:
             return True
         if min(machine.free_cpus, machine.free_gpus, machine.free_memory_gb) < -RESOURCE_EPSILON:
-            # Written ahead by an earlier leader for room that is not there: not launched.
+            # Enqueued by an earlier leader for room that is not there: not launched.
             return True
-        # Written ahead by an earlier leader, which would have counted it when it was launched:
-        # this one has counted all of them, and together they may be more than the team may use.
+        # Enqueued by an earlier leader, which would have counted it when it was launched: this one
+        # has counted all of them, and together they may be more than the team's quota.
         return feasibility.exceeds_quota(
             placement.job.spec, self._cluster_state.inventory, self._cluster_state.settings.teams
         )
 
     def _relaunch(self, placement: Placement, found: ReconciliationResult) -> None:
-        """Again if need be: absence from a newer report shows that a launch was dropped."""
+        """Launch a task, once more if need be.
+
+        Its absence from a newer heartbeat shows that an earlier launch was dropped.
+        """
         if placement.unacknowledged_commands > 0:
             found.has_ignored_command = True
         placement.is_start_known = True
@@ -263,48 +260,48 @@
         placement.unacknowledged_commands += 1
         found.commands.append(workers.Launch(placement.key, placement.attempt))
 
-    # -- what was written ahead
+    # -- the prelaunch queue
 
     def _launch_enqueued(
         self, machine: Machine, found: ReconciliationResult, now: MonotonicTime
     ) -> None:
-        """The report has shown what room there is; what was written ahead may start at once."""
+        """Launch enqueued tasks for which the heartbeat has shown that there is room."""
         if not machine.is_schedulable:
             return
-        teams = self._cluster_state.settings.teams
+        inventory, teams = self._cluster_state.inventory, self._cluster_state.settings.teams
         for placement in sorted(machine.prelaunch_queue.values(), key=_launch_order):
-            if (
-                placement.phase is not PlacementPhase.COMMITTED
-                or placement.key in machine.placements
-            ):
+            if placement.phase is not PlacementPhase.COMMITTED:
+                continue
+            if placement.key in machine.placements:
                 continue
             spec = placement.job.spec
-            if (
-                feasibility.count_fitting(
-                    spec, machine.free_cpus, machine.free_gpus, machine.free_memory_gb
-                )
-                < 1
-            ):
+            fitting = feasibility.count_fitting(
+                spec, machine.free_cpus, machine.free_gpus, machine.free_memory_gb
+            )
+            if fitting < 1:
                 return
             if not self._fits_beside_waiting_jobs(machine, placement.job):
                 continue
-            if feasibility.quota_headroom(spec, self._cluster_state.inventory, teams) < 1:
+            if feasibility.quota_headroom(spec, inventory, teams) < 1:
                 continue
             self._launch(machine, placement, found, now)
 
     def _fits_beside_waiting_jobs(self, machine: Machine, job: Job) -> bool:
-        """Room for a waiting task of higher priority is not broken up; the rest is used."""
+        """Return whether a task fits without breaking up room for waiting jobs.
+
+        Room for a waiting task of higher priority is kept; the rest may be used.
+        """
         if job.is_starving:
             return True
-        cpus, gpus, memory = machine.free_cpus, machine.free_gpus, machine.free_memory_gb
-        for above in self._planner.unplaced_jobs:
-            spec = above.spec
-            if above.priority > job.priority and feasibility.is_feasible(spec, machine):
-                number = feasibility.count_fitting(spec, cpus, gpus, memory)
-                cpus -= number * spec.cpus
-                gpus -= number * spec.gpus
-                memory -= number * spec.memory_gb
-        return feasibility.count_fitting(job.spec, cpus, gpus, memory) >= 1
+        cpus, gpus, memory_gb = machine.free_cpus, machine.free_gpus, machine.free_memory_gb
+        for waiting_job in self._planner.unplaced_jobs:
+            spec = waiting_job.spec
+            if waiting_job.priority > job.priority and feasibility.is_feasible(spec, machine):
+                task_count = feasibility.count_fitting(spec, cpus, gpus, memory_gb)
+                cpus -= task_count * spec.cpus
+                gpus -= task_count * spec.gpus
+                memory_gb -= task_count * spec.memory_gb
+        return feasibility.count_fitting(job.spec, cpus, gpus, memory_gb) >= 1
 
     def _launch(
         self,
@@ -313,10 +310,10 @@
         found: ReconciliationResult,
         now: MonotonicTime,
     ) -> None:
-        scheduler = self._cluster_state
-        scheduler.jobs.mark_dequeued(placement)
-        scheduler.inventory.dequeue(machine, placement)
-        scheduler.inventory.allocate(machine, placement)
+        cluster_state = self._cluster_state
+        cluster_state.jobs.mark_dequeued(placement)
+        cluster_state.inventory.dequeue(machine, placement)
+        cluster_state.inventory.allocate(machine, placement)
         placement.may_have_launched = True
         placement.unacknowledged_commands = 1
         placement.job.last_placed_at = now
@@ -330,3 +327,9 @@
         placement.job.queue_position,
         placement.enqueued_at,
     )
+
+
+def _log_task_event(event: str, machine: Machine, placement: Placement) -> None:
+    log.info(
+        "%s machine=%s task=%s attempt=%d", event, machine.id, placement.key, placement.attempt
+    )
