--- a/src/eldercart/persistence/learned_state.py
+++ b/src/eldercart/persistence/learned_state.py
@@ -1,6 +1,8 @@
-"""What a leader has learned and the next one would have to learn again: which machines hold which
-images, and how run times compare with estimates. Kept in the state service now and then, in few
-records; nothing rests on it, so it may be old, or lost."""
+"""Checkpoints of what a leader has learned and the next one would have to learn again.
+
+That is which machines hold which images, and how run times compare with estimates. It is written to
+the state store now and then, in few records. Nothing depends on it, so it may be old, or lost.
+"""
 
 from collections.abc import Iterator
 from functools import lru_cache
@@ -9,121 +11,154 @@
 import orjson
 
 from eldercart.scheduling.cluster_state import ClusterState
-from eldercart.units import MachineId
 from eldercart.wire.state import MAX_TRANSACTION_BYTES, Put
+from eldercart.wire.stored_learned_state import (
+    RUN_TIME_RATIOS_KEY,
+    RunTimeSums,
+    decode_images,
+    decode_run_time_sums,
+    encode_images,
+    images_key,
+    is_run_time_ratios_key,
+    run_time_ratios_key,
+)
 
-LEARNED_STATE_PREFIX = "memo/"
-RUN_TIME_RATIOS_KEY = LEARNED_STATE_PREFIX + "paces"
 VALUE_FILL_RATIO = 0.8  # of a value's size: how the service counts bytes is its own affair
-SIZE_CACHE_ENTRIES = 8192  # names whose written sizes are remembered
+SIZE_CACHE_ENTRIES = 8192  # names whose encoded sizes are remembered
+SEPARATOR_BYTES = 1  # after each encoded value
+EMPTY_RECORD_BYTES = 2
+EMPTY_IMAGES_RECORD_BYTES = 30
+MACHINE_OVERHEAD_BYTES = 3  # of a machine in a record of images, beside its name
+IMAGE_INDEX_BYTES = 5  # that the number of an image takes, at most
 
 
 def learned_state_records(cluster_state: ClusterState) -> dict[str, Any]:
-    """Records by key, each within the value limit."""
-    most = int(cluster_state.settings.value_bytes * VALUE_FILL_RATIO)
-    out: dict[str, Any] = {RUN_TIME_RATIOS_KEY: {}}
-    for i, paces in enumerate(
-        _run_time_ratio_records(cluster_state.predictor.run_time_sums(), most)
-    ):
-        out[f"{RUN_TIME_RATIOS_KEY}/{i}" if i else RUN_TIME_RATIOS_KEY] = paces
-    for i, images in enumerate(_image_records(cluster_state, most)):
-        out[f"{LEARNED_STATE_PREFIX}images/{i}"] = images
-    return out
+    """Return the records of a checkpoint by key, each within the value limit."""
+    max_bytes = int(cluster_state.settings.value_bytes * VALUE_FILL_RATIO)
+    records: dict[str, Any] = {RUN_TIME_RATIOS_KEY: {}}
+    sums = cluster_state.predictor.run_time_sums()
+    for number, ratios in enumerate(_run_time_ratio_records(sums, max_bytes)):
+        records[run_time_ratios_key(number)] = ratios
+    for number, images in enumerate(_image_records(cluster_state, max_bytes)):
+        records[images_key(number)] = images
+    return records
 
 
 def next_learned_state_writes(
     records: dict[str, Any], start: int, max_operations: int
 ) -> list[Put]:
-    """The records to write next, the one numbered `start` first: as many as there are changes for,
-    and as fit into one transaction. The others have their turn later."""
+    """Return the writes of the records that come next, from the one numbered `start`.
+
+    They are as many as there are operations for and as fit into one transaction; the others follow
+    in later transactions.
+    """
     keys = list(records)
     start %= len(keys)
-    puts: list[Put] = []
+    writes: list[Put] = []
     size = 0
     for key in (keys[start:] + keys[:start])[:max_operations]:
         size += len(key) + _encoded_bytes(records[key])
-        if puts and size > MAX_TRANSACTION_BYTES:
+        if writes and size > MAX_TRANSACTION_BYTES:
             break
-        puts.append(Put(key, records[key]))
-    return puts
+        writes.append(Put(key, records[key]))
+    return writes
+
+
+def restore_learned_state(cluster_state: ClusterState, key: str, value: Any) -> None:
+    """Restore one record of a checkpoint; one that makes no sense is skipped."""
+    try:
+        if is_run_time_ratios_key(key):
+            cluster_state.predictor.restore_run_time_sums(decode_run_time_sums(value))
+            return
+        for machine_id, images in decode_images(value):
+            cluster_state.inventory.restore_images(machine_id, images)
+    except (AttributeError, IndexError, KeyError, TypeError, ValueError):
+        return
 
 
 def _encoded_bytes(value: Any) -> int:
-    return len(orjson.dumps(value)) + 1
+    """Return the size of a value in a record, with the separator after it."""
+    return len(orjson.dumps(value)) + SEPARATOR_BYTES
 
 
 @lru_cache(maxsize=SIZE_CACHE_ENTRIES)
 def _machine_id_bytes(name: str) -> int:
-    """The same of a machine's name."""
+    """Return the size of a machine's name in a record."""
     return _encoded_bytes(name)
 
 
 @lru_cache(maxsize=SIZE_CACHE_ENTRIES)
 def _image_bytes(name: str, size_gb: float) -> int:
-    """The same of an image and its size: all machines hold the same few."""
+    """Return the size of an image in a record; all machines hold the same few."""
     return _encoded_bytes(name) + _encoded_bytes(size_gb)
 
 
-def _run_time_ratio_records(
-    ratios: dict[str, tuple[float, float]], max_bytes: int
-) -> Iterator[dict[str, Any]]:
-    record: dict[str, Any] = {}
-    size = 2
-    for klass, pace in ratios.items():
-        takes = _encoded_bytes(klass) + _encoded_bytes(pace)
-        if record and size + takes > max_bytes:
+def _run_time_ratio_records(sums: RunTimeSums, max_bytes: int) -> Iterator[RunTimeSums]:
+    record: RunTimeSums = {}
+    size = EMPTY_RECORD_BYTES
+    for job_class, class_sums in sums.items():
+        entry_bytes = _encoded_bytes(job_class) + _encoded_bytes(class_sums)
+        if record and size + entry_bytes > max_bytes:
             yield record
-            record, size = {}, 2
-        if size + takes <= max_bytes:
-            record[klass] = pace
-            size += takes
+            record, size = {}, EMPTY_RECORD_BYTES
+        if size + entry_bytes <= max_bytes:
+            record[job_class] = class_sums
+            size += entry_bytes
     if record:
         yield record
 
 
-def _image_records(cluster_state: ClusterState, max_bytes: int) -> Iterator[dict[str, Any]]:
-    """What of a single machine's images does not fit into a record is left out."""
-    empty = 30  # the record without any
-    numbers: dict[str, int] = {}
-    sizes: list[float] = []
-    held: dict[str, list[int]] = {}
-    used = empty
-    for m in cluster_state.inventory.machines.values():
-        if not m.cached_images:
-            continue
-        known = {image: _image_bytes(image, size) for image, size in m.cached_images.items()}
-        takes = _machine_id_bytes(m.id) + 3 + 5 * len(known)
-        takes += sum(b for image, b in known.items() if image not in numbers)
-        if held and used + takes > max_bytes:
-            yield {"n": list(numbers), "g": sizes, "m": held}
-            numbers, sizes, held, used = {}, [], {}, empty
-        used += _machine_id_bytes(m.id) + 3
-        held[m.id] = []
-        for image, size in m.cached_images.items():
-            takes = 5 + (0 if image in numbers else known[image])
-            if used + takes > max_bytes:
+class _ImagesRecord:
+    """A record of images that is being filled."""
+
+    def __init__(self, max_bytes: int) -> None:
+        self._max_bytes = max_bytes
+        self._size = EMPTY_IMAGES_RECORD_BYTES
+        self._indexes: dict[str, int] = {}  # by image
+        self._sizes_gb: dict[str, float] = {}  # by image, in the order of their indexes
+        self._image_indexes: dict[str, list[int]] = {}  # by machine
+
+    @property
+    def is_empty(self) -> bool:
+        return not self._image_indexes
+
+    def has_room_for(self, machine_id: str, image_bytes: dict[str, int]) -> bool:
+        """Return whether the machine fits with all its images, given by their sizes."""
+        needed = _machine_id_bytes(machine_id) + MACHINE_OVERHEAD_BYTES
+        needed += IMAGE_INDEX_BYTES * len(image_bytes)
+        needed += sum(size for image, size in image_bytes.items() if image not in self._indexes)
+        return self._size + needed <= self._max_bytes
+
+    def add(self, machine_id: str, images: dict[str, float], image_bytes: dict[str, int]) -> None:
+        """Add a machine with as many of its images as fit."""
+        self._size += _machine_id_bytes(machine_id) + MACHINE_OVERHEAD_BYTES
+        indexes = self._image_indexes[machine_id] = []
+        for image, size_gb in images.items():
+            is_new = image not in self._indexes
+            needed = IMAGE_INDEX_BYTES + (image_bytes[image] if is_new else 0)
+            if self._size + needed > self._max_bytes:
                 continue
-            used += takes
-            if image not in numbers:
-                numbers[image] = len(numbers)
-                sizes.append(size)
-            held[m.id].append(numbers[image])
-    if held:
-        yield {"n": list(numbers), "g": sizes, "m": held}
+            self._size += needed
+            if is_new:
+                self._indexes[image] = len(self._indexes)
+                self._sizes_gb[image] = size_gb
+            indexes.append(self._indexes[image])
 
+    def encode(self) -> dict[str, Any]:
+        return encode_images(self._sizes_gb, self._image_indexes)
 
-def restore_learned_state(cluster_state: ClusterState, key: str, value: Any) -> None:
-    """Takes over one record; one that makes no sense is passed over."""
-    try:
-        if key == RUN_TIME_RATIOS_KEY or key.startswith(RUN_TIME_RATIOS_KEY + "/"):
-            cluster_state.predictor.restore_run_time_sums(
-                {str(k): (float(ran), float(est)) for k, (ran, est) in value.items()}
-            )
-            return
-        names = [(str(n), float(g)) for n, g in zip(value["n"], value["g"], strict=True)]
-        for machine, held in value["m"].items():
-            cluster_state.inventory.restore_images(
-                MachineId(machine), dict(names[int(i)] for i in held)
-            )
-    except (AttributeError, IndexError, KeyError, TypeError, ValueError):
-        return
+
+def _image_records(cluster_state: ClusterState, max_bytes: int) -> Iterator[dict[str, Any]]:
+    """Yield records of images; what of a single machine does not fit into one is left out."""
+    record = _ImagesRecord(max_bytes)
+    for machine in cluster_state.inventory.machines.values():
+        images = machine.cached_images
+        if not images:
+            continue
+        image_bytes = {image: _image_bytes(image, size_gb) for image, size_gb in images.items()}
+        if not record.is_empty and not record.has_room_for(machine.id, image_bytes):
+            yield record.encode()
+            record = _ImagesRecord(max_bytes)
+        record.add(machine.id, images, image_bytes)
+    if not record.is_empty:
+        yield record.encode()
--- a/tests/test_leading.py
+++ b/tests/test_leading.py
@@ -19,7 +19,6 @@
     PLACEMENT_PREFIX,
     encode_job_record,
 )
-from eldercart.persistence.learned_state import LEARNED_STATE_PREFIX
 from eldercart.scheduling.scheduler import GetCatalog, JobStatus, LookupFailure, TransactionOutcome
 from eldercart.server.leadership import failover, job_record_watch
 from eldercart.server.leadership.catalog_record import CATALOG_KEY, CatalogRecord
@@ -41,6 +40,7 @@
 )
 from eldercart.wire import cloud, peers, users
 from eldercart.wire.state import Item, Transaction
+from eldercart.wire.stored_learned_state import LEARNED_STATE_PREFIX
 from simulators import CATALOG
 from test_limits import leading_node
 from world import submission
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -51,6 +51,7 @@
 )
 from eldercart.wire import cloud, peers, users
 from eldercart.wire.state import Item, Put, Transaction
+from eldercart.wire.stored_learned_state import LEARNED_STATE_PREFIX
 from simulators import CATALOG
 from test_acceptance import Place
 from world import PLATFORM, World, submission
@@ -1199,10 +1200,7 @@
         node.leader_service.process_events()
         assert node.store.writes.available(clock()) >= 0
     memories = [
-        w
-        for writes in sent
-        for w in writes
-        if w.get("put", "").startswith(learned_state.LEARNED_STATE_PREFIX)
+        w for writes in sent for w in writes if w.get("put", "").startswith(LEARNED_STATE_PREFIX)
     ]
     assert len(memories) > 3 and max(len(writes) for writes in sent) < 18
 
--- a/tests/versions/reading.py
+++ b/tests/versions/reading.py
@@ -22,7 +22,6 @@
     max_tasks_per_chunk,
     resolve_dependency_list,
 )
-from eldercart.persistence.learned_state import RUN_TIME_RATIOS_KEY
 from eldercart.scheduling.scheduler import Scheduler
 from eldercart.settings import load_tuning
 from eldercart.settings.platform import parse_platform
@@ -43,6 +42,7 @@
 )
 from eldercart.wire import MalformedMessage, cloud, peers, users, workers
 from eldercart.wire.state import Item
+from eldercart.wire.stored_learned_state import RUN_TIME_RATIOS_KEY
 from eldercart.wire.users import DependencyListReference, JobSpec
 from versions.legacy import old_fields
 from world import PLATFORM, submission
