--- a/src/eldercart/autoscaling/autoscaler.py
+++ b/src/eldercart/autoscaling/autoscaler.py
@@ -7,7 +7,7 @@
 from statistics import fmean
 
 from eldercart.cluster.inventory import Machine, MachineState
-from eldercart.jobs.registry import Job
+from eldercart.jobs.job import Job
 from eldercart.scheduling.feasibility import fits_machine_type, is_feasible
 from eldercart.settings import Tuning
 from eldercart.settings.platform import Team
--- a/src/eldercart/autoscaling/cloud_requests.py
+++ b/src/eldercart/autoscaling/cloud_requests.py
@@ -6,7 +6,7 @@
 
 from eldercart.autoscaling.autoscaler import ScaleOutRequest
 from eldercart.cluster.inventory import MachineState
-from eldercart.jobs.registry import PlacementPhase
+from eldercart.jobs.job import PlacementPhase
 from eldercart.scheduling import feasibility
 from eldercart.scheduling.cluster_state import ClusterState
 from eldercart.units import DISTANT_PAST, JobId, MachineId, MonotonicTime
--- a/src/eldercart/cluster/health.py
+++ b/src/eldercart/cluster/health.py
@@ -8,7 +8,7 @@
 from statistics import median
 
 from eldercart.cluster.inventory import Machine, RunTimeRatio
-from eldercart.jobs.registry import Job, Placement
+from eldercart.jobs.job import Job, Placement
 from eldercart.units import MonotonicTime
 
 SLOW_RUN_TIME_RATIO = 1.8  # mean run time against the jobs' own medians
--- a/src/eldercart/cluster/inventory.py
+++ b/src/eldercart/cluster/inventory.py
@@ -8,7 +8,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from eldercart.jobs.registry import Placement, PlacementPhase
+from eldercart.jobs.job import Placement, PlacementPhase
 from eldercart.units import (
     DISTANT_PAST,
     MONOTONIC_ZERO,
--- a/src/eldercart/cluster/machine_monitor.py
+++ b/src/eldercart/cluster/machine_monitor.py
@@ -4,7 +4,7 @@
 
 from eldercart.cluster.failure_detector import FailureDetector
 from eldercart.cluster.inventory import RESOURCE_EPSILON, Machine, MachineState, is_being_cancelled
-from eldercart.jobs.registry import Placement, PlacementPhase
+from eldercart.jobs.job import Placement, PlacementPhase
 from eldercart.scheduling import feasibility
 from eldercart.scheduling.cluster_state import ClusterState
 from eldercart.scheduling.pacing import AdaptiveInterval
--- a/src/eldercart/cluster/reconciliation.py
+++ b/src/eldercart/cluster/reconciliation.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from eldercart.cluster.inventory import RESOURCE_EPSILON, Machine, MachineState
-from eldercart.jobs.registry import Job, Placement, PlacementPhase
+from eldercart.jobs.job import Job, Placement, PlacementPhase
 from eldercart.scheduling import feasibility
 from eldercart.scheduling.cluster_state import ClusterState
 from eldercart.scheduling.planner import Planner
--- a/src/eldercart/jobs/dependency_graph.py
+++ b/src/eldercart/jobs/dependency_graph.py
@@ -12,7 +12,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from eldercart.jobs.registry import Job, JobRegistry
+from eldercart.jobs.job import Job
+from eldercart.jobs.registry import JobRegistry
 from eldercart.units import DISTANT_FUTURE, JobId, MonotonicTime
 from eldercart.wire.users import CANCELLED
 
--- a/src/eldercart/persistence/transaction_writer.py
+++ b/src/eldercart/persistence/transaction_writer.py
@@ -6,23 +6,22 @@
 from enum import Enum
 
 from eldercart.election.state_machine import LEADER_KEY
-from eldercart.jobs.registry import (
+from eldercart.jobs.job import Chunk, Job, Placement, PlacementPhase
+from eldercart.persistence.placement_records import PlacementRecord, PlacementRecords, RecordPart
+from eldercart.scheduling.cluster_state import ClusterState, FinishedJob
+from eldercart.units import ABSENT_REVISION, DISTANT_PAST, JobId, MonotonicTime, Revision
+from eldercart.wire import users
+from eldercart.wire.state import MAX_TRANSACTION_BYTES, DeleteKey, Item, Put, Transaction
+from eldercart.wire.stored_jobs import (
     CLEANUP_PREFIX,
     END_PREFIX,
     JOB_PREFIX,
-    Chunk,
-    Job,
-    Placement,
-    PlacementPhase,
     decode_end_record,
     dependency_list_keys,
-    max_tasks_per_chunk,
+    encode_cleanup_marker,
+    encode_end_record,
 )
-from eldercart.persistence.placement_records import PlacementRecord, PlacementRecords
-from eldercart.scheduling.cluster_state import ClusterState, FinishedJob
-from eldercart.units import ABSENT_REVISION, DISTANT_PAST, JobId, MonotonicTime, Revision
-from eldercart.wire import users
-from eldercart.wire.state import MAX_TRANSACTION_BYTES, DeleteKey, Item, Put, Transaction
+from eldercart.wire.stored_placements import max_tasks_per_chunk
 
 log = logging.getLogger("eldercart.controller")
 
@@ -94,9 +93,17 @@
         self._max_units = UNLIMITED_UNITS  # in one transaction
         self._rejected_until: dict[JobId, MonotonicTime] = {}
         self._uncertain_keys: set[str] = set()  # keys whose version only a reread can tell
-        self.subchunks_supported = False  # every node reads parts that were cut anew
         self._max_part_tasks = max_tasks_per_chunk(cluster_state.settings.value_bytes)
 
+    @property
+    def subchunks_supported(self) -> bool:
+        """Whether every node reads parts of subchunks, so that they may be written."""
+        return self.placement_records.subchunks_supported
+
+    @subchunks_supported.setter
+    def subchunks_supported(self, supported: bool) -> None:
+        self.placement_records.subchunks_supported = supported
+
     def unwritten_record_count(self) -> int:
         """Records with placements that wait to be written."""
         return len(
@@ -192,7 +199,9 @@
             if len(txn.operations) + 2 > max_operations:
                 return False
             txn.conditions[END_PREFIX + job.id] = ABSENT_REVISION
-            txn.operations.append(Put(END_PREFIX + job.id, {"e": how, "n": job.spec.task_count}))
+            txn.operations.append(
+                Put(END_PREFIX + job.id, encode_end_record(how, job.spec.task_count))
+            )
             pending.ends.append((job, how))
             pending.split_units.add(job.id)
             pending.size_bytes += 250
@@ -204,7 +213,7 @@
             else:
                 # The marker tells a later leader that this job only waits to be cleaned up.
                 at = round(job.cancelled_at + self.cluster_state.wall_clock_offset_s, 2)
-                txn.operations.append(Put(CLEANUP_PREFIX + job.id, {"e": how, "t": at}))
+                txn.operations.append(Put(CLEANUP_PREFIX + job.id, encode_cleanup_marker(how, at)))
         return True
 
     def _add_chunk_updates(
@@ -298,14 +307,14 @@
         parts = [part for part in placement_record.parts.values() if part[1].is_dirty]
         if len(placement_record.parts) == 1:
             ((job, c),) = placement_record.parts.values()
-            if not self.may_subdivide or c.task_count == 1:
+            if not self.placement_records.may_subdivide or c.task_count == 1:
                 return False  # as large as it was written before
             self.cluster_state.dirty_jobs[job.id] = job
             most = min(self._max_part_tasks, (c.task_count + 1) // 2)
             parts = [
-                (job, fine)
+                RecordPart(job, fine)
                 for fine in self.placement_records.subdivide_chunk(
-                    self.cluster_state.jobs, job, c, most, False
+                    self.cluster_state.jobs, job, c, most, is_exclusive=False
                 )
             ]
         else:
@@ -314,11 +323,6 @@
         keys.extend(dict.fromkeys(k for k in moved if k not in keys))
         return True
 
-    @property
-    def may_subdivide(self) -> bool:
-        """Parts cut anew may be written. One that an earlier leader wrote shows it, too."""
-        return self.subchunks_supported or self.placement_records.found_subchunks
-
     def _add_cleanups(self, pending: PendingTransaction, max_operations: int) -> None:
         txn = pending.transaction
         for job in self.jobs_to_clean_up.values():
@@ -443,13 +447,13 @@
         if len(pending.transaction.operations) > 2:
             self._max_operations = max(2, len(pending.transaction.operations) // 2)
             return
-        if pending.placement_records and self.may_subdivide:
+        if pending.placement_records and self.placement_records.may_subdivide:
             for job, c in list(pending.placement_records[0].parts.values())[:1]:
                 if c.task_count == 1:
                     break
                 # Its size may be the reason: halved until it fits, each half on its own.
                 self.placement_records.subdivide_chunk(
-                    self.cluster_state.jobs, job, c, (c.task_count + 1) // 2, True
+                    self.cluster_state.jobs, job, c, (c.task_count + 1) // 2, is_exclusive=True
                 )
                 self.cluster_state.dirty_jobs[job.id] = job
                 return
--- a/src/eldercart/prediction/chain_predictor.py
+++ b/src/eldercart/prediction/chain_predictor.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from itertools import count
 
-from eldercart.jobs.registry import Job
+from eldercart.jobs.job import Job
 from eldercart.prediction.soft_reservations import ChainId, Path, Pipeline
 from eldercart.settings import Tuning
 from eldercart.units import MONOTONIC_ZERO, JobId, MonotonicTime
--- a/src/eldercart/prediction/predictor.py
+++ b/src/eldercart/prediction/predictor.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from eldercart.jobs.registry import Job
+from eldercart.jobs.job import Job
 from eldercart.prediction.chain_predictor import ChainPredictor, SuccessorPrediction
 from eldercart.prediction.soft_reservations import (
     Path,
--- a/src/eldercart/scheduling/cluster_state.py
+++ b/src/eldercart/scheduling/cluster_state.py
@@ -11,7 +11,8 @@
 from eldercart.cluster.health import Health, Responsiveness
 from eldercart.cluster.inventory import Machine, MachineInventory, MachineState
 from eldercart.jobs.dependency_graph import DependencyEffect, DependencyGraph
-from eldercart.jobs.registry import Job, JobRegistry, Placement, PlacementPhase
+from eldercart.jobs.job import Job, Placement, PlacementPhase
+from eldercart.jobs.registry import JobRegistry
 from eldercart.prediction.predictor import Predictor
 from eldercart.scheduling.feasibility import ServiceLevelObjectives
 from eldercart.settings import NodeSettings, Tuning
@@ -52,7 +53,7 @@
         self.tuning = tuning
         self.token = epoch
         self.types = types
-        self.jobs = JobRegistry(0)
+        self.jobs = JobRegistry()
         self.inventory = MachineInventory()
         self.objectives = ServiceLevelObjectives(
             settings.waits, settings.finishes, settings.deadlines
--- a/src/eldercart/scheduling/feasibility.py
+++ b/src/eldercart/scheduling/feasibility.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from eldercart.cluster.inventory import RESOURCE_EPSILON, Machine, MachineInventory
-from eldercart.jobs.registry import Job, Placement, PlacementPhase
+from eldercart.jobs.job import Job, Placement, PlacementPhase
 from eldercart.settings.platform import Team
 from eldercart.units import DISTANT_FUTURE, MachineId, MonotonicTime
 from eldercart.wire.cloud import MachineType
--- a/src/eldercart/scheduling/planner.py
+++ b/src/eldercart/scheduling/planner.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from eldercart.cluster.inventory import RESOURCE_EPSILON, Machine
-from eldercart.jobs.registry import Job, Placement
+from eldercart.jobs.job import Job, Placement
 from eldercart.scheduling import feasibility
 from eldercart.scheduling.cluster_state import ClusterState
 from eldercart.scheduling.pacing import DecayingMaxCost
--- a/src/eldercart/scheduling/scheduler.py
+++ b/src/eldercart/scheduling/scheduler.py
@@ -29,17 +29,9 @@
 from eldercart.cluster.inventory import MachineState
 from eldercart.cluster.machine_monitor import MachineMonitor
 from eldercart.election.state_machine import LEADER_KEY
-from eldercart.jobs.registry import (
-    CLEANUP_PREFIX,
-    JOB_PREFIX,
-    Job,
-    Placement,
-    decode_cancellation_time,
-    decode_end_record,
-    decode_job_record,
-    resolved_list_reference,
-)
+from eldercart.jobs.job import Job, Placement
 from eldercart.persistence import learned_state
+from eldercart.persistence.placement_record_loader import load_placement_records
 from eldercart.persistence.transaction_writer import (
     PendingTransaction,
     TransactionOutcome,
@@ -66,6 +58,14 @@
 from eldercart.wire import MalformedMessage, users, workers
 from eldercart.wire.cloud import MachineType
 from eldercart.wire.state import Item, Transaction
+from eldercart.wire.stored_jobs import (
+    CLEANUP_PREFIX,
+    JOB_PREFIX,
+    decode_cancellation_time,
+    decode_end_record,
+    decode_job_record,
+    resolved_list_reference,
+)
 from eldercart.wire.users import DependencyListReference, JobSpec
 
 log = logging.getLogger("eldercart.controller")
@@ -155,7 +155,9 @@
         job_items = list(job_items)
         for item in job_items:
             self.load_job_record(item, now)
-        loaded = self.transaction_writer.placement_records.load_records(place_items, self.jobs, now)
+        loaded = load_placement_records(
+            self.transaction_writer.placement_records, place_items, self.jobs
+        )
         recorded = {item.key[len(JOB_PREFIX) :] for item in (*job_items, *incomplete_jobs)}
         self._load_cleanup_markers(cleanup_items, recorded, now)
         for job in self.jobs.jobs.values():
--- a/src/eldercart/scheduling/summary.py
+++ b/src/eldercart/scheduling/summary.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from eldercart.cluster.inventory import Machine, MachineState
-from eldercart.jobs.registry import Job, PlacementPhase
+from eldercart.jobs.job import Job, PlacementPhase
 from eldercart.scheduling.cluster_state import ClusterState
 
 log = logging.getLogger("eldercart.controller")
--- a/src/eldercart/server/leadership/failover.py
+++ b/src/eldercart/server/leadership/failover.py
@@ -6,18 +6,14 @@
 
 from twisted.internet import reactor as _reactor
 
-from eldercart.jobs.registry import (
-    CLEANUP_PREFIX,
-    DEPENDENCY_LIST_PREFIX,
-    JOB_PREFIX,
-    PLACEMENT_PREFIX,
-)
 from eldercart.server.leadership.catalog_record import CATALOG_KEY
 from eldercart.server.leadership.job_record_watch import has_dependency_list
 from eldercart.server.store.client import StoreClient
 from eldercart.units import ABSENT_REVISION, Revision
 from eldercart.wire.state import Item
+from eldercart.wire.stored_jobs import CLEANUP_PREFIX, DEPENDENCY_LIST_PREFIX, JOB_PREFIX
 from eldercart.wire.stored_learned_state import LEARNED_STATE_PREFIX
+from eldercart.wire.stored_placements import PLACEMENT_PREFIX
 
 reactor: Any = _reactor
 
--- a/src/eldercart/server/leadership/job_record_watch.py
+++ b/src/eldercart/server/leadership/job_record_watch.py
@@ -6,18 +6,18 @@
 
 from twisted.internet import reactor as _reactor
 
-from eldercart.jobs.registry import (
+from eldercart.scheduling.scheduler import Scheduler
+from eldercart.server.leadership.current_leadership import is_current_leadership
+from eldercart.units import JobId, Revision
+from eldercart.wire import MalformedMessage
+from eldercart.wire.state import Item
+from eldercart.wire.stored_jobs import (
     DEPENDENCY_LIST_PREFIX,
     JOB_PREFIX,
     decode_dependency_list_reference,
     dependency_list_prefix,
     resolve_dependency_list,
 )
-from eldercart.scheduling.scheduler import Scheduler
-from eldercart.server.leadership.current_leadership import is_current_leadership
-from eldercart.units import JobId, Revision
-from eldercart.wire import MalformedMessage
-from eldercart.wire.state import Item
 
 if TYPE_CHECKING:
     from eldercart.server.controller_node import ControllerNode
--- a/src/eldercart/server/leadership/state_store_requests.py
+++ b/src/eldercart/server/leadership/state_store_requests.py
@@ -3,7 +3,6 @@
 import logging
 from typing import TYPE_CHECKING
 
-from eldercart.jobs.registry import END_PREFIX, decode_end_record
 from eldercart.scheduling.scheduler import PendingTransaction, Scheduler, TransactionOutcome
 from eldercart.server.leadership.current_leadership import is_current_leadership
 from eldercart.server.store.client import (
@@ -14,6 +13,7 @@
 )
 from eldercart.units import JobId, MonotonicTime, Revision
 from eldercart.wire.state import Item
+from eldercart.wire.stored_jobs import END_PREFIX, decode_end_record
 
 if TYPE_CHECKING:
     from eldercart.server.controller_node import ControllerNode
--- a/src/eldercart/server/users/acceptance_check.py
+++ b/src/eldercart/server/users/acceptance_check.py
@@ -5,11 +5,11 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from eldercart.jobs.registry import END_PREFIX, JOB_PREFIX
 from eldercart.server.store.client import RESERVE_ADMISSION
 from eldercart.units import ABSENT_REVISION, JobId, Revision
 from eldercart.wire import peers
 from eldercart.wire.state import Transaction
+from eldercart.wire.stored_jobs import END_PREFIX, JOB_PREFIX
 
 if TYPE_CHECKING:
     from eldercart.server.controller_node import ControllerNode
--- a/src/eldercart/server/users/ancestor_search.py
+++ b/src/eldercart/server/users/ancestor_search.py
@@ -5,12 +5,12 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from eldercart.jobs.registry import END_PREFIX, JOB_PREFIX, decode_end_record
 from eldercart.server.store.client import RESERVE_POLLS
 from eldercart.server.store.key_ranges import common_key_prefix
 from eldercart.units import ABSENT_REVISION, JobId, Revision
 from eldercart.wire import users
 from eldercart.wire.state import Item, Transaction
+from eldercart.wire.stored_jobs import END_PREFIX, JOB_PREFIX, decode_end_record
 
 if TYPE_CHECKING:
     from eldercart.server.controller_node import ControllerNode
--- a/src/eldercart/server/users/dependencies.py
+++ b/src/eldercart/server/users/dependencies.py
@@ -10,15 +10,6 @@
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING
 
-from eldercart.jobs.registry import (
-    END_PREFIX,
-    JOB_PREFIX,
-    decode_dependency_list_reference,
-    decode_end_record,
-    dependency_list_prefix,
-    resolve_dependency_list,
-    split_dependency_list,
-)
 from eldercart.server.store.key_ranges import common_key_prefix
 from eldercart.server.users.acceptance_check import AcceptanceCheck, AcceptanceResult
 from eldercart.server.users.ancestor_search import AncestorSearch, AncestorSearchResult
@@ -27,6 +18,15 @@
 from eldercart.units import JobId, MonotonicTime, Revision
 from eldercart.wire import MalformedMessage, users
 from eldercart.wire.state import Item
+from eldercart.wire.stored_jobs import (
+    END_PREFIX,
+    JOB_PREFIX,
+    decode_dependency_list_reference,
+    decode_end_record,
+    dependency_list_prefix,
+    resolve_dependency_list,
+    split_dependency_list,
+)
 from eldercart.wire.users import DependencyListReference, JobSpec
 
 if TYPE_CHECKING:
--- a/src/eldercart/server/users/dependency_list.py
+++ b/src/eldercart/server/users/dependency_list.py
@@ -4,10 +4,10 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from eldercart.jobs.registry import dependency_list_prefix
 from eldercart.server.store.client import RESERVE_ADMISSION
 from eldercart.units import ABSENT_REVISION, JobId, MonotonicTime, Revision
 from eldercart.wire.state import MAX_TRANSACTION_BYTES, Put, Transaction
+from eldercart.wire.stored_jobs import dependency_list_prefix
 from eldercart.wire.users import DependencyListReference, JobSpec
 
 if TYPE_CHECKING:
--- a/src/eldercart/server/users/job_admission.py
+++ b/src/eldercart/server/users/job_admission.py
@@ -6,7 +6,6 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from eldercart.jobs.registry import END_PREFIX, JOB_PREFIX, encode_job_record, max_tasks_per_chunk
 from eldercart.scheduling import feasibility
 from eldercart.server.http.replies import (
     RETRY_AFTER_S,
@@ -24,6 +23,8 @@
 from eldercart.wire import MalformedMessage, users
 from eldercart.wire.checks import load_object
 from eldercart.wire.state import Put, Transaction
+from eldercart.wire.stored_jobs import END_PREFIX, JOB_PREFIX, encode_job_record
+from eldercart.wire.stored_placements import max_tasks_per_chunk
 from eldercart.wire.users import DependencyListReference, JobSpec
 
 if TYPE_CHECKING:
--- a/src/eldercart/server/users/job_states.py
+++ b/src/eldercart/server/users/job_states.py
@@ -4,7 +4,6 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from eldercart.jobs.registry import END_PREFIX, JOB_PREFIX, decode_end_record
 from eldercart.server.http.replies import RETRY_AFTER_S, SHORT_RETRY_AFTER_S
 from eldercart.server.store.client import RESERVE_POLLS
 from eldercart.server.users.ancestor_search import AncestorSearchResult
@@ -13,6 +12,7 @@
 from eldercart.units import JobId
 from eldercart.wire import peers, users
 from eldercart.wire.state import Item
+from eldercart.wire.stored_jobs import END_PREFIX, JOB_PREFIX, decode_end_record
 
 if TYPE_CHECKING:
     from eldercart.server.controller_node import ControllerNode
--- /dev/null
+++ b/src/eldercart/wire/stored_jobs.py
@@ -0,0 +1,165 @@
+"""Codec of the stored records of jobs: submission, end, cleanup marker and dependency lists.
+
+This is the only place that knows the keys and the one-letter fields of these records. What a job's
+submission looks like inside its record is the business of `wire.users`.
+"""
+
+from collections.abc import Iterable
+from dataclasses import replace
+from typing import Any, NamedTuple
+
+from eldercart.units import JobId
+from eldercart.wire.checks import MalformedMessage
+from eldercart.wire.state import Item
+from eldercart.wire.users import (
+    CANCELLED,
+    DONE,
+    DependencyListReference,
+    JobSpec,
+    parse_list_reference,
+    record_with_dependencies,
+    spec_from_record,
+    spec_to_record,
+)
+
+JOB_PREFIX, END_PREFIX, CLEANUP_PREFIX = "job/", "end/", "gone/"
+DEPENDENCY_LIST_PREFIX = "needs/"  # lists of dependencies that are too long for their job's record
+
+# In a resolved record, never in a stored one: where its dependency list was read.
+_RESOLVED_LIST_FIELD = "l"
+_VALUE_FILL_RATIO = 0.8  # of a value's size: how the store counts bytes is its own affair
+_INLINE_LIST_SHARE = 4  # a job record leaves one part in so many of its size to the dependencies
+_LIST_ENTRY_OVERHEAD_BYTES = 3  # quotes and a comma
+_LIST_OVERHEAD_BYTES = 2  # brackets
+
+
+class StoredJob(NamedTuple):
+    """What a job record holds."""
+
+    spec: JobSpec
+    tasks_per_chunk: int
+    accepted_at: float  # time of day, in seconds
+
+
+def encode_job_record(
+    spec: JobSpec,
+    tasks_per_chunk: int,
+    accepted_at: float,
+    dependency_list_reference: DependencyListReference | None = None,
+) -> dict[str, Any]:
+    """Return the stored record of a job accepted at the time of day `accepted_at`.
+
+    With a reference, the record refers to the job's dependency list instead of holding it.
+    """
+    return {
+        "s": spec_to_record(spec, dependency_list_reference),
+        "n": tasks_per_chunk,
+        "t": accepted_at,
+    }
+
+
+def decode_job_record(job_id: JobId, value: Any) -> StoredJob:
+    """Return what a job record holds.
+
+    Raises `MalformedMessage`, `KeyError`, `TypeError` or `ValueError` for a record that can't be
+    read, also for one that refers to a dependency list: that must be resolved before.
+    """
+    if not isinstance(value, dict):
+        raise MalformedMessage("job record")
+    spec = spec_from_record(job_id, value.get("s"))
+    return StoredJob(spec, int(value["n"]), float(value["t"]))
+
+
+def encode_end_record(outcome: str, task_count: int) -> dict[str, Any]:
+    """Return the record that makes the end of a job durable."""
+    return {"e": outcome, "n": task_count}
+
+
+def decode_end_record(value: Any) -> str:
+    """Return the outcome that an end record or a cleanup marker holds."""
+    cancelled = isinstance(value, dict) and value.get("e") == CANCELLED
+    return CANCELLED if cancelled else DONE
+
+
+def encode_cleanup_marker(outcome: str, cancelled_at: float) -> dict[str, Any]:
+    """Return the marker of an ended job whose other records still have to be deleted.
+
+    `cancelled_at` is a time of day in seconds.
+    """
+    return {"e": outcome, "t": cancelled_at}
+
+
+def decode_cancellation_time(value: Any) -> float | None:
+    """Return the time of day of the cancellation that a cleanup marker holds.
+
+    Markers of earlier releases hold none.
+    """
+    at = value.get("t") if isinstance(value, dict) else None
+    return float(at) if isinstance(at, int | float) else None
+
+
+def decode_dependency_list_reference(value: Any) -> DependencyListReference | None:
+    """Return where the dependencies of a job record must be read before the record can be.
+
+    None means that the record holds them itself.
+    """
+    return parse_list_reference(value.get("s")) if isinstance(value, dict) else None
+
+
+def resolved_list_reference(value: Any) -> DependencyListReference | None:
+    """Return where `resolve_dependency_list` read the list that it put into this record.
+
+    None means that the record held its own list.
+    """
+    found = value.get(_RESOLVED_LIST_FIELD) if isinstance(value, dict) else None
+    return found if isinstance(found, DependencyListReference) else None
+
+
+def dependency_list_prefix(job_id: JobId, reference: DependencyListReference) -> str:
+    """Return the prefix of the keys of the job's dependency list."""
+    return f"{DEPENDENCY_LIST_PREFIX}{job_id}/{reference.nonce}/"
+
+
+def dependency_list_keys(job_id: JobId, reference: DependencyListReference) -> list[str]:
+    """Return the keys of the job's dependency list, as the node that accepted it wrote them."""
+    prefix = dependency_list_prefix(job_id, reference)
+    return [f"{prefix}{number}" for number in range(reference.part_count)]
+
+
+def split_dependency_list(dependencies: tuple[JobId, ...], value_bytes: int) -> list[list[JobId]]:
+    """Return the parts of a dependency list, each within the limit `value_bytes` of a value.
+
+    The result is empty if the job's own record has room for the list.
+    """
+    sizes = [len(job_id) + _LIST_ENTRY_OVERHEAD_BYTES for job_id in dependencies]
+    if sum(sizes) + _LIST_OVERHEAD_BYTES <= value_bytes // _INLINE_LIST_SHARE:
+        return []
+    max_part_bytes = int(value_bytes * _VALUE_FILL_RATIO)
+    parts: list[list[JobId]] = []
+    free_bytes = 0
+    for job_id, size in zip(dependencies, sizes, strict=True):
+        if not parts or size > free_bytes:
+            parts.append([])
+            free_bytes = max_part_bytes
+        parts[-1].append(job_id)
+        free_bytes -= size
+    return parts
+
+
+def resolve_dependency_list(job_id: JobId, item: Item, lists: Iterable[Item]) -> Item | None:
+    """Return the job's record as if its dependencies were in it, from a read of the lists.
+
+    None means that a list is missing: it is not known then which dependencies the job has.
+    """
+    reference = decode_dependency_list_reference(item.value)
+    if reference is None:
+        return item
+    values = {found.key: found.value for found in lists}
+    dependencies: list[JobId] = []
+    for key in dependency_list_keys(job_id, reference):
+        part = values.get(key)
+        if not isinstance(part, list):
+            return None
+        dependencies += part
+    record = record_with_dependencies(item.value["s"], tuple(dependencies))
+    return replace(item, value={**item.value, "s": record, _RESOLVED_LIST_FIELD: reference})
--- /dev/null
+++ b/src/eldercart/wire/stored_placements.py
@@ -0,0 +1,116 @@
+"""Codec of the stored placement records and their parts.
+
+This is the only place that knows the keys and the one-letter fields of these records. A placement
+record holds parts of several jobs. A part holds the state of a run of one job's tasks: the highest
+attempt used, the done tasks as ranges, and the placements.
+"""
+
+from typing import Any, NamedTuple
+
+from eldercart.units import Attempt, JobId, MachineId
+from eldercart.wire.checks import MalformedMessage
+
+PLACEMENT_PREFIX = "place/"
+MAX_PLACEMENT_ENTRY_BYTES = 48  # that one placement takes in a record
+MIN_TASKS_PER_CHUNK, MAX_TASKS_PER_CHUNK = 8, 500
+_VALUE_FILL_RATIO = 0.8  # of a value's size: how the store counts bytes is its own affair
+
+
+class StoredPlacement(NamedTuple):
+    """One attempt of a task on a machine."""
+
+    task_index: int
+    attempt: Attempt
+    machine_id: MachineId
+
+
+class StoredPart(NamedTuple):
+    """The content of a part."""
+
+    highest_attempt: Attempt
+    done_ranges: list[tuple[int, int]]  # first and last task of each run of done tasks
+    placements: list[StoredPlacement]
+
+
+def max_tasks_per_chunk(value_bytes: int) -> int:
+    """Return how many tasks a part may cover to fit a value with a placement for each."""
+    fitting = int(value_bytes * _VALUE_FILL_RATIO) // MAX_PLACEMENT_ENTRY_BYTES
+    return max(MIN_TASKS_PER_CHUNK, min(MAX_TASKS_PER_CHUNK, fitting))
+
+
+def encode_part(job_id: JobId, chunk_number: int, part: StoredPart) -> list[Any]:
+    """Return the part of a chunk of the job's own size, as all versions know it."""
+    return [job_id, chunk_number, _encode_content(part)]
+
+
+def encode_subchunk_part(
+    job_id: JobId, first_index: int, task_count: int, part: StoredPart
+) -> list[Any]:
+    """Return the part of a subchunk, which says where it begins and how many tasks it covers."""
+    return [job_id, first_index, _encode_content(part) | {"n": task_count}]
+
+
+def _encode_content(part: StoredPart) -> dict[str, Any]:
+    return {
+        "a": part.highest_attempt,
+        "d": [list(done_range) for done_range in part.done_ranges],
+        "r": [list(placement) for placement in part.placements],
+    }
+
+
+def decode_part_content(value: Any) -> StoredPart:
+    """Return the content of a part; raises `MalformedMessage` if it can't be read."""
+    try:
+        return StoredPart(
+            decode_highest_attempt(value),
+            [(int(first), int(last)) for first, last in value["d"]],
+            [
+                StoredPlacement(int(index), Attempt(int(attempt)), MachineId(str(machine_id)))
+                for index, attempt, machine_id in value["r"]
+            ],
+        )
+    except (KeyError, TypeError, ValueError) as error:
+        raise MalformedMessage(f"place record: {error}") from None
+
+
+def decode_highest_attempt(value: Any) -> Attempt:
+    """Return the highest attempt of a part; raises `KeyError`, `TypeError` or `ValueError`."""
+    return Attempt(int(value["a"]))
+
+
+def attempt_precedence(value: Any) -> float:
+    """Return the highest attempt of a part, by which copies of a part are compared.
+
+    A part that can't be read outranks all others, so that it is found out.
+    """
+    attempt = value.get("a") if isinstance(value, dict) else None
+    return attempt if type(attempt) is int else float("inf")
+
+
+def subchunk_task_count(value: Any) -> Any:
+    """Return the number of tasks that a part claims to cover, unchecked.
+
+    None means that the part is of a chunk of the job's own size.
+    """
+    return value.get("n") if isinstance(value, dict) else None
+
+
+def encode_placement_record(parts: list[Any]) -> dict[str, Any]:
+    """Return the record that holds these encoded parts."""
+    return {"p": parts}
+
+
+def decode_placement_record(value: Any) -> list[Any] | None:
+    """Return the encoded parts of a record; None if it has none to be read."""
+    parts = value.get("p") if isinstance(value, dict) else None
+    return parts if isinstance(parts, list) else None
+
+
+def decode_single_job_record(key: str, value: Any) -> list[Any] | None:
+    """Return the only part of a record that belongs to a single job.
+
+    Releases before 0.2 wrote such records, under `place/<job>/<chunk number>`. None means that the
+    key is that of a record which several jobs share.
+    """
+    job_id, _, chunk_number = key[len(PLACEMENT_PREFIX) :].rpartition("/")
+    return [job_id, chunk_number, value] if job_id else None
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -10,7 +10,16 @@
 import pytest
 
 from eldercart.cli.client import _waiting_reason, _with_awaits
-from eldercart.jobs.registry import (
+from eldercart.server.leadership import job_record_watch
+from eldercart.server.leadership.leader_service import LeaderService
+from eldercart.server.store.token_bucket import TokenBucket
+from eldercart.server.users.user_service import UserService
+from eldercart.settings import load_tuning
+from eldercart.settings.platform import parse_platform
+from eldercart.units import JobId, MonotonicTime, Revision
+from eldercart.wire import MalformedMessage, cloud, peers, users
+from eldercart.wire.state import DeleteKey, Item, Put, Transaction
+from eldercart.wire.stored_jobs import (
     DEPENDENCY_LIST_PREFIX,
     END_PREFIX,
     JOB_PREFIX,
@@ -21,15 +30,6 @@
     resolve_dependency_list,
     split_dependency_list,
 )
-from eldercart.server.leadership import job_record_watch
-from eldercart.server.leadership.leader_service import LeaderService
-from eldercart.server.store.token_bucket import TokenBucket
-from eldercart.server.users.user_service import UserService
-from eldercart.settings import load_tuning
-from eldercart.settings.platform import parse_platform
-from eldercart.units import JobId, MonotonicTime, Revision
-from eldercart.wire import MalformedMessage, cloud, peers, users
-from eldercart.wire.state import DeleteKey, Item, Put, Transaction
 from simulators import CATALOG, StoreSim
 from test_end_to_end import Region, Service, call, service, until
 from world import PLATFORM, submission
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -8,7 +8,8 @@
 
 from eldercart.cluster.inventory import MachineInventory
 from eldercart.jobs.dependency_graph import DependencyGraph
-from eldercart.jobs.registry import Job, JobRegistry
+from eldercart.jobs.job import Job
+from eldercart.jobs.registry import JobRegistry
 from eldercart.scheduling.feasibility import ServiceLevelObjectives, order_jobs, select_victims
 from eldercart.scheduling.planner import _PlanningPass
 from eldercart.scheduling.scheduler import JobStatus, LookupFailure, TransactionOutcome
@@ -25,7 +26,7 @@
     """A graph with a job registry, by short names."""
 
     def __init__(self) -> None:
-        self.registry = JobRegistry(0)
+        self.registry = JobRegistry()
         self.graph = DependencyGraph(
             self.registry,
             lambda job: job.spec.estimated_run_time_s,
@@ -352,7 +353,8 @@
     for i in (1, 2, 3):
         assert c.job_status(JobId(f"wk-0-{i}")).state == users.CANCELLED  # type: ignore[union-attr]
     w.told = {f"wk-0-{i}": users.CANCELLED for i in range(4)}
-    from eldercart.jobs.registry import encode_job_record, max_tasks_per_chunk
+    from eldercart.wire.stored_jobs import encode_job_record
+    from eldercart.wire.stored_placements import max_tasks_per_chunk
 
     for i in (1, 2, 3):
         if f"job/wk-0-{i}" not in w.store.keys:
--- a/tests/test_duty_service.py
+++ b/tests/test_duty_service.py
@@ -11,7 +11,7 @@
 
 from eldercart.autoscaling.cloud_requests import RequestAdmission
 from eldercart.cluster.inventory import MachineState
-from eldercart.jobs.registry import Placement, PlacementPhase
+from eldercart.jobs.job import Placement, PlacementPhase
 from eldercart.server.controller_node import ControllerNode
 from eldercart.server.store.client import RESERVE_PLACEMENTS
 from eldercart.settings import load_tuning
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -8,7 +8,7 @@
 import pytest
 
 from eldercart.cluster.heartbeat_relay import HeartbeatRelay, leader_lease_start, lease_extension_s
-from eldercart.jobs.registry import PlacementPhase
+from eldercart.jobs.job import PlacementPhase
 from eldercart.scheduling.scheduler import Scheduler, TransactionOutcome
 from eldercart.server.peers.relay_service import RelayService
 from eldercart.settings import load_tuning
--- a/tests/test_leading.py
+++ b/tests/test_leading.py
@@ -12,13 +12,6 @@
 
 from eldercart.cluster.direct_kills import DirectKill
 from eldercart.election.state_machine import Election
-from eldercart.jobs.registry import (
-    CLEANUP_PREFIX,
-    DEPENDENCY_LIST_PREFIX,
-    JOB_PREFIX,
-    PLACEMENT_PREFIX,
-    encode_job_record,
-)
 from eldercart.scheduling.scheduler import GetCatalog, JobStatus, LookupFailure, TransactionOutcome
 from eldercart.server.leadership import failover, job_record_watch
 from eldercart.server.leadership.catalog_record import CATALOG_KEY, CatalogRecord
@@ -40,7 +33,14 @@
 )
 from eldercart.wire import cloud, peers, users
 from eldercart.wire.state import Item, Transaction
+from eldercart.wire.stored_jobs import (
+    CLEANUP_PREFIX,
+    DEPENDENCY_LIST_PREFIX,
+    JOB_PREFIX,
+    encode_job_record,
+)
 from eldercart.wire.stored_learned_state import LEARNED_STATE_PREFIX
+from eldercart.wire.stored_placements import PLACEMENT_PREFIX
 from simulators import CATALOG
 from test_limits import leading_node
 from world import submission
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -17,14 +17,10 @@
     KeepLeaseAlive,
     ReadLeaderKey,
 )
-from eldercart.jobs.registry import (
-    JobRegistry,
-    PlacementPhase,
-    decode_job_record,
-    encode_job_record,
-    max_tasks_per_chunk,
-)
+from eldercart.jobs.job import PlacementPhase
+from eldercart.jobs.registry import JobRegistry
 from eldercart.persistence import learned_state
+from eldercart.persistence.placement_record_loader import load_placement_records
 from eldercart.persistence.placement_records import PlacementRecords
 from eldercart.scheduling.scheduler import Scheduler, TransactionOutcome
 from eldercart.server.controller_node import ControllerNode
@@ -51,7 +47,9 @@
 )
 from eldercart.wire import cloud, peers, users
 from eldercart.wire.state import Item, Put, Transaction
+from eldercart.wire.stored_jobs import decode_job_record, encode_job_record
 from eldercart.wire.stored_learned_state import LEARNED_STATE_PREFIX
+from eldercart.wire.stored_placements import max_tasks_per_chunk
 from simulators import CATALOG
 from test_acceptance import Place
 from world import PLATFORM, World, submission
@@ -680,7 +678,7 @@
 
 
 def registry(tasks: int, size: int) -> tuple[JobRegistry, Any]:
-    jobs = JobRegistry(0)
+    jobs = JobRegistry()
     spec = users.parse_submission(submission(JOB, parcels=tasks))
     return jobs, jobs.add(spec, size, MonotonicTime(0))
 
@@ -763,7 +761,7 @@
         Item(f"place/1-{i}", {"p": p}, Revision(10 + i)) for i, p in enumerate(placement_records)
     ]
     random.Random(len(placement_records)).shuffle(items)
-    loaded = store.load_records(items, jobs, MonotonicTime(1))
+    loaded = load_placement_records(store, items, jobs)
     jobs.finish_load(job)
     assert not job.has_unreadable_record
     assert {p.index: p.attempt for p in loaded} == run and len(loaded) == len(run)
@@ -791,7 +789,7 @@
     record = {"a": 1, "d": [], "r": []} | value
     items = [Item("place/1-1", {"p": [part(0, 1, [], []), [JOB, 0, record]]}, Revision(5))]
     placement_records = PlacementRecords(32768, FencingToken(50))
-    placement_records.load_records(items, jobs, MonotonicTime(1))
+    load_placement_records(placement_records, items, jobs)
     jobs.finish_load(job)
     assert job.has_unreadable_record and not job.is_runnable
     assert [JOB, 0, record] in placement_records.by_key["place/1-1"].unreadable_parts
@@ -901,7 +899,7 @@
             self.placement_records.record_for(self.job, chunk)
             most = self.rng.randrange(1, chunk.task_count)
             self.placement_records.subdivide_chunk(
-                self.jobs, self.job, chunk, most, self.rng.random() < 0.3
+                self.jobs, self.job, chunk, most, is_exclusive=self.rng.random() < 0.3
             )
 
     def write(self, number: int) -> None:
@@ -937,7 +935,7 @@
         self.jobs, self.job = registry(self.tasks, self.size)
         self.placement_records = PlacementRecords(2048, FencingToken(self.token))
         items = [Item(k, v, Revision(r)) for k, (v, r) in self.stored.items()]
-        self.placement_records.load_records(items, self.jobs, now)
+        load_placement_records(self.placement_records, items, self.jobs)
         self.jobs.finish_load(self.job)
         assert not self.job.has_unreadable_record
         known = {p.index: (p.attempt, p.machine_id) for p in self.job.placements()}
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -17,7 +17,7 @@
     RevokeLease,
     Role,
 )
-from eldercart.jobs.registry import PlacementPhase
+from eldercart.jobs.job import PlacementPhase
 from eldercart.scheduling.scheduler import (
     DeleteMachines,
     JobStatus,
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -19,7 +19,8 @@
     RevokeLease,
     Role,
 )
-from eldercart.jobs.registry import Job, JobRegistry
+from eldercart.jobs.job import Job
+from eldercart.jobs.registry import JobRegistry
 from eldercart.prediction.predictor import Predictor
 from eldercart.scheduling import feasibility
 from eldercart.server.controller_node import is_healthy
@@ -344,7 +345,7 @@
 
 
 def test_order_of_jobs() -> None:
-    registry, fleet = JobRegistry(100), MachineInventory()
+    registry, fleet = JobRegistry(), MachineInventory()
     teams = parse_platform(PLATFORM).teams
     rows: list[dict[str, Any]] = [
         {"urgency": "idle", "crew": "t1"},
@@ -371,7 +372,7 @@
 
 def test_overload_sets_the_largest_aside() -> None:
     """By promise alone the large job would come first and make the three small ones late."""
-    registry = JobRegistry(100)
+    registry = JobRegistry()
     for i, tasks in enumerate((400, 10, 10, 10)):
         body = submission(f"wk-{i:06d}", parcels=tasks, dueS=40.0 + i)
         registry.add(users.parse_submission(body), 100, MonotonicTime(0.0))
@@ -392,7 +393,7 @@
 def test_jobs_for_ordinary_machines_are_judged_by_those() -> None:
     """Seen on a rough day: a burst of urgent arrays that may use nothing else found a large fleet
     of spot machines, so none was deferred, and all were late together."""
-    registry = JobRegistry(100)
+    registry = JobRegistry()
     rows: list[dict[str, Any]] = [
         {"parcels": 400, "dueS": 40.0},
         {"parcels": 10, "dueS": 41.0},
@@ -418,7 +419,7 @@
 
 def test_fetches_on_one_machine_share_its_rate() -> None:
     """A machine that fetches already is a worse place for a task that must fetch another image."""
-    registry, fleet = JobRegistry(100), MachineInventory()
+    registry, fleet = JobRegistry(), MachineInventory()
     kind = cloud.parse_catalog(CATALOG)["big"]
     now = MonotonicTime(0.0)
     busy, idle = (
--- a/tests/test_prediction.py
+++ b/tests/test_prediction.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from eldercart.jobs.registry import Job
+from eldercart.jobs.job import Job
 from eldercart.prediction.predictor import Predictor
 from eldercart.prediction.soft_reservations import ReservationOrigin, ReservationOutcomes
 from eldercart.settings import load_tuning
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,7 +8,7 @@
 import pytest
 
 from eldercart.cluster.inventory import MachineInventory, MachineState
-from eldercart.jobs.registry import PlacementPhase
+from eldercart.jobs.job import PlacementPhase
 from eldercart.scheduling.scheduler import JobStatus, LookupFailure, TransactionOutcome
 from eldercart.units import JobId, MonotonicTime, Revision
 from eldercart.wire import cloud
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -26,7 +26,6 @@
     HeartbeatRelay,
     Redirect,
 )
-from eldercart.jobs.registry import dependency_list_prefix, encode_job_record
 from eldercart.scheduling.scheduler import LookupFailure, Scheduler
 from eldercart.settings.platform import parse_platform
 from eldercart.units import (
@@ -39,6 +38,7 @@
     NodeId,
 )
 from eldercart.wire import peers, users
+from eldercart.wire.stored_jobs import dependency_list_prefix, encode_job_record
 from eldercart.wire.users import DependencyListReference
 from simulators import CATALOG
 from test_core import finish, submit_all
--- a/tests/versions/adapters.py
+++ b/tests/versions/adapters.py
@@ -8,7 +8,6 @@
 from typing import Any
 
 from eldercart.cluster.heartbeat_relay import Acknowledge, Decision, Forward, Redirect, Stale
-from eldercart.jobs.registry import JOB_PREFIX, encode_job_record
 from eldercart.scheduling.scheduler import JobStatus, LookupFailure, TransactionOutcome
 from eldercart.units import (
     AgentEpoch,
@@ -22,6 +21,7 @@
     WallTime,
 )
 from eldercart.wire.state import Item
+from eldercart.wire.stored_jobs import JOB_PREFIX, encode_job_record
 from eldercart.wire.users import DependencyListReference, JobSpec
 from versions.legacy.old_nodes import OldController, OldRecord, OldRelay
 
--- a/tests/versions/reading.py
+++ b/tests/versions/reading.py
@@ -8,20 +8,7 @@
 import orjson
 
 from eldercart.election.state_machine import LEADER_KEY, Campaign, Election, Role
-from eldercart.jobs.registry import (
-    JOB_PREFIX,
-    PLACEMENT_PREFIX,
-    Chunk,
-    Job,
-    Placement,
-    PlacementPhase,
-    decode_end_record,
-    decode_job_record,
-    dependency_list_prefix,
-    encode_job_record,
-    max_tasks_per_chunk,
-    resolve_dependency_list,
-)
+from eldercart.jobs.job import Chunk, Job, Placement, PlacementPhase
 from eldercart.scheduling.scheduler import Scheduler
 from eldercart.settings import load_tuning
 from eldercart.settings.platform import parse_platform
@@ -42,7 +29,16 @@
 )
 from eldercart.wire import MalformedMessage, cloud, peers, users, workers
 from eldercart.wire.state import Item
+from eldercart.wire.stored_jobs import (
+    JOB_PREFIX,
+    decode_end_record,
+    decode_job_record,
+    dependency_list_prefix,
+    encode_job_record,
+    resolve_dependency_list,
+)
 from eldercart.wire.stored_learned_state import RUN_TIME_RATIOS_KEY
+from eldercart.wire.stored_placements import PLACEMENT_PREFIX, max_tasks_per_chunk
 from eldercart.wire.users import DependencyListReference, JobSpec
 from versions.legacy import old_fields
 from world import PLATFORM, submission
--- a/tests/world.py
+++ b/tests/world.py
@@ -9,14 +9,7 @@
 import orjson
 
 from eldercart.election.state_machine import LEADER_KEY
-from eldercart.jobs.registry import (
-    PlacementPhase,
-    decode_end_record,
-    dependency_list_keys,
-    encode_job_record,
-    max_tasks_per_chunk,
-    resolve_dependency_list,
-)
+from eldercart.jobs.job import PlacementPhase
 from eldercart.scheduling.scheduler import (
     DeleteMachines,
     GetCatalog,
@@ -37,6 +30,13 @@
     WallTime,
 )
 from eldercart.wire import cloud, state, users, workers
+from eldercart.wire.stored_jobs import (
+    decode_end_record,
+    dependency_list_keys,
+    encode_job_record,
+    resolve_dependency_list,
+)
+from eldercart.wire.stored_placements import max_tasks_per_chunk
 from simulators import CATALOG, CloudSim, StoreSim, WorkerSim
 
 PLATFORM: dict[str, Any] = {
