--- a/src/eldercart/scheduling/scheduler.py
+++ b/src/eldercart/scheduling/scheduler.py
@@ -32,11 +32,8 @@
 from eldercart.jobs.job import Job, Placement
 from eldercart.persistence import learned_state
 from eldercart.persistence.placement_record_loader import load_placement_records
-from eldercart.persistence.transaction_writer import (
-    PendingTransaction,
-    TransactionOutcome,
-    TransactionWriter,
-)
+from eldercart.persistence.transaction_writer import TransactionWriter
+from eldercart.persistence.transactions import PendingTransaction, TransactionOutcome
 from eldercart.scheduling import feasibility
 from eldercart.scheduling.cluster_state import ClusterState, FinishedJob
 from eldercart.scheduling.pacing import AdaptiveInterval
--- a/src/eldercart/server/singleton/lease_service.py
+++ b/src/eldercart/server/singleton/lease_service.py
@@ -9,7 +9,7 @@
 from eldercart.autoscaling.autoscaler import MachineOffering, ScaleOutRequest
 from eldercart.election.state_machine import GrantLease, KeepLeaseAlive, Role
 from eldercart.persistence.learned_state import VALUE_FILL_RATIO
-from eldercart.persistence.transaction_writer import CleanupPermit
+from eldercart.persistence.transactions import CleanupPermit
 from eldercart.scheduling.scheduler import Scheduler
 from eldercart.server.singleton.catalog_refresh import CatalogRefresh
 from eldercart.server.singleton.gated_cloud_requests import GatedCloudRequests
--- a/tests/test_duty_service.py
+++ b/tests/test_duty_service.py
@@ -336,7 +336,7 @@
         pending.transaction.operations.append(Put(f"end/wk-{len(busy):06d}", {"e": "done", "n": 1}))
         return True
 
-    records._add_ends = add_ends
+    records._builder._add_ends = add_ends
     add_ended_job(place)
     place.node.leader_service.process_events()
     assert "gone/wk-000009" not in place.store.keys
