--- a/src/eldercart/jobs/job.py
+++ b/src/eldercart/jobs/job.py
@@ -30,9 +30,8 @@
     TaskKey,
 )
 from eldercart.wire.stored_placements import (
-    StoredPart,
-    StoredPlacement,
     encode_part,
+    encode_part_content,
     encode_subchunk_part,
 )
 from eldercart.wire.users import DependencyListReference, JobSpec
@@ -110,12 +109,6 @@
         """The number of tasks that the chunk covers."""
         return self.end_index - self.first_index
 
-    def live_placements(self) -> Iterator[Placement]:
-        """Yield the placements that are not over."""
-        for placement in self.placements.values():
-            if placement.phase is not PlacementPhase.ENDED:
-                yield placement
-
 
 class Job:
     """One job. Only the job registry changes its tasks, chunks and placements."""
@@ -258,13 +251,14 @@
     def encode_part(self, chunk: Chunk) -> list[Any]:
         """Return the chunk as a placement record holds it."""
         placements = [
-            StoredPlacement(placement.index, placement.attempt, placement.machine_id)
-            for placement in chunk.live_placements()
+            placement
+            for placement in chunk.placements.values()
+            if placement.phase is not PlacementPhase.ENDED
         ]
-        part = StoredPart(chunk.highest_attempt, self._done_ranges(chunk), placements)
+        content = encode_part_content(chunk.highest_attempt, self._done_ranges(chunk), placements)
         if chunk.is_subchunk:
-            return encode_subchunk_part(self.id, chunk.first_index, chunk.task_count, part)
-        return encode_part(self.id, chunk.first_index // self.tasks_per_chunk, part)
+            return encode_subchunk_part(self.id, chunk.first_index, chunk.task_count, content)
+        return encode_part(self.id, chunk.first_index // self.tasks_per_chunk, content)
 
     def _done_ranges(self, chunk: Chunk) -> list[tuple[int, int]]:
         """Return the first and last task of each run of done tasks in the chunk."""
--- a/src/eldercart/jobs/registry.py
+++ b/src/eldercart/jobs/registry.py
@@ -81,7 +81,9 @@
             if not covers_whole_part:
                 first, last = max(first, chunk.first_index), min(last, chunk.end_index - 1)
             for index in range(first, last + 1):
-                self._set_done(job, index)
+                if not job.done_flags[index]:
+                    job.done_flags[index] = 1
+                    job.done_count += 1
         job.has_started = job.has_started or bool(part.done_ranges)
 
     def finish_load(self, job: Job) -> None:
@@ -214,7 +216,9 @@
         """Note that the task is done; the placement stays, ended, until that is durable."""
         job = placement.job
         self.set_phase(placement, PlacementPhase.ENDED, now)
-        self._set_done(job, placement.index)
+        if not job.done_flags[placement.index]:
+            job.done_flags[placement.index] = 1
+            job.done_count += 1
         self.mark_dirty(job, job.chunk_for(placement.index), now)
 
     def remove_placement(self, placement: Placement, now: MonotonicTime, *, retry: bool) -> None:
@@ -230,8 +234,3 @@
         self.mark_dirty(job, chunk, now)
         if retry and not job.is_cancelled and not job.done_flags[placement.index]:
             job.retry_indexes.append(placement.index)
-
-    def _set_done(self, job: Job, index: int) -> None:
-        if not job.done_flags[index]:
-            job.done_flags[index] = 1
-            job.done_count += 1
--- a/src/eldercart/wire/stored_placements.py
+++ b/src/eldercart/wire/stored_placements.py
@@ -5,7 +5,8 @@
 attempt used, the done tasks as ranges, and the placements.
 """
 
-from typing import Any, NamedTuple
+from collections.abc import Iterable
+from typing import Any, NamedTuple, Protocol
 
 from eldercart.units import Attempt, JobId, MachineId
 from eldercart.wire.checks import MalformedMessage
@@ -16,6 +17,22 @@
 _VALUE_FILL_RATIO = 0.8  # of a value's size: how the store counts bytes is its own affair
 
 
+class EncodablePlacement(Protocol):
+    """What the codec needs of a placement to be stored."""
+
+    @property
+    def index(self) -> int:
+        """The task."""
+
+    @property
+    def attempt(self) -> Attempt:
+        """The attempt of the task."""
+
+    @property
+    def machine_id(self) -> MachineId:
+        """The machine on which it is."""
+
+
 class StoredPlacement(NamedTuple):
     """One attempt of a task on a machine."""
 
@@ -38,23 +55,30 @@
     return max(MIN_TASKS_PER_CHUNK, min(MAX_TASKS_PER_CHUNK, fitting))
 
 
-def encode_part(job_id: JobId, chunk_number: int, part: StoredPart) -> list[Any]:
+def encode_part(job_id: JobId, chunk_number: int, content: dict[str, Any]) -> list[Any]:
     """Return the part of a chunk of the job's own size, as all versions know it."""
-    return [job_id, chunk_number, _encode_content(part)]
+    return [job_id, chunk_number, content]
 
 
 def encode_subchunk_part(
-    job_id: JobId, first_index: int, task_count: int, part: StoredPart
+    job_id: JobId, first_index: int, task_count: int, content: dict[str, Any]
 ) -> list[Any]:
     """Return the part of a subchunk, which says where it begins and how many tasks it covers."""
-    return [job_id, first_index, _encode_content(part) | {"n": task_count}]
+    return [job_id, first_index, content | {"n": task_count}]
 
 
-def _encode_content(part: StoredPart) -> dict[str, Any]:
+def encode_part_content(
+    highest_attempt: Attempt,
+    done_ranges: list[tuple[int, int]],
+    placements: Iterable[EncodablePlacement],
+) -> dict[str, Any]:
+    """Return the content of a part; see `StoredPart` for the fields."""
     return {
-        "a": part.highest_attempt,
-        "d": [list(done_range) for done_range in part.done_ranges],
-        "r": [list(placement) for placement in part.placements],
+        "a": highest_attempt,
+        "d": [list(done_range) for done_range in done_ranges],
+        "r": [
+            [placement.index, placement.attempt, placement.machine_id] for placement in placements
+        ],
     }
 
 
