--- a/src/eldercart/jobs/job.py
+++ b/src/eldercart/jobs/job.py
@@ -15,7 +15,7 @@
 from bisect import bisect_right
 from collections.abc import Iterator
 from dataclasses import dataclass, field
-from enum import IntEnum
+from enum import Enum, IntEnum
 from typing import Any, NamedTuple
 
 from eldercart.units import (
@@ -54,6 +54,14 @@
     ENDED = 5  # over; stays until the record says so
 
 
+class EndWrite(Enum):
+    """How far the write of a job's end is, until its outcome is known to be durable."""
+
+    NOT_SENT = "not sent"  # nor can one that was sent be carried out any more
+    SENT = "sent"
+    INDETERMINATE = "indeterminate"  # one that was sent may still be carried out late
+
+
 @dataclass(slots=True, eq=False)
 class Placement:
     """One attempt of a task on one machine."""
@@ -152,8 +160,7 @@
         self.is_cancelled = False  # requested; durable once `outcome` is set
         self.cancelled_at = MonotonicTime(0)  # when it was requested, of whichever leader
         self.kill_deadline_at = MonotonicTime(0)  # after it, machines with its tasks are deleted
-        self.is_end_write_sent = False  # its end may be in the store, and may be told elsewhere
-        self.is_end_write_indeterminate = False  # a write of its end may still be applied late
+        self.end_write = EndWrite.NOT_SENT
         self.outcome: str | None = None  # `DONE` or `CANCELLED` once that is durable
         self.has_unreadable_record = False  # none of its tasks may start
         # Scheduling.
@@ -187,6 +194,11 @@
             and not self.has_unreadable_record
         )
 
+    @property
+    def is_end_write_sent(self) -> bool:
+        """Whether its end may be in the store, so that other nodes may tell it."""
+        return self.end_write is not EndWrite.NOT_SENT
+
     @property
     def is_complete(self) -> bool:
         """Whether all tasks are done according to heartbeats, which need not be durable yet."""
--- a/src/eldercart/persistence/transaction_writer.py
+++ b/src/eldercart/persistence/transaction_writer.py
@@ -7,7 +7,7 @@
 import logging
 
 from eldercart.election.state_machine import LEADER_KEY
-from eldercart.jobs.job import Job
+from eldercart.jobs.job import EndWrite, Job
 from eldercart.persistence.commit_effects import CommitEffects
 from eldercart.persistence.invalid_transactions import InvalidTransactionSplitter
 from eldercart.persistence.placement_records import PlacementRecords
@@ -116,7 +116,8 @@
             return None
         self._in_flight = pending
         for end in pending.ends:
-            end.job.is_end_write_sent = True
+            if end.job.end_write is EndWrite.NOT_SENT:
+                end.job.end_write = EndWrite.SENT
         return pending
 
     def _has_work(self) -> bool:
@@ -175,7 +176,8 @@
     def _requeue_uncommitted(self, pending: PendingTransaction) -> None:
         """Let ends and deletions be written again that were surely not carried out."""
         for end in pending.ends:
-            end.job.is_end_write_sent = end.job.is_end_write_indeterminate
+            if end.job.end_write is EndWrite.SENT:
+                end.job.end_write = EndWrite.NOT_SENT
         self._cleanup.orphaned_keys += pending.orphaned_keys
 
     def _refresh_keys_of(self, pending: PendingTransaction) -> None:
@@ -190,7 +192,7 @@
         )
         for end in pending.ends:
             # It may yet be applied, whatever a fresh read finds, and then be told elsewhere.
-            end.job.is_end_write_indeterminate = True
+            end.job.end_write = EndWrite.INDETERMINATE
             uncertain_keys.add(END_PREFIX + end.job.id)
         self.keys_to_refresh |= uncertain_keys - self.refreshes_in_flight
 
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -8,7 +8,7 @@
 
 from eldercart.cluster.inventory import MachineInventory
 from eldercart.jobs.dependency_graph import DependencyGraph
-from eldercart.jobs.job import Job
+from eldercart.jobs.job import EndWrite, Job
 from eldercart.jobs.registry import JobRegistry
 from eldercart.scheduling.feasibility import ServiceLevelObjectives, order_jobs, select_victims
 from eldercart.scheduling.planner import _PlanningPass
@@ -273,7 +273,7 @@
     assert not g.graph.may_be_cancelled_upstream(b), (
         "asked for, but not sent: nobody can have been told"
     )
-    a.is_end_write_sent = True
+    a.end_write = EndWrite.SENT
     assert g.graph.may_be_cancelled_upstream(b)
 
 
