--- a/src/eldercart/persistence/transaction_builder.py
+++ b/src/eldercart/persistence/transaction_builder.py
@@ -321,6 +321,8 @@
     return ChunkUpdate(
         part.job,
         chunk,
-        planned=[p for p in placements if p.phase is PlacementPhase.PLANNED],
-        ended=[p for p in placements if p.phase is PlacementPhase.ENDED],
+        planned=[
+            placement for placement in placements if placement.phase is PlacementPhase.PLANNED
+        ],
+        ended=[placement for placement in placements if placement.phase is PlacementPhase.ENDED],
     )
--- a/src/eldercart/persistence/transaction_writer.py
+++ b/src/eldercart/persistence/transaction_writer.py
@@ -142,23 +142,12 @@
         `revision` counts if it was committed; `failed_keys` are those whose conditions failed.
         """
         self._in_flight = None
-        is_store_unavailable = outcome in (
-            TransactionOutcome.REJECTED,
-            TransactionOutcome.INDETERMINATE,
-        )
-        self.cluster_state.is_store_unavailable = is_store_unavailable
-        if is_store_unavailable:
-            self._paused_until = MonotonicTime(now + WRITE_RETRY_DELAY_S)
+        self._note_availability(outcome, now)
         if outcome is TransactionOutcome.COMMITTED:
             self._limits.raise_limits()
             self._commit_effects.apply(pending, revision, now)
             return False
-        log.info(
-            "transaction not committed outcome=%s failed_keys=%s keys=%s",
-            outcome.value,
-            failed_keys,
-            [operation.key for operation in pending.transaction.operations],
-        )
+        _log_not_committed(pending, outcome, failed_keys)
         for update in pending.chunk_updates:
             requeue_chunk(self.cluster_state, update.job, update.chunk, now)
         if outcome is TransactionOutcome.CONFLICT and LEADER_KEY in failed_keys:
@@ -169,10 +158,21 @@
                 self._splitter.split(pending, now)
             return False
         if outcome is TransactionOutcome.CONFLICT and _has_lost_permit(pending, failed_keys):
-            self._cleanup.orphaned_keys += pending.orphaned_keys  # nothing tells that they are gone
+            # Nothing tells that they are deleted.
+            self._cleanup.orphaned_keys += pending.orphaned_keys
         self._refresh_keys_of(pending)
         return False
 
+    def _note_availability(self, outcome: TransactionOutcome, now: MonotonicTime) -> None:
+        """Note whether the store is out, and pause the writes then."""
+        is_store_unavailable = outcome in (
+            TransactionOutcome.REJECTED,
+            TransactionOutcome.INDETERMINATE,
+        )
+        self.cluster_state.is_store_unavailable = is_store_unavailable
+        if is_store_unavailable:
+            self._paused_until = MonotonicTime(now + WRITE_RETRY_DELAY_S)
+
     def _requeue_uncommitted(self, pending: PendingTransaction) -> None:
         """Let ends and deletions be written again that were surely not carried out."""
         for end in pending.ends:
@@ -212,3 +212,14 @@
 
 def _has_lost_permit(pending: PendingTransaction, failed_keys: tuple[str, ...]) -> bool:
     return any(key in failed_keys for key, _ in pending.cleanup_permit.conditions)
+
+
+def _log_not_committed(
+    pending: PendingTransaction, outcome: TransactionOutcome, failed_keys: tuple[str, ...]
+) -> None:
+    log.info(
+        "transaction not committed outcome=%s failed_keys=%s keys=%s",
+        outcome.value,
+        failed_keys,
+        [operation.key for operation in pending.transaction.operations],
+    )
