--- a/src/eldercart/autoscaling/inventory_updates.py
+++ b/src/eldercart/autoscaling/inventory_updates.py
@@ -4,7 +4,7 @@
 
 from eldercart.autoscaling.request_types import ScaleOutRequest
 from eldercart.cluster.inventory import Machine, MachineState
-from eldercart.jobs.registry import Placement
+from eldercart.jobs.job import Placement
 from eldercart.scheduling.cluster_state import ClusterState
 from eldercart.scheduling.feasibility import UNKNOWN_ZONE
 from eldercart.units import MachineId, MonotonicTime
--- a/src/eldercart/autoscaling/scale_out.py
+++ b/src/eldercart/autoscaling/scale_out.py
@@ -8,7 +8,7 @@
 from eldercart.autoscaling.demand import CpuTargets
 from eldercart.autoscaling.request_types import MachineOffering, ScaleOutRequest
 from eldercart.cluster.inventory import Machine, MachineState
-from eldercart.jobs.registry import Job
+from eldercart.jobs.job import Job
 from eldercart.scheduling.feasibility import fits_machine_type, is_feasible
 from eldercart.units import DISTANT_PAST, MonotonicTime
 from eldercart.wire.cloud import MAX_CREATED_MACHINES, MachineType
--- a/src/eldercart/prediction/chain_predictor.py
+++ b/src/eldercart/prediction/chain_predictor.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from itertools import count
 
-from eldercart.jobs.registry import Job
+from eldercart.jobs.job import Job
 from eldercart.prediction.path_statistics import Path, PathStatistics, PathTable
 from eldercart.prediction.soft_reservations import ChainId, Pipeline
 from eldercart.settings import Tuning
--- a/src/eldercart/scheduling/capacity_reservation.py
+++ b/src/eldercart/scheduling/capacity_reservation.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from eldercart.cluster.inventory import RESOURCE_EPSILON, Machine
-from eldercart.jobs.registry import Job, Placement
+from eldercart.jobs.job import Job, Placement
 from eldercart.scheduling.cluster_state import ClusterState
 from eldercart.scheduling.feasibility import TaskShape, capacity_after_terminations, is_feasible
 from eldercart.scheduling.preemption import select_victims
--- a/src/eldercart/scheduling/cluster_state.py
+++ b/src/eldercart/scheduling/cluster_state.py
@@ -12,7 +12,8 @@
 from eldercart.cluster.inventory import Machine, MachineInventory, MachineState
 from eldercart.cluster.pending_commands import PendingCommands
 from eldercart.jobs.dependency_graph import DependencyEffect, DependencyGraph
-from eldercart.jobs.registry import Job, JobRegistry, Placement, PlacementPhase
+from eldercart.jobs.job import Job, Placement, PlacementPhase
+from eldercart.jobs.registry import JobRegistry
 from eldercart.prediction.predictor import Predictor
 from eldercart.scheduling.objectives import ServiceLevelObjectives
 from eldercart.settings import NodeSettings, Tuning
@@ -57,7 +58,7 @@
         self.tuning = tuning
         self.token = token
         self.types = types
-        self.jobs = JobRegistry(0)
+        self.jobs = JobRegistry()
         self.inventory = MachineInventory()
         self.objectives = ServiceLevelObjectives(
             settings.waits, settings.finishes, settings.deadlines
--- a/src/eldercart/scheduling/machine_selection.py
+++ b/src/eldercart/scheduling/machine_selection.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from eldercart.cluster.inventory import Machine, MachineInventory
-from eldercart.jobs.registry import Job, PlacementPhase
+from eldercart.jobs.job import Job, PlacementPhase
 from eldercart.scheduling.feasibility import (
     UNKNOWN_ZONE,
     capacity_for,
--- a/src/eldercart/scheduling/planner.py
+++ b/src/eldercart/scheduling/planner.py
@@ -5,7 +5,7 @@
 """
 
 from eldercart.cluster.inventory import Machine
-from eldercart.jobs.registry import Job
+from eldercart.jobs.job import Job
 from eldercart.scheduling.cluster_state import ClusterState
 from eldercart.scheduling.pacing import DecayingMaxCost
 from eldercart.scheduling.planning_pass import PlanningPass, QueueEntry
--- a/src/eldercart/scheduling/planning_pass.py
+++ b/src/eldercart/scheduling/planning_pass.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from eldercart.cluster.inventory import RESOURCE_EPSILON, Machine
-from eldercart.jobs.registry import Job
+from eldercart.jobs.job import Job
 from eldercart.scheduling.capacity_reservation import CapacityReserver
 from eldercart.scheduling.cluster_state import ClusterState
 from eldercart.scheduling.feasibility import TaskShape, quota_headroom, shape_of
--- a/src/eldercart/scheduling/prelaunch_queue.py
+++ b/src/eldercart/scheduling/prelaunch_queue.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from eldercart.cluster.inventory import RESOURCE_EPSILON, Machine, MachineInventory
-from eldercart.jobs.registry import Job
+from eldercart.jobs.job import Job
 from eldercart.scheduling.cluster_state import ClusterState
 from eldercart.scheduling.feasibility import is_feasible
 from eldercart.units import JobId, MachineId, MonotonicTime
--- a/src/eldercart/scheduling/scheduler.py
+++ b/src/eldercart/scheduling/scheduler.py
@@ -33,14 +33,10 @@
 from eldercart.cluster.failure_detector import FailureDetector, Probe
 from eldercart.cluster.heartbeats import HeartbeatHandler
 from eldercart.cluster.machine_monitor import MachineMonitor
-from eldercart.election.state_machine import LEADER_KEY
-from eldercart.jobs.registry import Job
+from eldercart.jobs.job import Job
 from eldercart.persistence import learned_state
-from eldercart.persistence.transaction_writer import (
-    PendingTransaction,
-    TransactionOutcome,
-    TransactionWriter,
-)
+from eldercart.persistence.transaction_writer import TransactionWriter
+from eldercart.persistence.transactions import PendingTransaction, TransactionOutcome
 from eldercart.scheduling.cluster_state import ClusterState, FinishedJob
 from eldercart.scheduling.pacing import AdaptiveInterval
 from eldercart.scheduling.planner import Planner
@@ -61,6 +57,7 @@
 )
 from eldercart.wire import users, workers
 from eldercart.wire.cloud import MachineType
+from eldercart.wire.leader_key import LEADER_KEY
 from eldercart.wire.state import Item, Transaction
 from eldercart.wire.users import DependencyListReference, JobSpec
 
--- a/src/eldercart/server/leadership/catalog_record.py
+++ b/src/eldercart/server/leadership/catalog_record.py
@@ -3,7 +3,6 @@
 import logging
 from typing import TYPE_CHECKING, NamedTuple
 
-from eldercart.election.state_machine import LEADER_KEY
 from eldercart.persistence.learned_state import VALUE_FILL_RATIO
 from eldercart.scheduling.scheduler import Scheduler
 from eldercart.server.leadership.current_leadership import is_current_leadership
@@ -11,6 +10,7 @@
 from eldercart.units import DISTANT_PAST, MonotonicTime, Revision
 from eldercart.wire import cloud
 from eldercart.wire.cloud import MachineType
+from eldercart.wire.leader_key import LEADER_KEY
 from eldercart.wire.state import Put, Transaction
 
 if TYPE_CHECKING:
--- a/src/eldercart/server/leadership/election_service.py
+++ b/src/eldercart/server/leadership/election_service.py
@@ -5,17 +5,17 @@
 
 from twisted.internet import reactor as _reactor
 
-from eldercart.election.state_machine import (
-    LEADER_KEY,
+from eldercart.election.actions import (
     Campaign,
     ElectionAction,
     GrantLease,
     KeepLeaseAlive,
     ReadLeaderKey,
     RevokeLease,
-    Role,
 )
+from eldercart.election.state_machine import Role
 from eldercart.units import LeaseId, MonotonicTime, Revision
+from eldercart.wire.leader_key import LEADER_KEY
 from eldercart.wire.state import Item
 
 if TYPE_CHECKING:
--- a/src/eldercart/singleton/intents.py
+++ b/src/eldercart/singleton/intents.py
@@ -15,7 +15,6 @@
 
 from pyrsistent import pmap
 
-from eldercart.election.state_machine import LEADER_KEY
 from eldercart.units import (
     ABSENT_REVISION,
     DISTANT_PAST,
@@ -25,6 +24,7 @@
     Revision,
 )
 from eldercart.wire import MalformedMessage
+from eldercart.wire.leader_key import LEADER_KEY
 from eldercart.wire.named_leases import (
     EMPTY_RECORD_BYTES,
     Intent,
--- a/tests/behaviour_record.py
+++ b/tests/behaviour_record.py
@@ -35,8 +35,8 @@
 
 from duty_world import SimulatedNode
 from duty_world import World as DutyWorld
-from eldercart.autoscaling.autoscaler import MachineOffering, ScaleOutRequest
 from eldercart.autoscaling.cloud_requests import RequestAdmission
+from eldercart.autoscaling.request_types import MachineOffering, ScaleOutRequest
 from eldercart.cluster.failure_detector import Probe
 from eldercart.cluster.heartbeat_relay import (
     Acknowledge,
@@ -45,15 +45,14 @@
     HeartbeatRelay,
     Redirect,
 )
-from eldercart.election.state_machine import (
+from eldercart.election.actions import (
     Campaign,
-    Election,
     GrantLease,
     KeepLeaseAlive,
     ReadLeaderKey,
     RevokeLease,
-    Role,
 )
+from eldercart.election.state_machine import Election, Role
 from eldercart.scheduling.cluster_state import FinishedJob
 from eldercart.scheduling.scheduler import (
     CloudRequest,
--- a/tests/duty_world.py
+++ b/tests/duty_world.py
@@ -18,15 +18,14 @@
     ScaleOut,
     ScaleOutRequest,
 )
-from eldercart.election.state_machine import (
+from eldercart.election.actions import (
     Campaign,
-    Election,
     GrantLease,
     KeepLeaseAlive,
     ReadLeaderKey,
     RevokeLease,
-    Role,
 )
+from eldercart.election.state_machine import Election, Role
 from eldercart.singleton.candidate_actions import Acquire, ReadDirectory, Release
 from eldercart.singleton.eligibility import ClusterView
 from eldercart.singleton.intents import WriteOutcome
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -8,7 +8,8 @@
 
 from eldercart.cluster.inventory import MachineInventory
 from eldercart.jobs.dependency_graph import DependencyGraph
-from eldercart.jobs.registry import Job, JobRegistry
+from eldercart.jobs.job import EndWrite, Job
+from eldercart.jobs.registry import JobRegistry
 from eldercart.scheduling.objectives import ServiceLevelObjectives
 from eldercart.scheduling.planning_pass import PlanningPass
 from eldercart.scheduling.preemption import select_victims
@@ -27,7 +28,7 @@
     """A graph with a job registry, by short names."""
 
     def __init__(self) -> None:
-        self.registry = JobRegistry(0)
+        self.registry = JobRegistry()
         self.graph = DependencyGraph(
             self.registry,
             lambda job: job.spec.estimated_run_time_s,
@@ -274,7 +275,7 @@
     assert not g.graph.may_be_cancelled_upstream(b), (
         "asked for, but not sent: nobody can have been told"
     )
-    a.is_end_write_sent = True
+    a.end_write = EndWrite.SENT
     assert g.graph.may_be_cancelled_upstream(b)
 
 
@@ -354,7 +355,8 @@
     for i in (1, 2, 3):
         assert c.job_status(JobId(f"wk-0-{i}")).state == users.CANCELLED  # type: ignore[union-attr]
     w.told = {f"wk-0-{i}": users.CANCELLED for i in range(4)}
-    from eldercart.jobs.registry import encode_job_record, max_tasks_per_chunk
+    from eldercart.wire.stored_jobs import encode_job_record
+    from eldercart.wire.stored_placements import max_tasks_per_chunk
 
     for i in (1, 2, 3):
         if f"job/wk-0-{i}" not in w.store.keys:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -12,7 +12,7 @@
     ScaleOut,
     ScaleOutRequest,
 )
-from eldercart.election.state_machine import GrantLease, KeepLeaseAlive
+from eldercart.election.actions import GrantLease, KeepLeaseAlive
 from eldercart.singleton.candidate_actions import Acquire, ReadDirectory, Release
 from eldercart.singleton.eligibility import ClusterView, IneligibilityReason
 from eldercart.singleton.holder_preference import candidate_rank, is_overloaded
--- a/tests/test_duty_schedules.py
+++ b/tests/test_duty_schedules.py
@@ -7,10 +7,10 @@
 
 from duty_world import World, check_end, check_history
 from eldercart.autoscaling.request_types import MachineOffering, ScaleOut, ScaleOutRequest
-from eldercart.election.state_machine import LEADER_KEY
 from eldercart.singleton.intents import IntentLog
 from eldercart.singleton.write_ahead_gate import WriteAheadGate
 from eldercart.units import ABSENT_REVISION, WallTime
+from eldercart.wire.leader_key import LEADER_KEY
 from eldercart.wire.named_leases import (
     LeaseName,
     PauseRecord,
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -5,17 +5,16 @@
 
 import pytest
 
-from eldercart.election.state_machine import (
-    LEADER_KEY,
+from eldercart.election.actions import (
     Campaign,
-    Election,
     GrantLease,
     KeepLeaseAlive,
     ReadLeaderKey,
     RevokeLease,
-    Role,
 )
+from eldercart.election.state_machine import Election, Role
 from eldercart.units import IncarnationId, LeaseId, MonotonicTime, NodeId, Revision
+from eldercart.wire.leader_key import LEADER_KEY
 from eldercart.wire.state import parse_item
 from simulators import StoreSim, orjson
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -9,15 +9,9 @@
 import pytest
 
 from eldercart.cluster.inventory import MachineState
-from eldercart.election.state_machine import (
-    Campaign,
-    Election,
-    GrantLease,
-    ReadLeaderKey,
-    RevokeLease,
-    Role,
-)
-from eldercart.jobs.registry import PlacementPhase
+from eldercart.election.actions import Campaign, GrantLease, ReadLeaderKey, RevokeLease
+from eldercart.election.state_machine import Election, Role
+from eldercart.jobs.job import PlacementPhase
 from eldercart.scheduling.scheduler import (
     DeleteMachines,
     JobStatus,
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -8,7 +8,7 @@
 
 from eldercart.cluster.heartbeat_relay import Redirect
 from eldercart.cluster.inventory import MachineState
-from eldercart.election.state_machine import LEADER_KEY, Election
+from eldercart.election.state_machine import Election
 from eldercart.scheduling.scheduler import ListMachines, TransactionOutcome
 from eldercart.server.peers.connections import PeerLink
 from eldercart.settings.platform import Endpoint
@@ -22,6 +22,7 @@
     Revision,
 )
 from eldercart.wire import workers
+from eldercart.wire.leader_key import LEADER_KEY
 from relay_world import RelayWorld
 from test_core import finish
 from world import World
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -3,7 +3,8 @@
 from types import SimpleNamespace
 from typing import Any
 
-from eldercart.election.state_machine import Election, ReadLeaderKey
+from eldercart.election.actions import ReadLeaderKey
+from eldercart.election.state_machine import Election
 from eldercart.server.leadership import election_service
 from eldercart.server.leadership.election_service import ElectionService
 from eldercart.units import IncarnationId, MonotonicTime, NodeId, Revision
