--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -188,8 +188,8 @@
 
 
 def test_what_was_inherited_goes_with_a_job_that_is_cancelled_with_another() -> None:
-    """`DependencyGraph._orphan`: c is cancelled with a, so b, and x before it, are needed by
-    nobody any more; else they would go ahead of all others for good."""
+    """`DependencyGraph._cancel_downstream`: c is cancelled with a, so b, and x before it, are
+    needed by nobody any more; else they would go ahead of all others for good."""
     g = Graph()
     x = g.add("x", urgency="idle", haulS=5.0)
     g.add("a", urgency="idle")
@@ -207,9 +207,9 @@
 
 @pytest.mark.parametrize("leaves", [False, True], ids=["comes", "leaves"])
 def test_inheritance_costs_little_where_paths_are_many(leaves: bool) -> None:
-    """`_raise` and `_lower`: 3 to the power of 40 paths lead up through these layers, and of any
-    two the later one looked at may be the longer. The guard is the order in which jobs are
-    taken; from the last in on, this would not end."""
+    """`_raise_upstream` and `_lower_upstream`: 3 to the power of 40 paths lead up through these
+    layers, and of any two the later one looked at may be the longer. The guard is the order in
+    which jobs are taken; from the last in on, this would not end."""
     g = Graph()
     layers, wide = 40, 3
     before: list[str] = []
@@ -670,9 +670,9 @@
 @pytest.mark.parametrize("trouble", ["", "leader", "store", "leader and late answers"])
 @pytest.mark.parametrize("shape", ["deep", "wide"])
 def test_all_downstream_is_told_in_time_however_far(shape: str, trouble: str) -> None:
-    """From the confirmation on `DependencyGraph._orphan` makes hundreds of jobs `aborted` at once,
-    whatever becomes of their own ends; the next leader finds them by `_UnreadEnd` and by the
-    ends."""
+    """From the confirmation on `DependencyGraph._cancel_downstream` makes hundreds of jobs
+    `aborted` at once, whatever becomes of their own ends; the next leader finds them by
+    `_EndLookup` and by the ends."""
     w = World(13, **({"txn_lost": 0.3} if "late" in trouble else {}))
     number = 250
     w.submit("wk-root", parcels=2, run_s=60.0)
@@ -705,8 +705,8 @@
 
 @pytest.mark.parametrize("how", [users.DONE, users.CANCELLED])
 def test_a_new_leader_finds_out_from_the_store_alone_what_may_start(how: str) -> None:
-    """`DependencyGraph.add` and `take_unread`: the job before it has ended under an earlier leader,
-    and all that is left of it is its end."""
+    """`DependencyGraph.add` and `take_due_end_lookups`: the job before it has ended under an
+    earlier leader, and all that is left of it is its end."""
     w = World(14)
     w.submit("wk-a", parcels=1, run_s=2.0)
     w.submit("wk-b", parcels=2, awaits=["wk-a"], run_s=40.0)
@@ -732,7 +732,8 @@
 
 
 def test_the_deadline_counts_from_the_submission_all_else_from_readiness() -> None:
-    """`Promises.start_dues` and `preempts_from`, `SchedulerState._due`."""
+    """`ServiceLevelObjectives.latest_start_times` and `preemption_allowed_at`,
+    `ClusterState._deadline_at`."""
     g = Graph()
     g.add("a")
     b = g.add("b", "a", lot="slow", dueS=100.0)
@@ -756,7 +757,8 @@
 
 @pytest.mark.parametrize("needed", [True, False])
 def test_an_idle_job_that_an_urgent_one_needs_goes_first(needed: bool) -> None:
-    """`DependencyGraph._raise`, and `order_jobs` by the job's priority, not its submission's."""
+    """`DependencyGraph._raise_upstream`, and `order_jobs` by the job's priority, not its
+    submission's."""
     w = World(15, capacity=1)
     w.submit("wk-fill", parcels=8, run_s=8.0)
     w.run(10.0)
--- a/tests/test_prediction.py
+++ b/tests/test_prediction.py
@@ -61,13 +61,13 @@
             self.end(names[-1])
             self.wait(SETTLED_S)
 
-    def booked(self) -> list[tuple[str, float]]:
+    def reserved(self) -> list[tuple[str, float]]:
         return [(b.pipeline[1], b.cpus) for b in self.predictor.soft_reservations]
 
     @property
-    def tally(self) -> tuple[int, int, int]:
-        tally = self.predictor.reservation_outcomes[ReservationOrigin.CHAIN]
-        return tally.hits, tally.misses, tally.expired
+    def outcomes(self) -> tuple[int, int, int]:
+        outcomes = self.predictor.reservation_outcomes[ReservationOrigin.CHAIN]
+        return outcomes.hits, outcomes.misses, outcomes.expired
 
 
 def running_pair(chains: Chains, number: str = "1") -> None:
@@ -82,10 +82,10 @@
     c.learn("a", "b", "c")
     running_pair(c)
     c.near_end(b_1=3.0)
-    assert c.booked() == [("c", 12.0)], "its usual size"
+    assert c.reserved() == [("c", 12.0)], "its usual size"
     c.end("b-1")
     c.submit("c-1", "b-1")
-    assert (c.booked(), c.tally) == ([], (1, 0, 0))
+    assert (c.reserved(), c.outcomes) == ([], (1, 0, 0))
 
 
 def test_usual_size_is_learned() -> None:
@@ -96,7 +96,7 @@
         c.end(f"b-{number}", f"c-{number}")
     running_pair(c, "3")
     c.near_end(b_3=3.0)
-    assert c.booked() == [("c", pytest.approx(0.7 * 20 + 0.3 * 40))]
+    assert c.reserved() == [("c", pytest.approx(0.7 * 20 + 0.3 * 40))]
 
 
 def test_path_tells_branches_apart() -> None:
@@ -109,7 +109,7 @@
     c.submit("b-2", "x-2")
     c.end("x-2")
     c.near_end(b_1=3.0, b_2=3.0)
-    assert sorted(c.booked()) == [("c", 12.0), ("d", 12.0)]
+    assert sorted(c.reserved()) == [("c", 12.0), ("d", 12.0)]
 
 
 def test_images_tell_branches_apart() -> None:
@@ -124,7 +124,7 @@
         c.submit(f"b-{number}", f"a-{number}", kit=image)
         c.end(f"a-{number}")
         c.near_end(**{f"b_{number}": 3.0})
-        assert c.booked()[-1] == (after, 12.0)
+        assert c.reserved()[-1] == (after, 12.0)
 
 
 def test_unknown_path_falls_back_on_its_known_end() -> None:
@@ -134,7 +134,7 @@
     c.submit("b-1", "new-1")
     c.end("new-1")
     c.near_end(b_1=3.0)
-    assert c.booked() == [("c", 12.0)]
+    assert c.reserved() == [("c", 12.0)]
 
 
 def test_nothing_is_booked_where_chains_normally_end() -> None:
@@ -144,12 +144,12 @@
     c.learn("a", "b", "c", times=2, start=2000)
     running_pair(c)
     c.near_end(b_1=3.0)
-    assert c.booked() == []
+    assert c.reserved() == []
     c.end("b-1")
     c.submit("c-1", "b-1")
     running_pair(c, "2")
     c.near_end(b_2=3.0)
-    assert c.booked() == [("c", 12.0)], "three that went on against two"
+    assert c.reserved() == [("c", 12.0)], "three that went on against two"
 
 
 def test_a_successor_that_is_submitted_is_not_predicted() -> None:
@@ -158,7 +158,7 @@
     running_pair(c)
     c.submit("c-1", "b-1")
     c.near_end(b_1=3.0)
-    assert c.booked() == []
+    assert c.reserved() == []
 
 
 @pytest.mark.parametrize(
@@ -182,7 +182,7 @@
         c.end(f"b-x{number}", how=users.CANCELLED)
     running_pair(c)
     c.near_end(b_1=3.0)
-    assert [klass for klass, _ in c.booked()] == booked
+    assert [klass for klass, _ in c.reserved()] == booked
 
 
 def test_fan_in_of_one_chain_is_booked_once_and_for_the_last() -> None:
@@ -201,19 +201,19 @@
     c.submit("c-1", "b-10", "b-11", "b-12", "b-13")
     names = siblings(2)
     c.near_end(b_20=1.0, b_21=2.0, b_22=3.0)
-    assert c.booked() == [], "one of them does not end yet"
+    assert c.reserved() == [], "one of them does not end yet"
     c.near_end(b_23=9.0)
     assert (
-        c.booked() == [("c", 12.0)]
+        c.reserved() == [("c", 12.0)]
         and c.predictor.soft_reservations[0].expires_at == c.now + 9.0 + BOOT_S
     )
     c.near_end(b_22=9.5)
     c.end(*names[:2])
     c.near_end()
-    assert c.booked() == [("c", 12.0)], "another ends last now"
+    assert c.reserved() == [("c", 12.0)], "another ends last now"
     c.end(*names[2:])
     c.submit("c-2", *names)
-    assert (c.booked(), c.tally) == ([], (1, 0, 0))
+    assert (c.reserved(), c.outcomes) == ([], (1, 0, 0))
 
 
 def test_fan_in_of_several_chains_is_booked_once() -> None:
@@ -234,14 +234,14 @@
     two_chains(3)
     c.near_end(b_2=3.0, y_2=6.0)
     assert (
-        c.booked() == [("c", 12.0)]
+        c.reserved() == [("c", 12.0)]
         and c.predictor.soft_reservations[0].expires_at == c.now + 6.0 + BOOT_S
     )
     c.near_end(b_3=3.0, y_3=6.0)
-    assert len(c.booked()) == 2
+    assert len(c.reserved()) == 2
     c.end("b-2", "y-2")
     c.submit("c-2", "b-2", "y-2")
-    assert (len(c.booked()), c.tally) == (1, (1, 0, 0))
+    assert (len(c.reserved()), c.outcomes) == (1, (1, 0, 0))
 
 
 def test_fan_in_that_was_not_known_takes_one_booking_and_returns_the_other() -> None:
@@ -253,9 +253,9 @@
     c.submit("y-1", "x-1")
     c.end("x-1")
     c.near_end(b_1=3.0, y_1=3.0)
-    assert len(c.booked()) == 2
+    assert len(c.reserved()) == 2
     c.submit("c-1", "b-1", "y-1")
-    assert (c.booked(), c.tally) == ([], (1, 1, 0))
+    assert (c.reserved(), c.outcomes) == ([], (1, 1, 0))
 
 
 def test_wide_fan_in_costs_no_more_than_its_jobs() -> None:
@@ -282,12 +282,12 @@
     job = Job(users.parse_submission(upstream), 100, MonotonicTime(c.now))
     c.predictor.on_job_submitted(job, [after])
     c.near_end(b_1=3.0)
-    assert c.booked() == []
+    assert c.reserved() == []
     c.end("b-1")
     c.wait(SETTLED_S)
     running_pair(c, "2")
     c.near_end(b_2=3.0)
-    assert c.booked() == [("c", 12.0)], "one more that went on"
+    assert c.reserved() == [("c", 12.0)], "one more that went on"
 
 
 def test_miss_returns_the_room() -> None:
@@ -296,7 +296,7 @@
     running_pair(c)
     c.near_end(b_1=3.0)
     c.submit("other-1", "b-1")
-    assert (c.booked(), c.tally) == ([], (0, 1, 0))
+    assert (c.reserved(), c.outcomes) == ([], (0, 1, 0))
     assert c.predictor.reserved_cpus() == (0.0, 0.0)
 
 
@@ -309,11 +309,11 @@
     c.wait(8.0)
     c.near_end(b_1=0.0)
     c.wait(8.0)
-    assert c.booked() == [("c", 12.0)]
+    assert c.reserved() == [("c", 12.0)]
     c.end("b-1")
     c.near_end()
     c.wait(2.5)
-    assert (c.booked(), c.tally) == ([], (0, 0, 1))
+    assert (c.reserved(), c.outcomes) == ([], (0, 0, 1))
 
 
 def test_aborted_upstream_returns_the_room() -> None:
@@ -323,7 +323,7 @@
     running_pair(c)
     c.near_end(b_1=3.0)
     c.end("b-1", how=users.CANCELLED)
-    assert (c.booked(), c.tally) == ([], (0, 1, 0))
+    assert (c.reserved(), c.outcomes) == ([], (0, 1, 0))
 
 
 @pytest.mark.parametrize(("load", "depth"), [(0.5, 6), (0.7, 6), (0.75, 5), (0.8, 5), (0.9, 4)])
@@ -333,7 +333,7 @@
     for number in range(10):
         running_pair(c, str(number))
     c.near_end(load, **{f"b_{number}": 3.0 for number in range(10)})
-    assert len(c.booked()) == depth
+    assert len(c.reserved()) == depth
 
 
 def test_one_that_awaits_nothing_needs_more_evidence() -> None:
@@ -342,12 +342,12 @@
     for number in range(3):
         c.submit(f"a-{number}")
         c.near_end(**{f"a_{number}": 3.0})
-        assert c.booked() == []
+        assert c.reserved() == []
         c.end(f"a-{number}")
         c.submit(f"b-{number}", f"a-{number}")
     c.submit("a-9")
     c.near_end(a_9=3.0)
-    assert c.booked() == [("b", 12.0)]
+    assert c.reserved() == [("b", 12.0)]
 
 
 def test_independent_jobs_are_not_predicted_along_chains() -> None:
@@ -361,7 +361,7 @@
     c.submit("b-8", "a-8")
     c.submit("a-9")
     c.near_end(a_9=3.0)
-    assert c.booked() == [] and len(c.predictor.chains._jobs) == 3
+    assert c.reserved() == [] and len(c.predictor.chains._jobs) == 3
 
 
 def test_independent_job_takes_no_room_of_a_chain() -> None:
@@ -370,7 +370,7 @@
     running_pair(c)
     c.near_end(b_1=3.0)
     c.predictor.on_job_ready(c.submit("c-7"))
-    assert c.booked() == [("c", 12.0)] and c.tally == (0, 0, 0)
+    assert c.reserved() == [("c", 12.0)] and c.outcomes == (0, 0, 0)
     assert c.predictor.reservation_outcomes[ReservationOrigin.STREAM] == ReservationOutcomes()
 
 
@@ -384,12 +384,12 @@
     c.predictor.reserve_for_stream(
         independent[-1], 1.0, ReservationWindow(BOOT_S, 0.0, MonotonicTime(c.now))
     )
-    assert c.booked() == [("c", pytest.approx(12.0))]
+    assert c.reserved() == [("c", pytest.approx(12.0))]
     c.submit("b-1")
     late = c.submit("c-9", "b-1")
     c.predictor.on_job_ready(late)
     c.predictor.reserve_for_stream(late, 1.0, ReservationWindow(BOOT_S, 0.0, MonotonicTime(c.now)))
-    assert c.booked() == [("c", pytest.approx(12.0))]
+    assert c.reserved() == [("c", pytest.approx(12.0))]
     assert c.predictor.reservation_outcomes[ReservationOrigin.STREAM] == ReservationOutcomes()
 
 
@@ -400,7 +400,7 @@
     c.submit("c-1", "b-1")
     running_pair(c, "2")
     c.near_end(b_2=3.0)
-    assert c.booked() == []
+    assert c.reserved() == []
     assert set(c.predictor.chains._table.by_path) == {("t2/a/img",)}, "of the two that are done"
 
 
