--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -29,7 +29,7 @@
 
 from duty_cluster import Cluster, StallPoint  # noqa: E402
 from duty_world import World, check_end, check_history  # noqa: E402
-from eldercart.autoscaling.request_types import MachineOffering, ScaleOutRequest  # noqa: E402
+from eldercart.autoscaling.autoscaler import MachineOffering, ScaleOutRequest  # noqa: E402
 from eldercart.units import WallTime  # noqa: E402
 from eldercart.wire import named_leases as wire  # noqa: E402
 from eldercart.wire.named_leases import LeaseName, holder_key  # noqa: E402
--- a/tests/duty_world.py
+++ b/tests/duty_world.py
@@ -12,12 +12,8 @@
 
 import orjson
 
-from eldercart.autoscaling.request_types import (
-    DeleteMachines,
-    MachineOffering,
-    ScaleOut,
-    ScaleOutRequest,
-)
+from eldercart.autoscaling.autoscaler import MachineOffering, ScaleOutRequest
+from eldercart.autoscaling.cloud_requests import DeleteMachines, ScaleOut
 from eldercart.election.state_machine import (
     Campaign,
     Election,
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -6,12 +6,8 @@
 import orjson
 import pytest
 
-from eldercart.autoscaling.request_types import (
-    DeleteMachines,
-    MachineOffering,
-    ScaleOut,
-    ScaleOutRequest,
-)
+from eldercart.autoscaling.autoscaler import MachineOffering, ScaleOutRequest
+from eldercart.autoscaling.cloud_requests import DeleteMachines, ScaleOut
 from eldercart.election.state_machine import GrantLease, KeepLeaseAlive
 from eldercart.singleton.holder_preference import candidate_rank, is_overloaded
 from eldercart.singleton.intents import (
--- a/tests/test_duty_schedules.py
+++ b/tests/test_duty_schedules.py
@@ -6,7 +6,8 @@
 import pytest
 
 from duty_world import World, check_end, check_history
-from eldercart.autoscaling.request_types import MachineOffering, ScaleOut, ScaleOutRequest
+from eldercart.autoscaling.autoscaler import MachineOffering, ScaleOutRequest
+from eldercart.autoscaling.cloud_requests import ScaleOut
 from eldercart.election.state_machine import LEADER_KEY
 from eldercart.singleton.intents import IntentLog
 from eldercart.singleton.write_ahead_gate import WriteAheadGate
