--- /dev/null
+++ b/src/eldercart/server/singleton/candidate_runner.py
@@ -0,0 +1,116 @@
+"""Carries out at the state service what this node's candidate for named leases asks for."""
+
+import logging
+from collections.abc import Callable, Collection
+
+from eldercart.election.actions import GrantLease, KeepLeaseAlive
+from eldercart.server.singleton.lease_watch import LeaseWatcher
+from eldercart.server.store.client import StoreClient
+from eldercart.singleton.candidate_actions import Acquire, ReadDirectory, Release
+from eldercart.singleton.eligibility import ClusterView
+from eldercart.singleton.lease_candidate import LeaseCandidate, LeaseState
+from eldercart.units import LeaseId, MonotonicTime, Revision
+from eldercart.wire.named_leases import LeaseName
+from eldercart.wire.state import Transaction
+
+log = logging.getLogger("eldercart.singleton")
+
+
+class CandidateRunner:
+    """Runs one action of the candidate after another, and keeps the watch on the lease keys."""
+
+    def __init__(
+        self,
+        candidate: LeaseCandidate,
+        lease_names: Collection[LeaseName],
+        store: StoreClient,
+        clock: Callable[[], MonotonicTime],
+        cluster_view: Callable[[MonotonicTime], ClusterView],
+    ) -> None:
+        """`lease_names` are those whose state is logged; `cluster_view` tells what the node knows
+        beside the stored keys."""
+        self._candidate = candidate
+        self._lease_names = lease_names
+        self._store = store
+        self._clock = clock
+        self._cluster_view = cluster_view
+        self._lease_watcher = LeaseWatcher(store, candidate.directory, self._run_next_action)
+        self._logged_states: dict[LeaseName, LeaseState] = {}
+
+    def tick(self) -> None:
+        """Run the next action if one is due, and keep the watch open."""
+        self._run_next_action()
+        if not self._candidate.is_read_pending():
+            self._lease_watcher.ensure_watching()
+
+    def _run_next_action(self) -> None:
+        now = self._clock()
+        candidate, store = self._candidate, self._store
+        action = candidate.next_action(self._cluster_view(now))
+        self._log_state_changes()
+        match action:
+            case GrantLease(ttl_s):
+                store.grant_lease(int(ttl_s * 1000), self._on_lease_granted)
+            case KeepLeaseAlive(lease_id):
+                store.keep_lease_alive(lease_id, self._on_keep_alive)
+            case ReadDirectory():
+                self._lease_watcher.read_all(self._on_directory_read)
+            case Acquire(lease_name, transaction):
+                log.info("lease acquisition requested lease=%s", lease_name)
+                self._commit(transaction, candidate.on_acquired)
+            case Release(lease_name, transaction):
+                reason = candidate.ineligibility(lease_name)
+                log.info(
+                    "lease release requested lease=%s reason=%s",
+                    lease_name,
+                    None if reason is None else reason.value,
+                )
+                self._commit(transaction, candidate.on_released)
+
+    def _commit(self, transaction: Transaction, on_committed: Callable[[Revision], None]) -> None:
+        now = self._clock()
+        self._store.requests.force_take(now)
+        self._store.writes.force_take(now, len(transaction.operations))
+
+        def done(status: int | None, revision: Revision, failed: tuple[str, ...]) -> None:
+            if status == 200:
+                on_committed(revision)
+            elif status in (400, 409):
+                self._candidate.on_transaction_rejected(lease_lost=status == 400)
+            else:
+                self._candidate.on_action_failed(self._clock())
+            self._run_next_action()
+
+        self._store.commit(transaction, done)
+
+    def _on_lease_granted(self, lease_id: LeaseId | None) -> None:
+        if lease_id is None:
+            self._candidate.on_action_failed(self._clock())
+        else:
+            self._candidate.on_lease_granted(lease_id)
+            self._run_next_action()
+
+    def _on_keep_alive(self, alive: bool | None) -> None:
+        if alive is None:
+            self._candidate.on_action_failed(self._clock())
+        else:
+            self._candidate.on_keep_alive(alive)
+            self._run_next_action()
+
+    def _on_directory_read(self, ok: bool) -> None:
+        if ok:
+            self._candidate.on_directory_read()
+            self._run_next_action()
+        else:
+            self._candidate.on_action_failed(self._clock())
+
+    def _log_state_changes(self) -> None:
+        for lease_name in self._lease_names:
+            state = self._candidate.state(lease_name)
+            if self._logged_states.get(lease_name) is state:
+                continue
+            self._logged_states[lease_name] = state
+            token = self._candidate.directory.entry(lease_name).token
+            log.info(
+                "lease state changed lease=%s state=%s token=%d", lease_name, state.value, token
+            )
--- a/src/eldercart/server/singleton/catalog_refresh.py
+++ b/src/eldercart/server/singleton/catalog_refresh.py
@@ -1,116 +1,140 @@
-"""The duty that keeps the stored machine types up to date, for nodes that must decide while the
-cloud is down. To read the cloud's catalogue changes nothing there; the write is guarded on the
-holder's token."""
+"""Keeps the stored machine types up to date, for nodes that must decide while the cloud is down.
+
+Reading the cloud's catalog changes nothing there; the write is conditional on the holder's token.
+"""
 
 import logging
-from typing import TYPE_CHECKING
+from collections.abc import Callable
+from dataclasses import dataclass
 
 from eldercart.persistence.learned_state import VALUE_FILL_RATIO
 from eldercart.server.http.client import HttpClient
 from eldercart.server.leadership.catalog_record import CATALOG_KEY, machine_type_shapes
 from eldercart.server.leadership.cloud_requests import CONNECT_TIMEOUT_S, RESPONSE_TIMEOUT_S
-from eldercart.server.store.client import RESERVE_PLACEMENTS
-from eldercart.units import DISTANT_PAST, LeaseToken, MonotonicTime, Revision
+from eldercart.server.store.client import RESERVE_PLACEMENTS, StoreClient
+from eldercart.settings.platform import NodeSettings
+from eldercart.singleton.lease_candidate import LeaseCandidate
+from eldercart.units import ABSENT_REVISION, DISTANT_PAST, LeaseToken, MonotonicTime, Revision
 from eldercart.wire import MalformedMessage, cloud
 from eldercart.wire.checks import load_response
 from eldercart.wire.cloud import MachineType
 from eldercart.wire.named_leases import LeaseName, holder_key
 from eldercart.wire.state import Item, Put, Transaction
 
-if TYPE_CHECKING:
-    from eldercart.server.singleton.lease_service import SingletonService
-
-log = logging.getLogger("eldercart.duties")
+log = logging.getLogger("eldercart.singleton")
 
-RETRY_S = 5.0  # after a refresh that did not come to its end
+RETRY_S = 5.0  # after a refresh that failed
 MAX_CONNECTIONS = 1
 
+MachineTypes = dict[str, MachineType]
 
-class CatalogRefresh:
-    """Reads the cloud's catalogue and the stored one, and writes what has changed."""
 
-    def __init__(self, duties: "SingletonService") -> None:
-        """The first refresh is due when this node holds the duty."""
-        self._singleton_service = duties
-        self._node = duties.node
-        self._client = HttpClient(duties.node.settings.cloud, CONNECT_TIMEOUT_S, MAX_CONNECTIONS)
+@dataclass(frozen=True, slots=True)
+class _Refresh:
+    """A refresh in progress: its token, and the stored catalog that it read."""
+
+    token: LeaseToken
+    stored: Item | None
+
+
+class CatalogRefresh:
+    """Reads the stored catalog and the cloud's, and writes what has changed."""
+
+    def __init__(
+        self,
+        settings: NodeSettings,
+        store: StoreClient,
+        clock: Callable[[], MonotonicTime],
+        candidate: LeaseCandidate,
+        refresh_s: float,
+        may_run_maintenance: Callable[[], bool],
+        on_machine_types: Callable[[MachineTypes], None],
+    ) -> None:
+        """The first refresh is due when this node holds the lease, the next ones `refresh_s`
+        seconds after each other. `on_machine_types` takes what the cloud offers."""
+        self._max_record_bytes = int(VALUE_FILL_RATIO * settings.value_bytes)
+        self._store = store
+        self._clock = clock
+        self._candidate = candidate
+        self._refresh_s = refresh_s
+        self._may_run_maintenance = may_run_maintenance
+        self._on_machine_types = on_machine_types
+        self._client = HttpClient(settings.cloud, CONNECT_TIMEOUT_S, MAX_CONNECTIONS)
         self._next_refresh_at = DISTANT_PAST
         self.is_busy = False
 
     def tick(self, now: MonotonicTime) -> None:
-        """Begins a refresh if one is due. While nothing is stored, no window is waited for: other
-        nodes could not judge submissions."""
-        token = self._singleton_service.candidate.usable_token(LeaseName.CATALOG, now)
+        """Begin a refresh if one is due."""
+        token = self._candidate.usable_token(LeaseName.CATALOG, now)
         if token is None or self.is_busy or now < self._next_refresh_at:
             return
-        store = self._node.store
-        if store.requests.available(now, RESERVE_PLACEMENTS) < 1:
+        if self._store.requests.available(now, RESERVE_PLACEMENTS) < 1:
             return
         self.is_busy = True
-        store.get(CATALOG_KEY, lambda ok, item: self._on_stored_catalog(token, ok, item))
+        self._store.get(CATALOG_KEY, lambda ok, item: self._on_stored_catalog(token, ok, item))
 
     def _on_stored_catalog(self, token: LeaseToken, ok: bool, item: Item | None) -> None:
-        if not ok:
-            self._finish(RETRY_S)
-            return
-        if item is not None and not self._singleton_service.may_run_maintenance():
+        # While nothing is stored, no window is waited for: other nodes could not judge submissions.
+        is_window_needed = item is not None
+        if not ok or (is_window_needed and not self._may_run_maintenance()):
             self._finish(RETRY_S)
             return
+        refresh = _Refresh(token, item)
         self._client.request(
             b"GET",
             "/catalog",
             None,
             RESPONSE_TIMEOUT_S,
-            lambda status, body: self._on_offered_catalog(token, item, status, body),
+            lambda status, body: self._on_offered_catalog(refresh, status, body),
         )
 
-    def _on_offered_catalog(
-        self, token: LeaseToken, stored: Item | None, status: int | None, body: bytes
-    ) -> None:
+    def _on_offered_catalog(self, refresh: _Refresh, status: int | None, body: bytes) -> None:
         try:
             if status != 200:
                 raise MalformedMessage("status")
             types = cloud.parse_catalog(load_response(body))
         except MalformedMessage as err:
-            log.info("catalogue not read: %s", err)
+            log.info("catalog not read status=%s error=%s", status, err)
             self._finish(RETRY_S)
             return
-        self._node.machine_types = types
-        if stored is not None and machine_type_shapes(types) == machine_type_shapes(
-            _stored_types(stored)
-        ):
-            self._finish(self._singleton_service.features.refresh_s)
+        self._on_machine_types(types)
+        if refresh.stored is not None and _has_same_shapes(types, refresh.stored):
+            self._finish(self._refresh_s)
             return
-        self._write(token, stored, types)
-
-    def _write(self, token: LeaseToken, stored: Item | None, types: dict[str, MachineType]) -> None:
-        node = self._node
-        now = node.clock()
-        node.store.requests.force_take(now)
-        node.store.writes.force_take(now)
-        value = cloud.catalog_record(types, int(VALUE_FILL_RATIO * node.settings.value_bytes))
-        guards = {
-            holder_key(LeaseName.CATALOG): Revision(token),
-            CATALOG_KEY: Revision(0) if stored is None else stored.version,
+        self._write(refresh, types)
+
+    def _write(self, refresh: _Refresh, types: MachineTypes) -> None:
+        now = self._clock()
+        self._store.requests.force_take(now)
+        self._store.writes.force_take(now)
+        stored_version = ABSENT_REVISION if refresh.stored is None else refresh.stored.version
+        conditions = {
+            holder_key(LeaseName.CATALOG): Revision(refresh.token),
+            CATALOG_KEY: stored_version,
         }
+        value = cloud.catalog_record(types, self._max_record_bytes)
 
         def done(status: int | None, revision: Revision, failed: tuple[str, ...]) -> None:
             if status == 200:
-                log.info("catalogue stored types=%d token=%d", len(types), token)
+                log.info("catalog stored machine_types=%d token=%d", len(types), refresh.token)
             elif failed:
-                self._singleton_service.on_write_fenced()
-            self._finish(self._singleton_service.features.refresh_s if status == 200 else RETRY_S)
+                self._candidate.on_write_fenced()
+            self._finish(self._refresh_s if status == 200 else RETRY_S)
 
-        node.store.commit(Transaction(guards, [Put(CATALOG_KEY, value)]), done)
+        self._store.commit(Transaction(conditions, [Put(CATALOG_KEY, value)]), done)
 
     def _finish(self, pause_s: float) -> None:
         self.is_busy = False
-        self._next_refresh_at = MonotonicTime(self._node.clock() + pause_s)
+        self._next_refresh_at = MonotonicTime(self._clock() + pause_s)
+
+
+def _has_same_shapes(types: MachineTypes, stored: Item) -> bool:
+    return machine_type_shapes(types) == machine_type_shapes(_stored_types(stored))
 
 
-def _stored_types(item: Item) -> dict[str, MachineType]:
+def _stored_types(item: Item) -> MachineTypes:
     try:
         return cloud.parse_catalog(item.value)
     except (MalformedMessage, AttributeError) as err:
-        log.error("stored catalogue unreadable: %s", err)
+        log.error("stored catalog unreadable error=%s", err)
         return {}
--- a/src/eldercart/server/singleton/gated_cloud_requests.py
+++ b/src/eldercart/server/singleton/gated_cloud_requests.py
@@ -1,9 +1,9 @@
-"""The leader's rentals and returns on their way through the gate: their intents are written, then
-they are sent."""
+"""The leader's requests that change something in the cloud, on their way through the write-ahead
+gate: their intents are recorded, then they are sent."""
 
 import logging
 import time
-from typing import TYPE_CHECKING
+from collections.abc import Callable
 
 from eldercart.autoscaling.cloud_requests import (
     DeleteMachines,
@@ -13,7 +13,8 @@
 )
 from eldercart.scheduling.scheduler import CloudRequest, Scheduler
 from eldercart.server.leadership.cloud_requests import CloudRequests, CloudResponseCallback
-from eldercart.server.store.client import RESERVE_JOB_OUTCOMES
+from eldercart.server.singleton.dispatch_policies import DispatchPolicies
+from eldercart.server.store.client import RESERVE_JOB_OUTCOMES, StoreClient
 from eldercart.singleton.intents import IntentWrite, WriteOutcome
 from eldercart.singleton.write_ahead_gate import (
     DispatchMode,
@@ -25,11 +26,9 @@
 from eldercart.wire.named_leases import LeaseName, holder_key, intents_key
 from eldercart.wire.state import Item
 
-if TYPE_CHECKING:
-    from eldercart.server.singleton.lease_service import SingletonService
-
-log = logging.getLogger("eldercart.duties")
+log = logging.getLogger("eldercart.singleton")
 
+# Any other status, or none: indeterminate.
 OUTCOME_BY_STATUS = {
     200: WriteOutcome.COMMITTED,
     400: WriteOutcome.REJECTED,
@@ -37,166 +36,185 @@
     413: WriteOutcome.REJECTED,
     429: WriteOutcome.REJECTED,
     503: WriteOutcome.REJECTED,
-}  # any other status, or none: unknown
+}
+
+LeasePolicies = dict[LeaseName, DispatchPolicy]
 
 
 class GatedCloudRequests:
     """Carries out what the gate asks for, during one leadership at a time."""
 
-    def __init__(self, duties: "SingletonService") -> None:
-        """No leadership yet."""
-        self._singleton_service = duties
-        self._node = duties.node
-        self.gate: WriteAheadGate | None = None
+    def __init__(
+        self,
+        store: StoreClient,
+        clock: Callable[[], MonotonicTime],
+        policies: DispatchPolicies,
+        on_write_fenced: Callable[[], None],
+        process_events_soon: Callable[[], None],
+    ) -> None:
+        """`on_write_fenced` is called when a token of this node has been replaced,
+        `process_events_soon` when a write's outcome may let requests go out."""
+        self.gate: WriteAheadGate | None = None  # during a leadership
+        self._store = store
+        self._clock = clock
+        self._policies = policies
+        self._on_write_fenced = on_write_fenced
+        self._process_events_soon = process_events_soon
 
     def begin_leadership(self, gate: WriteAheadGate) -> None:
-        """A leadership begins."""
+        """Start to use the gate of a new leadership."""
         self.gate = gate
 
     def end_leadership(self) -> None:
-        """The leadership is over: what is under way is dropped, what is recorded stays open."""
+        """Drop the gate: what is in flight is ignored, what is recorded stays open."""
         self.gate = None
 
-    def is_busy(self, duty: LeaseName) -> bool:
-        """Whether something of the duty is under way."""
-        return self.gate is not None and self.gate.is_busy(duty)
-
-    def try_admit(self, controller: Scheduler, call: CloudRequest, now: MonotonicTime) -> bool:
-        """Whether the gate takes the call; otherwise it is sent as it is."""
-        duty = lease_of_call(call)
-        if self.gate is None or duty is None or not isinstance(call, ScaleOut | DeleteMachines):
+    def is_busy(self, lease_name: LeaseName) -> bool:
+        """Return whether work under the lease is in flight."""
+        return self.gate is not None and self.gate.is_busy(lease_name)
+
+    def try_admit(self, scheduler: Scheduler, call: CloudRequest, now: MonotonicTime) -> bool:
+        """Return whether the gate takes the request; if not, it is to be sent directly."""
+        lease_name = lease_of_call(call)
+        if (
+            self.gate is None
+            or lease_name is None
+            or not isinstance(call, ScaleOut | DeleteMachines)
+        ):
             return False
-        if self._singleton_service.dispatch_policy(duty, now).mode is not DispatchMode.WRITE_AHEAD:
-            return False  # direct, or overdue
-        self.gate.admit(call, WallTime(time.time()), _is_urgent(controller, call))
+        if self._policies.policy(lease_name, now).mode is not DispatchMode.WRITE_AHEAD:
+            return False  # direct, or a deletion that is overdue
+        self.gate.admit(call, WallTime(time.time()), urgent=_is_urgent(scheduler, call))
         return True
 
     def process_events(
-        self, controller: Scheduler, cloud_calls: CloudRequests, now: MonotonicTime
+        self, scheduler: Scheduler, cloud_requests: CloudRequests, now: MonotonicTime
     ) -> None:
-        """Sends, writes and reads what is due, and tells the controller what it may hand out."""
+        """Send, write and read what is due, and tell the scheduler what it may ask for."""
         gate = self.gate
         if gate is None:
             return
-        routes = {
-            duty: self._singleton_service.dispatch_policy(duty, now) for duty in gate.intent_logs
+        policies = {
+            lease_name: self._policies.policy(lease_name, now) for lease_name in gate.intent_logs
         }
-        self._update_admissions(controller, gate, routes)
-        self._process_gate(controller, gate, cloud_calls, routes, now)
-
-    def _update_admissions(
-        self, controller: Scheduler, gate: WriteAheadGate, routes: dict[LeaseName, DispatchPolicy]
-    ) -> None:
-        rentals = self._is_admissible(gate, LeaseName.SCALE_OUT, routes)
-        controller.cloud_requests.scale_out_admission = (
-            RequestAdmission.OPEN if rentals else RequestAdmission.BLOCKED
-        )
-        returns = self._is_admissible(gate, LeaseName.SCALE_IN, routes)
-        # A cancelled task must be gone in time, whatever becomes of the duty: its machine is
-        # deleted without an intent, under the leader's lease.
-        controller.cloud_requests.deletion_admission = (
-            RequestAdmission.OPEN if returns else RequestAdmission.OVERDUE_ONLY
-        )
-
-    def _is_admissible(
-        self, gate: WriteAheadGate, duty: LeaseName, routes: dict[LeaseName, DispatchPolicy]
-    ) -> bool:
-        path = routes[duty].mode
-        return path is DispatchMode.DIRECT or (
-            path is DispatchMode.WRITE_AHEAD and gate.has_capacity(duty)
-        )
+        _update_admissions(scheduler, gate, policies)
+        self._process_gate(scheduler, gate, cloud_requests, policies, now)
 
     def _process_gate(
         self,
-        controller: Scheduler,
+        scheduler: Scheduler,
         gate: WriteAheadGate,
-        cloud_calls: CloudRequests,
-        routes: dict[LeaseName, DispatchPolicy],
+        cloud_requests: CloudRequests,
+        policies: LeasePolicies,
         now: MonotonicTime,
     ) -> None:
-        store = self._node.store
+        output = gate.process(policies, now, may_write=self._may_write(now))
+        for call in output.calls_to_send:
+            self._send(scheduler, gate, cloud_requests, call)
+        for call in output.rejected_calls:
+            scheduler.cloud_requests.requeue_unsent(call)
+        for write in output.writes:
+            self._write(gate, write, now)
+        for lease_name in output.leases_to_refresh:
+            self._refresh(gate, lease_name)
+
+    def _may_write(self, now: MonotonicTime) -> bool:
         # From the same reserve as placements nothing would be left on a busy day: those take all
         # that is above it at each turn of the loop, and nothing would be rented or returned.
-        may_write = (
-            store.requests.available(now, RESERVE_JOB_OUTCOMES) >= 1
-            and store.writes.available(now, RESERVE_JOB_OUTCOMES) >= 1
+        return (
+            self._store.requests.available(now, RESERVE_JOB_OUTCOMES) >= 1
+            and self._store.writes.available(now, RESERVE_JOB_OUTCOMES) >= 1
         )
-        out = gate.process(routes, may_write, now)
-        for call in out.calls_to_send:
-            self._send(controller, gate, cloud_calls, call)
-        for call in out.rejected_calls:
-            controller.cloud_requests.requeue_unsent(call)
-        for duty, write in out.writes:
-            self._write(gate, duty, write, now)
-        for duty in out.leases_to_refresh:
-            self._refresh(gate, duty)
 
     def direct_answer_callback(self, call: CloudRequest) -> CloudResponseCallback | None:
-        """What is to be told of the answer to a call that the gate did not take."""
+        """Return what to call with the answer to a request that the gate did not take, if the gate
+        has to know of it."""
         gate = self.gate
         if gate is None or not isinstance(call, ScaleOut | DeleteMachines):
             return None
 
-        def answered(status: int | None, body: bytes) -> None:
+        def on_answer(status: int | None, body: bytes) -> None:
             if _is_final(status, body):
-                gate.on_direct_answer(call, self._node.clock())
+                gate.on_direct_answer(call, self._clock())
 
-        return answered
+        return on_answer
 
     def _send(
         self,
-        controller: Scheduler,
+        scheduler: Scheduler,
         gate: WriteAheadGate,
-        cloud_calls: CloudRequests,
+        cloud_requests: CloudRequests,
         call: ScaleOut | DeleteMachines,
     ) -> None:
-        def answered(status: int | None, body: bytes) -> None:
-            gate.on_answer(call, _is_final(status, body), self._node.clock())
+        def on_answer(status: int | None, body: bytes) -> None:
+            gate.on_answer(call, self._clock(), is_final=_is_final(status, body))
 
-        cloud_calls.send(controller, call, answered)
+        cloud_requests.send(scheduler, call, on_answer)
 
-    def _write(
-        self, gate: WriteAheadGate, duty: LeaseName, write: IntentWrite, now: MonotonicTime
-    ) -> None:
-        store = self._node.store
-        store.requests.force_take(now)
-        store.writes.force_take(now)
+    def _write(self, gate: WriteAheadGate, write: IntentWrite, now: MonotonicTime) -> None:
+        self._store.requests.force_take(now)
+        self._store.writes.force_take(now)
 
         def done(status: int | None, revision: Revision, failed: tuple[str, ...]) -> None:
-            outcome = (
-                WriteOutcome.INDETERMINATE
-                if status is None
-                else OUTCOME_BY_STATUS.get(status, WriteOutcome.INDETERMINATE)
-            )
+            outcome = _outcome(status)
             if outcome is not WriteOutcome.COMMITTED:
                 log.info(
-                    "intents not written duty=%s outcome=%s failed=%s",
-                    duty,
+                    "intents not written lease=%s outcome=%s failed_conditions=%s",
+                    write.lease_name,
                     outcome.value,
                     failed,
                 )
-            if holder_key(duty) in failed:
-                self._singleton_service.on_write_fenced()
-            gate.on_write_result(duty, write, outcome, revision, self._node.clock())
-            self._node.leader_service.process_events_soon()
+            if holder_key(write.lease_name) in failed:
+                self._on_write_fenced()
+            gate.on_write_result(write, outcome, revision, self._clock())
+            self._process_events_soon()
 
-        store.commit(write.transaction, done)
+        self._store.commit(write.transaction, done)
 
-    def _refresh(self, gate: WriteAheadGate, duty: LeaseName) -> None:
+    def _refresh(self, gate: WriteAheadGate, lease_name: LeaseName) -> None:
         def done(ok: bool, item: Item | None) -> None:
-            gate.on_record_refreshed(duty, ok, item)
+            if ok:
+                gate.on_record_refreshed(lease_name, item)
+            else:
+                gate.on_refresh_failed(lease_name)
+
+        self._store.get(intents_key(lease_name), done)
+
 
-        self._node.store.get(intents_key(duty), done)
+def _update_admissions(scheduler: Scheduler, gate: WriteAheadGate, policies: LeasePolicies) -> None:
+    """Tell the scheduler which requests it may hand out."""
+    queue = scheduler.cloud_requests
+    may_scale_out = _is_admissible(gate, LeaseName.SCALE_OUT, policies)
+    queue.scale_out_admission = RequestAdmission.OPEN if may_scale_out else RequestAdmission.BLOCKED
+    may_scale_in = _is_admissible(gate, LeaseName.SCALE_IN, policies)
+    # A cancelled task must be gone in time, whatever becomes of the lease: its machine is deleted
+    # without an intent, under the leader's lease.
+    queue.deletion_admission = (
+        RequestAdmission.OPEN if may_scale_in else RequestAdmission.OVERDUE_ONLY
+    )
 
 
-def _is_urgent(controller: Scheduler, call: ScaleOut | DeleteMachines) -> bool:
-    """Whether somebody waits for the call: for machines, or for the proof that tasks are gone."""
+def _is_admissible(gate: WriteAheadGate, lease_name: LeaseName, policies: LeasePolicies) -> bool:
+    mode = policies[lease_name].mode
+    if mode is DispatchMode.WRITE_AHEAD:
+        return gate.has_capacity(lease_name)
+    return mode is DispatchMode.DIRECT
+
+
+def _is_urgent(scheduler: Scheduler, call: ScaleOut | DeleteMachines) -> bool:
+    """Return whether jobs wait for the outcome: for machines, or for the proof that tasks ended."""
     if isinstance(call, ScaleOut):
         return True
-    machines = (controller.inventory.get(name) for name in call.machines)
+    machines = (scheduler.inventory.get(name) for name in call.machines)
     return any(machine is not None and machine.placements for machine in machines)
 
 
 def _is_final(status: int | None, body: bytes) -> bool:
-    """Whether the answer tells what became of the call."""
+    """Return whether the answer tells what became of the request."""
     return status in (200, 400) or (status == 503 and is_capacity_refusal(body))
+
+
+def _outcome(status: int | None) -> WriteOutcome:
+    if status is None:
+        return WriteOutcome.INDETERMINATE
+    return OUTCOME_BY_STATUS.get(status, WriteOutcome.INDETERMINATE)
--- a/src/eldercart/server/singleton/lease_watch.py
+++ b/src/eldercart/server/singleton/lease_watch.py
@@ -13,41 +13,41 @@
 from eldercart.wire.state import Item
 
 reactor: Any = _reactor
-log = logging.getLogger("eldercart.duties")
+log = logging.getLogger("eldercart.singleton")
 
 WATCH_TIMEOUT_S = 20.0  # for which one watch waits
 WATCH_RETRY_S = 1.0  # before a watch that failed is opened again
 
 
 class LeaseWatcher:
-    """Keeps one watch open, from the revision that the board knows."""
+    """Keeps one watch open, from the revision that the directory knows."""
 
     def __init__(
-        self, store: StoreClient, board: LeaseDirectory, changed: Callable[[], None]
+        self, store: StoreClient, directory: LeaseDirectory, on_changed: Callable[[], None]
     ) -> None:
-        """`changed` is called when the board has taken something new."""
+        """`on_changed` is called when a watch has reported changes to the directory."""
         self._store = store
-        self._directory = board
-        self._on_changed = changed
+        self._directory = directory
+        self._on_changed = on_changed
         self._is_watching = False
 
     def read_all(self, done: Callable[[bool], None]) -> None:
-        """Reads all keys; `done(False)` if that did not succeed."""
+        """Read all keys into the directory; `done(False)` if that failed."""
 
-        def got(items: list[Item] | None, revision: Revision) -> None:
+        def on_items(items: list[Item] | None, revision: Revision) -> None:
             if items is not None:
                 self._directory.apply_read(items, revision)
             done(items is not None)
 
-        self._store.range(LEASE_PREFIX, got)
+        self._store.range(LEASE_PREFIX, on_items)
 
     def ensure_watching(self) -> None:
-        """Opens the watch, unless it is open."""
+        """Open the watch, unless it is open."""
         if self._is_watching:
             return
         self._is_watching = True
 
-        def got(status: int | None, revision: Revision, events: list[Any]) -> None:
+        def on_events(status: int | None, revision: Revision, events: list[Any]) -> None:
             if status == 200:
                 self._is_watching = False
                 self._directory.apply_watch_events(events, revision)
@@ -59,7 +59,7 @@
             else:
                 self._reopen_later(WATCH_RETRY_S)
 
-        self._store.watch(LEASE_PREFIX, self._directory.revision, WATCH_TIMEOUT_S, got)
+        self._store.watch(LEASE_PREFIX, self._directory.revision, WATCH_TIMEOUT_S, on_events)
 
     def _reopen_later(self, pause_s: float) -> None:
         reactor.callLater(pause_s, self._mark_closed)
--- a/src/eldercart/server/singleton/operator_requests.py
+++ b/src/eldercart/server/singleton/operator_requests.py
@@ -1,17 +1,21 @@
-"""Operators' requests about duties, answered by any node from a fresh read of the state service."""
+"""Operators' requests about named leases, answered by any node from a fresh read of the state
+service."""
 
 import time
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import orjson
 
 from eldercart.server.http.replies import RETRY_AFTER_S, reject, reject_temporarily
 from eldercart.server.http.server import JsonRequest
-from eldercart.server.store.client import RESERVE_POLLS
+from eldercart.server.store.client import RESERVE_POLLS, StoreClient
+from eldercart.settings.platform import NodeSettings
+from eldercart.singleton import operator_commands
 from eldercart.singleton.lease_directory import LeaseDirectory, LeaseEntry
+from eldercart.singleton.operator_commands import CommandConflict
 from eldercart.singleton.status_report import StatusContext, lease_status
-from eldercart.units import ABSENT_REVISION, NodeId, Revision, WallTime
+from eldercart.units import MonotonicTime, NodeId, Revision, WallTime
 from eldercart.wire import MalformedMessage
 from eldercart.wire.named_leases import (
     INTENT_PREFIX,
@@ -21,35 +25,39 @@
     LeaseName,
     PauseRecord,
     find_intents_item,
-    hand_over_key,
-    hand_over_value,
-    holder_key,
     parse_hand_over_request,
     parse_intents,
     parse_lease_name,
     parse_pause_request,
-    pause_key,
-    pause_value,
 )
-from eldercart.wire.state import DeleteKey, Item, Put, Transaction
-
-if TYPE_CHECKING:
-    from eldercart.server.singleton.lease_service import SingletonService
+from eldercart.wire.state import Item, Transaction
 
 PATH_PREFIX = b"duties"  # of the path of all these requests
-READS_PER_ANSWER = 2  # of the state service, for an answer
+READS_PER_ANSWER = 2  # of the state service
 UNKNOWN_LEASE = "no such duty"
 
 DirectoryCallback = Callable[[LeaseDirectory], None]
+StatusCallback = Callable[[LeaseDirectory, list[Item]], None]
 
 
 class OperatorRequests:
     """Routes the requests; each is answered once the state service has, and at once without it."""
 
-    def __init__(self, duties: "SingletonService") -> None:
-        """Uses the node's part in the duties."""
-        self._singleton_service = duties
-        self._node = duties.node
+    def __init__(
+        self,
+        store: StoreClient,
+        clock: Callable[[], MonotonicTime],
+        settings: NodeSettings,
+        status_context: Callable[[], StatusContext],
+        nodes_without_support: Callable[[LeaseName], list[NodeId]],
+    ) -> None:
+        """`status_context` tells what this node knows beside the stored keys,
+        `nodes_without_support` which nodes do not take part in a lease."""
+        self._store = store
+        self._clock = clock
+        self._settings = settings
+        self._status_context = status_context
+        self._nodes_without_support = nodes_without_support
         self._commands: dict[str, Callable[[JsonRequest, LeaseName], None]] = {
             "hand-over": self._hand_over,
             "pause": self._pause,
@@ -57,7 +65,7 @@
         }
 
     def route(self, request: JsonRequest) -> None:
-        """Hands the request to what serves its path and method."""
+        """Pass the request to the handler for its path and method."""
         parts = request.path.decode("latin-1").split("/")[2:]
         if len(parts) > 2:
             reject(request, 404, "no such path")
@@ -67,14 +75,14 @@
             self._route_lease(request, parts[0], parts[1] if len(parts) > 1 else None)
 
     def _route_lease(self, request: JsonRequest, name: str, command_name: str | None) -> None:
-        duty = parse_lease_name(name)
+        lease_name = parse_lease_name(name)
         command = self._commands.get(command_name or "")
-        if duty is None:
+        if lease_name is None:
             reject(request, 404, UNKNOWN_LEASE)
         elif command_name is None:
-            self._serve_method(request, b"GET", lambda r: self._show(r, duty))
+            self._serve_method(request, b"GET", lambda request: self._show(request, lease_name))
         elif command is not None:
-            self._serve_method(request, b"POST", lambda r: command(r, duty))
+            self._serve_method(request, b"POST", lambda request: command(request, lease_name))
         else:
             reject(request, 404, "no such command")
 
@@ -84,197 +92,161 @@
         if request.method != method:
             reject(request, 405, "method")
         elif not self._is_store_available():
-            reject_temporarily(request, "the state service does not answer this node")
+            self._reject_unavailable(request)
         else:
             serve(request)
 
     def _is_store_available(self) -> bool:
-        """Whether it is worth asking: nobody waits for a time-out."""
-        store = self._node.store
-        tokens = store.requests.available(self._node.clock(), RESERVE_POLLS)
-        return store.failing_since is None and tokens >= READS_PER_ANSWER
+        """Return whether to ask the state service at all: no operator waits for a time-out."""
+        tokens = self._store.requests.available(self._clock(), RESERVE_POLLS)
+        return self._store.failing_since is None and tokens >= READS_PER_ANSWER
 
-    # -- questions
+    # -- queries
 
     def _list(self, request: JsonRequest) -> None:
-        self._read(request, lambda board, items: self._reply_with_list(request, board, items))
+        def reply(directory: LeaseDirectory, items: list[Item]) -> None:
+            context = self._status_context()
+            reports = [_status(lease_name, directory, items, context) for lease_name in LeaseName]
+            body = {"node": self._settings.label, "duties": reports}
+            request.reply(200, orjson.dumps(body))
 
-    def _show(self, request: JsonRequest, duty: LeaseName) -> None:
-        def tell(board: LeaseDirectory, items: list[Item]) -> None:
-            body = lease_status(
-                duty, board.entry(duty), _open_intents(items, duty), self._status_context()
-            )
+        self._read_status(request, reply)
+
+    def _show(self, request: JsonRequest, lease_name: LeaseName) -> None:
+        def reply(directory: LeaseDirectory, items: list[Item]) -> None:
+            body = _status(lease_name, directory, items, self._status_context())
             request.reply(200, orjson.dumps(body))
 
-        self._read(request, tell)
+        self._read_status(request, reply)
 
-    def _reply_with_list(
-        self, request: JsonRequest, board: LeaseDirectory, items: list[Item]
-    ) -> None:
-        around = self._status_context()
-        reports = [
-            lease_status(duty, board.entry(duty), _open_intents(items, duty), around)
-            for duty in LeaseName
-        ]
-        request.reply(200, orjson.dumps({"node": self._node.settings.label, "duties": reports}))
-
-    def _status_context(self) -> StatusContext:
-        duties, wall = self._singleton_service, WallTime(time.time())
-        calendar = duties.calendar
-        return StatusContext(
-            wall_time=wall,
-            enabled_leases=frozenset(duties.features.on),
-            nodes_without_support={
-                duty: duties.nodes_without_support(duty) for duty in duties.features.on
-            },
-            leader=self._node.election.leader,
-            window=None if calendar is None else calendar.next_window(wall),
-            has_calendar=calendar is not None,
-        )
-
-    def _read(
-        self, request: JsonRequest, tell: Callable[[LeaseDirectory, list[Item]], None]
-    ) -> None:
-        def got_board(board: LeaseDirectory) -> None:
-            def got_intents(items: list[Item] | None, revision: Revision) -> None:
+    def _read_status(self, request: JsonRequest, reply: StatusCallback) -> None:
+        """Read the directory and the intent records for `reply`."""
+
+        def on_directory(directory: LeaseDirectory) -> None:
+            def on_intents(items: list[Item] | None, revision: Revision) -> None:
                 if items is None:
-                    self._refuse_unavailable(request)
+                    self._reject_unavailable(request)
                 else:
-                    tell(board, items)
+                    reply(directory, items)
 
-            self._node.store.range(INTENT_PREFIX, got_intents)
+            self._store.range(INTENT_PREFIX, on_intents)
 
-        self._read_directory(request, got_board)
+        self._read_directory(request, on_directory)
 
-    def _read_directory(self, request: JsonRequest, tell: DirectoryCallback) -> None:
-        def got(items: list[Item] | None, revision: Revision) -> None:
+    def _read_directory(self, request: JsonRequest, done: DirectoryCallback) -> None:
+        def on_items(items: list[Item] | None, revision: Revision) -> None:
             if items is None:
-                self._refuse_unavailable(request)
+                self._reject_unavailable(request)
                 return
-            board = LeaseDirectory()
-            board.apply_read(items, revision)
-            tell(board)
+            directory = LeaseDirectory()
+            directory.apply_read(items, revision)
+            done(directory)
 
-        self._node.store.range(LEASE_PREFIX, got)
+        self._store.range(LEASE_PREFIX, on_items)
 
-    def _refuse_unavailable(self, request: JsonRequest) -> None:
+    def _reject_unavailable(self, request: JsonRequest) -> None:
         reject_temporarily(request, "the state service does not answer this node")
 
     # -- commands
 
-    def _hand_over(self, request: JsonRequest, duty: LeaseName) -> None:
+    def _hand_over(self, request: JsonRequest, lease_name: LeaseName) -> None:
         try:
-            to = parse_hand_over_request(request.body())
+            receiver = parse_hand_over_request(request.body())
         except MalformedMessage as err:
             reject(request, 400, f"malformed: {err}")
             return
-        settings = self._node.settings
-        if to not in (settings.label, *(member.label for member in settings.members)):
-            reject(request, 422, f"no such node: {to}")
+        members = (member.label for member in self._settings.members)
+        if receiver not in (self._settings.label, *members):
+            reject(request, 422, f"no such node: {receiver}")
             return
 
-        def decide(board: LeaseDirectory) -> None:
-            entry = board.entry(duty)
-            conflict = self._hand_over_conflict(duty, entry, to)
-            if conflict is not None:
-                reject(request, 409, conflict)
-                return
-            record = HandOverRecord(to, self._wall_time())
-            txn = Transaction(
-                {
-                    hand_over_key(duty): entry.hand_over_version,
-                    pause_key(duty): ABSENT_REVISION,
-                    holder_key(duty): Revision(entry.token),
-                },
-                [Put(hand_over_key(duty), hand_over_value(record))],
-            )
-            self._write(request, txn, {"duty": duty.value, "hand_over": {"to": to}})
-
-        self._read_directory(request, decide)
-
-    def _hand_over_conflict(self, duty: LeaseName, entry: LeaseEntry, to: NodeId) -> str | None:
-        if entry.is_paused:
-            return f"{duty} is paused"
-        if entry.hand_over is not None:
-            return f"{duty} is being handed over to {entry.hand_over.receiver}"
-        if not entry.is_held:
-            return f"{duty} is held by nobody"
-        if entry.holder is not None and entry.holder.node == to:
-            return f"{duty} is held by {to} already"
-        if to in self._singleton_service.nodes_without_support(duty):
-            return f"{to} does not take part in {duty}, or has not been heard"
-        return None
+        def decide(entry: LeaseEntry) -> Transaction:
+            record = HandOverRecord(receiver, _wall_time())
+            nodes = self._nodes_without_support(lease_name)
+            return operator_commands.hand_over(lease_name, entry, record, nodes)
 
-    def _pause(self, request: JsonRequest, duty: LeaseName) -> None:
+        answer = {"duty": lease_name.value, "hand_over": {"to": receiver}}
+        self._execute(request, lease_name, decide, answer)
+
+    def _pause(self, request: JsonRequest, lease_name: LeaseName) -> None:
         try:
             reason = parse_pause_request(request.body())
         except MalformedMessage as err:
             reject(request, 400, f"malformed: {err}")
             return
 
-        def decide(board: LeaseDirectory) -> None:
-            entry = board.entry(duty)
-            if entry.pause is not None:
-                told = entry.pause.reason or "no reason given"
-                reject(request, 409, f"{duty} is paused already: {told}")
-                return
-            if entry.hand_over is not None:
-                to = entry.hand_over.receiver
-                reject(request, 409, f"{duty} is being handed over to {to}")
-                return
-            txn = Transaction(
-                {pause_key(duty): entry.pause_version, hand_over_key(duty): ABSENT_REVISION},
-                [Put(pause_key(duty), pause_value(PauseRecord(self._wall_time(), reason)))],
-            )
-            self._write(request, txn, {"duty": duty.value, "paused": True})
-
-        self._read_directory(request, decide)
-
-    def _resume(self, request: JsonRequest, duty: LeaseName) -> None:
-        def decide(board: LeaseDirectory) -> None:
-            entry = board.entry(duty)
-            if not entry.is_paused:
-                reject(request, 409, f"{duty} is not paused")
+        def decide(entry: LeaseEntry) -> Transaction:
+            return operator_commands.pause(lease_name, entry, PauseRecord(_wall_time(), reason))
+
+        answer = {"duty": lease_name.value, "paused": True}
+        self._execute(request, lease_name, decide, answer)
+
+    def _resume(self, request: JsonRequest, lease_name: LeaseName) -> None:
+        def decide(entry: LeaseEntry) -> Transaction:
+            return operator_commands.resume(lease_name, entry)
+
+        answer = {"duty": lease_name.value, "paused": False}
+        self._execute(request, lease_name, decide, answer)
+
+    def _execute(
+        self,
+        request: JsonRequest,
+        lease_name: LeaseName,
+        decide: Callable[[LeaseEntry], Transaction],
+        answer: dict[str, Any],
+    ) -> None:
+        """Commit what `decide` makes of a fresh read, and answer the request."""
+
+        def on_directory(directory: LeaseDirectory) -> None:
+            try:
+                transaction = decide(directory.entry(lease_name))
+            except CommandConflict as conflict:
+                reject(request, 409, str(conflict))
                 return
-            txn = Transaction({pause_key(duty): entry.pause_version}, [DeleteKey(pause_key(duty))])
-            self._write(request, txn, {"duty": duty.value, "paused": False})
+            self._commit(request, transaction, answer)
 
-        self._read_directory(request, decide)
+        self._read_directory(request, on_directory)
 
-    def _write(self, request: JsonRequest, txn: Transaction, told: dict[str, Any]) -> None:
-        store = self._node.store
-        now = self._node.clock()
-        if store.writes.available(now, RESERVE_POLLS) < 1:
+    def _commit(
+        self, request: JsonRequest, transaction: Transaction, answer: dict[str, Any]
+    ) -> None:
+        now = self._clock()
+        if self._store.writes.available(now, RESERVE_POLLS) < 1:
             reject_temporarily(request, "too many changes at the state service")
             return
-        store.requests.force_take(now)
-        store.writes.force_take(now)
+        self._store.requests.force_take(now)
+        self._store.writes.force_take(now)
 
         def done(status: int | None, revision: Revision, failed: tuple[str, ...]) -> None:
             if status == 200:
-                request.reply(200, orjson.dumps(told))
+                request.reply(200, orjson.dumps(answer))
             elif status == 409:
-                request.reply(
-                    409,
-                    orjson.dumps({"error": "another command came first: ask again"}),
-                    RETRY_AFTER_S,
-                )
+                body = {"error": "another command came first: ask again"}
+                request.reply(409, orjson.dumps(body), RETRY_AFTER_S)
             else:
                 # It may have been carried out: the same command then tells what is in force.
-                self._refuse_unavailable(request)
+                self._reject_unavailable(request)
+
+        self._store.commit(transaction, done)
+
+
+def _wall_time() -> WallTime:
+    return WallTime(round(time.time(), 1))
 
-        store.commit(txn, done)
 
-    def _wall_time(self) -> WallTime:
-        return WallTime(round(time.time(), 1))
+def _status(
+    lease_name: LeaseName, directory: LeaseDirectory, items: list[Item], context: StatusContext
+) -> dict[str, Any]:
+    intents = _open_intents(items, lease_name)
+    return lease_status(lease_name, directory.entry(lease_name), intents, context)
 
 
-def _open_intents(items: list[Item], duty: LeaseName) -> list[Intent] | None:
-    """The open intents of a duty; None: its record can't be read."""
-    item = find_intents_item(items, duty)
+def _open_intents(items: list[Item], lease_name: LeaseName) -> list[Intent] | None:
+    """Return the open intents of a lease, or None if their record can't be read."""
+    item = find_intents_item(items, lease_name)
     if item is None:
         return []
     try:
-        return parse_intents(duty, item.value)
+        return parse_intents(lease_name, item.value)
     except MalformedMessage:
         return None
--- a/src/eldercart/singleton/holder_preference.py
+++ b/src/eldercart/singleton/holder_preference.py
@@ -1,4 +1,4 @@
-"""Which node should hold a duty, so that duties are spread over the nodes and do not wander."""
+"""Which node should hold a named lease, so that leases are spread over the nodes and stay there."""
 
 from collections.abc import Collection
 from enum import Enum
@@ -9,7 +9,7 @@
 
 
 class Affinity(Enum):
-    """What a duty works on decides who can hold it."""
+    """Which nodes can hold a named lease, by what its holder has to know."""
 
     LEADER = "leader"  # on what only the leader knows: demand, the fleet, what may still run
     ANY = "any"  # on nothing but the cloud and the state service
@@ -22,32 +22,38 @@
     LeaseName.CATALOG: Affinity.ANY,
 }
 
-MIN_IMBALANCE = 2  # duties that a holder must have beyond another node before it gives one up
+MIN_IMBALANCE = 2  # named leases that a holder must have beyond another node before it gives one up
 
 
 def node_load(node: NodeId, leader: NodeId | None, snapshot: DirectorySnapshot) -> int:
-    """How many duties the node holds. Leadership counts as one, or the leader would seem idle
-    before it holds its own."""
-    held = sum(
+    """Return how many named leases the node holds. Leadership counts as one, or the leader would
+    seem idle before it holds its own leases."""
+    held_leases = sum(
         1
-        for duty, entry in snapshot.items()
-        if AFFINITY[duty] is Affinity.ANY and entry.holder is not None and entry.holder.node == node
+        for lease_name, entry in snapshot.items()
+        if AFFINITY[lease_name] is Affinity.ANY
+        and entry.holder is not None
+        and entry.holder.node == node
     )
-    return held + (1 if node == leader else 0)
+    return held_leases + (1 if node == leader else 0)
 
 
 def candidate_rank(
     node: NodeId, candidates: Collection[NodeId], leader: NodeId | None, snapshot: DirectorySnapshot
 ) -> int:
-    """How many candidates are to be preferred to the node: the least loaded, then by name."""
-    mine = (node_load(node, leader, snapshot), node)
-    return sum(1 for other in candidates if (node_load(other, leader, snapshot), other) < mine)
+    """Return how many candidates are preferred to the node: those with less load, then by name."""
+    own_rank = (node_load(node, leader, snapshot), node)
+    return sum(1 for other in candidates if (node_load(other, leader, snapshot), other) < own_rank)
 
 
 def is_overloaded(
     node: NodeId, candidates: Collection[NodeId], leader: NodeId | None, snapshot: DirectorySnapshot
 ) -> bool:
-    """Whether the node should give a duty up. A difference of one is none: the duty would only
-    change sides."""
-    others = [node_load(c, leader, snapshot) for c in candidates if c != node]
-    return bool(others) and node_load(node, leader, snapshot) >= min(others) + MIN_IMBALANCE
+    """Return whether the node should give a lease up to a less loaded one. A difference of one does
+    not count: the lease would only change sides."""
+    other_loads = [
+        node_load(candidate, leader, snapshot) for candidate in candidates if candidate != node
+    ]
+    return (
+        bool(other_loads) and node_load(node, leader, snapshot) >= min(other_loads) + MIN_IMBALANCE
+    )
--- a/src/eldercart/singleton/intents.py
+++ b/src/eldercart/singleton/intents.py
@@ -1,6 +1,6 @@
-"""The intents of one duty: what it may ask of the cloud, recorded before it is asked.
+"""The intents of one lease: what it may ask of the cloud, recorded before it is asked.
 
-The cloud compares no tokens. So an intent is recorded first, in a transaction guarded on the
+The cloud compares no tokens. So an intent is recorded first, in a transaction conditional on the
 holder's token and the leader's epoch, and is irrevocable from then on: to send it once more does
 what sending it once does, whoever sends it and whenever. All open intents stand in one record,
 which is replaced as a whole under the version that was read, so a late copy of a transaction finds
@@ -15,7 +15,6 @@
 
 from pyrsistent import pmap
 
-from eldercart.election.state_machine import LEADER_KEY
 from eldercart.units import (
     ABSENT_REVISION,
     DISTANT_PAST,
@@ -25,6 +24,7 @@
     Revision,
 )
 from eldercart.wire import MalformedMessage
+from eldercart.wire.leader_key import LEADER_KEY
 from eldercart.wire.named_leases import (
     EMPTY_RECORD_BYTES,
     Intent,
@@ -37,13 +37,13 @@
 )
 from eldercart.wire.state import Item, Put, Transaction
 
-log = logging.getLogger("eldercart.duties")
+log = logging.getLogger("eldercart.singleton")
 
 # After which finished intents are dropped although nothing new is recorded. Shorter than machines
 # usually stand idle: a successor asks anew for what is left, and must not count machines again that
 # were returned since.
 COMPACTION_DELAY_S = 20.0
-BATCH_INTERVAL_S = 1.0  # between two writes for intents that are not urgent
+BATCH_INTERVAL_S = 1.0  # between two writes of intents that are not urgent
 WRITE_RETRY_S = 0.25  # after a write that was not carried out
 
 
@@ -59,10 +59,10 @@
 class WriteOutcome(Enum):
     """What became of a write of the record."""
 
-    COMMITTED = "done"
-    CONFLICT = "conflict"  # a guard did not hold
-    REJECTED = "refused"  # surely not carried out
-    INDETERMINATE = "unknown"  # may have been, or may be later
+    COMMITTED = "committed"
+    CONFLICT = "conflict"  # a condition did not hold
+    REJECTED = "rejected"  # surely not applied
+    INDETERMINATE = "indeterminate"  # may have been applied, or may be later
 
 
 OpenIntents = Mapping[str, Intent]  # by name; persistent: it never changes
@@ -72,33 +72,34 @@
 class IntentWrite:
     """A write of the record, and the open intents that it holds."""
 
+    lease_name: LeaseName
     transaction: Transaction
     token: LeaseToken
     intents: OpenIntents
 
 
 class IntentLog:
-    """The open intents of a duty, as far as its holder knows. One write is under way at a time."""
+    """The open intents of a lease, as far as its holder knows. One write is in flight at a time."""
 
-    def __init__(self, duty: LeaseName, most_bytes: int) -> None:
+    def __init__(self, lease_name: LeaseName, max_bytes: int) -> None:
         """Nothing is known before `load`; the record grows to at most `most_bytes`."""
-        self.lease_name = duty
+        self.lease_name = lease_name
         self.is_loaded = False
         self.needs_refresh = False
-        self._max_bytes = most_bytes
+        self._max_bytes = max_bytes
         self._version = ABSENT_REVISION
         self._durable: Any = pmap()
         self._created: dict[str, Intent] = {}
-        self._abandoned: set[str] = set()  # of these, what is forgotten unless it is durable
+        self._abandoned: set[str] = set()  # among these, to be dropped unless durable
         self._sent: set[str] = set()
         self._finished: set[str] = set()
         self._finished_since = DISTANT_PAST
         self._write_in_flight: IntentWrite | None = None
         self._retry_at = DISTANT_PAST
         self._last_write_at = DISTANT_PAST
-        self._has_urgent = False  # something waits to be recorded that must not be gathered
+        self._has_urgent = False  # a created intent must not wait to share a write
 
-    # -- what others may ask
+    # -- queries
 
     @property
     def open_intents(self) -> OpenIntents:
@@ -107,7 +108,7 @@
         return intents
 
     def stage(self, name: str) -> IntentStage | None:
-        """How far the intent of that name has come; None: there is none."""
+        """Return how far the intent of that name has come, or None if there is none."""
         if name in self._finished:
             return IntentStage.FINISHED
         if name in self._sent:
@@ -117,16 +118,16 @@
         return IntentStage.CREATED if name in self._created else None
 
     def is_recorded(self, name: str) -> bool:
-        """Whether the intent is durable and may be sent."""
+        """Return whether the intent is durable and may be sent."""
         return name in self._durable and name not in self._finished
 
     @property
     def is_write_pending(self) -> bool:
-        """Whether a write is under way, or its outcome is not known."""
+        """Whether a write is in flight, or its outcome is not known."""
         return self._write_in_flight is not None or self.needs_refresh
 
     def capacity_for(self, intents: list[Intent]) -> int:
-        """How many of these, from the first, the record can take beside the open ones."""
+        """Return how many of these, from the first, fit into the record beside the open ones."""
         size = EMPTY_RECORD_BYTES + sum(
             intent_bytes(intent)
             for name, intent in [*self._durable.items(), *self._created.items()]
@@ -140,25 +141,25 @@
                 return number
         return len(intents)
 
-    # -- inputs
+    # -- events
 
     def load(self, item: Item | None) -> list[Intent]:
-        """Takes the record as it was read; returns the intents that are open."""
+        """Take the record as it was read, and return the intents that are open."""
         self.is_loaded = True
         self.needs_refresh = False
         self._version = ABSENT_REVISION if item is None else item.version
         try:
             intents = [] if item is None else parse_intents(self.lease_name, item.value)
         except MalformedMessage as err:
-            log.error("record of intents unreadable duty=%s, replaced: %s", self.lease_name, err)
+            log.error("intent record unreadable, replaced lease=%s error=%s", self.lease_name, err)
             intents = []
         self._durable = pmap({intent.name: intent for intent in intents})
         self._sent &= set(self._durable)
         self._finished &= set(self._durable)
         return intents
 
-    def create(self, intent: Intent, urgent: bool = True) -> None:
-        """An intent that is to be recorded; one that is not urgent may wait a little for others."""
+    def create(self, intent: Intent, *, urgent: bool = True) -> None:
+        """Add an intent to be recorded. One that is not urgent may wait to share a write."""
         self._finished.discard(intent.name)
         self._abandoned.discard(intent.name)
         dropped = (
@@ -169,7 +170,7 @@
             self._has_urgent = self._has_urgent or urgent
 
     def abandon(self, name: str) -> None:
-        """The intent is not wanted any more. One that turns out to be durable stays open."""
+        """Drop an intent that need not be recorded any more; a durable one stays open."""
         self._abandoned.add(name)
         self._drop_abandoned()
 
@@ -198,39 +199,48 @@
     # -- writing
 
     def next_write(
-        self, token: LeaseToken, epoch: FencingToken, now: MonotonicTime
+        self, token: LeaseToken, leader_token: FencingToken, now: MonotonicTime
     ) -> IntentWrite | None:
-        """The next write of the record, if one is due and none is under way."""
-        if not self.is_loaded or self.is_write_pending or now < self._retry_at:
-            return None
-        compacts = bool(self._finished) and now - self._finished_since >= COMPACTION_DELAY_S
-        gathers = not self._has_urgent and now - self._last_write_at < BATCH_INTERVAL_S
-        if not compacts and (not self._created or gathers):
+        """Return the next write of the record, or None if none is due or one is in flight."""
+        if not self._is_write_due(now):
             return None
         self._has_urgent = False
         self._last_write_at = now
-        content = self._durable.evolver()
-        for name in self._finished:
-            content.remove(name)
-        for name, intent in self._created.items():
-            content.set(name, intent)
-        intents = content.persistent()
+        intents = self._intents_to_record()
         key = intents_key(self.lease_name)
-        txn = Transaction(
+        transaction = Transaction(
             {
                 holder_key(self.lease_name): Revision(token),
-                LEADER_KEY: Revision(epoch),
+                LEADER_KEY: Revision(leader_token),
                 key: self._version,
             },
             [Put(key, intents_value(list(intents.values())))],
         )
-        self._write_in_flight = IntentWrite(txn, token, intents)
+        self._write_in_flight = IntentWrite(self.lease_name, transaction, token, intents)
         return self._write_in_flight
 
+    def _is_write_due(self, now: MonotonicTime) -> bool:
+        if not self.is_loaded or self.is_write_pending or now < self._retry_at:
+            return False
+        if self._finished and now - self._finished_since >= COMPACTION_DELAY_S:
+            return True
+        is_batching = not self._has_urgent and now - self._last_write_at < BATCH_INTERVAL_S
+        return bool(self._created) and not is_batching
+
+    def _intents_to_record(self) -> OpenIntents:
+        """Return the durable intents without the finished and with the created ones."""
+        evolver = self._durable.evolver()
+        for name in self._finished:
+            evolver.remove(name)
+        for name, intent in self._created.items():
+            evolver.set(name, intent)
+        intents: OpenIntents = evolver.persistent()
+        return intents
+
     def on_write_result(
         self, write: IntentWrite, outcome: WriteOutcome, revision: Revision, now: MonotonicTime
     ) -> None:
-        """The outcome of a write."""
+        """Take the outcome of a write; `revision` is the record's version if it was committed."""
         if write is not self._write_in_flight:
             return
         self._write_in_flight = None
@@ -253,7 +263,8 @@
         self._has_urgent = True  # what was in the write has waited already
 
     def refresh(self, item: Item | None) -> None:
-        """The record as a fresh read has it: an earlier write may have been applied after all."""
+        """Take the record as a fresh read has it: an earlier write may have been applied after
+        all."""
         self.load(item)
         for name in self._durable:
             self._created.pop(name, None)
--- a/src/eldercart/singleton/lease_directory.py
+++ b/src/eldercart/singleton/lease_directory.py
@@ -1,4 +1,4 @@
-"""What the state service holds of all duties, as far as this node knows.
+"""What the state service holds of all named leases, as far as this node knows.
 
 The board is kept in a persistent map: whoever asks for it gets a snapshot that never changes,
 without a copy.
@@ -28,12 +28,12 @@
 )
 from eldercart.wire.state import DeleteKey, Item
 
-log = logging.getLogger("eldercart.duties")
+log = logging.getLogger("eldercart.singleton")
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseEntry:
-    """The keys of one duty. A version of 0 means that the key is absent; a version without a
+    """The keys of one lease. A version of 0 means that the key is absent; a version without a
     record, that the key can't be read."""
 
     holder: HolderRecord | None = None
@@ -45,12 +45,12 @@
 
     @property
     def is_held(self) -> bool:
-        """Whether somebody holds the duty, be it under a record that can't be read."""
+        """Whether a node holds the lease, also if its record can't be read."""
         return self.token != NO_LEASE_TOKEN
 
     @property
     def is_paused(self) -> bool:
-        """Whether the duty is paused."""
+        """Whether the lease is paused."""
         return self.pause_version != ABSENT_REVISION
 
 
@@ -60,51 +60,52 @@
 
 
 class LeaseDirectory:
-    """Takes what reads and watches tell, in whatever order their answers come."""
+    """Merges reads, watch events and own writes, in whatever order their answers come."""
 
     def __init__(self) -> None:
         """Nothing has been read yet."""
-        self.revision = ABSENT_REVISION  # up to which a watch may go on
-        self._entries: Any = pmap({duty: EMPTY_ENTRY for duty in LeaseName})
-        self._revision_by_key: dict[str, Revision] = {}  # by key
+        self.revision = ABSENT_REVISION  # from which a watch may go on
+        self._entries: Any = pmap({lease_name: EMPTY_ENTRY for lease_name in LeaseName})
+        self._revision_by_key: dict[str, Revision] = {}  # as of which a key is known
 
     @property
     def snapshot(self) -> DirectorySnapshot:
-        """The duties as they are known now."""
+        """All leases as they are known now."""
         snapshot: DirectorySnapshot = self._entries
         return snapshot
 
-    def entry(self, duty: LeaseName) -> LeaseEntry:
-        """What is known of one duty."""
-        return self.snapshot[duty]
+    def entry(self, lease_name: LeaseName) -> LeaseEntry:
+        """Return what is known of one lease."""
+        return self.snapshot[lease_name]
 
     def apply_read(self, items: Iterable[Item], revision: Revision) -> None:
-        """All keys as a read found them at `revision`; those not among `items` were absent."""
+        """Take all keys as a read found them at `revision`; those not among `items` were absent."""
         found = {item.key: item for item in items}
-        for duty in LeaseName:
+        for lease_name in LeaseName:
             for prefix in (HOLDER_PREFIX, PAUSE_PREFIX, HAND_OVER_PREFIX):
-                self._apply(prefix + duty, found.get(prefix + duty), revision)
+                self._apply(prefix + lease_name, found.get(prefix + lease_name), revision)
         self.revision = max(self.revision, revision)
 
     def apply_watch_events(self, events: Iterable[Item | DeleteKey], revision: Revision) -> None:
-        """Changes in their order, as of `revision`."""
+        """Take changes in their order, as of `revision`."""
         for event in events:
             self._apply(event.key, event if isinstance(event, Item) else None, revision)
         self.revision = max(self.revision, revision)
 
     def apply_own_writes(self, events: Iterable[Item | DeleteKey], revision: Revision) -> None:
-        """Changes of this node's own, applied at `revision`; the watch has yet to tell the rest."""
+        """Take this node's own changes, applied at `revision`. Others may have happened before that
+        the watch has yet to report, so `self.revision` stays."""
         for event in events:
             self._apply(event.key, event if isinstance(event, Item) else None, revision)
 
     def _apply(self, key: str, item: Item | None, revision: Revision) -> None:
-        duty = lease_of_key(key)
+        lease_name = lease_of_key(key)
         # An answer may overtake another: what is known as of a later revision stays.
-        if duty is None or revision < self._revision_by_key.get(key, ABSENT_REVISION):
+        if lease_name is None or revision < self._revision_by_key.get(key, ABSENT_REVISION):
             return
         self._revision_by_key[key] = revision
         version = ABSENT_REVISION if item is None else item.version
-        entry = self.snapshot[duty]
+        entry = self.snapshot[lease_name]
         if key.startswith(HOLDER_PREFIX):
             entry = replace(
                 entry, holder=_parse_record(item, parse_holder), token=LeaseToken(version)
@@ -114,7 +115,7 @@
         elif key.startswith(HAND_OVER_PREFIX):
             hand_over = _parse_record(item, parse_hand_over)
             entry = replace(entry, hand_over=hand_over, hand_over_version=version)
-        self._entries = self._entries.set(duty, entry)
+        self._entries = self._entries.set(lease_name, entry)
 
 
 def _parse_record(item: Item | None, parse: Callable[[Any], RecordT]) -> RecordT | None:
@@ -123,5 +124,5 @@
     try:
         return parse(item.value)
     except MalformedMessage as err:
-        log.error("record of a duty unreadable key=%s: %s", item.key, err)
+        log.error("lease record unreadable key=%s error=%s", item.key, err)
         return None
--- a/src/eldercart/singleton/maintenance_calendar.py
+++ b/src/eldercart/singleton/maintenance_calendar.py
@@ -1,9 +1,9 @@
-"""When work that may wait is done: weekly windows of an operator's time zone, with exceptions.
+"""Maintenance windows: weekly, in an operator's time zone, with exceptions by date.
 
 A window is open from its start to its end by the local clock. Where daylight saving skips the
 start, it opens when the clock has been put forward; where the start comes twice it opens the first
-time, and where the end comes twice it closes the second time. A window says when something is
-done, never by whom, so a node whose clock is wrong only does it at another time.
+time, and where the end comes twice it closes the second time. A window decides when work is done,
+never by which node, so a node whose clock is wrong only does it at another time.
 """
 
 from collections.abc import Iterator
@@ -17,29 +17,29 @@
 from eldercart.units import WallTime
 
 ONE_DAY = timedelta(days=1)
-NO_WINDOW_CACHE_S = 3600.0  # for which it counts that there is no window within a year
-LOOK_AHEAD_DAYS = 400  # in which the next window is looked for: more than a year of exceptions
+NO_WINDOW_CACHE_S = 3600.0  # how long the answer "no window within a year" is cached
+SEARCH_DAYS = 400  # searched for the next window: more than a year of exceptions
 
 
 class MaintenanceCalendar:
-    """Answers whether a window is open; keeps the one that it looked up last."""
+    """Tells whether a window is open, and caches the window found last."""
 
     def __init__(self, maintenance: Maintenance) -> None:
-        """Nothing is looked up before the first question."""
+        """A calendar for the operator's settings. The first search is made on demand."""
         self._zone = maintenance.time_zone
         self._weekly = maintenance.weekly
         self._exceptions = {item.date: item for item in maintenance.exceptions}
         self._cached_window: MaintenanceWindow | None = None
-        self._cached_at: WallTime | None = None  # when that was
+        self._cached_at: WallTime | None = None
 
     def is_open(self, at: WallTime) -> bool:
-        """Whether work may be done at that time."""
+        """Return whether a window is open at that time."""
         window = self.next_window(at)
         return window is not None and window.opens_at <= at
 
     def next_window(self, at: WallTime) -> MaintenanceWindow | None:
-        """The window that is open at that time, or else the next one; None: there is none within
-        a year."""
+        """Return the window that is open at that time, or else the next one, or None if there is
+        none within a year."""
         if not self._is_cache_valid(at):
             self._cached_window = self._find_window(at)
             self._cached_at = at
@@ -60,9 +60,9 @@
         return None
 
     def _windows_from(self, first: date) -> Iterator[MaintenanceWindow]:
-        """All windows that open on that day or later, by day and then by their opening."""
-        rules = [self._opening_days(window, first) for window in self._weekly]
-        for number in range(LOOK_AHEAD_DAYS):
+        """Yield the windows that open on that day or later, in the order in which they open."""
+        opening_days = [self._opening_days(window, first) for window in self._weekly]
+        for number in range(SEARCH_DAYS):
             day = first + number * ONE_DAY
             exception = self._exceptions.get(day)
             if exception is not None:
@@ -71,8 +71,8 @@
                 continue
             spans = [
                 (window.start, window.end)
-                for window, starts in zip(self._weekly, rules, strict=True)
-                if day in starts
+                for window, days in zip(self._weekly, opening_days, strict=True)
+                if day in days
             ]
             yield from sorted(
                 (self._window_on(day, start, end) for start, end in spans),
@@ -80,12 +80,12 @@
             )
 
     def _opening_days(self, window: WeeklyWindow, first: date) -> set[date]:
-        """The days on which the weekly window opens."""
+        """Return the days, from `first` on, on which the weekly window opens."""
         rule = rrule(
             WEEKLY,
             byweekday=window.days,
             dtstart=datetime.combine(first, window.start),
-            until=datetime.combine(first + LOOK_AHEAD_DAYS * ONE_DAY, window.start),
+            until=datetime.combine(first + SEARCH_DAYS * ONE_DAY, window.start),
         )
         return {start.date() for start in rule}
 
@@ -96,6 +96,6 @@
         )
 
     def _wall_time_of(self, day: date, at: time, fold: int) -> WallTime:
-        """When the local clock shows that time; `fold` 1: for the last time."""
+        """Return when the local clock shows that time: first (`fold` 0) or last (`fold` 1)."""
         local = datetime.combine(day, at, self._zone).replace(fold=fold)
         return WallTime(resolve_imaginary(local).astimezone(UTC).timestamp())
--- a/src/eldercart/singleton/maintenance_window.py
+++ b/src/eldercart/singleton/maintenance_window.py
@@ -1,4 +1,7 @@
-"""A maintenance window, apart from the calendar that finds it and from that one's libraries."""
+"""The type of a maintenance window.
+
+It stands apart from the calendar, whose libraries are slow to import.
+"""
 
 from dataclasses import dataclass
 
@@ -7,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceWindow:
-    """One window, from `opens` until before `closes`."""
+    """A span of time, from `opens_at` until before `closes_at`."""
 
     opens_at: WallTime
     closes_at: WallTime
--- /dev/null
+++ b/src/eldercart/singleton/operator_commands.py
@@ -0,0 +1,73 @@
+"""Operators' commands on named leases: what they change, and when they are refused."""
+
+from collections.abc import Collection
+
+from eldercart.singleton.lease_directory import LeaseEntry
+from eldercart.units import ABSENT_REVISION, NodeId, Revision
+from eldercart.wire.named_leases import (
+    HandOverRecord,
+    LeaseName,
+    PauseRecord,
+    hand_over_key,
+    hand_over_value,
+    holder_key,
+    pause_key,
+    pause_value,
+)
+from eldercart.wire.state import DeleteKey, Put, Transaction
+
+
+class CommandConflict(Exception):
+    """The command contradicts what is in force; the message tells the operator how."""
+
+
+def hand_over(
+    lease_name: LeaseName,
+    entry: LeaseEntry,
+    record: HandOverRecord,
+    nodes_without_support: Collection[NodeId],
+) -> Transaction:
+    """Return the transaction that hands the lease over; raises CommandConflict."""
+    receiver = record.receiver
+    if entry.is_paused:
+        raise CommandConflict(f"{lease_name} is paused")
+    if entry.hand_over is not None:
+        raise CommandConflict(f"{lease_name} is being handed over to {entry.hand_over.receiver}")
+    if not entry.is_held:
+        raise CommandConflict(f"{lease_name} is held by nobody")
+    if entry.holder is not None and entry.holder.node == receiver:
+        raise CommandConflict(f"{lease_name} is held by {receiver} already")
+    if receiver in nodes_without_support:
+        raise CommandConflict(
+            f"{receiver} does not take part in {lease_name}, or has not been heard"
+        )
+    return Transaction(
+        {
+            hand_over_key(lease_name): entry.hand_over_version,
+            pause_key(lease_name): ABSENT_REVISION,
+            holder_key(lease_name): Revision(entry.token),
+        },
+        [Put(hand_over_key(lease_name), hand_over_value(record))],
+    )
+
+
+def pause(lease_name: LeaseName, entry: LeaseEntry, record: PauseRecord) -> Transaction:
+    """Return the transaction that pauses the lease; raises CommandConflict."""
+    if entry.pause is not None:
+        reason = entry.pause.reason or "no reason given"
+        raise CommandConflict(f"{lease_name} is paused already: {reason}")
+    if entry.hand_over is not None:
+        raise CommandConflict(f"{lease_name} is being handed over to {entry.hand_over.receiver}")
+    return Transaction(
+        {pause_key(lease_name): entry.pause_version, hand_over_key(lease_name): ABSENT_REVISION},
+        [Put(pause_key(lease_name), pause_value(record))],
+    )
+
+
+def resume(lease_name: LeaseName, entry: LeaseEntry) -> Transaction:
+    """Return the transaction that ends the pause of the lease; raises CommandConflict."""
+    if not entry.is_paused:
+        raise CommandConflict(f"{lease_name} is not paused")
+    return Transaction(
+        {pause_key(lease_name): entry.pause_version}, [DeleteKey(pause_key(lease_name))]
+    )
--- a/src/eldercart/singleton/write_ahead_gate.py
+++ b/src/eldercart/singleton/write_ahead_gate.py
@@ -1,7 +1,7 @@
-"""What stands between the leader's calls to the cloud and the cloud: rentals and returns go out
-only once their intents are recorded.
+"""The write-ahead gate between the leader and the cloud: requests that change something go out only
+once their intents are recorded.
 
-A call that cannot be recorded now is given back at once; the leader asks for it again.
+A request that cannot be recorded now is rejected at once; the leader asks for it again.
 """
 
 from dataclasses import dataclass, field
@@ -17,16 +17,16 @@
 
 
 class DispatchMode(Enum):
-    """How the calls of a duty reach the cloud."""
+    """How the requests under a lease reach the cloud."""
 
-    DIRECT = "direct"  # without intents, under the leader's lease: not every node knows duties
-    WRITE_AHEAD = "recorded"
-    BLOCKED = "held"  # not now: nothing can be recorded
+    DIRECT = "direct"  # without intents, as not every node takes part in the lease
+    WRITE_AHEAD = "write_ahead"  # once their intents are recorded
+    BLOCKED = "blocked"  # not now: nothing can be recorded
 
 
 @dataclass(frozen=True, slots=True)
 class DispatchPolicy:
-    """The path of a duty's calls, and the token of the holder where they are recorded."""
+    """How requests under a lease are dispatched, and the token under which intents are recorded."""
 
     mode: DispatchMode
     token: LeaseToken | None = None
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class _PendingCall:
-    """A call whose intents are not recorded yet."""
+    """A request whose intents are not recorded yet."""
 
     call: ScaleOut | DeleteMachines
     intents: list[Intent]
@@ -42,63 +42,65 @@
 
 @dataclass(slots=True)
 class GateOutput:
-    """What follows from the last inputs."""
+    """What the caller has to carry out."""
 
     calls_to_send: list[ScaleOut | DeleteMachines] = field(default_factory=list)
     rejected_calls: list[ScaleOut | DeleteMachines] = field(default_factory=list)
-    writes: list[tuple[LeaseName, IntentWrite]] = field(default_factory=list)
+    writes: list[IntentWrite] = field(default_factory=list)
     leases_to_refresh: list[LeaseName] = field(default_factory=list)
 
 
 def lease_of_call(call: CloudRequest) -> LeaseName | None:
-    """The duty that the call belongs to; None: one that changes nothing."""
+    """Return the lease under which the request is made, or None for one that changes nothing."""
     if isinstance(call, ScaleOut):
         return LeaseName.SCALE_OUT
     return LeaseName.SCALE_IN if isinstance(call, DeleteMachines) else None
 
 
 class WriteAheadGate:
-    """Owns the logs of intents during one leadership."""
+    """The intent logs and the requests that wait for them, during one leadership."""
 
-    def __init__(self, epoch: FencingToken, most_bytes: int) -> None:
-        """For the leader of `epoch`; a record of intents takes at most `most_bytes`."""
-        self._leader_token = epoch
-        self.intent_logs = {duty: IntentLog(duty, most_bytes) for duty in RECORDED_LEASES}
+    def __init__(self, leader_token: FencingToken, max_record_bytes: int) -> None:
+        """A gate for the leader with that token; a record takes up to `max_record_bytes`."""
+        self._leader_token = leader_token
+        self.intent_logs = {
+            lease_name: IntentLog(lease_name, max_record_bytes) for lease_name in RECORDED_LEASES
+        }
         self._pending_calls: dict[LeaseName, list[_PendingCall]] = {
-            duty: [] for duty in RECORDED_LEASES
+            lease_name: [] for lease_name in RECORDED_LEASES
         }
         self._in_flight: dict[LeaseName, int] = dict.fromkeys(RECORDED_LEASES, 0)
         self._refreshing: set[LeaseName] = set()
 
-    def load(self, duty: LeaseName, item: Item | None) -> list[Intent]:
-        """Takes the record that was read after the election; returns the open intents, which this
+    def load(self, lease_name: LeaseName, item: Item | None) -> list[Intent]:
+        """Take the record that was read after the election, and return the open intents, which this
         leader has to finish."""
-        return self.intent_logs[duty].load(item)
+        return self.intent_logs[lease_name].load(item)
 
-    def is_busy(self, duty: LeaseName) -> bool:
-        """Whether something of the duty is under way, so that it can't be given up yet."""
-        if duty not in self.intent_logs:
+    def is_busy(self, lease_name: LeaseName) -> bool:
+        """Return whether work under the lease is in flight, so that it can't be released yet."""
+        if lease_name not in self.intent_logs:
             return False
         return (
-            bool(self._pending_calls[duty])
-            or self._in_flight[duty] > 0
-            or self.intent_logs[duty].is_write_pending
+            bool(self._pending_calls[lease_name])
+            or self._in_flight[lease_name] > 0
+            or self.intent_logs[lease_name].is_write_pending
         )
 
-    # -- inputs
+    # -- events
 
     def admit(
-        self, call: ScaleOut | DeleteMachines, wall: WallTime, urgent: bool = True
+        self, call: ScaleOut | DeleteMachines, wall_time: WallTime, *, urgent: bool = True
     ) -> ScaleOut | DeleteMachines:
-        """Takes a call whose intents are to be recorded; returns it, cut to what the record can
-        take. One that is not urgent may wait a little for others."""
+        """Take a request whose intents are to be recorded, and return it, cut to what the record
+        has room for. One that is not urgent may wait to share a write."""
         log = self._intent_log_for(call)
-        intents = _intents_for(call, wall)
+        intents = _intents_for(call, wall_time)
         if isinstance(call, DeleteMachines):
-            most = max(1, log.capacity_for(intents))
-            call, intents = DeleteMachines(call.machines[:most]), intents[:most]
+            max_machines = max(1, log.capacity_for(intents))
+            call, intents = DeleteMachines(call.machines[:max_machines]), intents[:max_machines]
         for intent in intents:
-            log.create(intent, urgent)
+            log.create(intent, urgent=urgent)
         self._pending_calls[log.lease_name].append(_PendingCall(call, intents))
         return call
 
@@ -107,84 +109,89 @@
             LeaseName.SCALE_OUT if isinstance(call, ScaleOut) else LeaseName.SCALE_IN
         ]
 
-    def has_capacity(self, duty: LeaseName) -> bool:
-        """Whether the duty's record can take one more intent of the usual size."""
-        log = self.intent_logs[duty]
-        sample = _SAMPLE_INTENTS[duty]
+    def has_capacity(self, lease_name: LeaseName) -> bool:
+        """Return whether the lease's record has room for one more intent of the usual size."""
+        log = self.intent_logs[lease_name]
+        sample = _SAMPLE_INTENTS[lease_name]
         return log.is_loaded and log.capacity_for([sample]) == 1
 
-    def on_answer(self, call: ScaleOut | DeleteMachines, final: bool, now: MonotonicTime) -> None:
-        """The cloud's answer to a call that was sent; not `final`: there was none, or trouble."""
+    def on_answer(
+        self, call: ScaleOut | DeleteMachines, now: MonotonicTime, *, is_final: bool
+    ) -> None:
+        """A request that was sent has been answered, or (not `is_final`) its outcome is unknown."""
         log = self._intent_log_for(call)
         self._in_flight[log.lease_name] -= 1
         for name in _intent_names(call):
-            if final:
+            if is_final:
                 log.mark_finished(name, now)
             else:
                 log.mark_unanswered(name)
 
     def on_direct_answer(self, call: ScaleOut | DeleteMachines, now: MonotonicTime) -> None:
-        """The cloud has answered a call that was sent past the gate: what earlier leaders recorded
-        of it is not open any more."""
+        """The cloud has answered a request that was dispatched directly: what earlier leaders
+        recorded of it is not open any more."""
         log = self._intent_log_for(call)
         for name in _intent_names(call):
             log.mark_finished(name, now)
 
     def on_write_result(
         self,
-        duty: LeaseName,
         write: IntentWrite,
         outcome: WriteOutcome,
         revision: Revision,
         now: MonotonicTime,
     ) -> None:
-        """The outcome of a write of the duty's record."""
-        self.intent_logs[duty].on_write_result(write, outcome, revision, now)
+        """Take the outcome of a write; `revision` is the record's version if it was committed."""
+        self.intent_logs[write.lease_name].on_write_result(write, outcome, revision, now)
+
+    def on_record_refreshed(self, lease_name: LeaseName, item: Item | None) -> None:
+        """The intent record was read again; None: it is absent."""
+        self._refreshing.discard(lease_name)
+        self.intent_logs[lease_name].refresh(item)
 
-    def on_record_refreshed(self, duty: LeaseName, ok: bool, item: Item | None) -> None:
-        """The record that was to be read again; not `ok`: it could not be read."""
-        self._refreshing.discard(duty)
-        if ok:
-            self.intent_logs[duty].refresh(item)
+    def on_refresh_failed(self, lease_name: LeaseName) -> None:
+        """The intent record could not be read again; the next `process` asks for it once more."""
+        self._refreshing.discard(lease_name)
 
-    # -- what follows
+    # -- dispatch
 
     def process(
-        self, routes: dict[LeaseName, DispatchPolicy], may_write: bool, now: MonotonicTime
+        self, policies: dict[LeaseName, DispatchPolicy], now: MonotonicTime, *, may_write: bool
     ) -> GateOutput:
-        """Sends what is recorded, gives back what can't be recorded now, and writes the rest."""
-        out = GateOutput()
-        for duty, log in self.intent_logs.items():
-            route = routes[duty]
-            self._send_recorded(duty, log, out)
-            if route.mode is not DispatchMode.WRITE_AHEAD:
-                self._reject_pending(duty, log, out)
-            if log.needs_refresh and duty not in self._refreshing:
-                self._refreshing.add(duty)
-                out.leases_to_refresh.append(duty)
-            if route.token is not None and may_write:
-                write = log.next_write(route.token, self._leader_token, now)
+        """Return the requests to send, as their intents are recorded, those rejected, as nothing
+        can be recorded now, and the writes for the others."""
+        output = GateOutput()
+        for lease_name, log in self.intent_logs.items():
+            policy = policies[lease_name]
+            self._send_recorded(lease_name, log, output)
+            if policy.mode is not DispatchMode.WRITE_AHEAD:
+                self._reject_pending(lease_name, log, output)
+            if log.needs_refresh and lease_name not in self._refreshing:
+                self._refreshing.add(lease_name)
+                output.leases_to_refresh.append(lease_name)
+            if policy.token is not None and may_write:
+                write = log.next_write(policy.token, self._leader_token, now)
                 if write is not None:
-                    out.writes.append((duty, write))
-        return out
+                    output.writes.append(write)
+        return output
 
-    def _send_recorded(self, duty: LeaseName, log: IntentLog, out: GateOutput) -> None:
-        waiting, self._pending_calls[duty] = self._pending_calls[duty], []
-        for item in waiting:
+    def _send_recorded(self, lease_name: LeaseName, log: IntentLog, output: GateOutput) -> None:
+        pending, self._pending_calls[lease_name] = self._pending_calls[lease_name], []
+        for item in pending:
             if all(log.is_recorded(intent.name) for intent in item.intents):
                 for intent in item.intents:
                     log.mark_sent(intent.name)
-                self._in_flight[duty] += 1
-                out.calls_to_send.append(item.call)
+                self._in_flight[lease_name] += 1
+                output.calls_to_send.append(item.call)
             else:
-                self._pending_calls[duty].append(item)
+                self._pending_calls[lease_name].append(item)
 
-    def _reject_pending(self, duty: LeaseName, log: IntentLog, out: GateOutput) -> None:
-        for item in self._pending_calls[duty]:
+    def _reject_pending(self, lease_name: LeaseName, log: IntentLog, output: GateOutput) -> None:
+        for item in self._pending_calls[lease_name]:
             for intent in item.intents:
                 log.abandon(intent.name)
-            out.rejected_calls.append(item.call)
-        self._pending_calls[duty] = []
+            output.rejected_calls.append(item.call)
+        self._pending_calls[lease_name] = []
 
 
 def _intent_names(call: ScaleOut | DeleteMachines) -> list[str]:
@@ -193,14 +200,19 @@
     return list(call.machines)
 
 
-def _intents_for(call: ScaleOut | DeleteMachines, wall: WallTime) -> list[Intent]:
-    at = WallTime(round(wall, 2))
+def _intents_for(call: ScaleOut | DeleteMachines, wall_time: WallTime) -> list[Intent]:
+    created_at = WallTime(round(wall_time, 2))
     if isinstance(call, DeleteMachines):
-        return [ScaleInIntent(machine, at) for machine in call.machines]
-    request, offer = call.request, call.request.offering
+        return [ScaleInIntent(machine, created_at) for machine in call.machines]
+    request, offering = call.request, call.request.offering
     return [
         ScaleOutIntent(
-            request.name, at, offer.type, offer.zone, offer.is_spot, request.machine_count
+            request.name,
+            created_at,
+            offering.type,
+            offering.zone,
+            offering.is_spot,
+            request.machine_count,
         )
     ]
 
--- a/src/eldercart/wire/named_leases.py
+++ b/src/eldercart/wire/named_leases.py
@@ -1,7 +1,11 @@
-"""What the state service keeps of the duties, and what operators ask about them.
+"""Codecs of named leases: stored keys and records, and operators' requests.
 
-A duty's holder key hangs on a lease; its version is the duty's token. Pauses, hand-overs and
-intents hang on none: they outlive every process.
+The holder key of a named lease hangs on a lease of the state service; its version is the fencing
+token of the holder. Pauses, hand-overs and intents hang on none: they outlive every process.
+
+Stored fields of an intent: `n` name, `t` created at, `k` machine type, `z` zone, `s` spot,
+`c` machine count; of an intent record: `i` intents. Elsewhere `t` is the time of the record, `life`
+the incarnation of a node and `why` the reason of a pause.
 """
 
 from dataclasses import dataclass
@@ -22,19 +26,19 @@
 )
 from eldercart.wire.state import Item
 
-LEASE_PREFIX = "duty/"  # the prefix of all keys but the intents
+LEASE_PREFIX = "duty/"  # of all keys but the intents
 HOLDER_PREFIX = LEASE_PREFIX + "holder/"
 PAUSE_PREFIX = LEASE_PREFIX + "pause/"
 HAND_OVER_PREFIX = LEASE_PREFIX + "hand-over/"
 INTENT_PREFIX = "intent/"
 
-FEATURE_PREFIX = "duty."  # with a duty's name: the sender takes part in that duty
+FEATURE_PREFIX = "duty."  # of the features that nodes announce to their peers
 
 MAX_REASON_LENGTH = 200  # characters of the reason of a pause
 
 
 class LeaseName(StrEnum):
-    """The duties there are."""
+    """The work that one node does at a time; the values are stored and on the command line."""
 
     SCALE_OUT = "rental"  # rents machines
     SCALE_IN = "return"  # returns machines
@@ -42,29 +46,29 @@
     CATALOG = "catalog"  # keeps the stored machine types up to date
 
 
-def holder_key(duty: LeaseName) -> str:
-    """The key that its holder has created on its lease."""
-    return HOLDER_PREFIX + duty
+def holder_key(lease_name: LeaseName) -> str:
+    """Return the key that the holder of the lease has created."""
+    return HOLDER_PREFIX + lease_name
 
 
-def pause_key(duty: LeaseName) -> str:
-    """The key that is there while the duty is paused."""
-    return PAUSE_PREFIX + duty
+def pause_key(lease_name: LeaseName) -> str:
+    """Return the key that exists while the lease is paused."""
+    return PAUSE_PREFIX + lease_name
 
 
-def hand_over_key(duty: LeaseName) -> str:
-    """The key that is there while the duty is to be handed over."""
-    return HAND_OVER_PREFIX + duty
+def hand_over_key(lease_name: LeaseName) -> str:
+    """Return the key that exists while the lease is being handed over."""
+    return HAND_OVER_PREFIX + lease_name
 
 
-def intents_key(duty: LeaseName) -> str:
-    """The record of the duty's open intents."""
-    return INTENT_PREFIX + duty
+def intents_key(lease_name: LeaseName) -> str:
+    """Return the key of the record of the lease's open intents."""
+    return INTENT_PREFIX + lease_name
 
 
-def feature_name(duty: LeaseName) -> str:
-    """What a node's greetings say when it takes part in the duty."""
-    return FEATURE_PREFIX + duty
+def feature_name(lease_name: LeaseName) -> str:
+    """Return the feature that a node announces to its peers when it takes part in the lease."""
+    return FEATURE_PREFIX + lease_name
 
 
 # -- stored records
@@ -72,16 +76,16 @@
 
 @dataclass(frozen=True, slots=True)
 class HolderRecord:
-    """Who holds a duty."""
+    """Who holds a lease."""
 
     node: NodeId
     incarnation: IncarnationId
-    held_since: WallTime  # by the holder's clock; shown, never compared
+    held_since: WallTime  # by the holder's clock; displayed, never compared
 
 
 @dataclass(frozen=True, slots=True)
 class PauseRecord:
-    """A duty that an operator has paused."""
+    """A pause by an operator: nobody holds the lease until it is resumed."""
 
     paused_at: WallTime
     reason: str
@@ -89,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOverRecord:
-    """A duty that an operator hands over."""
+    """A hand-over by an operator: the lease is reserved for the receiver."""
 
     receiver: NodeId
     requested_at: WallTime
@@ -97,13 +101,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ScaleOutIntent:
-    """A rental that may be asked for, any number of times, under its name."""
+    """Machines that may be requested from the cloud, any number of times, under one name."""
 
     name: str  # of the request to the cloud
     created_at: WallTime
     machine_type: str
     zone: str
-    spot: bool
+    is_spot: bool
     machine_count: int
 
 
@@ -119,12 +123,12 @@
 
 
 def holder_value(record: HolderRecord) -> dict[str, Any]:
-    """The value of a holder key."""
+    """Return the value to store under a holder key."""
     return {"node": record.node, "life": record.incarnation, "t": record.held_since}
 
 
 def parse_holder(value: Any) -> HolderRecord:
-    """A holder key as it was read."""
+    """Decode the value of a holder key; raises MalformedMessage."""
     obj = _require_object(value)
     return HolderRecord(
         NodeId(require_text(obj, "node")),
@@ -134,12 +138,12 @@
 
 
 def pause_value(record: PauseRecord) -> dict[str, Any]:
-    """The value of a pause key."""
+    """Return the value to store under a pause key."""
     return {"t": record.paused_at, "why": record.reason}
 
 
 def parse_pause(value: Any) -> PauseRecord:
-    """A pause key as it was read."""
+    """Decode the value of a pause key; raises MalformedMessage."""
     obj = _require_object(value)
     reason = obj.get("why")
     return PauseRecord(
@@ -148,18 +152,18 @@
 
 
 def hand_over_value(record: HandOverRecord) -> dict[str, Any]:
-    """The value of a hand-over key."""
+    """Return the value to store under a hand-over key."""
     return {"to": record.receiver, "t": record.requested_at}
 
 
 def parse_hand_over(value: Any) -> HandOverRecord:
-    """A hand-over key as it was read."""
+    """Decode the value of a hand-over key; raises MalformedMessage."""
     obj = _require_object(value)
     return HandOverRecord(NodeId(require_text(obj, "to")), WallTime(require_number(obj, "t")))
 
 
 def intent_value(intent: Intent) -> dict[str, Any]:
-    """One intent as it stands in its duty's record."""
+    """Return one intent as it is stored in the lease's record."""
     if isinstance(intent, ScaleInIntent):
         return {"n": intent.name, "t": intent.created_at}
     return {
@@ -167,13 +171,13 @@
         "t": intent.created_at,
         "k": intent.machine_type,
         "z": intent.zone,
-        "s": intent.spot,
+        "s": intent.is_spot,
         "c": intent.machine_count,
     }
 
 
 def intent_bytes(intent: Intent) -> int:
-    """What one intent adds to the size of its record."""
+    """Return the bytes that one intent adds to its record."""
     return len(orjson.dumps(intent_value(intent))) + 1
 
 
@@ -181,13 +185,13 @@
 
 
 def intents_value(intents: list[Intent]) -> dict[str, Any]:
-    """The value of a record of intents."""
+    """Return the value to store for the open intents of a lease."""
     return {"i": [intent_value(intent) for intent in intents]}
 
 
-def parse_intents(duty: LeaseName, value: Any) -> list[Intent]:
-    """The open intents of a duty as they were read."""
-    parse = _parse_scale_out if duty is LeaseName.SCALE_OUT else _parse_scale_in
+def parse_intents(lease_name: LeaseName, value: Any) -> list[Intent]:
+    """Decode the record of a lease's open intents; raises MalformedMessage."""
+    parse = _parse_scale_out if lease_name is LeaseName.SCALE_OUT else _parse_scale_in
     return [parse(obj) for obj in require_objects(_require_object(value), "i")]
 
 
@@ -213,34 +217,34 @@
 
 
 def lease_of_key(key: str) -> LeaseName | None:
-    """The duty that a stored key is about; None for keys of a later version."""
+    """Return the lease that a stored key is about, or None for a key of a later version."""
     name = key.rpartition("/")[2]
     return LeaseName(name) if name in _LEASE_NAMES else None
 
 
-_LEASE_NAMES = frozenset(duty.value for duty in LeaseName)
+_LEASE_NAMES = frozenset(lease_name.value for lease_name in LeaseName)
 
 
 def parse_lease_name(name: str) -> LeaseName | None:
-    """A duty by the name that an operator gives."""
+    """Return the lease of that name, or None if there is none."""
     return LeaseName(name) if name in _LEASE_NAMES else None
 
 
-def find_intents_item(items: list[Item], duty: LeaseName) -> Item | None:
-    """The duty's record among those that were read."""
-    return next((item for item in items if item.key == intents_key(duty)), None)
+def find_intents_item(items: list[Item], lease_name: LeaseName) -> Item | None:
+    """Return the lease's intent record among the items, or None if it is absent."""
+    return next((item for item in items if item.key == intents_key(lease_name)), None)
 
 
 # -- operators' requests
 
 
 def parse_hand_over_request(body: bytes) -> NodeId:
-    """The node that is to hold the duty."""
+    """Decode a hand-over request into its receiver; raises MalformedMessage."""
     return NodeId(require_text(load_object(body), "to"))
 
 
 def parse_pause_request(body: bytes) -> str:
-    """The reason for a pause; it may be left out."""
+    """Decode a pause request into its reason, "" if left out; raises MalformedMessage."""
     reason = load_object(body).get("reason")
     if reason is None:
         return ""
@@ -250,10 +254,10 @@
 
 
 def encode_hand_over_request(to: str) -> bytes:
-    """Asks for a hand-over."""
+    """Encode a request to hand a lease over to a node."""
     return orjson.dumps({"to": to})
 
 
 def encode_pause_request(reason: str) -> bytes:
-    """Asks for a pause."""
+    """Encode a request to pause a lease."""
     return orjson.dumps({"reason": reason})
--- a/tests/duty_world.py
+++ b/tests/duty_world.py
@@ -25,7 +25,7 @@
 )
 from eldercart.singleton.candidate_actions import Acquire, ReadDirectory, Release
 from eldercart.singleton.eligibility import ClusterView
-from eldercart.singleton.intents import WriteOutcome
+from eldercart.singleton.intents import IntentWrite, WriteOutcome
 from eldercart.singleton.lease_candidate import LeaseCandidate, LeaseState
 from eldercart.singleton.write_ahead_gate import DispatchMode, DispatchPolicy, WriteAheadGate
 from eldercart.units import (
@@ -473,7 +473,7 @@
             for duty in gate.intent_logs:
                 for intent in gate.load(duty, wire.find_intents_item(value[0], duty)):
                     if isinstance(intent, wire.ScaleOutIntent):
-                        offer = MachineOffering(intent.machine_type, intent.zone, intent.spot)
+                        offer = MachineOffering(intent.machine_type, intent.zone, intent.is_spot)
                         request = ScaleOutRequest(intent.name, offer, intent.machine_count)
                         self.pending_calls.append(ScaleOut(request))
                     else:
@@ -599,12 +599,12 @@
                 gate.admit(call, WallTime(max(0.0, now)))
             else:
                 self.pending_calls.append(call)
-        out = gate.process(routes, True, now)
+        out = gate.process(routes, now, may_write=True)
         for call in out.calls_to_send:
             self._send(gate, call)
         self.pending_calls += out.rejected_calls
-        for duty, write in out.writes:
-            self._write(gate, duty, write)
+        for write in out.writes:
+            self._write(gate, write)
         for duty in out.leases_to_refresh:
             self._refresh(gate, duty)
 
@@ -631,7 +631,7 @@
     def _send(self, gate: WriteAheadGate, call: ScaleOut | DeleteMachines) -> None:
         def answered(status: int | None, value: Any) -> None:
             final = status == 200 or value == b"no capacity"
-            gate.on_answer(call, final, self.clock())
+            gate.on_answer(call, self.clock(), is_final=final)
             if gate is not self.gate:
                 return
             if not final:
@@ -641,20 +641,22 @@
 
         self._send_later(lambda: self.world.call_cloud(self, call, answered))
 
-    def _write(self, gate: WriteAheadGate, duty: LeaseName, write: Any) -> None:
+    def _write(self, gate: WriteAheadGate, write: IntentWrite) -> None:
         def answered(status: int | None, value: Any) -> None:
             outcome = OUTCOMES.get(status or 0, WriteOutcome.INDETERMINATE)
             revision = Revision(value["ledgerRev"] if status == 200 else 0)
-            if status == 409 and wire.holder_key(duty) in value["failed"]:
+            if status == 409 and wire.holder_key(write.lease_name) in value["failed"]:
                 self.candidate.on_write_fenced()
-            gate.on_write_result(duty, write, outcome, revision, self.clock())
+            gate.on_write_result(write, outcome, revision, self.clock())
 
         self._send_later(lambda: self.world.commit(self, write.transaction, answered))
 
     def _refresh(self, gate: WriteAheadGate, duty: LeaseName) -> None:
         def answered(status: int | None, value: Any) -> None:
-            items = value[0] if status == 200 else []
-            gate.on_record_refreshed(duty, status == 200, wire.find_intents_item(items, duty))
+            if status == 200:
+                gate.on_record_refreshed(duty, wire.find_intents_item(value[0], duty))
+            else:
+                gate.on_refresh_failed(duty)
 
         self._send_later(lambda: self.world.read(self, wire.intents_key(duty), answered))
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -520,20 +520,20 @@
     call = rent_call()
     gate.admit(call, WallTime(1e6))
     routes = dict.fromkeys(RECORDED_LEASES, WRITE_AHEAD)
-    out = gate.process(routes, True, MonotonicTime(1.0))
+    out = gate.process(routes, MonotonicTime(1.0), may_write=True)
     assert out.calls_to_send == [] and len(out.writes) == 1 and gate.is_busy(LeaseName.SCALE_OUT)
-    duty, w = out.writes[0]
-    gate.on_write_result(duty, w, WriteOutcome.COMMITTED, Revision(9), MonotonicTime(1.1))
-    assert gate.process(routes, True, MonotonicTime(1.2)).calls_to_send == [call]
+    (w,) = out.writes
+    gate.on_write_result(w, WriteOutcome.COMMITTED, Revision(9), MonotonicTime(1.1))
+    assert gate.process(routes, MonotonicTime(1.2), may_write=True).calls_to_send == [call]
     assert gate.is_busy(LeaseName.SCALE_OUT), "until it is answered"
-    gate.on_answer(call, True, MonotonicTime(1.3))
+    gate.on_answer(call, MonotonicTime(1.3), is_final=True)
     assert not gate.is_busy(LeaseName.SCALE_OUT)
 
 
 def test_what_earlier_leaders_recorded_is_sent_at_once() -> None:
     gate = gate_with_open_machines("n-1", "n-2")
     call = gate.admit(delete_call("n-1", "n-2"), WallTime(1e6))
-    out = gate.process(dict.fromkeys(RECORDED_LEASES, BLOCKED), True, MonotonicTime(1.0))
+    out = gate.process(dict.fromkeys(RECORDED_LEASES, BLOCKED), MonotonicTime(1.0), may_write=True)
     assert out.calls_to_send == [call] and out.rejected_calls == [] and out.writes == []
 
 
@@ -542,7 +542,7 @@
     calls = [rent_call(), delete_call("n-3")]
     for call in calls:
         gate.admit(call, WallTime(1e6))
-    out = gate.process(dict.fromkeys(RECORDED_LEASES, BLOCKED), True, MonotonicTime(1.0))
+    out = gate.process(dict.fromkeys(RECORDED_LEASES, BLOCKED), MonotonicTime(1.0), may_write=True)
     assert out.rejected_calls == calls and out.writes == []
     assert not gate.is_busy(LeaseName.SCALE_OUT) and not gate.is_busy(LeaseName.SCALE_IN)
 
@@ -560,19 +560,18 @@
     routes = dict.fromkeys(RECORDED_LEASES, WRITE_AHEAD)
     for _ in range(2):
         gate.admit(delete_call("n-1"), WallTime(1e6))
-        out = gate.process(routes, True, MonotonicTime(1.0))
+        out = gate.process(routes, MonotonicTime(1.0), may_write=True)
         assert out.calls_to_send == [delete_call("n-1")] and out.writes == []
-        gate.on_answer(delete_call("n-1"), False, MonotonicTime(1.5))
+        gate.on_answer(delete_call("n-1"), MonotonicTime(1.5), is_final=False)
     assert list(gate.intent_logs[LeaseName.SCALE_IN].open_intents) == ["n-1"]
 
 
 def test_a_call_past_the_gate_closes_what_was_recorded_of_it() -> None:
     gate = gate_with_open_machines("n-1")
     gate.on_direct_answer(delete_call("n-1"), MonotonicTime(1.0))
-    out = gate.process(
-        dict.fromkeys(RECORDED_LEASES, WRITE_AHEAD), True, MonotonicTime(1.0 + COMPACTION_DELAY_S)
-    )
-    assert [w.transaction.operations[0].value for _, w in out.writes] == [{"i": []}]
+    policies = dict.fromkeys(RECORDED_LEASES, WRITE_AHEAD)
+    out = gate.process(policies, MonotonicTime(1.0 + COMPACTION_DELAY_S), may_write=True)
+    assert [w.transaction.operations[0].value for w in out.writes] == [{"i": []}]
 
 
 # -- what operators are told
