--- a/src/eldercart/cli/duties.py
+++ b/src/eldercart/cli/duties.py
@@ -1,4 +1,4 @@
-"""`duties list|show|hand-over|pause|resume`: the operator's side."""
+"""The command `duties list|show|hand-over|pause|resume`: named leases, for operators."""
 
 import argparse
 import sys
@@ -21,18 +21,18 @@
 from eldercart.wire.named_leases import encode_hand_over_request, encode_pause_request
 
 ACCEPTED = 200
-UNKNOWN_PATH_ERROR = "no such path"  # what a node without duties says
+UNKNOWN_PATH_ERROR = "no such path"  # the answer of a node without named leases
+
+Fields = dict[str, Any]  # of an answer, as decoded from JSON
 
 
 def run(args: argparse.Namespace) -> int:
-    """Carries out the command; returns the exit status."""
-    call = _build_call(args)
-    reply = send_with_retries(args.server, call, args.timeout)
-    answer = _parse_answer(reply)
-    if reply.status != ACCEPTED:
-        print(f"eldercart: {_error_message(args, reply, answer)}", file=sys.stderr)
-        waits = reply.status in (NO_RESPONSE, 429) or reply.status >= 500
-        return EXIT_UNREACHABLE if waits else EXIT_REJECTED
+    """Carry the command out, and return the exit status."""
+    response = send_with_retries(args.server, _build_request(args), args.timeout)
+    answer = _parse_answer(response)
+    if response.status != ACCEPTED:
+        print(f"eldercart: {_error_message(args, response, answer)}", file=sys.stderr)
+        return _exit_status(response.status)
     if args.json:
         print(orjson.dumps(answer).decode())
     else:
@@ -40,61 +40,60 @@
     return EXIT_OK
 
 
-def _build_call(args: argparse.Namespace) -> Request:
-    match args.duties_command:
-        case "list":
-            return Request("duties", "GET", "/duties", None)
+def _exit_status(status: int) -> int:
+    """Return the exit status for an HTTP status other than `ACCEPTED`."""
+    may_succeed_later = status in (NO_RESPONSE, 429) or status >= 500
+    return EXIT_UNREACHABLE if may_succeed_later else EXIT_REJECTED
+
+
+def _build_request(args: argparse.Namespace) -> Request:
+    command = args.duties_command
+    if command == "list":
+        return Request("duties", "GET", "/duties", None)
+    path = f"/duties/{args.duty}"
+    match command:
         case "show":
-            return Request(args.lease_name, "GET", f"/duties/{args.lease_name}", None)
+            return Request(args.duty, "GET", path, None)
         case "hand-over":
-            return Request(
-                args.lease_name,
-                "POST",
-                f"/duties/{args.lease_name}/hand-over",
-                encode_hand_over_request(args.to),
-            )
+            body = encode_hand_over_request(args.to)
         case "pause":
-            return Request(
-                args.lease_name,
-                "POST",
-                f"/duties/{args.lease_name}/pause",
-                encode_pause_request(args.reason),
-            )
+            body = encode_pause_request(args.reason)
         case _:
-            return Request(args.lease_name, "POST", f"/duties/{args.lease_name}/resume", b"{}")
+            body = b"{}"
+    return Request(args.duty, "POST", f"{path}/{command}", body)
 
 
-def _parse_answer(reply: Response) -> dict[str, Any]:
+def _parse_answer(response: Response) -> Fields:
     try:
-        return load_response(reply.body) if reply.body else {}
+        return load_response(response.body) if response.body else {}
     except MalformedMessage:
         return {}
 
 
-def _error_message(args: argparse.Namespace, reply: Response, answer: dict[str, Any]) -> str:
-    if reply.status == NO_RESPONSE:
+def _error_message(args: argparse.Namespace, response: Response, answer: Fields) -> str:
+    if response.status == NO_RESPONSE:
         return f"{args.server}: no answer"
     error = answer.get("error")
     if error == UNKNOWN_PATH_ERROR:
         error = f"{args.server} runs without duties: they are off there, or its version is older"
-    return f"{error or 'no reason given'} ({reply.status})"
+    return f"{error or 'no reason given'} ({response.status})"
 
 
-def _format_lines(args: argparse.Namespace, answer: dict[str, Any]) -> list[str]:
+def _format_lines(args: argparse.Namespace, answer: Fields) -> list[str]:
     match args.duties_command:
         case "list":
             return [_format_row(report) for report in answer.get("duties", [])]
         case "show":
             return _format_details(answer)
         case "hand-over":
-            return [f"{args.lease_name}: is being handed over to {args.to}"]
+            return [f"{args.duty}: is being handed over to {args.to}"]
         case "pause":
-            return [f"{args.lease_name}: paused"]
+            return [f"{args.duty}: paused"]
         case _:
-            return [f"{args.lease_name}: resumed"]
+            return [f"{args.duty}: resumed"]
 
 
-def _format_row(report: dict[str, Any]) -> str:
+def _format_row(report: Fields) -> str:
     duty = f"{report.get('duty')!s:<8}"
     if report.get("holder") is None:
         return f"{duty} held by nobody: {report.get('why')}"
@@ -110,7 +109,7 @@
     return text
 
 
-def _format_details(report: dict[str, Any]) -> list[str]:
+def _format_details(report: Fields) -> list[str]:
     lines = [
         _format_row(report),
         f"  held by: {_AFFINITY_LABELS.get(str(report.get('affinity')), '?')}",
@@ -129,7 +128,7 @@
 _AFFINITY_LABELS = {"leader": "the leader", "any": "any node"}
 
 
-def _format_window(window: dict[str, Any]) -> str:
+def _format_window(window: Fields) -> str:
     if window["opens"] is None:
         return "none within a year"
     span = f"{_format_time(window['opens'])} to {_format_time(window['closes'])}"
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -8,6 +8,7 @@
 
 from eldercart.autoscaling.autoscaler import MachineOffering, ScaleOutRequest
 from eldercart.autoscaling.cloud_requests import DeleteMachines, ScaleOut
+from eldercart.cli import build_parser, duties
 from eldercart.election.state_machine import GrantLease, KeepLeaseAlive
 from eldercart.singleton.candidate_actions import Acquire, ReadDirectory, Release
 from eldercart.singleton.eligibility import ClusterView, IneligibilityReason
@@ -631,3 +632,24 @@
 def test_malformed_pauses(body: bytes) -> None:
     with pytest.raises(MalformedMessage):
         wire.parse_pause_request(body)
+
+
+# -- command line
+
+
+@pytest.mark.parametrize(
+    ("arguments", "method", "path", "body"),
+    [
+        (["list"], "GET", "/duties", None),
+        (["show", "rental"], "GET", "/duties/rental", None),
+        (["hand-over", "rental", "--to", "n"], "POST", "/duties/rental/hand-over", b'{"to":"n"}'),
+        (["pause", "return", "--reason", "x"], "POST", "/duties/return/pause", b'{"reason":"x"}'),
+        (["resume", "return"], "POST", "/duties/return/resume", b"{}"),
+    ],
+)
+def test_commands_become_requests(
+    arguments: list[str], method: str, path: str, body: bytes | None
+) -> None:
+    arguments = ["duties", *arguments, "--server", "127.0.0.1:1"]
+    request = duties._build_request(build_parser().parse_args(arguments))
+    assert (request.method, request.path, request.body) == (method, path, body)
