--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -28,7 +28,8 @@
 from pyrsistent import pmap  # noqa: E402
 
 from duty_cluster import Cluster, StallPoint  # noqa: E402
-from duty_world import World, check_end, check_history  # noqa: E402
+from duty_history import check_history  # noqa: E402
+from duty_world import World, check_end  # noqa: E402
 from eldercart.autoscaling.autoscaler import MachineOffering, ScaleOutRequest  # noqa: E402
 from eldercart.units import WallTime  # noqa: E402
 from eldercart.wire import named_leases as wire  # noqa: E402
@@ -214,7 +215,7 @@
             try:
                 until(lambda c=cluster: c.leader() is not None)
                 time.sleep(3.0)
-                pid = cluster.processes["drover-0"].pid
+                pid = cluster.processes["node-0"].pid
                 fields = Path(f"/proc/{pid}/stat").read_text().split()
                 ticks = sum(int(fields[i]) for i in (13, 14)) / os.sysconf("SC_CLK_TCK")
                 status = Path(f"/proc/{pid}/status").read_text().splitlines()
--- a/tests/duty_cluster.py
+++ b/tests/duty_cluster.py
@@ -20,7 +20,7 @@
 
 import orjson
 
-from duty_world import AppliedChange, CloudEffect, History
+from duty_history import AppliedChange, CloudEffect, History
 from region import ROOT, Region, call, free_ports, until
 from simulators import CloudSim, WorkerSim
 from world import PLATFORM, submission
@@ -197,7 +197,7 @@
         features: Any = FEATURES,
         has_false_clocks: bool = False,
     ) -> None:
-        self.node_ids = [f"drover-{i}" for i in range(number)]
+        self.node_ids = [f"node-{i}" for i in range(number)]
         self.region = ObservedRegion(self.node_ids)
         self.folder = folder
         self.has_false_clocks = has_false_clocks
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -1,4 +1,4 @@
-"""The parts of the duties by themselves: board, membership, intents, gate, preference."""
+"""The parts of the named leases by themselves: board, membership, intents, gate, preference."""
 
 from dataclasses import replace
 from typing import Any
@@ -47,23 +47,23 @@
 )
 from eldercart.wire.state import DeleteKey, Item
 
-ME, OTHER, THIRD = NodeId("drover-1"), NodeId("drover-0"), NodeId("drover-2")
+ME, OTHER, THIRD = NodeId("node-1"), NodeId("node-0"), NodeId("node-2")
 LEASE_S = 6.0
 
 
-def holder_item(duty: LeaseName, node: NodeId, version: int, life: str = "x") -> Item:
+def holder_item(lease_name: LeaseName, node: NodeId, version: int, life: str = "x") -> Item:
     record = HolderRecord(node, IncarnationId(life), WallTime(5.0))
-    return Item(wire.holder_key(duty), wire.holder_value(record), Revision(version))
+    return Item(wire.holder_key(lease_name), wire.holder_value(record), Revision(version))
 
 
-def pause_item(duty: LeaseName, version: int) -> Item:
+def pause_item(lease_name: LeaseName, version: int) -> Item:
     value = wire.pause_value(PauseRecord(WallTime(7.0), "audit"))
-    return Item(wire.pause_key(duty), value, Revision(version))
+    return Item(wire.pause_key(lease_name), value, Revision(version))
 
 
-def hand_over_item(duty: LeaseName, to: NodeId, version: int) -> Item:
+def hand_over_item(lease_name: LeaseName, to: NodeId, version: int) -> Item:
     value = wire.hand_over_value(wire.HandOverRecord(to, WallTime(7.0)))
-    return Item(wire.hand_over_key(duty), value, Revision(version))
+    return Item(wire.hand_over_key(lease_name), value, Revision(version))
 
 
 # -- board
@@ -156,9 +156,9 @@
                     self.candidate.on_released(Revision(self.revision))
         return done
 
-    def state(self, duty: LeaseName) -> LeaseState:
+    def state(self, lease_name: LeaseName) -> LeaseState:
         self.candidate._update_states(self.view)
-        return self.candidate.state(duty)
+        return self.candidate.state(lease_name)
 
 
 def leading(**changes: Any) -> CandidateDriver:
@@ -276,7 +276,7 @@
 
 
 def test_a_late_copy_of_an_acquisition_is_given_up_again() -> None:
-    """It came into force after this node had stopped wanting the duty."""
+    """It came into force after this node had stopped wanting the lease."""
     node = CandidateDriver()
     node.settle()
     node.revision = 40
@@ -367,8 +367,8 @@
     return ScaleInIntent(MachineId(name), WallTime(1e6))
 
 
-def loaded_log(duty: LeaseName = LeaseName.SCALE_OUT, most_bytes: int = 4000) -> IntentLog:
-    log = IntentLog(duty, most_bytes)
+def loaded_log(lease_name: LeaseName = LeaseName.SCALE_OUT, max_bytes: int = 4000) -> IntentLog:
+    log = IntentLog(lease_name, max_bytes)
     log.load(None)
     return log
 
@@ -380,15 +380,15 @@
 def test_an_intent_may_be_sent_once_it_is_durable() -> None:
     log = loaded_log()
     log.create(scale_out_intent())
-    w = next_write(log)
-    assert w.transaction.conditions == {
+    intent_write = next_write(log)
+    assert intent_write.transaction.conditions == {
         wire.holder_key(LeaseName.SCALE_OUT): 5,
         "lead": 9,
         "intent/rental": 0,
     }
     assert not log.is_recorded("r-1") and log.stage("r-1") is IntentStage.CREATED
     assert next_write(log) is None, "one write at a time"
-    log.on_write_result(w, WriteOutcome.COMMITTED, Revision(30), MonotonicTime(1.1))
+    log.on_write_result(intent_write, WriteOutcome.COMMITTED, Revision(30), MonotonicTime(1.1))
     assert log.is_recorded("r-1") and log.stage("r-1") is IntentStage.RECORDED
     log.mark_sent("r-1")
     assert log.stage("r-1") is IntentStage.SENT
@@ -404,10 +404,10 @@
 def test_a_write_without_an_outcome_is_read_again(outcome: WriteOutcome, applied: bool) -> None:
     log = loaded_log()
     log.create(scale_out_intent())
-    w = next_write(log)
-    log.on_write_result(w, outcome, ABSENT_REVISION, MonotonicTime(1.1))
+    intent_write = next_write(log)
+    log.on_write_result(intent_write, outcome, ABSENT_REVISION, MonotonicTime(1.1))
     assert log.needs_refresh and not log.is_recorded("r-1") and next_write(log, 9.0) is None
-    value = w.transaction.operations[0].value
+    value = intent_write.transaction.operations[0].value
     log.refresh(Item("intent/rental", value, Revision(30)) if applied else None)
     assert log.is_recorded("r-1") is applied
     assert (next_write(log, 9.0) is None) is applied, "written again only if it was not"
@@ -429,10 +429,12 @@
 def test_what_is_given_up_while_it_is_written_stays_only_if_it_was(applied: bool) -> None:
     log = loaded_log()
     log.create(scale_out_intent())
-    w = next_write(log)
+    intent_write = next_write(log)
     log.abandon("r-1")
-    log.on_write_result(w, WriteOutcome.INDETERMINATE, ABSENT_REVISION, MonotonicTime(1.1))
-    value = w.transaction.operations[0].value
+    log.on_write_result(
+        intent_write, WriteOutcome.INDETERMINATE, ABSENT_REVISION, MonotonicTime(1.1)
+    )
+    value = intent_write.transaction.operations[0].value
     log.refresh(Item("intent/rental", value, Revision(30)) if applied else None)
     assert log.is_recorded("r-1") is applied
     assert next_write(log, 9.0) is None, "nothing is left to be written"
@@ -441,10 +443,10 @@
 def test_a_refused_write_is_tried_again() -> None:
     log = loaded_log()
     log.create(scale_out_intent())
-    w = next_write(log)
-    log.on_write_result(w, WriteOutcome.REJECTED, ABSENT_REVISION, MonotonicTime(1.0))
+    intent_write = next_write(log)
+    log.on_write_result(intent_write, WriteOutcome.REJECTED, ABSENT_REVISION, MonotonicTime(1.0))
     assert not log.needs_refresh and next_write(log, 1.1) is None
-    assert next_write(log, 2.0).transaction.operations == w.transaction.operations
+    assert next_write(log, 2.0).transaction.operations == intent_write.transaction.operations
 
 
 def test_the_record_keeps_to_the_limit_on_a_value() -> None:
@@ -456,9 +458,9 @@
         log.create(intent)
     assert log.capacity_for([scale_in_intent("n-000100")]) == 0
     assert log.capacity_for(list(names[:room])) == room, "what is in it already needs no room"
-    w = next_write(log)
-    assert len(orjson.dumps(w.transaction.operations[0].value)) <= 600
-    log.on_write_result(w, WriteOutcome.COMMITTED, Revision(30), MonotonicTime(1.1))
+    intent_write = next_write(log)
+    assert len(orjson.dumps(intent_write.transaction.operations[0].value)) <= 600
+    log.on_write_result(intent_write, WriteOutcome.COMMITTED, Revision(30), MonotonicTime(1.1))
     log.mark_finished("n-000000", MonotonicTime(1.2))
     assert log.capacity_for([scale_in_intent("n-000100")]) == 1
 
@@ -488,8 +490,8 @@
 
 @pytest.mark.parametrize("intent", [scale_out_intent(), scale_in_intent("n-000017")])
 def test_intents_are_read_as_they_were_written(intent: wire.Intent) -> None:
-    duty = LeaseName.SCALE_OUT if isinstance(intent, ScaleOutIntent) else LeaseName.SCALE_IN
-    assert wire.parse_intents(duty, wire.intents_value([intent])) == [intent]
+    lease_name = LeaseName.SCALE_OUT if isinstance(intent, ScaleOutIntent) else LeaseName.SCALE_IN
+    assert wire.parse_intents(lease_name, wire.intents_value([intent])) == [intent]
 
 
 # -- gate
@@ -501,10 +503,10 @@
 
 def gate_with_open_machines(*open_machines: str) -> WriteAheadGate:
     gate = WriteAheadGate(FencingToken(9), 4000)
-    for duty in RECORDED_LEASES:
-        names = open_machines if duty is LeaseName.SCALE_IN else ()
+    for lease_name in RECORDED_LEASES:
+        names = open_machines if lease_name is LeaseName.SCALE_IN else ()
         value = wire.intents_value([scale_in_intent(name) for name in names])
-        gate.load(duty, Item(wire.intents_key(duty), value, Revision(8)))
+        gate.load(lease_name, Item(wire.intents_key(lease_name), value, Revision(8)))
     return gate
 
 
@@ -520,12 +522,14 @@
     gate = gate_with_open_machines()
     call = rent_call()
     gate.admit(call, WallTime(1e6))
-    routes = dict.fromkeys(RECORDED_LEASES, WRITE_AHEAD)
-    out = gate.process(routes, MonotonicTime(1.0), may_write=True)
-    assert out.calls_to_send == [] and len(out.writes) == 1 and gate.is_busy(LeaseName.SCALE_OUT)
-    (w,) = out.writes
-    gate.on_write_result(w, WriteOutcome.COMMITTED, Revision(9), MonotonicTime(1.1))
-    assert gate.process(routes, MonotonicTime(1.2), may_write=True).calls_to_send == [call]
+    policies = dict.fromkeys(RECORDED_LEASES, WRITE_AHEAD)
+    output = gate.process(policies, MonotonicTime(1.0), may_write=True)
+    assert (
+        output.calls_to_send == [] and len(output.writes) == 1 and gate.is_busy(LeaseName.SCALE_OUT)
+    )
+    (intent_write,) = output.writes
+    gate.on_write_result(intent_write, WriteOutcome.COMMITTED, Revision(9), MonotonicTime(1.1))
+    assert gate.process(policies, MonotonicTime(1.2), may_write=True).calls_to_send == [call]
     assert gate.is_busy(LeaseName.SCALE_OUT), "until it is answered"
     gate.on_answer(call, MonotonicTime(1.3), is_final=True)
     assert not gate.is_busy(LeaseName.SCALE_OUT)
@@ -534,8 +538,10 @@
 def test_what_earlier_leaders_recorded_is_sent_at_once() -> None:
     gate = gate_with_open_machines("n-1", "n-2")
     call = gate.admit(delete_call("n-1", "n-2"), WallTime(1e6))
-    out = gate.process(dict.fromkeys(RECORDED_LEASES, BLOCKED), MonotonicTime(1.0), may_write=True)
-    assert out.calls_to_send == [call] and out.rejected_calls == [] and out.writes == []
+    output = gate.process(
+        dict.fromkeys(RECORDED_LEASES, BLOCKED), MonotonicTime(1.0), may_write=True
+    )
+    assert output.calls_to_send == [call] and output.rejected_calls == [] and output.writes == []
 
 
 def test_what_can_not_be_recorded_is_given_back_at_once() -> None:
@@ -543,8 +549,10 @@
     calls = [rent_call(), delete_call("n-3")]
     for call in calls:
         gate.admit(call, WallTime(1e6))
-    out = gate.process(dict.fromkeys(RECORDED_LEASES, BLOCKED), MonotonicTime(1.0), may_write=True)
-    assert out.rejected_calls == calls and out.writes == []
+    output = gate.process(
+        dict.fromkeys(RECORDED_LEASES, BLOCKED), MonotonicTime(1.0), may_write=True
+    )
+    assert output.rejected_calls == calls and output.writes == []
     assert not gate.is_busy(LeaseName.SCALE_OUT) and not gate.is_busy(LeaseName.SCALE_IN)
 
 
@@ -558,11 +566,11 @@
 
 def test_an_unanswered_call_stays_open_and_goes_out_again_under_its_name() -> None:
     gate = gate_with_open_machines("n-1")
-    routes = dict.fromkeys(RECORDED_LEASES, WRITE_AHEAD)
+    policies = dict.fromkeys(RECORDED_LEASES, WRITE_AHEAD)
     for _ in range(2):
         gate.admit(delete_call("n-1"), WallTime(1e6))
-        out = gate.process(routes, MonotonicTime(1.0), may_write=True)
-        assert out.calls_to_send == [delete_call("n-1")] and out.writes == []
+        output = gate.process(policies, MonotonicTime(1.0), may_write=True)
+        assert output.calls_to_send == [delete_call("n-1")] and output.writes == []
         gate.on_answer(delete_call("n-1"), MonotonicTime(1.5), is_final=False)
     assert list(gate.intent_logs[LeaseName.SCALE_IN].open_intents) == ["n-1"]
 
@@ -571,8 +579,10 @@
     gate = gate_with_open_machines("n-1")
     gate.on_direct_answer(delete_call("n-1"), MonotonicTime(1.0))
     policies = dict.fromkeys(RECORDED_LEASES, WRITE_AHEAD)
-    out = gate.process(policies, MonotonicTime(1.0 + COMPACTION_DELAY_S), may_write=True)
-    assert [w.transaction.operations[0].value for w in out.writes] == [{"i": []}]
+    output = gate.process(policies, MonotonicTime(1.0 + COMPACTION_DELAY_S), may_write=True)
+    assert [intent_write.transaction.operations[0].value for intent_write in output.writes] == [
+        {"i": []}
+    ]
 
 
 # -- what operators are told
@@ -584,7 +594,7 @@
 
 
 @pytest.mark.parametrize(
-    ("duty", "items", "changes", "why"),
+    ("lease_name", "items", "changes", "why"),
     [
         (LeaseName.SCALE_OUT, (pause_item(LeaseName.SCALE_OUT, 3),), {}, "paused: audit"),
         (LeaseName.SCALE_OUT, (), {"enabled_leases": frozenset()}, "this node does not take part"),
@@ -592,20 +602,20 @@
             LeaseName.SCALE_OUT,
             (),
             {"nodes_without_support": {LeaseName.SCALE_OUT: [THIRD]}},
-            "(drover-2)",
+            "(node-2)",
         ),
-        (LeaseName.CATALOG, (hand_over_item(LeaseName.CATALOG, ME, 3),), {}, "over to drover-1"),
+        (LeaseName.CATALOG, (hand_over_item(LeaseName.CATALOG, ME, 3),), {}, "over to node-1"),
         (LeaseName.SCALE_OUT, (), {"leader": None}, "no leader is known"),
         (LeaseName.CATALOG, (), {}, "has not taken it yet"),
     ],
 )
 def test_why_nobody_holds_a_duty(
-    duty: LeaseName, items: tuple[Item, ...], changes: dict[str, Any], why: str
+    lease_name: LeaseName, items: tuple[Item, ...], changes: dict[str, Any], why: str
 ) -> None:
     board = LeaseDirectory()
     board.apply_read(items, Revision(9))
-    told = unheld_reason(duty, board.entry(duty), status_context(**changes))
-    assert told is not None and why in told
+    reason = unheld_reason(lease_name, board.entry(lease_name), status_context(**changes))
+    assert reason is not None and why in reason
 
 
 def test_a_report_names_holder_token_and_open_intents() -> None:
--- a/tests/test_duty_loopback.py
+++ b/tests/test_duty_loopback.py
@@ -12,7 +12,7 @@
 import pytest
 
 from duty_cluster import FEATURES, Cluster, StallPoint
-from duty_world import check_history
+from duty_history import check_history
 from eldercart.cli import main
 from region import ROOT, call, until
 from versions import history, record
@@ -55,7 +55,7 @@
     region = cluster.region
     cluster.wait_for_holders()
 
-    servers = [cluster.user_addresses["drover-0"]]  # the last one is asked
+    servers = [cluster.user_addresses["node-0"]]  # the last one is asked
 
     def run(*args: str) -> tuple[int, str, str]:
         status = main(["duties", args[0], "--server", servers[-1], "--timeout", "1", *args[1:]])
@@ -72,7 +72,7 @@
     until(lambda: run("pause", "return", "--reason", "audit")[0] == 0)
     status, _, error = run("pause", "return")
     assert status == 1 and "paused already: audit" in error
-    assert run("hand-over", "return", "--to", "drover-1")[0] == 1
+    assert run("hand-over", "return", "--to", "node-1")[0] == 1
     until(lambda: cluster.holder("return") is None)
     assert "held by nobody: paused: audit" in run("show", "return")[1]
     assert run("resume", "return")[0] == 0
@@ -88,7 +88,7 @@
     # What can't be done is said in one line.
     for command, expected in (
         (("show", "cooking"), "no such duty"),
-        (("hand-over", "rental", "--to", "drover-9"), "no such node"),
+        (("hand-over", "rental", "--to", "node-9"), "no such node"),
         (("hand-over", "rental", "--to", to), "already"),
     ):
         status, out, error = run(*command)
@@ -114,8 +114,8 @@
         effects = cluster.effects()
         until(lambda: cluster.effects() > effects)
         assert not any(key.startswith(("duty/", "intent/")) for key in cluster.region.store.keys)
-        assert call(cluster.user_addresses["drover-0"], "GET", "/duties")[0] == 404
-        assert main(["duties", "list", "--server", cluster.user_addresses["drover-0"]]) == 1
+        assert call(cluster.user_addresses["node-0"], "GET", "/duties")[0] == 404
+        assert main(["duties", "list", "--server", cluster.user_addresses["node-0"]]) == 1
         for label in cluster.node_ids:
             assert not cluster.holder("rental"), "not before every node takes part"
             cluster.replace(label, FEATURES)
--- a/tests/test_duty_schedules.py
+++ b/tests/test_duty_schedules.py
@@ -5,7 +5,8 @@
 
 import pytest
 
-from duty_world import World, check_end, check_history
+from duty_history import check_history
+from duty_world import World, check_end
 from eldercart.autoscaling.autoscaler import MachineOffering, ScaleOutRequest
 from eldercart.autoscaling.cloud_requests import ScaleOut
 from eldercart.election.state_machine import LEADER_KEY
@@ -74,8 +75,8 @@
     """A new leader takes the record's version, and not what is open in it."""
     load = WriteAheadGate.load
 
-    def mutant(gate: WriteAheadGate, duty: LeaseName, item: Any) -> Any:
-        load(gate, duty, item)
+    def mutant(gate: WriteAheadGate, lease_name: LeaseName, item: Any) -> Any:
+        load(gate, lease_name, item)
         return []
 
     patch.setattr(WriteAheadGate, "load", mutant)
@@ -84,11 +85,13 @@
 def catalogue_without_token(patch: pytest.MonkeyPatch) -> None:
     txn = World.commit
 
-    def mutant(world: World, node: Any, sent: Any, answered: Any) -> None:
-        sent.conditions.pop(holder_key(LeaseName.CATALOG), None) if sent.conditions.get(
-            holder_key(LeaseName.CATALOG), ABSENT_REVISION
-        ) and not any(w.key.startswith("duty/") for w in sent.operations) else None
-        txn(world, node, sent, answered)
+    def mutant(world: World, node: Any, transaction: Any, answered: Any) -> None:
+        transaction.conditions.pop(
+            holder_key(LeaseName.CATALOG), None
+        ) if transaction.conditions.get(holder_key(LeaseName.CATALOG), ABSENT_REVISION) and not any(
+            w.key.startswith("duty/") for w in transaction.operations
+        ) else None
+        txn(world, node, transaction, answered)
 
     patch.setattr(World, "commit", mutant)
 
@@ -119,8 +122,8 @@
 
 @pytest.mark.parametrize("guarded", [True, False])
 def test_a_write_that_arrives_after_a_pause(guarded: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The one way to lose a duty of the leader and not the leadership. The leader has given the
-    write up, has read that it was not applied, and has released the duty: only the duty's token
+    """The one way to lose a lease of the leader and not the leadership. The leader has given the
+    write up, has read that it was not applied, and has released the lease: only the lease's token
     tells that it must not be applied any more."""
     if not guarded:
         without_guards("duty")(monkeypatch)
@@ -141,8 +144,10 @@
 
     txn = world.commit
 
-    def mark(node: Any, sent: Any, answered: Any) -> None:
-        records = any(write.key == intents_key(LeaseName.SCALE_OUT) for write in sent.operations)
+    def mark(node: Any, transaction: Any, answered: Any) -> None:
+        records = any(
+            write.key == intents_key(LeaseName.SCALE_OUT) for write in transaction.operations
+        )
         inner = world.send
         if records:
 
@@ -151,7 +156,7 @@
                 hold_back(n, serve, a)
 
             world.send = marked  # type: ignore[method-assign]
-        txn(node, sent, answered)
+        txn(node, transaction, answered)
         world.send = inner  # type: ignore[method-assign]
 
     world.commit = mark  # type: ignore[method-assign]
--- a/tests/test_duty_service.py
+++ b/tests/test_duty_service.py
@@ -1,5 +1,5 @@
-"""The duties of one node in process: what goes out to the state service and the cloud, with the
-feature on and off."""
+"""The named leases of one node in process: what goes out to the state service and the cloud, with
+the feature on and off."""
 
 import subprocess
 import sys
@@ -140,11 +140,11 @@
         """One that is up, and whose deletion is asked for."""
         kind = cloud.parse_catalog(CATALOG)["small"]
         now = self.clock()
-        m = self.scheduler.inventory.add(
+        machine = self.scheduler.inventory.add(
             MachineId(name), kind, "a", False, MachineState.UP, now, MonotonicTime(now + 1000.0)
         )
-        self.scheduler.cluster_state.request_deletion(m, now)
-        return m
+        self.scheduler.cluster_state.request_deletion(machine, now)
+        return machine
 
     def deleted_machines(self) -> list[str]:
         return [n for path, body in self.cloud.requests if "delete" in path for n in body["wagons"]]
@@ -203,22 +203,22 @@
     assert place.store.keys["intent/return"][0] == {"i": []}, "finished intents are dropped"
 
 
-@pytest.mark.parametrize("duty", ["return", "rental"])
-def test_nothing_is_asked_for_under_a_token_that_was_replaced(duty: str) -> None:
-    """The node still believes that it holds the duty: no watch has told it otherwise."""
+@pytest.mark.parametrize("lease_name", ["return", "rental"])
+def test_nothing_is_asked_for_under_a_token_that_was_replaced(lease_name: str) -> None:
+    """The node still believes that it holds the lease: no watch has told it otherwise."""
     place = ServiceWorld(ALL_LEASES)
     place.become_leader()
-    key = holder_key(LeaseName(duty))
-    taken = Transaction({}, [Put(key, {"node": "drover-9", "life": "z", "t": 1.0})])
+    key = holder_key(LeaseName(lease_name))
+    taken = Transaction({}, [Put(key, {"node": "node-9", "life": "z", "t": 1.0})])
     assert place.store.txn(taken.body())[0] == 200
     place.add_machine_to_delete("n-000007")
-    if duty == "rental":
+    if lease_name == "rental":
         place.scheduler.cluster_state.autoscaler.total_forecast.expected_cpus = 100.0
         place.scheduler.cloud_requests.autoscale(place.clock())
     for _ in range(3):  # written, refused or sent
         place.node.leader_service.process_events()
     paths = [path for path, _ in place.cloud.requests]
-    assert ("/machines/delete" in paths) is (duty == "rental")
+    assert ("/machines/delete" in paths) is (lease_name == "rental")
     assert "/machines" not in paths
 
 
@@ -243,18 +243,20 @@
 
 def add_overdue_task(place: ServiceWorld, name: str) -> None:
     """A cancelled task that must be gone by now may be on that machine."""
-    m = place.add_machine_to_delete(name)
+    machine = place.add_machine_to_delete(name)
     spec = users.parse_submission(submission("wk-000001"))
     place.scheduler.add_job(spec, 50, WallTime(0.0), place.clock())
     job = place.scheduler.jobs.jobs[spec.id]
-    p = Placement(task_key(job.id, 0), job, 0, Attempt(1), m.id, phase=PlacementPhase.RUNNING)
-    m.placements[p.key] = p
+    placement = Placement(
+        task_key(job.id, 0), job, 0, Attempt(1), machine.id, phase=PlacementPhase.RUNNING
+    )
+    machine.placements[placement.key] = placement
     job.is_cancelled, job.kill_deadline_at = True, MonotonicTime(place.clock() - 1.0)
 
 
 @pytest.mark.parametrize("trouble", ["the state service is out", "the duty is paused"])
 def test_a_machine_with_an_overdue_cancelled_task_is_deleted_all_the_same(trouble: str) -> None:
-    """`cancel_s` holds whatever becomes of the duty; other returns wait."""
+    """`cancel_s` holds whatever becomes of the lease; other returns wait."""
     place = ServiceWorld(ALL_LEASES)
     place.become_leader()
     if trouble == "the duty is paused":
@@ -309,7 +311,7 @@
     place = ServiceWorld(ALL_LEASES)
     place.become_leader()
     key = holder_key(LeaseName.CLEANUP)
-    place.store.txn(Transaction({}, [Put(key, {"node": "drover-9", "life": "z", "t": 1.0})]).body())
+    place.store.txn(Transaction({}, [Put(key, {"node": "node-9", "life": "z", "t": 1.0})]).body())
     add_ended_job(place)
     place.node.leader_service.process_events()
     records = place.scheduler.transaction_writer
@@ -319,7 +321,7 @@
     permit = duties.cleanup_permit(place.scheduler, place.clock())
     assert not permit.is_allowed, "until it has been read who holds the duty"
     assert records.orphaned_keys, "it is still to be deleted"
-    place.run(1.0)  # this node leads, so it takes the duty anew, under a higher token
+    place.run(1.0)  # this node leads, so it takes the lease anew, under a higher token
     assert "gone/wk-000009" not in place.store.keys
 
 
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -60,14 +60,18 @@
             self.scheduled = [x for x in self.scheduled if x[0] > self.now]
             for _, _, what in due:
                 what()
-            for e in self.nodes:
-                action = e.next_action(MonotonicTime(self.now))
+            for election in self.nodes:
+                action = election.next_action(MonotonicTime(self.now))
                 if action is not None:
-                    self.send(e, action)
-            leaders = [e for e in self.nodes if e.is_within_lease(MonotonicTime(self.now))]
+                    self.send(election, action)
+            leaders = [
+                election
+                for election in self.nodes
+                if election.is_within_lease(MonotonicTime(self.now))
+            ]
             assert len(leaders) <= 1, "two leaders within their leases"
 
-    def send(self, e: Election, action: Any) -> None:
+    def send(self, election: Election, action: Any) -> None:
         lost = self.rng.random() < 0.15
         there = self.rng.choice([0.01, 0.05, 0.3, 1.5 if lost else 0.1])
         answered = [False]
@@ -80,12 +84,12 @@
         def answer(done: Any) -> None:
             if not answered[0]:
                 answered[0] = True
-                self.deliver_result(e, action, done)
+                self.deliver_result(election, action, done)
 
         def give_up() -> None:
             if not answered[0]:
                 answered[0] = True
-                e.on_action_failed(action, MonotonicTime(self.now))
+                election.on_action_failed(action, MonotonicTime(self.now))
 
         self.schedule(there, arrive)
         self.schedule(1.0, give_up)
@@ -111,62 +115,64 @@
                 return self.store.txn(txn.body())
         raise AssertionError(action)
 
-    def deliver_result(self, e: Election, action: Any, done: Any) -> None:
+    def deliver_result(self, election: Election, action: Any, done: Any) -> None:
         now = MonotonicTime(self.now)
         match action:
             case ReadLeaderKey():
-                e.on_leader_key_read(None if done is None else parse_item(orjson.dumps(done)), now)
+                election.on_leader_key_read(
+                    None if done is None else parse_item(orjson.dumps(done)), now
+                )
             case GrantLease():
-                e.on_lease_granted(LeaseId(done), now)
+                election.on_lease_granted(LeaseId(done), now)
             case KeepLeaseAlive():
-                e.on_keep_alive(done, now)
+                election.on_keep_alive(done, now)
             case RevokeLease():
-                e.on_lease_revoked(now)
+                election.on_lease_revoked(now)
             case Campaign():
                 status, answer = done
                 if status == 200:
-                    e.on_campaign_result(Revision(answer["ledgerRev"]), now)
+                    election.on_campaign_result(Revision(answer["ledgerRev"]), now)
                 else:
-                    e.on_campaign_result(None, now, lease_lost=status == 400)
+                    election.on_campaign_result(None, now, lease_lost=status == 400)
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_nodes_that_restart_in_turn_end_with_one_leader(seed: int) -> None:
-    b = ElectionWorld(seed, 2 + seed % 2 * 3)
+    world = ElectionWorld(seed, 2 + seed % 2 * 3)
     for _ in range(12):
-        b.run(b.rng.uniform(0.1, 1.5))
-        b.restart(b.rng.randrange(len(b.nodes)))
-    b.run(4 * LEADER_LEASE_S)
-    leaders = [e for e in b.nodes if e.role is Role.LEADER]
+        world.run(world.rng.uniform(0.1, 1.5))
+        world.restart(world.rng.randrange(len(world.nodes)))
+    world.run(4 * LEADER_LEASE_S)
+    leaders = [election for election in world.nodes if election.role is Role.LEADER]
     assert len(leaders) == 1
-    item = b.store.item(LEADER_KEY)
+    item = world.store.item(LEADER_KEY)
     assert item is not None and item["stamp"] == leaders[0].token
     assert item["v"]["life"] == leaders[0].incarnation
 
 
 def test_claim_of_an_earlier_start_is_not_taken_for_ones_own() -> None:
     """Its response was lost with the process; the record carries its label, not its start."""
-    e = Election(NodeId("n0"), LEADER_LEASE_S, 0.02, IncarnationId("new"))
+    election = Election(NodeId("n0"), LEADER_LEASE_S, 0.02, IncarnationId("new"))
     now = MonotonicTime(0.0)
-    e.next_action(now)
+    election.next_action(now)
     value = {"path": "lead", "v": {"node": "n0", "life": "old"}, "stamp": 9, "tether": 4}
-    e.on_leader_key_read(parse_item(orjson.dumps(value)), now)
-    assert e.role is Role.FOLLOWER and e.next_action(now) == RevokeLease(LeaseId(4))
+    election.on_leader_key_read(parse_item(orjson.dumps(value)), now)
+    assert election.role is Role.FOLLOWER and election.next_action(now) == RevokeLease(LeaseId(4))
 
 
 @pytest.mark.parametrize(("incarnation", "role"), [("new", Role.LEADER), ("old", Role.FOLLOWER)])
 def test_own_lease_under_another_start_does_not_make_a_leader(incarnation: str, role: Role) -> None:
-    e = Election(NodeId("n0"), LEADER_LEASE_S, 0.02, IncarnationId("new"))
+    election = Election(NodeId("n0"), LEADER_LEASE_S, 0.02, IncarnationId("new"))
     now = MonotonicTime(0.0)
-    e.next_action(now)
-    e.on_leader_key_read(None, now)
-    e.next_action(now)
-    e.on_lease_granted(LeaseId(4), now)
-    claim = e.next_action(now)
+    election.next_action(now)
+    election.on_leader_key_read(None, now)
+    election.next_action(now)
+    election.on_lease_granted(LeaseId(4), now)
+    claim = election.next_action(now)
     assert isinstance(claim, Campaign)
-    e.on_action_failed(claim, now)
+    election.on_action_failed(claim, now)
     later = MonotonicTime(0.5)
-    e.next_action(later)
+    election.next_action(later)
     value = {"path": "lead", "v": {"node": "n0", "life": incarnation}, "stamp": 9, "tether": 4}
-    e.on_leader_key_read(parse_item(orjson.dumps(value)), later)
-    assert e.role is role
+    election.on_leader_key_read(parse_item(orjson.dumps(value)), later)
+    assert election.role is role
