--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -1,9 +1,9 @@
-"""What duties cost, and how they hold under long troubles; outside CI.
+"""What named leases cost, and how they hold under long troubles; outside CI.
 
     python3 -m benchmarks.duties schedules FIRST LAST   seeded schedules, judged by the checker
     python3 -m benchmarks.duties freezes NUMBER         real processes on loopback, stopped
     python3 -m benchmarks.duties gaps NUMBER            simulated time without a holder
-    python3 -m benchmarks.duties requests               at the state service, duties on and off
+    python3 -m benchmarks.duties requests               at the state service, feature on and off
     python3 -m benchmarks.duties views                  persistent maps against copied ones
     python3 -m benchmarks.duties starts NUMBER          processor time and memory of a start
 
@@ -66,7 +66,7 @@
 
 def freezes(number: int) -> None:
     """Stops the leader at a random point, or at a random time, until another node holds its
-    duties; then lets it go on."""
+    named leases; then lets it go on."""
     rng = random.Random(5)
     gaps: list[float] = []
     load = os.getloadavg()[0]
@@ -98,86 +98,86 @@
 
 def _freeze(cluster: Cluster, rng: random.Random) -> float:
     until(lambda: cluster.leader() is not None)
-    label = cluster.leader() or ""
-    cluster.freeze(label)
-    began = time.monotonic()
-    until(lambda: cluster.leader() not in (None, label))
+    node_id = cluster.leader() or ""
+    cluster.freeze(node_id)
+    began_at = time.monotonic()
+    until(lambda: cluster.leader() not in (None, node_id))
     until(lambda: cluster.holder("rental") == cluster.leader() == cluster.holder("return"))
-    passed = time.monotonic() - began
+    waited_s = time.monotonic() - began_at
     time.sleep(rng.uniform(0.0, 1.0))
-    cluster.thaw(label)
-    return passed
+    cluster.thaw(node_id)
+    return waited_s
 
 
 def gaps(number: int) -> None:
-    """Simulated seconds from a trouble of the holder until another node holds its duty."""
-    for duty in (LeaseName.SCALE_OUT, LeaseName.CATALOG):
+    """Simulated seconds from a trouble of the holder until another node holds its lease."""
+    for lease_name in (LeaseName.SCALE_OUT, LeaseName.CATALOG):
         for trouble in (fail_holder, stall_holder, hand_over_lease):
-            found = [_measure_gap(seed, duty, trouble) for seed in range(number)]
-            print(duty, trouble.__name__.strip("_"), summary(found))
+            found = [_measure_gap(seed, lease_name, trouble) for seed in range(number)]
+            print(lease_name, trouble.__name__, summary(found))
 
 
-def fail_holder(world: World, holder: Any, duty: LeaseName) -> None:
+def fail_holder(world: World, holder: Any, lease_name: LeaseName) -> None:
     """Crash the holder; it stays away."""
     holder.restart(1000.0)
 
 
-def stall_holder(world: World, holder: Any, duty: LeaseName) -> None:
+def stall_holder(world: World, holder: Any, lease_name: LeaseName) -> None:
     """Freeze the holder's process."""
     holder.frozen_until = world.now + 1000.0
 
 
-def hand_over_lease(world: World, holder: Any, duty: LeaseName) -> None:
+def hand_over_lease(world: World, holder: Any, lease_name: LeaseName) -> None:
     """Ask for a hand-over to another node."""
-    to = next(node for node in world.nodes if node is not holder)
-    value = wire.hand_over_value(wire.HandOverRecord(to.node_id, WallTime(world.now)))
-    world.store.txn(Transaction({}, [Put(wire.hand_over_key(duty), value)]).body())
+    receiver = next(node for node in world.nodes if node is not holder)
+    value = wire.hand_over_value(wire.HandOverRecord(receiver.node_id, WallTime(world.now)))
+    world.store.txn(Transaction({}, [Put(wire.hand_over_key(lease_name), value)]).body())
 
 
 def _measure_gap(
-    seed: int, duty: LeaseName, cause: Callable[[World, Any, LeaseName], None]
+    seed: int, lease_name: LeaseName, cause: Callable[[World, Any, LeaseName], None]
 ) -> float:
     world = World(seed, 3, faults=False)
     world.run(15.0 + seed % 10 / 10)
-    key = holder_key(duty)
-    label = world.store.keys[key][0]["node"]
-    holder = next(node for node in world.nodes if node.node_id == label)
-    began = world.now
-    cause(world, holder, duty)
-    while key not in world.store.keys or world.store.keys[key][0]["node"] == label:
+    key = holder_key(lease_name)
+    node_id = world.store.keys[key][0]["node"]
+    holder = next(node for node in world.nodes if node.node_id == node_id)
+    began_at = world.now
+    cause(world, holder, lease_name)
+    while key not in world.store.keys or world.store.keys[key][0]["node"] == node_id:
         world.run(0.1)
-        if world.now - began > 60.0:
-            raise SystemExit(f"seed {seed}: nobody took {duty}")
-    return world.now - began
+        if world.now - began_at > 60.0:
+            raise SystemExit(f"seed {seed}: nobody took {lease_name}")
+    return world.now - began_at
 
 
 def requests() -> None:
     """A leader by itself, of whose machines one in a hundred is returned and rented each second."""
     for machines in (100, 1000, 4000):
         for on in (None, ALL_LEASES):
-            place = ServiceWorld(on)
-            place.node.leader_service._cloud_requests._tokens.set_rate(1e6, 1e6, place.clock())
-            place.become_leader()
-            place.run(5.0)
-            asked, written = len(place.state_service.paths), _change_count(place)
+            world = ServiceWorld(on)
+            world.node.leader_service._cloud_requests._tokens.set_rate(1e6, 1e6, world.clock())
+            world.become_leader()
+            world.run(5.0)
+            requests_before, changes_before = len(world.state_service.paths), _change_count(world)
             churn = max(1, machines // 100)
             for second in range(30):
                 for n in range(churn):
-                    place.add_machine_to_delete(f"n-{second:03d}-{n:04d}")
+                    world.add_machine_to_delete(f"n-{second:03d}-{n:04d}")
                 for start in range(0, churn, 50):
                     offer = MachineOffering("small", "a", False)
                     request = ScaleOutRequest(f"r-{second}-{start}", offer, min(50, churn - start))
-                    place.scheduler.cloud_requests.resume_scale_out(request)
-                place.run(1.0)
+                    world.scheduler.cloud_requests.resume_scale_out(request)
+                world.run(1.0)
             print(
                 f"machines={machines} duties={'on' if on else 'off'} "
-                f"requests/s={(len(place.state_service.paths) - asked) / 30:.2f} "
-                f"changes/s={(_change_count(place) - written) / 30:.2f}"
+                f"requests/s={(len(world.state_service.paths) - requests_before) / 30:.2f} "
+                f"changes/s={(_change_count(world) - changes_before) / 30:.2f}"
             )
 
 
-def _change_count(place: ServiceWorld) -> int:
-    return sum(len(writes) for writes in place.state_service.operations)
+def _change_count(world: ServiceWorld) -> int:
+    return sum(len(writes) for writes in world.state_service.operations)
 
 
 def views() -> None:
@@ -186,29 +186,29 @@
     for size in (60, 600, 6000):
         plain = dict.fromkeys(names[:size], 1)
         persistent = pmap(plain)
-        for what, step in (
+        for name, step in (
             ("dict, copied", lambda i, d=plain, n=size: (d.__setitem__(names[i % n], i), dict(d))),
             ("pmap", lambda i, p=persistent, n=size: p.set(names[i % n], i)),
         ):
             cost_us = _microseconds_per_step(step)
-            print(f"machines={size} {what}: {cost_us:.1f} us a change and snapshot")
+            print(f"machines={size} {name}: {cost_us:.1f} us a change and snapshot")
         lookup = [
             ("dict", lambda i, d=plain, n=size: d[names[i % n]]),
             ("pmap", lambda i, p=persistent, n=size: p[names[i % n]]),
         ]
-        for what, step in lookup:
-            print(f"machines={size} {what}: {_microseconds_per_step(step):.2f} us a look-up")
+        for name, step in lookup:
+            print(f"machines={size} {name}: {_microseconds_per_step(step):.2f} us a look-up")
 
 
 def _microseconds_per_step(step: Callable[[int], Any], times: int = 3000) -> float:
-    began = time.process_time()
+    began_at = time.process_time()
     for i in range(times):
         step(i)
-    return (time.process_time() - began) / times * 1e6
+    return (time.process_time() - began_at) / times * 1e6
 
 
 def starts(number: int) -> None:
-    """Of one node by itself, until it answers, with duties off and on by turns."""
+    """Of one node by itself, until it answers, with named leases off and on by turns."""
     for features in (None, {"duties": {"on": ALL_LEASES}}) * number:
         with tempfile.TemporaryDirectory() as folder:
             cluster = Cluster(Path(folder), number=1, features=features)
@@ -220,8 +220,8 @@
                 ticks = sum(int(fields[i]) for i in (13, 14)) / os.sysconf("SC_CLK_TCK")
                 status = Path(f"/proc/{pid}/status").read_text().splitlines()
                 rss = next(line.split()[1] for line in status if line.startswith("VmRSS"))
-                told = {"duties": "on" if features else "off", "cpu_s": ticks, "rss_kb": int(rss)}
-                print(json.dumps(told))
+                report = {"duties": "on" if features else "off", "cpu_s": ticks, "rss_kb": int(rss)}
+                print(json.dumps(report))
             finally:
                 cluster.close()
 
--- a/src/eldercart/election/state_machine.py
+++ b/src/eldercart/election/state_machine.py
@@ -263,7 +263,7 @@
         this node has stepped down."""
         self._action_in_flight = None
         if alive:
-            self._lease.on_kept_alive(self._action_sent_at)
+            self._lease.on_extended(self._action_sent_at)
             return False
         self._step_down(now)
         return True
@@ -277,7 +277,7 @@
         self._next_read_at = now
 
     def on_campaign_result(
-        self, revision: Revision | None, now: MonotonicTime, lease_lost: bool = False
+        self, revision: Revision | None, now: MonotonicTime, *, lease_lost: bool = False
     ) -> None:
         """The campaign was answered: won at `revision`, or (None) lost, as another node holds the
         key or, with `lease_lost`, as the lease has ended."""
--- a/src/eldercart/election/store_lease.py
+++ b/src/eldercart/election/store_lease.py
@@ -37,9 +37,9 @@
     def on_granted(self, lease_id: LeaseId, sent_at: MonotonicTime) -> None:
         """The lease was opened by a request sent at `sent_at`."""
         self.lease_id = lease_id
-        self.on_kept_alive(sent_at)
+        self.on_extended(sent_at)
 
-    def on_kept_alive(self, sent_at: MonotonicTime) -> None:
+    def on_extended(self, sent_at: MonotonicTime) -> None:
         """The lease was extended by a request sent at `sent_at`."""
         self.expires_at = MonotonicTime(sent_at + self._usable_s)
         self.next_keep_alive_at = MonotonicTime(sent_at + self._keep_alive_interval_s)
--- a/src/eldercart/server/singleton/lease_service.py
+++ b/src/eldercart/server/singleton/lease_service.py
@@ -17,7 +17,7 @@
 from eldercart.server.singleton.operator_requests import PATH_PREFIX, OperatorRequests
 from eldercart.settings.features import Maintenance, SingletonFeatures
 from eldercart.singleton.eligibility import ClusterView
-from eldercart.singleton.lease_candidate import LeaseCandidate
+from eldercart.singleton.lease_candidate import LeaseCandidate, LeaseTimings
 from eldercart.singleton.status_report import StatusContext
 from eldercart.singleton.write_ahead_gate import DispatchMode, WriteAheadGate
 from eldercart.units import NO_FENCING_TOKEN, MonotonicTime, NodeId, Revision, WallTime
@@ -62,10 +62,12 @@
             node.settings.label,
             node.incarnation,
             features.on,
-            features.lease_s,
-            node.tuning.drift_margin,
-            features.hand_over_s,
-            features.stay_s,
+            LeaseTimings(
+                features.lease_s,
+                node.tuning.drift_margin,
+                features.hand_over_s,
+                features.stay_s,
+            ),
         )
         self.calendar = _load_calendar(features.maintenance)
         self._policies = DispatchPolicies(
--- a/src/eldercart/singleton/lease_candidate.py
+++ b/src/eldercart/singleton/lease_candidate.py
@@ -54,6 +54,16 @@
     LOST = "lost"  # held it, and cannot know any more whether another node does
 
 
+@dataclass(frozen=True, slots=True)
+class LeaseTimings:
+    """How long things last for a candidate, in seconds except for the share `drift_margin`."""
+
+    lease_ttl_s: float
+    drift_margin: float  # the share of `lease_ttl_s` that is left to clock drift
+    hand_over_s: float  # after which a hand-over that its receiver does not take up is void
+    min_hold_s: float  # before which an acquired lease is not given up for balance
+
+
 @dataclass(slots=True)
 class _LeaseStatus:
     """What this node is for one named lease, and since when."""
@@ -79,20 +89,15 @@
         node_id: NodeId,
         incarnation: IncarnationId,
         lease_names: Collection[LeaseName],
-        lease_ttl_s: float,
-        drift_margin: float,
-        hand_over_s: float,
-        min_hold_s: float,
+        timings: LeaseTimings,
     ) -> None:
-        """A node that takes part in `lease_names`. A hand-over that its receiver does not take up
-        is void after `hand_over_s`; a lease that was acquired is not given up for balance before
-        `min_hold_s`. All of them in seconds."""
+        """The candidate of a node that takes part in `lease_names`."""
         self.node_id = node_id
         self.incarnation = incarnation
         self.directory = LeaseDirectory()
-        self._rules = EligibilityRules(node_id, frozenset(lease_names), min_hold_s)
-        self._lease = StoreLease(lease_ttl_s, drift_margin, KEEP_ALIVES_PER_LEASE)
-        self._hand_over_s = hand_over_s
+        self._rules = EligibilityRules(node_id, frozenset(lease_names), timings.min_hold_s)
+        self._lease = StoreLease(timings.lease_ttl_s, timings.drift_margin, KEEP_ALIVES_PER_LEASE)
+        self._hand_over_s = timings.hand_over_s
         self._statuses = {lease_name: _LeaseStatus() for lease_name in LeaseName}
         self._is_read_pending = True
         self._is_fenced = False  # a token of this node was refused, and nothing was read since
@@ -298,7 +303,7 @@
         with it."""
         self._action_in_flight = None
         if alive:
-            self._lease.on_kept_alive(self._action_sent_at)
+            self._lease.on_extended(self._action_sent_at)
             return
         self._lease.on_lost()
         self._is_read_pending = True
--- a/tests/duty_node.py
+++ b/tests/duty_node.py
@@ -19,7 +19,7 @@
 from eldercart.singleton.candidate_actions import Acquire, ReadDirectory, Release
 from eldercart.singleton.eligibility import ClusterView
 from eldercart.singleton.intents import IntentWrite, WriteOutcome
-from eldercart.singleton.lease_candidate import LeaseCandidate, LeaseState
+from eldercart.singleton.lease_candidate import LeaseCandidate, LeaseState, LeaseTimings
 from eldercart.singleton.write_ahead_gate import DispatchMode, DispatchPolicy, WriteAheadGate
 from eldercart.units import (
     NO_FENCING_TOKEN,
@@ -67,7 +67,7 @@
         self.incarnation = IncarnationId(f"{self.node_id}.{self.incarnation_number}")
         self.election = Election(self.node_id, 2.0, 0.02, self.incarnation)
         self.candidate = LeaseCandidate(
-            self.node_id, self.incarnation, tuple(LeaseName), 6.0, 0.02, 10.0, 20.0
+            self.node_id, self.incarnation, tuple(LeaseName), LeaseTimings(6.0, 0.02, 10.0, 20.0)
         )
         self.gate: WriteAheadGate | None
         self.pending_calls: list[ScaleOut | DeleteMachines]
