--- a/src/eldercart/server/singleton/lease_watch.py
+++ b/src/eldercart/server/singleton/lease_watch.py
@@ -1,6 +1,5 @@
-"""Reads and watches what the state service holds of the duties."""
+"""Reads and watches the stored keys of named leases."""
 
-import logging
 from collections.abc import Callable
 from typing import Any
 
@@ -13,9 +12,8 @@
 from eldercart.wire.state import Item
 
 reactor: Any = _reactor
-log = logging.getLogger("eldercart.singleton")
 
-WATCH_TIMEOUT_S = 20.0  # for which one watch waits
+WATCH_TIMEOUT_S = 20.0  # how long one watch waits for changes
 WATCH_RETRY_S = 1.0  # before a watch that failed is opened again
 
 
@@ -54,7 +52,7 @@
                 if events:
                     self._on_changed()
             elif status == 410:
-                # More has changed since than the store keeps.
+                # More has changed since that revision than the state service keeps.
                 self.read_all(lambda ok: self._reopen_later(0.0 if ok else WATCH_RETRY_S))
             else:
                 self._reopen_later(WATCH_RETRY_S)
--- a/src/eldercart/singleton/holder_preference.py
+++ b/src/eldercart/singleton/holder_preference.py
@@ -11,8 +11,8 @@
 class Affinity(Enum):
     """Which nodes can hold a named lease, by what its holder has to know."""
 
-    LEADER = "leader"  # on what only the leader knows: demand, the fleet, what may still run
-    ANY = "any"  # on nothing but the cloud and the state service
+    LEADER = "leader"  # what only the leader knows: demand, the machines, what may still run
+    ANY = "any"  # nothing that the cloud and the state service do not tell
 
 
 AFFINITY = {
@@ -22,7 +22,7 @@
     LeaseName.CATALOG: Affinity.ANY,
 }
 
-MIN_IMBALANCE = 2  # named leases that a holder must have beyond another node before it gives one up
+MIN_IMBALANCE = 2  # leases that a holder must have beyond another node before it gives one up
 
 
 def node_load(node: NodeId, leader: NodeId | None, snapshot: DirectorySnapshot) -> int:
--- a/src/eldercart/singleton/intents.py
+++ b/src/eldercart/singleton/intents.py
@@ -1,8 +1,8 @@
 """The intents of one lease: what it may ask of the cloud, recorded before it is asked.
 
 The cloud compares no tokens. So an intent is recorded first, in a transaction conditional on the
-holder's token and the leader's epoch, and is irrevocable from then on: to send it once more does
-what sending it once does, whoever sends it and whenever. All open intents stand in one record,
+holder's token and the leader's, and is irrevocable from then on: to send it once more does what
+sending it once does, whoever sends it and whenever. All open intents stand in one record,
 which is replaced as a whole under the version that was read, so a late copy of a transaction finds
 another version and does nothing.
 """
@@ -39,12 +39,12 @@
 
 log = logging.getLogger("eldercart.singleton")
 
-# After which finished intents are dropped although nothing new is recorded. Shorter than machines
+# How long finished intents stay in the record while nothing new is recorded. Shorter than machines
 # usually stand idle: a successor asks anew for what is left, and must not count machines again that
 # were returned since.
 COMPACTION_DELAY_S = 20.0
 BATCH_INTERVAL_S = 1.0  # between two writes of intents that are not urgent
-WRITE_RETRY_S = 0.25  # after a write that was not carried out
+WRITE_RETRY_S = 0.25  # after a write that was not committed
 
 
 class IntentStage(Enum):
@@ -57,7 +57,7 @@
 
 
 class WriteOutcome(Enum):
-    """What became of a write of the record."""
+    """What became of a write of the intent record."""
 
     COMMITTED = "committed"
     CONFLICT = "conflict"  # a condition did not hold
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IntentWrite:
-    """A write of the record, and the open intents that it holds."""
+    """A write of the intent record, and the open intents that it holds."""
 
     lease_name: LeaseName
     transaction: Transaction
@@ -181,15 +181,15 @@
             self._abandoned.clear()
 
     def mark_sent(self, name: str) -> None:
-        """The intent is on its way to the cloud."""
+        """Note that the intent has been sent to the cloud."""
         self._sent.add(name)
 
     def mark_unanswered(self, name: str) -> None:
-        """Nobody knows whether the intent was carried out: it stays open."""
+        """Note that the outcome of the intent is unknown: it stays open."""
         self._sent.discard(name)
 
     def mark_finished(self, name: str, now: MonotonicTime) -> None:
-        """The cloud has answered the intent."""
+        """Note that the cloud has answered the intent."""
         self._sent.discard(name)
         if name in self._durable:
             if not self._finished:
--- a/tests/duty_cluster.py
+++ b/tests/duty_cluster.py
@@ -1,4 +1,4 @@
-"""Several nodes as real processes on loopback, with duties on.
+"""Several nodes as real processes on loopback, with named leases on.
 
 The state service and the cloud know which node asks, let leases end, and keep the history that
 `duty_world.check_history` judges."""
@@ -49,24 +49,24 @@
 class ObservedRegion(Region):
     """One port of the state service and of the cloud for each node."""
 
-    def __init__(self, labels: list[str]) -> None:
+    def __init__(self, node_ids: list[str]) -> None:
         self.history = History()
         self.refused_nodes: set[str] = set()  # nodes that the state service refuses
         self.is_cloud_failing = False  # the cloud is in trouble
         self.lease_ttl_s: dict[int, float] = {}
         # Called when a node reaches a point; it may stop the node, and returns when all goes on.
-        self.on_stall_point: Callable[[str, StallPoint], None] = lambda label, point: None
+        self.on_stall_point: Callable[[str, StallPoint], None] = lambda node_id, point: None
         super().__init__()
         self.cloud = CloudSim(CAPACITY, random.Random(1))
-        self.ports = {label: self._ports(label) for label in labels}
+        self.ports = {node_id: self._ports(node_id) for node_id in node_ids}
         threading.Thread(target=self._expire_leases, daemon=True).start()
 
-    def _ports(self, label: str) -> tuple[int, int]:
+    def _ports(self, node_id: str) -> tuple[int, int]:
         def state(method: str, path: str, body: bytes) -> tuple[int, Any]:
-            return self.observe_state(label, method, path, body)
+            return self.observe_state(node_id, method, path, body)
 
         def cloud(method: str, path: str, body: bytes) -> tuple[int, Any]:
-            return self.observe_cloud(label, method, path, body)
+            return self.observe_cloud(node_id, method, path, body)
 
         servers = [self._serve(state), self._serve(cloud)]
         self.servers += servers
@@ -75,8 +75,8 @@
     def _expire_leases(self) -> None:
         while not self.stop.is_set():
             with self.lock:
-                for lease, until_ in list(self.store.leases.items()):
-                    if until_ < time.monotonic():
+                for lease, expires_at in list(self.store.leases.items()):
+                    if expires_at < time.monotonic():
                         keys = [k for k, v in self.store.keys.items() if v[2] == lease]
                         self.store.end_lease(lease)
                         self._record_change("", [{"delete": key} for key in keys])
@@ -87,18 +87,18 @@
             AppliedChange(time.monotonic(), sender, self.store.revision, writes)
         )
 
-    def observe_state(self, label: str, method: str, path: str, body: bytes) -> tuple[int, Any]:
-        if label in self.refused_nodes:
+    def observe_state(self, node_id: str, method: str, path: str, body: bytes) -> tuple[int, Any]:
+        if node_id in self.refused_nodes:
             return 503, {}
         records = path == "/txn" and b'"put":"intent/' in body
         if records:
-            self.on_stall_point(label, StallPoint.BEFORE_WRITE)
+            self.on_stall_point(node_id, StallPoint.BEFORE_WRITE)
         with self.lock:
             if path.startswith("/holds"):
                 return self._serve_lease(method, path, body)
-            answer = self._observe_transaction(label, body) if path == "/txn" else None
+            answer = self._observe_transaction(node_id, body) if path == "/txn" else None
         if records and answer is not None and answer[0] == 200:
-            self.on_stall_point(label, StallPoint.BEFORE_SEND)
+            self.on_stall_point(node_id, StallPoint.BEFORE_SEND)
         return answer or self.state(method, path, body)
 
     def _serve_lease(self, method: str, path: str, body: bytes) -> tuple[int, Any]:
@@ -119,19 +119,19 @@
             self.store.leases[lease] = now + self.lease_ttl_s[lease]
         return 200, {}
 
-    def _observe_transaction(self, label: str, body: bytes) -> tuple[int, Any]:
+    def _observe_transaction(self, node_id: str, body: bytes) -> tuple[int, Any]:
         status, value = self.store.txn(body)
         writes = orjson.loads(body)["writes"]
         if status == 200 and writes:
-            self._record_change(label, writes)
+            self._record_change(node_id, writes)
         elif status == 409:
             keys = [w.get("put") or w["delete"] for w in writes]
             replaced = [k for k in value["failed"] if k == "lead" or k.startswith("duty/holder/")]
-            mine = [k for k in keys if not k.startswith(("duty/", "lead", "job/"))]
-            self.history.rejected += bool(replaced and mine)
+            own_keys = [k for k in keys if not k.startswith(("duty/", "lead", "job/"))]
+            self.history.rejected += bool(replaced and own_keys)
         return status, value
 
-    def observe_cloud(self, label: str, method: str, path: str, body: bytes) -> tuple[int, Any]:
+    def observe_cloud(self, node_id: str, method: str, path: str, body: bytes) -> tuple[int, Any]:
         if self.is_cloud_failing and method == "POST":
             return 503, {"error": "trouble"}
         with self.lock:
@@ -141,11 +141,11 @@
             if method == "POST":
                 self.history.cloud_calls += 1
             for name in sorted(before - set(self.cloud.machines)):
-                self.history.effects.append(CloudEffect(now, label, name, "delete"))
+                self.history.effects.append(CloudEffect(now, node_id, name, "delete"))
             for name in sorted(set(self.cloud.answers) - answered):
-                self.history.effects.append(CloudEffect(now, label, name, "rent"))
+                self.history.effects.append(CloudEffect(now, node_id, name, "rent"))
         if method == "POST":
-            self.on_stall_point(label, StallPoint.BEFORE_ANSWER)
+            self.on_stall_point(node_id, StallPoint.BEFORE_ANSWER)
         return status, value
 
     def open_intents(self, duty: str) -> list[str]:
@@ -154,7 +154,7 @@
             entry = self.store.keys.get(f"intent/{duty}")
         return [] if entry is None else [obj["n"] for obj in entry[0]["i"]]
 
-    def run_workers(self, fronts: list[str]) -> None:
+    def run_workers(self, user_addresses: list[str]) -> None:
         """Each worker reports to a node of its own choice, and to the next if that fails."""
         threads: dict[str, threading.Thread] = {}
         while not self.stop.is_set():
@@ -163,14 +163,14 @@
             for name, machine in machines.items():
                 if name not in threads:
                     threads[name] = threading.Thread(
-                        target=self._run_worker, args=(machine, fronts), daemon=True
+                        target=self._run_worker, args=(machine, user_addresses), daemon=True
                     )
                     threads[name].start()
             time.sleep(0.05)
 
-    def _run_worker(self, machine: WorkerSim, fronts: list[str]) -> None:
-        turn = itertools.cycle(fronts)
-        front = next(turn)
+    def _run_worker(self, machine: WorkerSim, user_addresses: list[str]) -> None:
+        addresses = itertools.cycle(user_addresses)
+        user_address = next(addresses)
         last = time.monotonic()
         while not self.stop.is_set() and not machine.deleted:
             now = time.monotonic()
@@ -178,12 +178,12 @@
                 machine.step(now, now - last, 60.0)
                 report = orjson.dumps(machine.report())
             last = now
-            status, body = call(front, "POST", "/v1/report", report, 1.0)
+            status, body = call(user_address, "POST", "/v1/report", report, 1.0)
             if status == 200:
                 with self.lock:
                     machine.obey(body, now, machine.agent_epoch, self.jobs)
             else:
-                front = next(turn)
+                user_address = next(addresses)
             time.sleep(0.2)
 
 
@@ -203,10 +203,10 @@
         self.has_false_clocks = has_false_clocks
         ports = free_ports(2 * number)
         self.user_addresses = {
-            label: f"127.0.0.1:{ports[2 * i]}" for i, label in enumerate(self.node_ids)
+            node_id: f"127.0.0.1:{ports[2 * i]}" for i, node_id in enumerate(self.node_ids)
         }
         self.peer_addresses = {
-            label: f"127.0.0.1:{ports[2 * i + 1]}" for i, label in enumerate(self.node_ids)
+            node_id: f"127.0.0.1:{ports[2 * i + 1]}" for i, node_id in enumerate(self.node_ids)
         }
         self.features: dict[str, Any] = dict.fromkeys(self.node_ids, features)
         self.source_roots: dict[str, Path] = dict.fromkeys(
@@ -215,36 +215,36 @@
         (folder / "operator.json").write_text(json.dumps(TUNING))
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.submitted_jobs = 0
-        for label in self.node_ids:
-            self.start(label)
+        for node_id in self.node_ids:
+            self.start(node_id)
         threading.Thread(
             target=self.region.run_workers, args=(list(self.user_addresses.values()),), daemon=True
         ).start()
         threading.Thread(target=self._submit_jobs, daemon=True).start()
 
-    def start(self, label: str) -> None:
+    def start(self, node_id: str) -> None:
         settings = copy.deepcopy(PLATFORM)
-        state, cloud = self.region.ports[label]
+        state, cloud = self.region.ports[node_id]
         settings |= {
-            "label": label,
-            "front": self.user_addresses[label],
-            "mesh_addr": self.peer_addresses[label],
+            "label": node_id,
+            "front": self.user_addresses[node_id],
+            "mesh_addr": self.peer_addresses[node_id],
             "endpoints": {"state": f"127.0.0.1:{state}", "cloud": f"127.0.0.1:{cloud}"},
             "members": [
                 {"label": other, "location": "a", "endpoint": self.peer_addresses[other]}
                 for other in self.node_ids
-                if other != label
+                if other != node_id
             ],
         }
         settings["settings"]["count"] = len(self.node_ids)
         settings["settings"]["state"] |= {"rps": 1000, "write_rps": 500}
         settings["settings"]["cloud"]["rps"] = 50
-        config = self.folder / f"{label}.json"
+        config = self.folder / f"{node_id}.json"
         config.write_text(json.dumps(settings))
-        root = self.source_roots[label]
+        root = self.source_roots[node_id]
         command = [sys.executable, str(root / "run.py")]
         if self.has_false_clocks and root == ROOT:
-            offset = 3600.0 * (self.node_ids.index(label) - 1)
+            offset = 3600.0 * (self.node_ids.index(node_id) - 1)
             command = [sys.executable, str(ROOT / "tests" / "falsified_node.py"), str(offset)]
         command += [
             "serve",
@@ -253,16 +253,16 @@
             "--settings",
             str(self.folder / "operator.json"),
         ]
-        if self.features[label] is not None:
-            features = self.folder / f"{label}-features.json"
-            features.write_text(json.dumps(self.features[label]))
+        if self.features[node_id] is not None:
+            features = self.folder / f"{node_id}-features.json"
+            features.write_text(json.dumps(self.features[node_id]))
             command += ["--features", str(features)]
-        log = (self.folder / f"{label}.log").open("ab")
-        self.processes[label] = subprocess.Popen(command, stderr=log)
+        log = (self.folder / f"{node_id}.log").open("ab")
+        self.processes[node_id] = subprocess.Popen(command, stderr=log)
 
     def _submit_jobs(self) -> None:
         """Bursts of small jobs that nobody can foresee, so that machines come and go."""
-        turn = itertools.cycle(self.user_addresses.values())
+        addresses = itertools.cycle(self.user_addresses.values())
         rng = random.Random(7)
         for burst in itertools.count():
             if self.region.stop.is_set():
@@ -273,7 +273,7 @@
                 body = submission(job, lot=f"class-{burst}", parcels=8, haulS=1.0, imageGb=0.1)
                 with self.region.lock:
                     self.region.jobs[job] = body | {"runS": 0.3}
-                call(next(turn), "POST", "/work", orjson.dumps(body), 2.0)
+                call(next(addresses), "POST", "/work", orjson.dumps(body), 2.0)
             time.sleep(rng.uniform(1.0, 4.0))
 
     def holder(self, duty: str) -> str | None:
@@ -290,45 +290,45 @@
     def wait_for_holders(self) -> None:
         until(lambda: all(self.holder(duty) for duty in ("rental", "return", "catalog")))
 
-    def freeze(self, label: str) -> None:
-        os.kill(self.processes[label].pid, signal.SIGSTOP)
+    def freeze(self, node_id: str) -> None:
+        os.kill(self.processes[node_id].pid, signal.SIGSTOP)
 
-    def thaw(self, label: str) -> None:
-        os.kill(self.processes[label].pid, signal.SIGCONT)
+    def thaw(self, node_id: str) -> None:
+        os.kill(self.processes[node_id].pid, signal.SIGCONT)
 
     def stall_at(self, point: StallPoint) -> str:
         """Stops the leader when it reaches the point, until another node leads and holds its
-        duties; returns who was stopped."""
+        named leases; returns who was stopped."""
         stopped: list[str] = []
         over = threading.Event()
 
-        def trap(label: str, reached: StallPoint) -> None:
-            if reached is not point or stopped or label != self.leader():
+        def stop_at_point(node_id: str, reached: StallPoint) -> None:
+            if reached is not point or stopped or node_id != self.leader():
                 return
-            stopped.append(label)
-            self.freeze(label)
+            stopped.append(node_id)
+            self.freeze(node_id)
             try:
-                until(lambda: self.leader() not in (None, label))
+                until(lambda: self.leader() not in (None, node_id))
                 until(lambda: self.holder("rental") == self.leader() == self.holder("return"))
             finally:
                 over.set()
 
-        self.region.on_stall_point = trap
+        self.region.on_stall_point = stop_at_point
         until(over.is_set)
-        self.region.on_stall_point = lambda label, point: None
+        self.region.on_stall_point = lambda node_id, point: None
         self.thaw(stopped[0])
         return stopped[0]
 
-    def kill(self, label: str) -> None:
-        self.processes[label].kill()
-        self.processes[label].wait()
+    def kill(self, node_id: str) -> None:
+        self.processes[node_id].kill()
+        self.processes[node_id].wait()
 
-    def replace(self, label: str, features: Any, root: Path = ROOT) -> None:
+    def replace(self, node_id: str, features: Any, root: Path = ROOT) -> None:
         """Ends the node and starts it with other features, or another version."""
-        self.kill(label)
-        self.features[label], self.source_roots[label] = features, root
-        self.start(label)
-        until(lambda: call(self.user_addresses[label], "GET", "/healthz")[0] == 200)
+        self.kill(node_id)
+        self.features[node_id], self.source_roots[node_id] = features, root
+        self.start(node_id)
+        until(lambda: call(self.user_addresses[node_id], "GET", "/healthz")[0] == 200)
 
     def effects(self) -> int:
         with self.region.lock:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -48,47 +48,47 @@
     return Item(wire.pause_key(lease_name), value, Revision(version))
 
 
-def hand_over_item(lease_name: LeaseName, to: NodeId, version: int) -> Item:
-    value = wire.hand_over_value(wire.HandOverRecord(to, WallTime(7.0)))
+def hand_over_item(lease_name: LeaseName, receiver: NodeId, version: int) -> Item:
+    value = wire.hand_over_value(wire.HandOverRecord(receiver, WallTime(7.0)))
     return Item(wire.hand_over_key(lease_name), value, Revision(version))
 
 
-# -- board
+# -- directory
 
 
 def test_what_is_known_as_of_a_later_revision_stays() -> None:
-    board = LeaseDirectory()
-    mine = holder_item(LeaseName.CATALOG, ME, 12)
-    board.apply_own_writes([mine], Revision(12))
-    board.apply_read([holder_item(LeaseName.CATALOG, OTHER, 8)], Revision(11))
-    board.apply_watch_events([DeleteKey(mine.key)], Revision(10))
-    assert board.entry(LeaseName.CATALOG).token == 12
-    assert board.revision == 11, "the watch goes on where the reads were"
-    board.apply_watch_events([DeleteKey(mine.key)], Revision(13))
-    board.apply_read([mine], Revision(12))
-    assert not board.entry(LeaseName.CATALOG).is_held
+    directory = LeaseDirectory()
+    own_items = holder_item(LeaseName.CATALOG, ME, 12)
+    directory.apply_own_writes([own_items], Revision(12))
+    directory.apply_read([holder_item(LeaseName.CATALOG, OTHER, 8)], Revision(11))
+    directory.apply_watch_events([DeleteKey(own_items.key)], Revision(10))
+    assert directory.entry(LeaseName.CATALOG).token == 12
+    assert directory.revision == 11, "the watch goes on where the reads were"
+    directory.apply_watch_events([DeleteKey(own_items.key)], Revision(13))
+    directory.apply_read([own_items], Revision(12))
+    assert not directory.entry(LeaseName.CATALOG).is_held
 
 
 def test_a_snapshot_never_changes() -> None:
-    board = LeaseDirectory()
-    before = board.snapshot
-    board.apply_read([pause_item(LeaseName.SCALE_IN, 3)], Revision(4))
+    directory = LeaseDirectory()
+    before = directory.snapshot
+    directory.apply_read([pause_item(LeaseName.SCALE_IN, 3)], Revision(4))
     assert before[LeaseName.SCALE_IN] == EMPTY_ENTRY
-    assert board.snapshot[LeaseName.SCALE_IN].is_paused
+    assert directory.snapshot[LeaseName.SCALE_IN].is_paused
     with pytest.raises(TypeError):
         before[LeaseName.SCALE_IN] = EMPTY_ENTRY  # type: ignore[index]
 
 
 def test_an_unreadable_record_counts_as_there() -> None:
-    board = LeaseDirectory()
+    directory = LeaseDirectory()
     key = wire.holder_key(LeaseName.SCALE_OUT)
     later = Item(wire.HOLDER_PREFIX + "of-a-later-version", {}, Revision(3))
-    board.apply_read([Item(key, ["?"], Revision(3)), later], Revision(4))
-    entry = board.entry(LeaseName.SCALE_OUT)
+    directory.apply_read([Item(key, ["?"], Revision(3)), later], Revision(4))
+    entry = directory.entry(LeaseName.SCALE_OUT)
     assert entry.is_held and entry.holder is None and entry.token == 3
 
 
-# -- membership
+# -- candidate
 
 
 class CandidateDriver:
@@ -125,7 +125,7 @@
         self.candidate.on_directory_read()
 
     def settle(self) -> list[Any]:
-        """Answers everything with success until nothing is wanted any more."""
+        """Answers everything with success until there is no next action."""
         done = []
         while (action := self.next_action()) is not None:
             done.append(action)
@@ -217,7 +217,7 @@
     node = leading()
     held = node.candidate.directory.entry(LeaseName.SCALE_OUT).token
     node.change(busy_leases=(LeaseName.SCALE_OUT,), **changes)
-    mine = [
+    own_items = [
         Item(
             wire.holder_key(d),
             wire.holder_value(HolderRecord(ME, IncarnationId("me"), WallTime(5.0))),
@@ -226,7 +226,7 @@
         for d in LeaseName
         if node.candidate.directory.entry(d).is_held
     ]
-    node.learn(*mine, *items)
+    node.learn(*own_items, *items)
     node.settle()
     assert node.candidate.ineligibility(LeaseName.SCALE_OUT) is obstacle
     assert node.state(LeaseName.SCALE_OUT) is LeaseState.DRAINING, "something is under way"
@@ -332,15 +332,15 @@
 
 
 def test_candidates_take_turns_by_load_and_name() -> None:
-    board = LeaseDirectory()
+    directory = LeaseDirectory()
     nodes = (OTHER, ME, THIRD)
-    assert [candidate_rank(n, nodes, ME, board.snapshot) for n in nodes] == [0, 2, 1], (
+    assert [candidate_rank(n, nodes, ME, directory.snapshot) for n in nodes] == [0, 2, 1], (
         "the leader last"
     )
-    board.apply_read([holder_item(LeaseName.CATALOG, OTHER, 3)], Revision(3))
-    assert [candidate_rank(n, nodes, ME, board.snapshot) for n in nodes] == [1, 2, 0]
-    assert not is_overloaded(OTHER, nodes, ME, board.snapshot), "it would only change sides"
-    assert is_overloaded(OTHER, nodes, OTHER, board.snapshot)
+    directory.apply_read([holder_item(LeaseName.CATALOG, OTHER, 3)], Revision(3))
+    assert [candidate_rank(n, nodes, ME, directory.snapshot) for n in nodes] == [1, 2, 0]
+    assert not is_overloaded(OTHER, nodes, ME, directory.snapshot), "it would only change sides"
+    assert is_overloaded(OTHER, nodes, OTHER, directory.snapshot)
 
 
 # -- what operators are told
@@ -370,21 +370,21 @@
 def test_why_nobody_holds_a_duty(
     lease_name: LeaseName, items: tuple[Item, ...], changes: dict[str, Any], why: str
 ) -> None:
-    board = LeaseDirectory()
-    board.apply_read(items, Revision(9))
-    reason = unheld_reason(lease_name, board.entry(lease_name), status_context(**changes))
+    directory = LeaseDirectory()
+    directory.apply_read(items, Revision(9))
+    reason = unheld_reason(lease_name, directory.entry(lease_name), status_context(**changes))
     assert reason is not None and why in reason
 
 
 def test_a_report_names_holder_token_and_open_intents() -> None:
-    board = LeaseDirectory()
-    board.apply_read([holder_item(LeaseName.SCALE_IN, ME, 6)], Revision(9))
+    directory = LeaseDirectory()
+    directory.apply_read([holder_item(LeaseName.SCALE_IN, ME, 6)], Revision(9))
     intents: list[wire.Intent] = [
         replace(scale_in_intent("n-1"), created_at=WallTime(40.0)),
         scale_in_intent("n-2"),
     ]
     report = lease_status(
-        LeaseName.SCALE_IN, board.entry(LeaseName.SCALE_IN), intents, status_context()
+        LeaseName.SCALE_IN, directory.entry(LeaseName.SCALE_IN), intents, status_context()
     )
     assert report["holder"] == ME and report["token"] == 6
     assert (report["intents"], report["oldest_s"]) == (2, 60.0)
