--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -1,39 +1,24 @@
-"""The parts of the duties by themselves: board, membership, intents, gate, preference."""
+"""The parts of the named leases by themselves: directory, candidate, preference, status, command
+line."""
 
 from dataclasses import replace
 from typing import Any
 
-import orjson
 import pytest
 
-from eldercart.autoscaling.request_types import (
-    DeleteMachines,
-    MachineOffering,
-    ScaleOut,
-    ScaleOutRequest,
-)
+from eldercart.cli import build_parser, duties
 from eldercart.election.actions import GrantLease, KeepLeaseAlive
 from eldercart.singleton.candidate_actions import Acquire, ReadDirectory, Release
 from eldercart.singleton.eligibility import ClusterView, IneligibilityReason
 from eldercart.singleton.holder_preference import candidate_rank, is_overloaded
-from eldercart.singleton.intents import (
-    BATCH_INTERVAL_S,
-    COMPACTION_DELAY_S,
-    IntentLog,
-    IntentStage,
-    WriteOutcome,
-)
-from eldercart.singleton.lease_candidate import LeaseCandidate, LeaseState
+from eldercart.singleton.lease_candidate import LeaseCandidate, LeaseState, LeaseTimings
 from eldercart.singleton.lease_directory import EMPTY_ENTRY, LeaseDirectory
 from eldercart.singleton.status_report import StatusContext, lease_status, unheld_reason
-from eldercart.singleton.write_ahead_gate import DispatchMode, DispatchPolicy, WriteAheadGate
 from eldercart.units import (
     ABSENT_REVISION,
     FencingToken,
     IncarnationId,
     LeaseId,
-    LeaseToken,
-    MachineId,
     MonotonicTime,
     NodeId,
     Revision,
@@ -45,66 +30,65 @@
     HolderRecord,
     LeaseName,
     PauseRecord,
-    ScaleInIntent,
-    ScaleOutIntent,
 )
 from eldercart.wire.state import DeleteKey, Item
+from test_duty_intents import scale_in_intent
 
-ME, OTHER, THIRD = NodeId("drover-1"), NodeId("drover-0"), NodeId("drover-2")
+ME, OTHER, THIRD = NodeId("node-1"), NodeId("node-0"), NodeId("node-2")
 LEASE_S = 6.0
 
 
-def holder_item(duty: LeaseName, node: NodeId, version: int, life: str = "x") -> Item:
+def holder_item(lease_name: LeaseName, node: NodeId, version: int, life: str = "x") -> Item:
     record = HolderRecord(node, IncarnationId(life), WallTime(5.0))
-    return Item(wire.holder_key(duty), wire.holder_value(record), Revision(version))
+    return Item(wire.holder_key(lease_name), wire.holder_value(record), Revision(version))
 
 
-def pause_item(duty: LeaseName, version: int) -> Item:
+def pause_item(lease_name: LeaseName, version: int) -> Item:
     value = wire.pause_value(PauseRecord(WallTime(7.0), "audit"))
-    return Item(wire.pause_key(duty), value, Revision(version))
+    return Item(wire.pause_key(lease_name), value, Revision(version))
 
 
-def hand_over_item(duty: LeaseName, to: NodeId, version: int) -> Item:
-    value = wire.hand_over_value(wire.HandOverRecord(to, WallTime(7.0)))
-    return Item(wire.hand_over_key(duty), value, Revision(version))
+def hand_over_item(lease_name: LeaseName, receiver: NodeId, version: int) -> Item:
+    value = wire.hand_over_value(wire.HandOverRecord(receiver, WallTime(7.0)))
+    return Item(wire.hand_over_key(lease_name), value, Revision(version))
 
 
-# -- board
+# -- directory
 
 
 def test_what_is_known_as_of_a_later_revision_stays() -> None:
-    board = LeaseDirectory()
-    mine = holder_item(LeaseName.CATALOG, ME, 12)
-    board.apply_own_writes([mine], Revision(12))
-    board.apply_read([holder_item(LeaseName.CATALOG, OTHER, 8)], Revision(11))
-    board.apply_watch_events([DeleteKey(mine.key)], Revision(10))
-    assert board.entry(LeaseName.CATALOG).token == 12
-    assert board.revision == 11, "the watch goes on where the reads were"
-    board.apply_watch_events([DeleteKey(mine.key)], Revision(13))
-    board.apply_read([mine], Revision(12))
-    assert not board.entry(LeaseName.CATALOG).is_held
+    directory = LeaseDirectory()
+    own_items = holder_item(LeaseName.CATALOG, ME, 12)
+    directory.apply_own_writes([own_items], Revision(12))
+    directory.apply_read([holder_item(LeaseName.CATALOG, OTHER, 8)], Revision(11))
+    directory.apply_watch_events([DeleteKey(own_items.key)], Revision(10))
+    assert directory.entry(LeaseName.CATALOG).token == 12
+    assert directory.revision == 11, "the watch goes on where the reads were"
+    directory.apply_watch_events([DeleteKey(own_items.key)], Revision(13))
+    directory.apply_read([own_items], Revision(12))
+    assert not directory.entry(LeaseName.CATALOG).is_held
 
 
 def test_a_snapshot_never_changes() -> None:
-    board = LeaseDirectory()
-    before = board.snapshot
-    board.apply_read([pause_item(LeaseName.SCALE_IN, 3)], Revision(4))
+    directory = LeaseDirectory()
+    before = directory.snapshot
+    directory.apply_read([pause_item(LeaseName.SCALE_IN, 3)], Revision(4))
     assert before[LeaseName.SCALE_IN] == EMPTY_ENTRY
-    assert board.snapshot[LeaseName.SCALE_IN].is_paused
+    assert directory.snapshot[LeaseName.SCALE_IN].is_paused
     with pytest.raises(TypeError):
         before[LeaseName.SCALE_IN] = EMPTY_ENTRY  # type: ignore[index]
 
 
 def test_an_unreadable_record_counts_as_there() -> None:
-    board = LeaseDirectory()
+    directory = LeaseDirectory()
     key = wire.holder_key(LeaseName.SCALE_OUT)
     later = Item(wire.HOLDER_PREFIX + "of-a-later-version", {}, Revision(3))
-    board.apply_read([Item(key, ["?"], Revision(3)), later], Revision(4))
-    entry = board.entry(LeaseName.SCALE_OUT)
+    directory.apply_read([Item(key, ["?"], Revision(3)), later], Revision(4))
+    entry = directory.entry(LeaseName.SCALE_OUT)
     assert entry.is_held and entry.holder is None and entry.token == 3
 
 
-# -- membership
+# -- candidate
 
 
 class CandidateDriver:
@@ -112,7 +96,7 @@
 
     def __init__(self, **changes: Any) -> None:
         self.candidate = LeaseCandidate(
-            ME, IncarnationId("me"), tuple(LeaseName), LEASE_S, 0.02, 10.0, 60.0
+            ME, IncarnationId("me"), tuple(LeaseName), LeaseTimings(LEASE_S, 0.02, 10.0, 60.0)
         )
         self.now = 100.0
         self.revision = 20
@@ -141,7 +125,7 @@
         self.candidate.on_directory_read()
 
     def settle(self) -> list[Any]:
-        """Answers everything with success until nothing is wanted any more."""
+        """Answers everything with success until there is no next action."""
         done = []
         while (action := self.next_action()) is not None:
             done.append(action)
@@ -159,9 +143,9 @@
                     self.candidate.on_released(Revision(self.revision))
         return done
 
-    def state(self, duty: LeaseName) -> LeaseState:
+    def state(self, lease_name: LeaseName) -> LeaseState:
         self.candidate._update_states(self.view)
-        return self.candidate.state(duty)
+        return self.candidate.state(lease_name)
 
 
 def leading(**changes: Any) -> CandidateDriver:
@@ -233,7 +217,7 @@
     node = leading()
     held = node.candidate.directory.entry(LeaseName.SCALE_OUT).token
     node.change(busy_leases=(LeaseName.SCALE_OUT,), **changes)
-    mine = [
+    own_items = [
         Item(
             wire.holder_key(d),
             wire.holder_value(HolderRecord(ME, IncarnationId("me"), WallTime(5.0))),
@@ -242,7 +226,7 @@
         for d in LeaseName
         if node.candidate.directory.entry(d).is_held
     ]
-    node.learn(*mine, *items)
+    node.learn(*own_items, *items)
     node.settle()
     assert node.candidate.ineligibility(LeaseName.SCALE_OUT) is obstacle
     assert node.state(LeaseName.SCALE_OUT) is LeaseState.DRAINING, "something is under way"
@@ -279,7 +263,7 @@
 
 
 def test_a_late_copy_of_an_acquisition_is_given_up_again() -> None:
-    """It came into force after this node had stopped wanting the duty."""
+    """It came into force after this node had stopped wanting the lease."""
     node = CandidateDriver()
     node.settle()
     node.revision = 40
@@ -348,235 +332,15 @@
 
 
 def test_candidates_take_turns_by_load_and_name() -> None:
-    board = LeaseDirectory()
+    directory = LeaseDirectory()
     nodes = (OTHER, ME, THIRD)
-    assert [candidate_rank(n, nodes, ME, board.snapshot) for n in nodes] == [0, 2, 1], (
+    assert [candidate_rank(n, nodes, ME, directory.snapshot) for n in nodes] == [0, 2, 1], (
         "the leader last"
     )
-    board.apply_read([holder_item(LeaseName.CATALOG, OTHER, 3)], Revision(3))
-    assert [candidate_rank(n, nodes, ME, board.snapshot) for n in nodes] == [1, 2, 0]
-    assert not is_overloaded(OTHER, nodes, ME, board.snapshot), "it would only change sides"
-    assert is_overloaded(OTHER, nodes, OTHER, board.snapshot)
-
-
-# -- intents
-
-
-def scale_out_intent(name: str = "r-1") -> ScaleOutIntent:
-    return ScaleOutIntent(name, WallTime(1e6), "small", "a", False, 3)
-
-
-def scale_in_intent(name: str) -> ScaleInIntent:
-    return ScaleInIntent(MachineId(name), WallTime(1e6))
-
-
-def loaded_log(duty: LeaseName = LeaseName.SCALE_OUT, most_bytes: int = 4000) -> IntentLog:
-    log = IntentLog(duty, most_bytes)
-    log.load(None)
-    return log
-
-
-def next_write(log: IntentLog, now: float = 1.0) -> Any:
-    return log.next_write(LeaseToken(5), FencingToken(9), MonotonicTime(now))
-
-
-def test_an_intent_may_be_sent_once_it_is_durable() -> None:
-    log = loaded_log()
-    log.create(scale_out_intent())
-    w = next_write(log)
-    assert w.transaction.conditions == {
-        wire.holder_key(LeaseName.SCALE_OUT): 5,
-        "lead": 9,
-        "intent/rental": 0,
-    }
-    assert not log.is_recorded("r-1") and log.stage("r-1") is IntentStage.CREATED
-    assert next_write(log) is None, "one write at a time"
-    log.on_write_result(w, WriteOutcome.COMMITTED, Revision(30), MonotonicTime(1.1))
-    assert log.is_recorded("r-1") and log.stage("r-1") is IntentStage.RECORDED
-    log.mark_sent("r-1")
-    assert log.stage("r-1") is IntentStage.SENT
-    log.mark_finished("r-1", MonotonicTime(2.0))
-    assert next_write(log, 2.0) is None and log.stage("r-1") is IntentStage.FINISHED
-    compaction = next_write(log, 2.0 + COMPACTION_DELAY_S)
-    assert compaction.transaction.operations[0].value == {"i": []}
-    assert compaction.transaction.conditions["intent/rental"] == 30
-
-
-@pytest.mark.parametrize("applied", [True, False])
-@pytest.mark.parametrize("outcome", [WriteOutcome.INDETERMINATE, WriteOutcome.CONFLICT])
-def test_a_write_without_an_outcome_is_read_again(outcome: WriteOutcome, applied: bool) -> None:
-    log = loaded_log()
-    log.create(scale_out_intent())
-    w = next_write(log)
-    log.on_write_result(w, outcome, ABSENT_REVISION, MonotonicTime(1.1))
-    assert log.needs_refresh and not log.is_recorded("r-1") and next_write(log, 9.0) is None
-    value = w.transaction.operations[0].value
-    log.refresh(Item("intent/rental", value, Revision(30)) if applied else None)
-    assert log.is_recorded("r-1") is applied
-    assert (next_write(log, 9.0) is None) is applied, "written again only if it was not"
-
-
-def test_intents_that_nobody_waits_for_are_gathered() -> None:
-    log = loaded_log(LeaseName.SCALE_IN)
-    log.create(scale_in_intent("n-1"), urgent=False)
-    log.on_write_result(
-        next_write(log, 1.0), WriteOutcome.COMMITTED, Revision(30), MonotonicTime(1.0)
-    )
-    log.create(scale_in_intent("n-2"), urgent=False)
-    assert next_write(log, 1.0 + BATCH_INTERVAL_S / 2) is None
-    log.create(scale_in_intent("n-3"))
-    assert set(next_write(log, 1.0 + BATCH_INTERVAL_S / 2).intents) == {"n-1", "n-2", "n-3"}
-
-
-@pytest.mark.parametrize("applied", [True, False])
-def test_what_is_given_up_while_it_is_written_stays_only_if_it_was(applied: bool) -> None:
-    log = loaded_log()
-    log.create(scale_out_intent())
-    w = next_write(log)
-    log.abandon("r-1")
-    log.on_write_result(w, WriteOutcome.INDETERMINATE, ABSENT_REVISION, MonotonicTime(1.1))
-    value = w.transaction.operations[0].value
-    log.refresh(Item("intent/rental", value, Revision(30)) if applied else None)
-    assert log.is_recorded("r-1") is applied
-    assert next_write(log, 9.0) is None, "nothing is left to be written"
-
-
-def test_a_refused_write_is_tried_again() -> None:
-    log = loaded_log()
-    log.create(scale_out_intent())
-    w = next_write(log)
-    log.on_write_result(w, WriteOutcome.REJECTED, ABSENT_REVISION, MonotonicTime(1.0))
-    assert not log.needs_refresh and next_write(log, 1.1) is None
-    assert next_write(log, 2.0).transaction.operations == w.transaction.operations
-
-
-def test_the_record_keeps_to_the_limit_on_a_value() -> None:
-    log = loaded_log(LeaseName.SCALE_IN, 600)
-    names = [scale_in_intent(f"n-{i:06d}") for i in range(100)]
-    room = log.capacity_for(list(names))
-    assert 0 < room < 100
-    for intent in names[:room]:
-        log.create(intent)
-    assert log.capacity_for([scale_in_intent("n-000100")]) == 0
-    assert log.capacity_for(list(names[:room])) == room, "what is in it already needs no room"
-    w = next_write(log)
-    assert len(orjson.dumps(w.transaction.operations[0].value)) <= 600
-    log.on_write_result(w, WriteOutcome.COMMITTED, Revision(30), MonotonicTime(1.1))
-    log.mark_finished("n-000000", MonotonicTime(1.2))
-    assert log.capacity_for([scale_in_intent("n-000100")]) == 1
-
-
-def test_an_intent_that_is_wanted_anew_while_it_is_dropped_is_recorded_again() -> None:
-    log = loaded_log()
-    log.create(scale_out_intent())
-    log.on_write_result(next_write(log), WriteOutcome.COMMITTED, Revision(30), MonotonicTime(1.0))
-    log.mark_finished("r-1", MonotonicTime(2.0))
-    dropping = next_write(log, 2.0 + COMPACTION_DELAY_S)
-    log.create(scale_out_intent())
-    log.on_write_result(dropping, WriteOutcome.COMMITTED, Revision(31), MonotonicTime(6.0))
-    assert not log.is_recorded("r-1")
-    log.on_write_result(
-        next_write(log, 7.0), WriteOutcome.COMMITTED, Revision(32), MonotonicTime(7.0)
-    )
-    assert log.is_recorded("r-1")
-
-
-@pytest.mark.parametrize("value", [None, [], {"i": [{}]}, {"i": 3}, {"i": [{"n": "", "t": 1}]}])
-def test_an_unreadable_record_is_replaced(value: Any) -> None:
-    log = IntentLog(LeaseName.SCALE_IN, 4000)
-    assert log.load(Item("intent/return", value, Revision(8))) == []
-    log.create(scale_in_intent("n-1"))
-    assert next_write(log).transaction.conditions["intent/return"] == 8
-
-
-@pytest.mark.parametrize("intent", [scale_out_intent(), scale_in_intent("n-000017")])
-def test_intents_are_read_as_they_were_written(intent: wire.Intent) -> None:
-    duty = LeaseName.SCALE_OUT if isinstance(intent, ScaleOutIntent) else LeaseName.SCALE_IN
-    assert wire.parse_intents(duty, wire.intents_value([intent])) == [intent]
-
-
-# -- gate
-
-WRITE_AHEAD = DispatchPolicy(DispatchMode.WRITE_AHEAD, LeaseToken(5))
-BLOCKED = DispatchPolicy(DispatchMode.BLOCKED)
-RECORDED_LEASES = (LeaseName.SCALE_OUT, LeaseName.SCALE_IN)
-
-
-def gate_with_open_machines(*open_machines: str) -> WriteAheadGate:
-    gate = WriteAheadGate(FencingToken(9), 4000)
-    for duty in RECORDED_LEASES:
-        names = open_machines if duty is LeaseName.SCALE_IN else ()
-        value = wire.intents_value([scale_in_intent(name) for name in names])
-        gate.load(duty, Item(wire.intents_key(duty), value, Revision(8)))
-    return gate
-
-
-def rent_call(name: str = "r-1") -> ScaleOut:
-    return ScaleOut(ScaleOutRequest(name, MachineOffering("small", "a", False), 2))
-
-
-def delete_call(*names: str) -> DeleteMachines:
-    return DeleteMachines(tuple(MachineId(name) for name in names))
-
-
-def test_a_call_waits_for_its_intents() -> None:
-    gate = gate_with_open_machines()
-    call = rent_call()
-    gate.admit(call, WallTime(1e6))
-    routes = dict.fromkeys(RECORDED_LEASES, WRITE_AHEAD)
-    out = gate.process(routes, True, MonotonicTime(1.0))
-    assert out.calls_to_send == [] and len(out.writes) == 1 and gate.is_busy(LeaseName.SCALE_OUT)
-    duty, w = out.writes[0]
-    gate.on_write_result(duty, w, WriteOutcome.COMMITTED, Revision(9), MonotonicTime(1.1))
-    assert gate.process(routes, True, MonotonicTime(1.2)).calls_to_send == [call]
-    assert gate.is_busy(LeaseName.SCALE_OUT), "until it is answered"
-    gate.on_answer(call, True, MonotonicTime(1.3))
-    assert not gate.is_busy(LeaseName.SCALE_OUT)
-
-
-def test_what_earlier_leaders_recorded_is_sent_at_once() -> None:
-    gate = gate_with_open_machines("n-1", "n-2")
-    call = gate.admit(delete_call("n-1", "n-2"), WallTime(1e6))
-    out = gate.process(dict.fromkeys(RECORDED_LEASES, BLOCKED), True, MonotonicTime(1.0))
-    assert out.calls_to_send == [call] and out.rejected_calls == [] and out.writes == []
-
-
-def test_what_can_not_be_recorded_is_given_back_at_once() -> None:
-    gate = gate_with_open_machines()
-    calls = [rent_call(), delete_call("n-3")]
-    for call in calls:
-        gate.admit(call, WallTime(1e6))
-    out = gate.process(dict.fromkeys(RECORDED_LEASES, BLOCKED), True, MonotonicTime(1.0))
-    assert out.rejected_calls == calls and out.writes == []
-    assert not gate.is_busy(LeaseName.SCALE_OUT) and not gate.is_busy(LeaseName.SCALE_IN)
-
-
-def test_a_deletion_is_cut_to_what_the_record_takes() -> None:
-    gate = WriteAheadGate(FencingToken(9), 200)
-    gate.load(LeaseName.SCALE_IN, None)
-    call = gate.admit(delete_call(*(f"n-{i:06d}" for i in range(100))), WallTime(1e6))
-    assert isinstance(call, DeleteMachines) and 1 <= len(call.machines) < 100
-    assert not gate.has_capacity(LeaseName.SCALE_IN)
-
-
-def test_an_unanswered_call_stays_open_and_goes_out_again_under_its_name() -> None:
-    gate = gate_with_open_machines("n-1")
-    routes = dict.fromkeys(RECORDED_LEASES, WRITE_AHEAD)
-    for _ in range(2):
-        gate.admit(delete_call("n-1"), WallTime(1e6))
-        out = gate.process(routes, True, MonotonicTime(1.0))
-        assert out.calls_to_send == [delete_call("n-1")] and out.writes == []
-        gate.on_answer(delete_call("n-1"), False, MonotonicTime(1.5))
-    assert list(gate.intent_logs[LeaseName.SCALE_IN].open_intents) == ["n-1"]
-
-
-def test_a_call_past_the_gate_closes_what_was_recorded_of_it() -> None:
-    gate = gate_with_open_machines("n-1")
-    gate.on_direct_answer(delete_call("n-1"), MonotonicTime(1.0))
-    out = gate.process(
-        dict.fromkeys(RECORDED_LEASES, WRITE_AHEAD), True, MonotonicTime(1.0 + COMPACTION_DELAY_S)
-    )
-    assert [w.transaction.operations[0].value for _, w in out.writes] == [{"i": []}]
+    directory.apply_read([holder_item(LeaseName.CATALOG, OTHER, 3)], Revision(3))
+    assert [candidate_rank(n, nodes, ME, directory.snapshot) for n in nodes] == [1, 2, 0]
+    assert not is_overloaded(OTHER, nodes, ME, directory.snapshot), "it would only change sides"
+    assert is_overloaded(OTHER, nodes, OTHER, directory.snapshot)
 
 
 # -- what operators are told
@@ -588,7 +352,7 @@
 
 
 @pytest.mark.parametrize(
-    ("duty", "items", "changes", "why"),
+    ("lease_name", "items", "changes", "why"),
     [
         (LeaseName.SCALE_OUT, (pause_item(LeaseName.SCALE_OUT, 3),), {}, "paused: audit"),
         (LeaseName.SCALE_OUT, (), {"enabled_leases": frozenset()}, "this node does not take part"),
@@ -596,31 +360,31 @@
             LeaseName.SCALE_OUT,
             (),
             {"nodes_without_support": {LeaseName.SCALE_OUT: [THIRD]}},
-            "(drover-2)",
+            "(node-2)",
         ),
-        (LeaseName.CATALOG, (hand_over_item(LeaseName.CATALOG, ME, 3),), {}, "over to drover-1"),
+        (LeaseName.CATALOG, (hand_over_item(LeaseName.CATALOG, ME, 3),), {}, "over to node-1"),
         (LeaseName.SCALE_OUT, (), {"leader": None}, "no leader is known"),
         (LeaseName.CATALOG, (), {}, "has not taken it yet"),
     ],
 )
 def test_why_nobody_holds_a_duty(
-    duty: LeaseName, items: tuple[Item, ...], changes: dict[str, Any], why: str
+    lease_name: LeaseName, items: tuple[Item, ...], changes: dict[str, Any], why: str
 ) -> None:
-    board = LeaseDirectory()
-    board.apply_read(items, Revision(9))
-    told = unheld_reason(duty, board.entry(duty), status_context(**changes))
-    assert told is not None and why in told
+    directory = LeaseDirectory()
+    directory.apply_read(items, Revision(9))
+    reason = unheld_reason(lease_name, directory.entry(lease_name), status_context(**changes))
+    assert reason is not None and why in reason
 
 
 def test_a_report_names_holder_token_and_open_intents() -> None:
-    board = LeaseDirectory()
-    board.apply_read([holder_item(LeaseName.SCALE_IN, ME, 6)], Revision(9))
+    directory = LeaseDirectory()
+    directory.apply_read([holder_item(LeaseName.SCALE_IN, ME, 6)], Revision(9))
     intents: list[wire.Intent] = [
         replace(scale_in_intent("n-1"), created_at=WallTime(40.0)),
         scale_in_intent("n-2"),
     ]
     report = lease_status(
-        LeaseName.SCALE_IN, board.entry(LeaseName.SCALE_IN), intents, status_context()
+        LeaseName.SCALE_IN, directory.entry(LeaseName.SCALE_IN), intents, status_context()
     )
     assert report["holder"] == ME and report["token"] == 6
     assert (report["intents"], report["oldest_s"]) == (2, 60.0)
@@ -636,3 +400,24 @@
 def test_malformed_pauses(body: bytes) -> None:
     with pytest.raises(MalformedMessage):
         wire.parse_pause_request(body)
+
+
+# -- command line
+
+
+@pytest.mark.parametrize(
+    ("arguments", "method", "path", "body"),
+    [
+        (["list"], "GET", "/duties", None),
+        (["show", "rental"], "GET", "/duties/rental", None),
+        (["hand-over", "rental", "--to", "n"], "POST", "/duties/rental/hand-over", b'{"to":"n"}'),
+        (["pause", "return", "--reason", "x"], "POST", "/duties/return/pause", b'{"reason":"x"}'),
+        (["resume", "return"], "POST", "/duties/return/resume", b"{}"),
+    ],
+)
+def test_commands_become_requests(
+    arguments: list[str], method: str, path: str, body: bytes | None
+) -> None:
+    arguments = ["duties", *arguments, "--server", "127.0.0.1:1"]
+    request = duties._build_request(build_parser().parse_args(arguments))
+    assert (request.method, request.path, request.body) == (method, path, body)
