--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -541,11 +541,11 @@
 def test_acceptance_that_the_service_refuses(status: int) -> None:
     """Nothing is stored and nothing remembered of it: the next try is judged anew."""
     place = Place()
-    carry_out = place.store.txn
-    place.store.txn = lambda txn, done: done(status, Revision(0), ())  # type: ignore[method-assign]
+    carry_out = place.store.commit
+    place.store.commit = lambda transaction, done: done(status, Revision(0), ())  # type: ignore[method-assign]
     asking = place.submit(submission("wk-000001"))
     assert (asking.status, asking.retry) == (503, RETRY_AFTER_S)
-    place.store.txn = carry_out  # type: ignore[method-assign]
+    place.store.commit = carry_out  # type: ignore[method-assign]
     assert place.submit(submission("wk-000001")).status == 201
 
 
