--- a/src/eldercart/server/controller_node.py
+++ b/src/eldercart/server/controller_node.py
@@ -86,7 +86,7 @@
         self.machine_types: dict[str, MachineType] = {}
         self.user_service: UserService = UserService(self)
         self.leader_service = LeaderService(self)
-        self.relay_service = RelayService(self)
+        self.relay_service: RelayService = RelayService(self)
         self.election_service = ElectionService(self)
         self.graceful_shutdown = GracefulShutdown(self)
         self.singleton_service = _singleton_service(self, features)
--- a/src/eldercart/server/peers/connections.py
+++ b/src/eldercart/server/peers/connections.py
@@ -1,4 +1,7 @@
-"""Connections between the controller nodes: frames of one message each, kept open."""
+"""Connections between controller nodes, over which frames of one message each are sent.
+
+They stay open. The side that connects is a `PeerLink`, the side that accepts a `PeerServer`.
+"""
 
 import logging
 from collections.abc import Callable, Mapping
@@ -21,10 +24,10 @@
 
 
 class PeerConnection(Int32StringReceiver):
-    """One connection, seen from either side."""
+    """One connection between two nodes, at either side."""
 
     MAX_LENGTH = peers.MAX_FRAME_BYTES
-    peer: NodeId | None = None  # by its own word
+    peer: NodeId | None = None  # as the peer names itself; None until it has
 
     def __init__(
         self,
@@ -32,48 +35,48 @@
         on_connected: Callable[["PeerConnection"], None] | None = None,
         on_disconnected: Callable[["PeerConnection"], None] | None = None,
     ) -> None:
-        """`frame` gets each message; `made` and `lost` are told of the connection's state."""
+        """`on_frame` gets each well-formed frame; the others learn of the begin and the end."""
         self._on_frame = on_frame
         self._on_connected = on_connected
         self._on_disconnected = on_disconnected
         self.is_open = False
 
     def connectionMade(self) -> None:
-        """Called by twisted when the connection stands."""
+        """Twisted: the connection is open."""
         self.transport.setTcpNoDelay(True)
         self.is_open = True
         if self._on_connected is not None:
             self._on_connected(self)
 
     def connectionLost(self, reason: Any = None) -> None:
-        """Called by twisted when the connection has ended."""
+        """Twisted: the connection has ended."""
         self.is_open = False
         if self._on_disconnected is not None:
             self._on_disconnected(self)
 
     def stringReceived(self, data: bytes) -> None:
-        """Called by twisted with each whole frame."""
+        """Twisted: one whole frame has arrived."""
         try:
             self._on_frame(self, peers.parse_frame(data))
-        except MalformedMessage as err:
-            # Treated as no message; the sender's other frames may well be fine.
-            log.error("peer frame malformed peer=%s: %s", self.peer, err)
+        except MalformedMessage as error:
+            # The frame is dropped; the sender's other frames may well be fine.
+            log.error("peer frame malformed peer=%s: %s", self.peer, error)
         except Exception:
             log.exception("peer frame failed peer=%s", self.peer)
 
     def lengthLimitExceeded(self, length: int) -> None:
-        """Called by twisted for a frame that is too long: ends the connection."""
+        """Twisted: a frame is too long. Ends the connection."""
         log.error("peer frame too long peer=%s bytes=%d", self.peer, length)
         self.transport.abortConnection()
 
     def send(self, data: bytes) -> None:
-        """Sends one frame, or drops it if the connection has ended."""
+        """Send one frame, or drop it if the connection has ended."""
         if self.is_open:
             self.sendString(data)
 
 
 class PeerLink:
-    """Keeps a connection to one peer; what is sent while there is none is lost."""
+    """Keeps a connection to one peer open; frames sent while there is none are lost."""
 
     def __init__(
         self,
@@ -83,7 +86,10 @@
         on_disconnected: Callable[["PeerLink"], None],
         clock: Callable[[], MonotonicTime],
     ) -> None:
-        """Not connected; `frame` gets each message, `down` is called when a connection is lost."""
+        """Start disconnected; `check_connection` connects.
+
+        `on_frame` gets each frame of the peer, `on_disconnected` each loss of the connection.
+        """
         self.label = label
         self._endpoint = endpoint
         self._on_frame = on_frame
@@ -93,17 +99,17 @@
         self._is_connecting = False
         self._reconnect_at = DISTANT_PAST
         self._last_received_at = DISTANT_PAST
-        self.last_heartbeat_at = DISTANT_PAST  # when the peer was greeted last
-        self.pending_heartbeats: dict[int, MonotonicTime] = {}  # greetings under way
-        self.acknowledged_at = DISTANT_PAST  # when the greeting was sent that was answered last
+        self.last_heartbeat_at = DISTANT_PAST  # when the last heartbeat was sent to the peer
+        self.pending_heartbeats: dict[int, MonotonicTime] = {}  # when each was sent, by request id
+        self.acknowledged_at = DISTANT_PAST  # when the last acknowledged heartbeat was sent
 
     @property
     def is_connected(self) -> bool:
-        """Whether the connection stands."""
+        """Whether there is a connection."""
         return self._connection is not None
 
     def check_connection(self, silence_timeout_s: float, now: MonotonicTime) -> None:
-        """Connects anew where needed; gives up a connection that went silent."""
+        """Connect if there is no connection; abort one that was silent for too long."""
         if self._connection is not None:
             if now - self._last_received_at > silence_timeout_s:
                 self._connection.transport.abortConnection()
@@ -117,13 +123,13 @@
                 self._on_connection_made,
                 self._on_connection_lost,
             )
-            d = creator.connectTCP(
+            attempt = creator.connectTCP(
                 self._endpoint.host, self._endpoint.port, timeout=CONNECT_TIMEOUT_S
             )
-            d.addErrback(self._on_connect_failed)
+            attempt.addErrback(self._on_connect_failed)
 
     def exclude_stall(self, seconds: float) -> None:
-        """What the peer said meanwhile waits to be read: it was not silent."""
+        """Don't count a stall of this process as silence: frames of the peer wait to be read."""
         self._last_received_at = MonotonicTime(self._last_received_at + seconds)
 
     def _on_connection_made(self, connection: PeerConnection) -> None:
@@ -151,7 +157,7 @@
             self._on_frame(self, frame)
 
     def send(self, data: bytes) -> bool:
-        """Sends one frame at once; False: there is no connection."""
+        """Send one frame at once. Returns False if there is no connection."""
         if self._connection is None:
             return False
         self._connection.send(data)
@@ -160,13 +166,13 @@
 
 
 def connected_link(links: Mapping[NodeId, PeerLink], label: NodeId | None) -> PeerLink | None:
-    """The connection to that node, if there is such a node and the connection stands."""
+    """Return the link to that node if there is one and it is connected."""
     link = None if label is None else links.get(label)
     return link if link is not None and link.is_connected else None
 
 
 class PeerServer(protocol.Factory):
-    """The side that is connected to."""
+    """Accepts the connections of peers."""
 
     noisy = False
 
@@ -176,14 +182,14 @@
         on_disconnected: Callable[[PeerConnection], None],
         max_connections: int,
     ) -> None:
-        """Accepts `most` connections at once; `frame` and `lost` as of `Channel`."""
+        """Accept up to `max_connections` at once. The callbacks are those of `PeerConnection`."""
         self._on_frame = on_frame
         self._on_disconnected = on_disconnected
         self._max_connections = max_connections
         self.connections: set[PeerConnection] = set()
 
     def buildProtocol(self, addr: Any) -> Any:
-        """Called by twisted for a new connection; None closes it."""
+        """Twisted: a peer connects. Returning None closes the connection."""
         if len(self.connections) >= self._max_connections:
             return None
         return PeerConnection(self._on_frame, self.connections.add, self._on_connection_lost)
@@ -194,6 +200,6 @@
 
 
 def listen(endpoint: Endpoint, peer_server: PeerServer) -> None:
-    """Accepts connections of peers at the endpoint."""
+    """Accept connections of peers at the endpoint."""
     port = reactor.listenTCP(endpoint.port, peer_server, backlog=32, interface=endpoint.host)
     port.transport = ImmediateWriteServer
--- a/src/eldercart/wire/peers.py
+++ b/src/eldercart/wire/peers.py
@@ -1,12 +1,15 @@
-"""What controller nodes say to each other: frames of one JSON object each.
+"""The messages between controller nodes: frames of one JSON object each.
 
-A node keeps a connection to every other one. It greets, and when the other leads it passes on
-what its workers and users ask; the other answers on the same connection. A frame belongs to its
-connection, so to one start of each of the two processes: what an earlier start was sent can't
-reach a later one.
+A node keeps a connection to every other one. It sends heartbeats, and when the other node leads it
+forwards the heartbeats of its workers and the requests of its users; the other node answers on the
+same connection. A frame belongs to its connection, and so to one start of each of the two
+processes: what an earlier start was sent can't reach a later one.
+
+This module is the only one that knows the words of the frames. `parse_request` and `parse_reply`
+turn a frame into one of the types below.
 """
 
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
@@ -31,127 +34,209 @@
 
 MAX_FRAME_BYTES = 4 * 1024 * 1024
 
-# All workers may report in the same moment, each up to 64 KiB, and be answered as much: a frame
-# that is too long would end the connection, and again with each try.
+# All workers may send heartbeats in the same moment, each up to 64 KiB, and be answered as much: a
+# frame that is too long would end the connection, and again with each retry.
 MAX_BATCH_BYTES, MAX_BATCH_ITEMS = 1024 * 1024, 40
 MAX_POLL_ITEMS = 1000  # a submission may ask about thousands; their answers must fit as well
 
-# Kinds of frames: asked by the one that connected …
-PEER_HEARTBEAT, FORWARDED_HEARTBEATS, POLLS, CANCEL = "greet", "reports", "polls", "cancel"
-UNDELIVERED = "dropped"  # machines whose answers came too late to be passed on
-# … and told by the one that was connected to.
-PEER_HEARTBEAT_ACK, HEARTBEAT_REPLIES, JOB_STATES, CANCEL_REPLIES, NEXT_HEARTBEAT_REQUESTS = (
-    "greeted",
-    "answers",
-    "states",
-    "cancelled",
-    "want",
-)
-
-RECHUNKING = "recut"  # reads parts of placements that were cut anew
+# Kinds of frames that the connecting side sends …
+PEER_HEARTBEAT = "greet"
+FORWARDED_HEARTBEATS = "reports"
+POLLS = "polls"
+CANCEL = "cancel"
+UNDELIVERED = "dropped"
+# … and of those that the accepting side sends.
+PEER_HEARTBEAT_ACK = "greeted"
+HEARTBEAT_REPLIES = "answers"
+JOB_STATES = "states"
+CANCEL_REPLIES = "cancelled"
+NEXT_HEARTBEAT_REQUESTS = "want"
+
+RECHUNKING = "recut"  # reads parts of placement chunks that were split anew
 SUPPORTED_FEATURES = (RECHUNKING,)  # what this version reads that an earlier one does not
 
-# Verdicts on jobs whose state is not told.
+# In place of a job's state when it can't be told: no such job is known, its outcome is being
+# written, or the node does not lead.
 UNKNOWN, UNDECIDED, NOT_LEADER = "unknown", "undecided", "not_leader"
 
 
 @dataclass(frozen=True, slots=True)
 class PeerHeartbeat:
-    """Sent by each node to each other one all the time."""
+    """The heartbeat that each node sends to every other one at a fixed interval."""
 
     sender: NodeId
-    request_id: int  # comes back in the answer, which counts from when this was sent
-    token: FencingToken
-    store_ok: bool
-    machine_count: int  # workers that report to the sender
-    missing_rate_tokens: int  # tokens for submissions that it lacks
-    acknowledged: AcknowledgedHeartbeats  # answered by the sender itself
-    # Earlier versions know neither: a frame without them means this.
+    request_id: int  # repeated in the acknowledgement, which counts from when this was sent
+    token: FencingToken  # the highest that the sender knows
+    store_ok: bool  # whether the state service answers the sender
+    machine_count: int  # machines whose workers report to the sender
+    missing_rate_tokens: int  # that the sender lacks for admitting jobs
+    acknowledged: AcknowledgedHeartbeats  # of workers, by the sender itself
+    # Earlier versions send neither of these: a frame without them has the defaults.
     supported_features: tuple[str, ...] = ()
-    backoff_remaining_ms: int = (
-        0  # for which the sender keeps to the store's lower rates, by refusals it met
-    )
+    # For how long the sender keeps to the store's reduced rates, by rejections it met itself.
+    backoff_remaining_ms: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class PeerHeartbeatAck:
-    """The answer to a greeting."""
+    """The acknowledgement of a peer's heartbeat."""
 
     request_id: int
     token: FencingToken
-    grants_lease: bool  # a grant to answer workers under `epoch`
+    grants_lease: bool  # whether the receiver may answer workers under `token`
     store_ok: bool
-    max_machines: int  # workers the asker should have at most
-    redirect_target: NodeId | None  # where to send those beyond it
-    lent_rate_tokens: int  # of the leader's tokens for the state service, for submissions
-    supported_features: tuple[str, ...] = ()  # these two as in a greeting
+    max_machines: int  # share of machines that should report to the receiver
+    redirect_target: NodeId | None  # where to send those beyond the share
+    lent_rate_tokens: int  # of the leader's state service tokens, for admitting jobs
+    # As in a heartbeat.
+    supported_features: tuple[str, ...] = ()
     backoff_remaining_ms: int = 0
-    # Whether it has read the leader key since its start. One that was elected, confirmed a
+    # Whether the sender has read the leader key since its start. One that was elected, confirmed a
     # cancellation and is back within a second knows nothing of it and vouches for nothing.
     is_ready: bool = True
 
 
+class EncodedHeartbeat(NamedTuple):
+    """A worker's heartbeat as it came, to be forwarded to the leader."""
+
+    request_id: int
+    body: bytes
+
+
 class ForwardedHeartbeat(NamedTuple):
-    """A worker's report on its way to the leader."""
+    """A worker's heartbeat as the leader gets it from a relay."""
 
-    request_id: int  # comes back with the answer
+    request_id: int  # repeated in the reply
     body: dict[str, Any]
 
 
 class ForwardedHeartbeats(NamedTuple):
-    """The reports of one frame."""
+    """The heartbeats of one frame."""
 
-    token: FencingToken  # of the grant that the sender holds
+    token: FencingToken  # of the lease that the sender holds
     heartbeats: list[ForwardedHeartbeat]
 
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatReply:
-    """The leader's answer to one forwarded report; `calls` None: the report is overtaken."""
+    """The leader's reply to one forwarded heartbeat."""
 
     request_id: int
-    commands: list[dict[str, Any]] | None
-    wants_next: bool  # the machine's next report is wanted, too
+    commands: list[dict[str, Any]] | None  # for the worker; None: the heartbeat is stale
+    wants_next: bool  # whether the machine's next heartbeat must be forwarded, too
+
+
+class JobRequest(NamedTuple):
+    """A poll or cancellation of one job."""
+
+    request_id: int  # repeated in the reply
+    job: str
 
 
 @dataclass(frozen=True, slots=True)
 class JobReply:
-    """The leader's answer about one job.
-
-    `verdict` is the job's state, or UNKNOWN, UNDECIDED or NOT_LEADER."""
+    """The leader's reply about one job."""
 
     request_id: int
-    state: str
-    done_count: int
-    running_count: int
-    unmet_dependencies: tuple[
-        str, ...
-    ] = ()  # some of the jobs that it awaits and that are not done
+    state: str  # the job's, or UNKNOWN, UNDECIDED or NOT_LEADER
+    done_count: int  # tasks
+    running_count: int  # tasks
+    unmet_dependencies: tuple[str, ...] = ()  # some of them
 
 
-def frame_kind(frame: dict[str, Any]) -> str:
-    """The kind of a frame, one of the constants above."""
-    return require_text(frame, "k")
+@dataclass(frozen=True, slots=True)
+class Polls:
+    """Requests for the states of jobs."""
+
+    requests: list[JobRequest]
+
+
+@dataclass(frozen=True, slots=True)
+class Cancellations:
+    """Requests to cancel jobs."""
+
+    requests: list[JobRequest]
+
+
+@dataclass(frozen=True, slots=True)
+class UndeliveredResponses:
+    """The machines whose responses came too late to be passed on."""
+
+    machines: list[MachineId]
+
+
+@dataclass(frozen=True, slots=True)
+class HeartbeatReplies:
+    """The replies to forwarded heartbeats."""
+
+    replies: list[HeartbeatReply]
+
+
+@dataclass(frozen=True, slots=True)
+class NextHeartbeatRequests:
+    """The machines whose next heartbeats the leader wants to be forwarded."""
+
+    machines: list[MachineId]
+
+
+@dataclass(frozen=True, slots=True)
+class JobReplies:
+    """The replies to polls or to a cancellation."""
+
+    replies: list[JobReply]
+
+
+Request = PeerHeartbeat | ForwardedHeartbeats | Polls | Cancellations | UndeliveredResponses
+Reply = PeerHeartbeatAck | HeartbeatReplies | NextHeartbeatRequests | JobReplies
 
 
 def parse_frame(data: bytes) -> dict[str, Any]:
-    """A frame as it came over the connection."""
+    """Return the JSON object of a frame. Raises `MalformedMessage` if it is none."""
     return load_response(data)
 
 
+def frame_kind(frame: dict[str, Any]) -> str:
+    """Return the kind of a frame, one of the constants above if it is well-formed."""
+    return require_text(frame, "k")
+
+
+def parse_request(frame: dict[str, Any]) -> Request:
+    """Return what the connecting side sent. Raises `MalformedMessage`, also for a reply."""
+    parse = _REQUEST_PARSERS.get(frame_kind(frame))
+    if parse is None:
+        raise MalformedMessage("k")
+    return parse(frame)
+
+
+def parse_reply(frame: dict[str, Any]) -> Reply:
+    """Return what the accepting side sent. Raises `MalformedMessage`, also for a request."""
+    parse = _REPLY_PARSERS.get(frame_kind(frame))
+    if parse is None:
+        raise MalformedMessage("k")
+    return parse(frame)
+
+
+# -- heartbeats between the nodes
+
+
 def _parse_supported_features(frame: dict[str, Any]) -> tuple[str, ...]:
-    takes = frame.get("takes")
-    return tuple(t for t in takes if isinstance(t, str)) if isinstance(takes, list) else ()
+    features = frame.get("takes")
+    if not isinstance(features, list):
+        return ()
+    return tuple(feature for feature in features if isinstance(feature, str))
 
 
 def _parse_backoff_ms(frame: dict[str, Any]) -> int:
-    low = frame.get("low")
-    return low if type(low) is int and low > 0 else 0
+    backoff_ms = frame.get("low")
+    return backoff_ms if type(backoff_ms) is int and backoff_ms > 0 else 0
 
 
 def encode_peer_heartbeat(heartbeat: PeerHeartbeat) -> bytes:
-    """The frame of a greeting."""
-    heard = [[m, o.agent_epoch, o.number] for m, o in heartbeat.acknowledged]
+    """Return the frame of a heartbeat."""
+    acknowledged = [
+        [machine, sequence.agent_epoch, sequence.number]
+        for machine, sequence in heartbeat.acknowledged
+    ]
     return orjson.dumps(
         {
             "k": PEER_HEARTBEAT,
@@ -161,7 +246,7 @@
             "store": heartbeat.store_ok,
             "machines": heartbeat.machine_count,
             "short": heartbeat.missing_rate_tokens,
-            "heard": heard,
+            "heard": acknowledged,
             "takes": heartbeat.supported_features,
             "low": heartbeat.backoff_remaining_ms,
         }
@@ -169,13 +254,15 @@
 
 
 def parse_peer_heartbeat(frame: dict[str, Any]) -> PeerHeartbeat:
-    """A greeting, also of an earlier version."""
-    heard = frame.get("heard")
-    if not isinstance(heard, list):
+    """Return the heartbeat in a frame, also of an earlier version."""
+    items = frame.get("heard")
+    if not isinstance(items, list):
         raise MalformedMessage("heard")
     try:
-        orders = tuple(
-            (MachineId(m), HeartbeatSequence(AgentEpoch(s + 0), q + 0)) for m, s, q in heard
+        # The additions fail for what is no number.
+        acknowledged = tuple(
+            (MachineId(machine), HeartbeatSequence(AgentEpoch(agent_epoch + 0), number + 0))
+            for machine, agent_epoch, number in items
         )
     except (TypeError, ValueError):
         raise MalformedMessage("heard") from None
@@ -186,14 +273,14 @@
         frame.get("store") is True,
         require_integer(frame, "machines"),
         require_integer(frame, "short"),
-        orders,
+        acknowledged,
         _parse_supported_features(frame),
         _parse_backoff_ms(frame),
     )
 
 
 def encode_peer_heartbeat_ack(acknowledgement: PeerHeartbeatAck) -> bytes:
-    """The frame of an answer to a greeting."""
+    """Return the frame of an acknowledgement."""
     return orjson.dumps(
         {
             "k": PEER_HEARTBEAT_ACK,
@@ -212,52 +299,59 @@
 
 
 def parse_peer_heartbeat_ack(frame: dict[str, Any]) -> PeerHeartbeatAck:
-    """An answer to a greeting, also of an earlier version."""
-    spare = frame.get("spare")
+    """Return the acknowledgement in a frame, also of an earlier version."""
+    redirect_target = frame.get("spare")
     return PeerHeartbeatAck(
         require_integer(frame, "n"),
         FencingToken(require_integer(frame, "epoch")),
         frame.get("leads") is True,
         frame.get("store") is True,
         require_integer(frame, "most"),
-        NodeId(spare) if isinstance(spare, str) else None,
+        NodeId(redirect_target) if isinstance(redirect_target, str) else None,
         require_integer(frame, "lent"),
         _parse_supported_features(frame),
         _parse_backoff_ms(frame),
-        frame.get("ready") is not False,  # 0.3 does not say
+        frame.get("ready") is not False,  # version 0.3 does not send it
     )
 
 
-def split_batches(items: list[tuple[int, bytes]]) -> Iterator[list[tuple[int, bytes]]]:
-    """Cut so that each fits into a frame."""
-    batch: list[tuple[int, bytes]] = []
+# -- heartbeats of workers
+
+
+def split_batches(heartbeats: list[EncodedHeartbeat]) -> Iterator[list[EncodedHeartbeat]]:
+    """Yield the heartbeats in batches that each fit into a frame."""
+    batch: list[EncodedHeartbeat] = []
     size = 0
-    for item in items:
-        if batch and size + len(item[1]) > MAX_BATCH_BYTES:
+    for heartbeat in heartbeats:
+        _, body = heartbeat
+        if batch and size + len(body) > MAX_BATCH_BYTES:
             yield batch
             batch, size = [], 0
-        batch.append(item)
-        size += len(item[1])
+        batch.append(heartbeat)
+        size += len(body)
     if batch:
         yield batch
 
 
-def encode_forwarded_heartbeats(token: FencingToken, items: list[tuple[int, bytes]]) -> bytes:
-    """The reports go on as they came, without being written anew."""
-    inner = b",".join(b"[%d,%b]" % (number, body) for number, body in items)
-    return b'{"k":"%b","epoch":%d,"i":[%b]}' % (FORWARDED_HEARTBEATS.encode(), token, inner)
+def encode_forwarded_heartbeats(token: FencingToken, heartbeats: list[EncodedHeartbeat]) -> bytes:
+    """Return the frame of heartbeats, which go on as they came, without being encoded anew."""
+    items = b",".join(b"[%d,%b]" % (request_id, body) for request_id, body in heartbeats)
+    return b'{"k":"%b","epoch":%d,"i":[%b]}' % (FORWARDED_HEARTBEATS.encode(), token, items)
 
 
 def parse_forwarded_heartbeats(frame: dict[str, Any]) -> ForwardedHeartbeats:
-    """The reports of a frame; items that can't be reports are dropped."""
-    epoch = FencingToken(require_integer(frame, "epoch"))
-    pairs = _parse_items(frame)
-    return ForwardedHeartbeats(
-        epoch, [ForwardedHeartbeat(n, body) for n, body in pairs if isinstance(body, dict)]
-    )
+    """Return the heartbeats of a frame; items that can't be heartbeats are dropped."""
+    token = FencingToken(require_integer(frame, "epoch"))
+    heartbeats = [
+        ForwardedHeartbeat(request_id, body)
+        for request_id, body in _parse_items(frame)
+        if isinstance(body, dict)
+    ]
+    return ForwardedHeartbeats(token, heartbeats)
 
 
 def _parse_items(frame: dict[str, Any]) -> list[tuple[int, Any]]:
+    """Return the items of a frame by their request ids."""
     items = frame.get("i")
     if not isinstance(items, list):
         raise MalformedMessage("i")
@@ -268,63 +362,70 @@
 
 
 def encode_heartbeat_replies(replies: list[HeartbeatReply]) -> bytes:
-    """The frame of answers to forwarded reports."""
-    return orjson.dumps(
-        {"k": HEARTBEAT_REPLIES, "i": [[a.request_id, a.commands, a.wants_next] for a in replies]}
-    )
+    """Return the frame of replies to forwarded heartbeats."""
+    items = [[reply.request_id, reply.commands, reply.wants_next] for reply in replies]
+    return orjson.dumps({"k": HEARTBEAT_REPLIES, "i": items})
 
 
 def parse_heartbeat_replies(frame: dict[str, Any]) -> list[HeartbeatReply]:
-    """The answers to forwarded reports."""
+    """Return the replies to forwarded heartbeats."""
     items = frame.get("i")
     if not isinstance(items, list):
         raise MalformedMessage("i")
-    out = []
+    replies = []
     for item in items:
         if not isinstance(item, list) or len(item) != 3 or type(item[0]) is not int:
             raise MalformedMessage("i")
-        number, calls, again = item
-        if calls is not None and not isinstance(calls, list):
+        request_id, commands, wants_next = item
+        if commands is not None and not isinstance(commands, list):
             raise MalformedMessage("i")
-        out.append(HeartbeatReply(number, calls, again is True))
-    return out
+        replies.append(HeartbeatReply(request_id, commands, wants_next is True))
+    return replies
 
 
 def encode_machines(kind: str, machine_ids: list[MachineId]) -> bytes:
-    """A frame of the kind that only names machines."""
+    """Return the frame of a kind that only names machines."""
     return orjson.dumps({"k": kind, "m": machine_ids})
 
 
 def parse_machines(frame: dict[str, Any]) -> list[MachineId]:
-    """The machines that such a frame names."""
+    """Return the machines that such a frame names."""
     names = frame.get("m")
     if not isinstance(names, list):
         raise MalformedMessage("m")
-    return [MachineId(m) for m in names if isinstance(m, str)]
+    return [MachineId(name) for name in names if isinstance(name, str)]
+
+
+# -- requests of users
 
 
-def encode_polls(items: list[tuple[int, str]]) -> bytes:
-    """The frame that asks for the states of jobs, by number of the question."""
+def encode_polls(requests: list[JobRequest]) -> bytes:
+    """Return the frame that asks for the states of jobs."""
+    items = [[request_id, job] for request_id, job in requests]
     return orjson.dumps({"k": POLLS, "i": items})
 
 
 def encode_cancel(request_id: int, job: str) -> bytes:
-    """The frame that asks for a job's cancellation."""
+    """Return the frame that asks for a job's cancellation."""
     return orjson.dumps({"k": CANCEL, "i": [[request_id, job]]})
 
 
-def parse_job_requests(frame: dict[str, Any]) -> list[tuple[int, str]]:
-    """The jobs that polls or a cancellation ask about, by number."""
-    return [(number, job) for number, job in _parse_items(frame) if isinstance(job, str)]
+def parse_job_requests(frame: dict[str, Any]) -> list[JobRequest]:
+    """Return the polls or cancellations in a frame."""
+    return [
+        JobRequest(request_id, job)
+        for request_id, job in _parse_items(frame)
+        if isinstance(job, str)
+    ]
 
 
 def encode_job_replies(kind: str, replies: list[JobReply]) -> bytes:
-    """The frame of answers to polls, or to a cancellation."""
-    return orjson.dumps({"k": kind, "i": [_job_reply_object(t) for t in replies]})
+    """Return the frame of replies to polls, or to a cancellation."""
+    return orjson.dumps({"k": kind, "i": [_job_reply_object(reply) for reply in replies]})
 
 
 def _job_reply_object(reply: JobReply) -> dict[str, Any]:
-    """An earlier version skips what a job waits for, and never tells it."""
+    """Return a reply as it is sent. Earlier versions ignore the unmet dependencies."""
     value: dict[str, Any] = {
         "n": reply.request_id,
         "v": reply.state,
@@ -337,14 +438,30 @@
 
 
 def parse_job_replies(frame: dict[str, Any]) -> list[JobReply]:
-    """The answers to polls, or to a cancellation."""
+    """Return the replies to polls, or to a cancellation."""
     return [
         JobReply(
-            require_integer(i, "n"),
-            require_text(i, "v"),
-            require_integer(i, "d"),
-            require_integer(i, "r"),
-            require_texts(i, "w") if i.get("w") is not None else (),
+            require_integer(item, "n"),
+            require_text(item, "v"),
+            require_integer(item, "d"),
+            require_integer(item, "r"),
+            require_texts(item, "w") if item.get("w") is not None else (),
         )
-        for i in require_objects(frame, "i")
+        for item in require_objects(frame, "i")
     ]
+
+
+_REQUEST_PARSERS: dict[str, Callable[[dict[str, Any]], Request]] = {
+    PEER_HEARTBEAT: parse_peer_heartbeat,
+    FORWARDED_HEARTBEATS: parse_forwarded_heartbeats,
+    POLLS: lambda frame: Polls(parse_job_requests(frame)),
+    CANCEL: lambda frame: Cancellations(parse_job_requests(frame)),
+    UNDELIVERED: lambda frame: UndeliveredResponses(parse_machines(frame)),
+}
+_REPLY_PARSERS: dict[str, Callable[[dict[str, Any]], Reply]] = {
+    PEER_HEARTBEAT_ACK: parse_peer_heartbeat_ack,
+    HEARTBEAT_REPLIES: lambda frame: HeartbeatReplies(parse_heartbeat_replies(frame)),
+    NEXT_HEARTBEAT_REQUESTS: lambda frame: NextHeartbeatRequests(parse_machines(frame)),
+    JOB_STATES: lambda frame: JobReplies(parse_job_replies(frame)),
+    CANCEL_REPLIES: lambda frame: JobReplies(parse_job_replies(frame)),
+}
