--- a/benchmarks/relay_reports.py
+++ b/benchmarks/relay_reports.py
@@ -1,4 +1,4 @@
-"""What a worker's report costs at the node that answers it.
+"""The cost of a worker's heartbeat at the node that answers it.
 
 The real HTTP channel is driven through a transport in memory, so nothing is sent and no clock is
 waited for: the number of Python calls repeats exactly on the same versions of the libraries, and
@@ -27,47 +27,48 @@
 )
 from test_limits import node_with_clock
 
-TASKS_PER_MACHINE = 4  # that each worker holds
-WARM_UP_HEARTBEATS = 50  # reports before anything is counted
+TASKS_PER_MACHINE = 4
+WARM_UP_HEARTBEATS = 50  # before anything is counted
+MICROSECONDS_PER_S = 1e6
 
 
 @dataclass(frozen=True, slots=True)
 class RequestCost:
-    """What one request costs on average."""
+    """The average cost of one request."""
 
     python_calls: float
     microseconds: float
 
 
 class WorkerConnection:
-    """A kept connection of a worker to the node."""
+    """A connection of a worker to the node that stays open between requests."""
 
     def __init__(self, node: ControllerNode) -> None:
-        """Connects; the node's factory counts the connection as any other."""
+        """Connect; the node counts the connection as any other."""
         self.transport = InMemoryTransport()
         self.http_channel: Any = node._http_factory.buildProtocol(None)
         self.http_channel.makeConnection(self.transport)
 
     def send(self, request: bytes) -> bytes:
-        """What the node writes in answer to the request, at once."""
+        """Send a request and return what the node writes at once."""
         self.transport.clear()
         self.http_channel.dataReceived(request)
         return bytes(self.transport.value())
 
     def close(self) -> None:
-        """The worker leaves; its timers end with the connection."""
+        """Close the connection and stop its timers."""
         self.http_channel.connectionLost(None)
 
 
 class InMemoryTransport(StringTransport):
-    """Takes what a TCP transport takes."""
+    """A transport with the interface of a TCP transport, without a socket."""
 
     def setTcpNoDelay(self, enabled: bool) -> None:
-        """Without effect in memory."""
+        """Do nothing: there is no socket."""
 
 
 def relay_node() -> ControllerNode:
-    """A node that answers for another one's leadership."""
+    """Return a node that answers workers under a relay lease of another node."""
     node, clock = node_with_clock(None)
     now = MonotonicTime(clock())
     node.relay_service.relay.renew_lease(FencingToken(7), NodeId("drover-1"), now, now)
@@ -75,10 +76,10 @@
 
 
 def heartbeat_request(machine: str, sequence: int) -> bytes:
-    """A report as workers send it: nothing has changed but its sequence number."""
+    """Return an HTTP request with a heartbeat in which only the sequence number changes."""
     tasks = [
-        {"parcel": f"wk-{n:06d}/{n}", "try": 1, "standing": "running"}
-        for n in range(TASKS_PER_MACHINE)
+        {"parcel": f"wk-{index:06d}/{index}", "try": 1, "standing": "running"}
+        for index in range(TASKS_PER_MACHINE)
     ]
     body = orjson.dumps(
         {
@@ -102,36 +103,47 @@
 
 
 def measure_unchanged_heartbeat(node: ControllerNode, heartbeats: int) -> RequestCost:
-    """Of reports that tell nothing new, one after the other on a kept connection."""
+    """Measure heartbeats without changes, sent one after the other on one connection."""
     relay = node.relay_service.relay
     connection = WorkerConnection(node)
     first = heartbeat_request("n-1", 1)
-    connection.send(first)  # is handed on, and nobody answers
+    connection.send(first)  # is forwarded, and the leader does not reply
     machine = MachineId("n-1")
     tasks = orjson.loads(first.partition(b"\r\n\r\n")[2])["parcels"]
     relay.on_leader_response(machine, HeartbeatSequence(AgentEpoch(1), 1), False, tasks, False)
     node.relay_service.heartbeat_forwarding.expire_pending(MonotonicTime(node.clock() + 60))
-    sent = [heartbeat_request("n-1", n) for n in range(2, 2 + WARM_UP_HEARTBEATS + heartbeats)]
-    for one in sent[:WARM_UP_HEARTBEATS]:
-        assert b'"whip":7' in connection.send(one), "answered here"
+    count = WARM_UP_HEARTBEATS + heartbeats
+    requests = [heartbeat_request("n-1", sequence) for sequence in range(2, 2 + count)]
+    for request in requests[:WARM_UP_HEARTBEATS]:
+        assert b'"whip":7' in connection.send(request), "answered here"
+    profiled_until = WARM_UP_HEARTBEATS + heartbeats // 2
+    python_calls = _count_calls(connection, requests[WARM_UP_HEARTBEATS:profiled_until])
+    spent_s = _time_requests(connection, requests[profiled_until:])
+    connection.close()
+    return RequestCost(python_calls, spent_s * MICROSECONDS_PER_S)
+
+
+def _count_calls(connection: WorkerConnection, requests: list[bytes]) -> float:
+    """Return the Python calls for each request on average."""
     profile = cProfile.Profile()
-    half = sent[WARM_UP_HEARTBEATS : WARM_UP_HEARTBEATS + heartbeats // 2]
     profile.enable()
-    for one in half:
-        connection.send(one)
+    for request in requests:
+        connection.send(request)
     profile.disable()
-    calls = pstats.Stats(profile).total_calls / len(half)  # type: ignore[attr-defined]
-    rest = sent[WARM_UP_HEARTBEATS + heartbeats // 2 :]
-    began = time.process_time()
-    for one in rest:
-        connection.send(one)
-    spent = time.process_time() - began
-    connection.close()
-    return RequestCost(calls, spent / len(rest) * 1e6)
+    total_calls: int = pstats.Stats(profile).total_calls  # type: ignore[attr-defined]
+    return total_calls / len(requests)
+
+
+def _time_requests(connection: WorkerConnection, requests: list[bytes]) -> float:
+    """Return the processor seconds for each request on average."""
+    started_s = time.process_time()
+    for request in requests:
+        connection.send(request)
+    return (time.process_time() - started_s) / len(requests)
 
 
 def main() -> None:
-    """Prints the costs."""
+    """Print the costs."""
     cost = measure_unchanged_heartbeat(relay_node(), 8000)
     print(f"unchanged report: {cost.python_calls:.1f} calls, {cost.microseconds:.0f} us")
 
--- a/src/eldercart/cluster/heartbeat_relay.py
+++ b/src/eldercart/cluster/heartbeat_relay.py
@@ -1,10 +1,10 @@
-"""What a node does with the reports of its workers, as a state machine.
+"""What a node does with the heartbeats of workers, as a state machine.
 
-Most reports tell nothing new. A relay answers those itself, under a grant of the leader, and hands
-the others to it; the leader's commands come back for that one report and go out as its response.
-A relay never keeps commands for a later report, so what holds with one node holds with several:
-one report is in flight, launches go only into its response, and the next newer report that the
-leader takes tells what became of them.
+Most heartbeats report no change. A relay acknowledges those itself, under a lease that the leader
+grants it, and forwards the others; the leader's commands come back for that one heartbeat and go
+out as its response. A relay never keeps commands for a later heartbeat, so what holds with one node
+holds with several: one heartbeat is in flight, launches go only into its response, and the next
+newer heartbeat that the leader handles shows what became of them.
 """
 
 from collections.abc import Collection
@@ -22,29 +22,33 @@
     NodeId,
 )
 
-STEP_DOWN_SLACK_S = 1.0  # for answers under way when a leader stops granting
-SUPERSEDED_LEASE_S = 2.0  # for which a grant outlives the word of a higher epoch
-SWEEP_INTERVAL_S = 5.0  # between two looks for machines to forget
-MACHINE_EXPIRY_S = 90.0  # after which a machine that reports elsewhere, or nowhere, is forgotten
-LEADER_CONTACT_DIVISOR = 3  # of a grant: after one without the leader, workers are sent to it
-REDIRECT_COOLDOWN_S = 8.0  # a worker that was sent on and is back within this is kept
-MACHINE_SHARE_HEADROOM = 1.25  # times the fair share of workers before new ones are sent on
-MACHINE_SHARE_SLACK = 4  # workers beyond that
+STEP_DOWN_SLACK_S = 1.0  # for responses in flight when a leader stops granting leases
+SUPERSEDED_LEASE_S = 2.0  # that remain of a relay lease once a peer knows a higher token
+SWEEP_INTERVAL_S = 5.0  # between two removals of expired machines
+MACHINE_EXPIRY_S = 90.0  # without a heartbeat here, after which a machine is forgotten
+# The part of a relay lease after which, without contact to the leader, workers that have changes
+# to report are redirected to it.
+LEADER_CONTACT_DIVISOR = 3
+REDIRECT_COOLDOWN_S = 8.0  # a worker that was redirected and is back within this is kept
+MACHINE_SHARE_HEADROOM = 1.25  # times the fair share of machines before new ones are redirected
+MACHINE_SHARE_SLACK = 4  # machines beyond that
 
 
 def lease_extension_s(
     cancel_s: float, lease_s: float, relay_lease_s: float, drift_margin: float
 ) -> float:
-    """For how long after the end of its lease a leader may go on granting although somebody else
-    may have been elected, whom it can't hear.
+    """Return for how long after the end of its leader lease a leader may go on granting relay
+    leases although another leader, which it can't hear, may have been elected.
 
     That other leader may have confirmed a cancellation to a user as soon as this one's lease had
-    ended. Its tasks must have ended `cancel_s` later even if they are on a machine whose worker is
-    answered under this one's epoch all the time, and the store can't tell anybody. From the last
-    contact this node answers for a grant, a relay that asked at the end of that for another one,
-    and the worker kills its tasks a lease after the report that was answered last."""
-    left = cancel_s * (1.0 - drift_margin) - lease_s * (1.0 + drift_margin)
-    return left - 2.0 * relay_lease_s - STEP_DOWN_SLACK_S
+    ended. The job's tasks must have ended `cancel_s` later, even if they are on a machine whose
+    worker is answered under this leader's token all the time and the store is out. In the worst
+    case this node answers for one relay lease after its last contact, a relay that asked at the
+    end of that for another one, and the worker kills its tasks a worker lease (`lease_s`) after the
+    heartbeat that was answered last. The result may be negative. All times are in seconds.
+    """
+    remaining_s = cancel_s * (1.0 - drift_margin) - lease_s * (1.0 + drift_margin)
+    return remaining_s - 2.0 * relay_lease_s - STEP_DOWN_SLACK_S
 
 
 def leader_lease_start(
@@ -54,13 +58,16 @@
     extension_s: float,
     now: MonotonicTime,
 ) -> MonotonicTime:
-    """From when a leader's own grant counts, which those of its relays hang on: the latest time at
-    which it was sure that no other node led, or at which that does no harm yet. `heard`: for each
-    other node, when the greeting was sent that it answered last, knowing of no higher epoch.
+    """Return when the leader's own relay lease begins, on which those of its relays depend.
+
+    It is the latest time at which the leader was sure that no other node led, or at which another
+    leader did no harm yet. `acknowledged_at` holds for each other node when the last heartbeat was
+    sent that the node acknowledged, knowing of no higher token.
 
     In an outage of the store alone every node is heard, and a node that was elected before would
-    say so: leases live for as long as it lasts. A node that is not heard may be the new leader:
-    then to hear the rest extends the grant by `spare` at the most."""
+    say so: leases are renewed for as long as the outage lasts. A node that is not heard may be the
+    new leader: then the acknowledgements of the others extend the lease by `extension_s` at most.
+    """
     if not acknowledged_at:
         return now
     bounded = MonotonicTime(min(max(acknowledged_at), lease_until + max(0.0, extension_s)))
@@ -69,26 +76,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledge:
-    """Answered here: the epoch, and no commands."""
+    """Answer the heartbeat here, with the token and without commands."""
 
     token: FencingToken
 
 
 @dataclass(frozen=True, slots=True)
 class Forward:
-    """For the leader; `reply` says later what the worker gets."""
+    """Forward the heartbeat to the leader, whose reply is the worker's response."""
 
 
 @dataclass(frozen=True, slots=True)
 class Redirect:
-    """The worker should report to that node instead; None: to any other."""
+    """Tell the worker to send its heartbeats to `target` instead; None: to any other node."""
 
     target: NodeId | None
 
 
 @dataclass(frozen=True, slots=True)
 class Stale:
-    """Older than what was seen: a late copy. It proves nothing and renews nothing."""
+    """Reject the heartbeat: it is a late copy, which proves nothing and renews nothing."""
 
 
 Decision = Acknowledge | Forward | Redirect | Stale
@@ -100,27 +107,28 @@
 
     sequence: HeartbeatSequence
     last_heartbeat_at: MonotonicTime
-    acknowledged_tasks: Any = (
-        None  # the tasks as the leader took them last; None: the next report goes to it
-    )
+    # The tasks as the leader knows them; None: the next heartbeat must be forwarded.
+    acknowledged_tasks: Any = None
     has_preemption_notice: bool = False
-    acknowledged_token: FencingToken = NO_FENCING_TOKEN  # the epoch last answered with, here
+    # With which this node answered last a worker that did not know it yet.
+    acknowledged_token: FencingToken = NO_FENCING_TOKEN
 
 
 class HeartbeatRelay:
-    """Owns the grant and what is known per machine."""
+    """Decides on heartbeats by this node's relay lease and by what is known of each machine.
+
+    The relay lease is the leader's permission to answer workers for it until some time.
+    """
 
     def __init__(self, label: NodeId, lease_s: float, drift_margin: float) -> None:
-        """Without a grant. `grant_s` is shortened by the drift that the clocks may have."""
+        """Start without a lease. A lease lasts `lease_s`, less the drift that clocks may have."""
         self.label = label
         self.token = FencingToken(0)
-        self._newest_token = FencingToken(0)  # the highest epoch that a peer has told of
+        self._newest_token = FencingToken(0)  # the highest that a peer has told of
         self.leader: NodeId | None = None
         self._lease_s = lease_s * (1.0 - drift_margin)
         self._lease_until = DISTANT_PAST
-        self._leader_contact_at = (
-            DISTANT_PAST  # when the leader was last heard on the connection to it
-        )
+        self._leader_contact_at = DISTANT_PAST  # when the leader last granted a lease
         self._max_machines: int | None = None
         self._redirect_target: NodeId | None = None
         self._machines: dict[MachineId, RelayedMachine] = {}
@@ -128,7 +136,7 @@
         self._redirected_at: dict[MachineId, MonotonicTime] = {}
         self._sweep_due_at = DISTANT_PAST
 
-    # -- the grant
+    # -- the relay lease
 
     def renew_lease(
         self,
@@ -139,14 +147,16 @@
         max_machines: int | None = None,
         redirect_target: NodeId | None = None,
     ) -> None:
-        """The leader of `epoch` lets this node answer for it; counted from before it was asked."""
+        """Renew the lease that the leader with `token` grants, from `requested_at` on.
+
+        `max_machines` and `redirect_target` are this node's share of the machines.
+        """
         if token < max(self.token, self._newest_token):
-            # Its leader has not heard yet of the one after it.
+            # This leader has not heard yet of its successor.
             return
         if token > self.token:
-            # Another leader knows nothing of what the last one took.
-            for known in self._machines.values():
-                known.acknowledged_tasks = None
+            # A new leader knows nothing of the heartbeats that the last one handled.
+            self._forward_all_next_heartbeats()
             self._acknowledged.clear()
             self.token = token
         self.leader = leader
@@ -155,24 +165,29 @@
         self._max_machines, self._redirect_target = max_machines, redirect_target
 
     def confirm_token(self, token: FencingToken, confirmed_at: MonotonicTime) -> None:
-        """The state service shows that `epoch` still leads: what the leader took holds on. An
-        empty answer starts and stops nothing, so it needs no more than that."""
+        """Renew the lease because the state service shows that `token` is still the leader's.
+
+        An acknowledgement without commands starts and stops no task, so it needs no more than that.
+        """
         if token == self.token >= self._newest_token:
             self._lease_until = MonotonicTime(max(self._lease_until, confirmed_at + self._lease_s))
 
     def observe_newer_token(self, token: FencingToken, now: MonotonicTime) -> None:
-        """A peer knows a higher epoch. Its leader may confirm cancellations from now on, so this
-        grant ends; the moment is for the grant of the new one, which is asked for at once."""
+        """End the lease soon, since a peer knows a higher token.
+
+        The leader with that token may confirm cancellations from now on. The time that is left is
+        for a lease of the new leader, which is asked for at once.
+        """
         if token > max(self.token, self._newest_token):
             self._newest_token = token
             self._lease_until = MonotonicTime(min(self._lease_until, now + SUPERSEDED_LEASE_S))
 
     def revoke_lease(self) -> None:
-        """This node may not answer for the leader any more."""
+        """End the lease at once."""
         self._lease_until = DISTANT_PAST
 
     def holds_lease(self, now: MonotonicTime) -> bool:
-        """Whether this node may answer workers now."""
+        """Return whether this node may answer workers now."""
         return now < self._lease_until
 
     @property
@@ -180,7 +195,7 @@
         """How many machines report here."""
         return len(self._machines)
 
-    # -- reports
+    # -- heartbeats
 
     def handle_heartbeat(
         self,
@@ -192,8 +207,11 @@
         now: MonotonicTime,
         leader_reachable: bool,
     ) -> Decision:
-        """What becomes of a report. `notice`: whether the machine will be taken back; `tasks`: its
-        list as it came; `reachable`: whether a report can be handed to the leader now."""
+        """Decide what to do with a heartbeat.
+
+        `token` is the highest that the worker has seen, `tasks` its list of tasks as it came, and
+        `leader_reachable` tells whether the heartbeat could be forwarded now.
+        """
         known = self._machines.get(machine)
         if known is not None and sequence <= known.sequence:
             return Stale()
@@ -208,7 +226,7 @@
         known.sequence = sequence
         known.last_heartbeat_at = now
         if token < self.token and known.acknowledged_token != self.token:
-            # It learns the epoch first; what it reports under the old one proves nothing.
+            # The worker learns the token first; what it reports under an old one proves nothing.
             known.acknowledged_token = self.token
             return Acknowledge(self.token)
         unchanged = (
@@ -229,25 +247,26 @@
             return Acknowledge(self.token)
         if not leader_reachable:
             return self._answer_without_leader(machine, known, now)
-        known.acknowledged_tasks = None  # until the leader has answered, nobody knows what it took
+        # Until the leader has replied, it is not known what it has handled.
+        known.acknowledged_tasks = None
         return Forward()
 
     def _reject_without_lease(self, machine: MachineId, token: FencingToken) -> Redirect:
-        """This node may not act. A 200 under an old epoch would hold the worker here while its
-        lease runs out."""
+        """Redirect a worker that this node may not answer.
+
+        An acknowledgement with an old token would keep the worker here while its lease expires.
+        """
         self._forget(machine)
-        leads = self.leader if token <= self.token else None
-        return Redirect(None if leads == self.label else leads)
+        leader = self.leader if token <= self.token else None
+        return Redirect(None if leader == self.label else leader)
 
     def _answer_without_leader(
         self, machine: MachineId, known: RelayedMachine, now: MonotonicTime
     ) -> Decision:
-        """The worker has something to tell, and the leader can't be told it from here."""
-        if (
-            now - self._leader_contact_at > self._lease_s / LEADER_CONTACT_DIVISOR
-            and self.leader != self.label
-        ):
-            # The leader may well be there for it.
+        """Answer a worker that reports a change which can't be forwarded to the leader now."""
+        max_silence_s = self._lease_s / LEADER_CONTACT_DIVISOR
+        if now - self._leader_contact_at > max_silence_s and self.leader != self.label:
+            # The worker may well reach the leader itself.
             self._forget(machine)
             return Redirect(self.leader)
         known.acknowledged_tasks = None
@@ -261,49 +280,63 @@
         tasks: Any,
         wants_next: bool,
     ) -> None:
-        """The leader took this report. `again`: it answered with commands or waits for more, so
-        the next report goes to it even if it looks the same: a dropped launch shows only there."""
+        """Note that the leader has handled this heartbeat.
+
+        `wants_next`: it replied with commands or waits for more, so the next heartbeat must be
+        forwarded even if nothing seems to change: only the leader can see that a launch got lost.
+        """
         known = self._machines.get(machine)
         if known is not None and known.sequence == sequence:
             known.acknowledged_tasks = None if wants_next else tasks
             known.has_preemption_notice = has_preemption_notice
 
     def on_stale_heartbeat(self, machine: MachineId, sequence: HeartbeatSequence) -> None:
-        """The leader knows something newer: what this node took for the machine was a copy."""
+        """Forget the machine: the leader knows a newer heartbeat, so this one was a copy."""
         known = self._machines.get(machine)
         if known is not None and known.sequence == sequence:
             self._forget(machine)
 
     def on_leader_disconnected(self) -> None:
-        """The connection to the leader is lost, and with it what the leader may have wanted."""
+        """Forward all next heartbeats: the leader's requests for some of them may be lost."""
+        self._forward_all_next_heartbeats()
+
+    def _forward_all_next_heartbeats(self) -> None:
         for known in self._machines.values():
             known.acknowledged_tasks = None
 
     def request_next_heartbeat(self, machine: MachineId) -> None:
-        """The leader has something for the machine: its next report goes there."""
+        """Forward the machine's next heartbeat: the leader has something for it."""
         known = self._machines.get(machine)
         if known is not None:
             known.acknowledged_tasks = None
 
     def take_acknowledged(self, now: MonotonicTime) -> AcknowledgedHeartbeats:
-        """Whom this node has answered by itself since it was asked last."""
+        """Return and clear the heartbeats that this node has acknowledged by itself."""
         if now >= self._sweep_due_at:
             self._sweep_due_at = MonotonicTime(now + SWEEP_INTERVAL_S)
-            for machine in [
-                m for m, k in self._machines.items() if now - k.last_heartbeat_at > MACHINE_EXPIRY_S
-            ]:
-                self._forget(machine)
-            self._redirected_at = {
-                m: t for m, t in self._redirected_at.items() if now - t < REDIRECT_COOLDOWN_S
-            }
-        heard, self._acknowledged = self._acknowledged, {}
-        return tuple(heard.items())
+            self._remove_expired(now)
+        acknowledged, self._acknowledged = self._acknowledged, {}
+        return tuple(acknowledged.items())
+
+    def _remove_expired(self, now: MonotonicTime) -> None:
+        for machine in [
+            machine
+            for machine, known in self._machines.items()
+            if now - known.last_heartbeat_at > MACHINE_EXPIRY_S
+        ]:
+            self._forget(machine)
+        self._redirected_at = {
+            machine: redirected_at
+            for machine, redirected_at in self._redirected_at.items()
+            if now - redirected_at < REDIRECT_COOLDOWN_S
+        }
 
     def _forget(self, machine: MachineId) -> None:
         self._machines.pop(machine, None)
         self._acknowledged.pop(machine, None)
 
     def _may_redirect(self, machine: MachineId, now: MonotonicTime) -> bool:
+        """Note the redirection and return True, unless the machine was redirected lately."""
         if now - self._redirected_at.get(machine, DISTANT_PAST) < REDIRECT_COOLDOWN_S:
             return False
         self._redirected_at[machine] = now
@@ -321,7 +354,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineShare:
-    """How many workers a node should have at most, and where those beyond go."""
+    """How many machines should report to a node at most, and where those beyond that go."""
 
     max_machines: int
     redirect_target: NodeId | None
@@ -330,16 +363,18 @@
 def machine_shares(
     machine_counts: dict[NodeId, int], leader: NodeId, max_machines: int
 ) -> dict[NodeId, MachineShare]:
-    """How many workers each node should have at most, and where the rest should go. The leader
-    has enough to do: it takes none as long as another node is there."""
-    others = {n: c for n, c in machine_counts.items() if n != leader}
-    if not others:
+    """Return each node's share of the machines, none of them above `max_machines`.
+
+    `machine_counts` holds how many machines report to each node now. The leader has enough to do:
+    it takes none as long as there is another node.
+    """
+    relays = {node: count for node, count in machine_counts.items() if node != leader}
+    if not relays:
         return {leader: MachineShare(max_machines, None)}
-    fair = sum(machine_counts.values()) / len(others)
-    most = min(max_machines, int(fair * MACHINE_SHARE_HEADROOM) + MACHINE_SHARE_SLACK)
-    spare = min(others, key=lambda n: (others[n], n))
-    out = {leader: MachineShare(0, spare)}
-    for node in others:
-        target = spare if node != spare else None
-        out[node] = MachineShare(most, target)
-    return out
+    fair_share = sum(machine_counts.values()) / len(relays)
+    share = min(max_machines, int(fair_share * MACHINE_SHARE_HEADROOM) + MACHINE_SHARE_SLACK)
+    least_loaded = min(relays, key=lambda node: (relays[node], node))
+    result = {leader: MachineShare(0, least_loaded)}
+    for node in relays:
+        result[node] = MachineShare(share, least_loaded if node != least_loaded else None)
+    return result
