--- a/src/eldercart/wire/users.py
+++ b/src/eldercart/wire/users.py
@@ -1,4 +1,8 @@
-"""What users send and get."""
+"""The messages of users, and the stored form of the jobs that they submit.
+
+This module maps the words of submissions and answers, and the order of the fields in a job's stored
+record, to the attributes of `JobSpec`.
+"""
 
 import re
 from dataclasses import dataclass
@@ -18,55 +22,56 @@
 
 MAX_TASKS = 100_000
 MAX_LIST_PARTS = 100_000  # of a list of dependencies; a submission's 64 KiB fill far fewer
-MAX_LISTED_DEPENDENCIES = 20  # jobs that an answer names as not done yet
+MAX_LISTED_DEPENDENCIES = 20  # unmet dependencies that an answer names
 SHAPES = ("sweep",)
 PRIORITIES = {"prod": 3, "urgent": 2, "standard": 1, "idle": 0}
 JOB_ID_PATTERN = re.compile(r"wk-[A-Za-z0-9_.:-]{1,80}\Z")
 
+# States of jobs.
 PENDING, RUNNING, DONE, CANCELLED = "pending", "running", "done", "aborted"
 
 
 @dataclass(frozen=True, slots=True)
 class JobSpec:
-    """A job as its user submitted it."""
+    """A job as its user submitted it: an array of equal tasks. Resources are those of one task."""
 
     id: JobId
     job_class: str
     team: str
-    priority: int
+    priority: int  # higher is more urgent
     task_count: int
     cpus: float
     gpus: float
     memory_gb: float
     image: str
     image_gb: float
-    machine_types: tuple[str, ...] | None
-    zone: str | None
-    single_zone: bool
-    spread: bool
+    machine_types: tuple[str, ...] | None  # None: any
+    zone: str | None  # None: any
+    single_zone: bool  # all tasks must be in the same zone
+    spread: bool  # at most half of the tasks, rounded up, may be in one zone
     allows_spot: bool
-    estimated_run_time_s: float
-    checkpoint_interval_s: float
-    checkpoint_save_s: float
-    deadline_s: float | None
+    estimated_run_time_s: float  # of a task, without the fetch of its image
+    checkpoint_interval_s: float  # of progress; 0: the tasks never save
+    checkpoint_save_s: float  # that a task needs to save when it is stopped
+    deadline_s: float | None  # from the submission; None: no deadline
     dependencies: tuple[JobId, ...] = ()  # jobs that must be done before a task of it starts
 
 
 @dataclass(frozen=True, slots=True)
 class DependencyListReference:
-    """Where the dependencies are that are too many for their job's record."""
+    """Where the dependencies of a job are stored that are too many for its record."""
 
-    nonce: str  # of the one acceptance that wrote them
+    nonce: str  # of the one submission that wrote them
     part_count: int
 
 
 def is_valid_job_id(value: str) -> bool:
-    """Whether a text has the form of a job's id."""
+    """Return whether a text has the form of a job id."""
     return JOB_ID_PATTERN.match(value) is not None
 
 
 def parse_job_id(message: dict[str, Any]) -> JobId:
-    """The id in a submission of which nothing else need be right."""
+    """Return the job id of a submission that may be malformed otherwise."""
     value = message.get("nameId")
     if not isinstance(value, str) or not is_valid_job_id(value):
         raise MalformedMessage("nameId")
@@ -74,7 +79,7 @@
 
 
 def _parse_dependencies(message: dict[str, Any]) -> tuple[JobId, ...]:
-    """Each once, in the order in which they are named."""
+    """Return the dependencies of a submission without repetitions, in their order."""
     value = message.get("awaits")
     if value is None:
         return ()
@@ -95,7 +100,10 @@
 
 
 def parse_submission(message: dict[str, Any]) -> JobSpec:
-    """Checks every field; the first bad one is named. Unknown fields are skipped."""
+    """Return the job of a submission; unknown fields are ignored.
+
+    Raises `MalformedMessage` with the name of the first bad field.
+    """
     job = parse_job_id(message)
     if message.get("shape") not in SHAPES:
         raise MalformedMessage("shape")
@@ -127,6 +135,7 @@
     )
 
 
+# The order of the attributes in a stored record, which can't change; their names are not stored.
 _STORED_FIELDS = (
     "job_class",
     "team",
@@ -152,11 +161,12 @@
 def spec_to_record(
     spec: JobSpec, list_reference: DependencyListReference | None = None
 ) -> list[Any]:
-    """A job without dependencies is written as ever: the version before this field reads it.
+    """Return the stored form of a job.
 
-    With them, one more element follows: their list, or where it is. That version calls such a
-    record unreadable: it knows the job, calls it pending and starts nothing of it, which is what
-    it should do, since it could not tell when the job may start.
+    A job without dependencies is stored as it was before there were any, so that the version
+    before them can read it. For others one more element follows: the list of dependencies, or the
+    reference to it. That version can't read such a record: it knows the job, calls it pending and
+    starts none of its tasks, as it should, since it could not tell when they may start.
     """
     record = [getattr(spec, field) for field in _STORED_FIELDS]
     if list_reference is not None:
@@ -167,7 +177,7 @@
 
 
 def parse_list_reference(record: Any) -> DependencyListReference | None:
-    """Where the dependencies must be read before the record can be; None: they are in it."""
+    """Return where a record's dependencies are stored; None if they are in the record itself."""
     if not isinstance(record, list) or len(record) != len(_STORED_FIELDS) + 1:
         return None
     last = record[-1]
@@ -180,18 +190,20 @@
 
 
 def record_with_dependencies(record: list[Any], dependencies: tuple[JobId, ...]) -> list[Any]:
-    """The record as if its list had been in it."""
+    """Return a record with these dependencies in place of the reference to them."""
     return [*record[: len(_STORED_FIELDS)], list(dependencies)]
 
 
 def dependencies_from_record(record: Any) -> tuple[JobId, ...]:
-    """Malformed if they are elsewhere: a list that was not read is never taken for none."""
-    if (
-        not isinstance(record, list)
-        or not len(_STORED_FIELDS) <= len(record) <= len(_STORED_FIELDS) + 1
-    ):
+    """Return the dependencies in a record.
+
+    Raises `MalformedMessage` if they are stored elsewhere, so that a list that was not read is
+    never taken for an empty one.
+    """
+    field_count = len(_STORED_FIELDS)
+    if not isinstance(record, list) or not field_count <= len(record) <= field_count + 1:
         raise MalformedMessage("job record")
-    if len(record) == len(_STORED_FIELDS):
+    if len(record) == field_count:
         return ()
     last = record[-1]
     if not isinstance(last, list) or not last or not _are_job_ids(last):
@@ -200,7 +212,7 @@
 
 
 def spec_from_record(job: JobId, record: Any) -> JobSpec:
-    """The job of a stored record that holds its whole list of dependencies."""
+    """Return the job of a stored record that holds its whole list of dependencies."""
     dependencies = dependencies_from_record(record)
     values = dict(zip(_STORED_FIELDS, record[: len(_STORED_FIELDS)], strict=True))
     if values["machine_types"] is not None:
@@ -215,7 +227,10 @@
     running_count: int | None = None,
     unmet_dependencies: tuple[str, ...] = (),
 ) -> bytes:
-    """A job's state. `waiting`: some of the jobs that it awaits and that are not done."""
+    """Return the body of an answer with a job's state.
+
+    The counts are those of its tasks. Some of the unmet dependencies are named, if there are any.
+    """
     body: dict[str, Any] = {"nameId": job, "standing": state}
     if done_count is not None:
         body["done"] = done_count
@@ -226,5 +241,5 @@
 
 
 def error_body(message: str) -> bytes:
-    """What a refusal says, in words for its user."""
+    """Return the body of a rejection, with a message for its user."""
     return orjson.dumps({"error": message})
