--- a/src/eldercart/server/singleton/lease_service.py
+++ b/src/eldercart/server/singleton/lease_service.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from eldercart.autoscaling.autoscaler import MachineOffering, ScaleOutRequest
+from eldercart.autoscaling.request_types import MachineOffering, ScaleOutRequest
 from eldercart.election.state_machine import GrantLease, KeepLeaseAlive, Role
 from eldercart.persistence.learned_state import VALUE_FILL_RATIO
 from eldercart.persistence.transaction_writer import CleanupPermit
@@ -16,15 +16,10 @@
 from eldercart.server.singleton.lease_watch import LeaseWatcher
 from eldercart.server.singleton.operator_requests import PATH_PREFIX, OperatorRequests
 from eldercart.settings.features import Maintenance, SingletonFeatures
+from eldercart.singleton.candidate_actions import Acquire, ReadDirectory, Release
+from eldercart.singleton.eligibility import ClusterView
 from eldercart.singleton.holder_preference import AFFINITY, Affinity
-from eldercart.singleton.lease_candidate import (
-    Acquire,
-    ClusterView,
-    LeaseCandidate,
-    LeaseState,
-    ReadDirectory,
-    Release,
-)
+from eldercart.singleton.lease_candidate import LeaseCandidate, LeaseState
 from eldercart.singleton.write_ahead_gate import DispatchMode, DispatchPolicy, WriteAheadGate
 from eldercart.units import NO_FENCING_TOKEN, LeaseId, MonotonicTime, NodeId, Revision, WallTime
 from eldercart.wire.named_leases import (
