--- a/src/eldercart/server/peers/relay_host.py
+++ b/src/eldercart/server/peers/relay_host.py
@@ -1,40 +1,22 @@
 """What the parts that serve peers and workers need of the process."""
 
-from collections.abc import Callable
 from typing import Protocol
 
 from eldercart.election.state_machine import Election
 from eldercart.server.leadership.election_service import ElectionService
 from eldercart.server.leadership.leader_service import LeaderService
 from eldercart.server.metrics import Metrics
-from eldercart.server.store.client import StoreClient
-from eldercart.settings import NodeSettings, Tuning
-from eldercart.units import FencingToken, MonotonicTime
+from eldercart.server.node_services import NodeServices
+from eldercart.units import FencingToken
 
 
-class RelayHost(Protocol):
+class RelayHost(NodeServices, Protocol):
     """The process as the parts see it that serve peers and workers."""
 
-    @property
-    def settings(self) -> NodeSettings:
-        """The node's settings."""
-
-    @property
-    def tuning(self) -> Tuning:
-        """The node's tuning values."""
-
-    @property
-    def clock(self) -> Callable[[], MonotonicTime]:
-        """The process's monotonic clock."""
-
     @property
     def metrics(self) -> Metrics:
         """Where durations are recorded."""
 
-    @property
-    def store(self) -> StoreClient:
-        """The client of the state service."""
-
     @property
     def election(self) -> Election:
         """The node's view of the election."""
--- a/src/eldercart/server/users/acceptance_check.py
+++ b/src/eldercart/server/users/acceptance_check.py
@@ -7,19 +7,19 @@
 
 from eldercart.jobs.registry import END_PREFIX, JOB_PREFIX
 from eldercart.server.store.client import RESERVE_ADMISSION
+from eldercart.server.users.condition_limits import (
+    CONDITIONS_PER_OPERATION,
+    MAX_CONDITION_BYTES,
+    MAX_CONDITION_REQUESTS,
+)
 from eldercart.server.users.lookup_context import LookupContext
 from eldercart.units import ABSENT_REVISION, JobId, Revision
 from eldercart.wire import peers
 from eldercart.wire.state import Transaction
 
 MAX_REQUESTS_IN_FLIGHT = 4  # of one check
-# Transactions of conditions only, beyond which outcomes are read by their key prefix.
-MAX_CONDITION_REQUESTS = 2
-MAX_CONDITION_BYTES = 48 * 1024  # of a transaction's 64 KiB
 CONDITION_OVERHEAD_BYTES = 30  # that a condition takes beside its key
 KEYS_PER_JOB = 2  # its record and its outcome
-# The state service allows this many conditions for each operation that a transaction may have.
-CONDITIONS_PER_OPERATION = 4
 # Users wait 5 s for an acceptance, and the last request of a check may take 2 s itself.
 READ_TIMEOUT_S = 1.5
 
--- a/src/eldercart/server/users/ancestor_search.py
+++ b/src/eldercart/server/users/ancestor_search.py
@@ -8,21 +8,22 @@
 from eldercart.jobs.registry import END_PREFIX, JOB_PREFIX, decode_end_record
 from eldercart.server.store.client import RESERVE_POLLS
 from eldercart.server.store.key_ranges import common_key_prefix
+from eldercart.server.users.condition_limits import (
+    CONDITIONS_PER_OPERATION,
+    MAX_CONDITION_BYTES,
+    MAX_CONDITION_REQUESTS,
+)
 from eldercart.server.users.lookup_context import LookupContext
 from eldercart.server.users.recent_cache import JobOutcomeCache
 from eldercart.units import ABSENT_REVISION, JobId, Revision
 from eldercart.wire import users
 from eldercart.wire.state import Item, Transaction
 
-# Transactions of conditions only, beyond which outcomes are read by their key prefix.
-MAX_CONDITION_REQUESTS = 2
 MAX_POINT_READS = 8  # records read one by one; more are read by their key prefix
 # Rounds of job records, after which the records of all unfinished jobs are read: a long chain
 # would take a request for each of its jobs.
 FULL_SCAN_DEPTH = 4
-MAX_CONDITION_BYTES, CONDITION_BYTES = 48 * 1024, 120  # of a transaction, and of one condition
-# The state service allows this many conditions for each operation that a transaction may have.
-CONDITIONS_PER_OPERATION = 4
+CONDITION_BYTES = 120  # that one condition takes at most
 # Users wait 2 s for a poll.
 SEARCH_TIMEOUT_S = 1.2
 
--- a/src/eldercart/server/users/user_service.py
+++ b/src/eldercart/server/users/user_service.py
@@ -10,7 +10,7 @@
     reject_temporarily,
 )
 from eldercart.server.http.server import JsonRequest
-from eldercart.server.store.client import StoreClient
+from eldercart.server.node_services import NodeServices
 from eldercart.server.users.dependencies import DependencyResolver
 from eldercart.server.users.job_admission import AdmissionLimits, JobAdmission
 from eldercart.server.users.job_states import (
@@ -22,8 +22,7 @@
 )
 from eldercart.server.users.lookup_context import LeaderAccess, LookupContext
 from eldercart.server.users.recent_cache import JobOutcomeCache
-from eldercart.settings import NodeSettings, Tuning
-from eldercart.units import JobId, MonotonicTime
+from eldercart.units import JobId
 from eldercart.wire import peers, users
 
 RequestHandler = Callable[[JsonRequest], None]
@@ -42,25 +41,9 @@
         """Answer a request that came after the shutdown has begun."""
 
 
-class UserServiceHost(AdmissionLimits, LeaderAccess, Protocol):
+class UserServiceHost(NodeServices, AdmissionLimits, LeaderAccess, Protocol):
     """What the user service needs of the process."""
 
-    @property
-    def settings(self) -> NodeSettings:
-        """The node's settings."""
-
-    @property
-    def tuning(self) -> Tuning:
-        """The node's tuning values."""
-
-    @property
-    def clock(self) -> Callable[[], MonotonicTime]:
-        """The process's monotonic clock."""
-
-    @property
-    def store(self) -> StoreClient:
-        """The client of the state service."""
-
     @property
     def graceful_shutdown(self) -> Shutdown:
         """The end of the process on request."""
