--- a/src/eldercart/server/users/job_states.py
+++ b/src/eldercart/server/users/job_states.py
@@ -1,8 +1,8 @@
 """The state of a job: from this node's caches, from the leader, or by a fresh read."""
 
 from collections.abc import Callable
-from dataclasses import dataclass
 from functools import partial
+from typing import NamedTuple
 
 from eldercart.jobs.registry import END_PREFIX, JOB_PREFIX, decode_end_record
 from eldercart.server.http.replies import RETRY_AFTER_S, SHORT_RETRY_AFTER_S
@@ -18,20 +18,17 @@
 STATE_READ_REQUESTS = 2  # that a fresh read takes: the job's record and its outcome
 
 
-@dataclass(frozen=True, slots=True)
-class JobStateFound:
+class JobStateFound(NamedTuple):
     """The job was accepted; its state is in the reply."""
 
     reply: peers.JobReply
 
 
-@dataclass(frozen=True, slots=True)
 class JobNotFound:
     """The job was never accepted, as of a fresh read."""
 
 
-@dataclass(frozen=True, slots=True)
-class JobStateUnavailable:
+class JobStateUnavailable(NamedTuple):
     """The state can't be told now."""
 
     retry_after_s: int
--- a/src/eldercart/wire/peers.py
+++ b/src/eldercart/wire/peers.py
@@ -144,43 +144,37 @@
     unmet_dependencies: tuple[str, ...] = ()  # some of them
 
 
-@dataclass(frozen=True, slots=True)
-class Polls:
+class Polls(NamedTuple):
     """Requests for the states of jobs."""
 
     requests: list[JobRequest]
 
 
-@dataclass(frozen=True, slots=True)
-class Cancellations:
+class Cancellations(NamedTuple):
     """Requests to cancel jobs."""
 
     requests: list[JobRequest]
 
 
-@dataclass(frozen=True, slots=True)
-class UndeliveredResponses:
+class UndeliveredResponses(NamedTuple):
     """The machines whose responses came too late to be passed on."""
 
     machines: list[MachineId]
 
 
-@dataclass(frozen=True, slots=True)
-class HeartbeatReplies:
+class HeartbeatReplies(NamedTuple):
     """The replies to forwarded heartbeats."""
 
     replies: list[HeartbeatReply]
 
 
-@dataclass(frozen=True, slots=True)
-class NextHeartbeatRequests:
+class NextHeartbeatRequests(NamedTuple):
     """The machines whose next heartbeats the leader wants to be forwarded."""
 
     machines: list[MachineId]
 
 
-@dataclass(frozen=True, slots=True)
-class JobReplies:
+class JobReplies(NamedTuple):
     """The replies to polls or to a cancellation."""
 
     replies: list[JobReply]
