--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -30,151 +30,159 @@
 from simulators import CATALOG
 from test_core import finish, submit_all
 
-M = MachineId("n-1")
+MACHINE = MachineId("n-1")
 LEADER = NodeId("n0")
 
 
-def order(number: int, session: int = 1) -> HeartbeatSequence:
-    return HeartbeatSequence(AgentEpoch(session), number)
+def sequence(number: int, agent_epoch: int = 1) -> HeartbeatSequence:
+    return HeartbeatSequence(AgentEpoch(agent_epoch), number)
 
 
-def granted(epoch: int = 5, at: float = 0.0, **changes: Any) -> HeartbeatRelay:
-    r = HeartbeatRelay(NodeId("n1"), 4.0, 0.0)
-    r.renew_lease(FencingToken(epoch), LEADER, MonotonicTime(at), MonotonicTime(at), **changes)
-    return r
+def relay_with_lease(token: int = 5, at: float = 0.0, **changes: Any) -> HeartbeatRelay:
+    relay = HeartbeatRelay(NodeId("n1"), 4.0, 0.0)
+    relay.renew_lease(FencingToken(token), LEADER, MonotonicTime(at), MonotonicTime(at), **changes)
+    return relay
 
 
-def report(
-    r: HeartbeatRelay,
+def handle_heartbeat(
+    relay: HeartbeatRelay,
     number: int,
     at: float = 0.0,
-    epoch: int = 5,
-    session: int = 1,
-    notice: bool = False,
+    token: int = 5,
+    agent_epoch: int = 1,
+    has_notice: bool = False,
     tasks: Any = (),
-    reachable: bool = True,
+    leader_reachable: bool = True,
 ) -> Any:
-    return r.handle_heartbeat(
-        M,
-        order(number, session),
-        FencingToken(epoch),
-        notice,
+    return relay.handle_heartbeat(
+        MACHINE,
+        sequence(number, agent_epoch),
+        FencingToken(token),
+        has_notice,
         list(tasks),
         MonotonicTime(at),
-        reachable,
+        leader_reachable,
     )
 
 
-def taken(r: HeartbeatRelay, number: int = 1, again: bool = False, tasks: Any = ()) -> None:
+def handle_and_acknowledge(
+    relay: HeartbeatRelay, number: int = 1, wants_next: bool = False, tasks: Any = ()
+) -> None:
     """A report that the leader has taken."""
-    assert report(r, number, tasks=tasks) == Forward()
-    r.on_leader_response(M, order(number), False, list(tasks), again)
+    assert handle_heartbeat(relay, number, tasks=tasks) == Forward()
+    relay.on_leader_response(MACHINE, sequence(number), False, list(tasks), wants_next)
 
 
 @pytest.mark.parametrize(
-    ("name", "again", "then", "expected"),
+    ("name", "wants_next", "then", "expected"),
     [
         ("nothing new", False, {}, Acknowledge(FencingToken(5))),
         ("a task more", False, {"tasks": [1]}, Forward()),
-        ("a notice", False, {"notice": True}, Forward()),
-        ("another session", False, {"session": 2}, Forward()),
+        ("a notice", False, {"has_notice": True}, Forward()),
+        ("another session", False, {"agent_epoch": 2}, Forward()),
         ("commands went out: whether they arrived shows only to the leader", True, {}, Forward()),
-        ("an epoch that is not known here", False, {"epoch": 6}, Redirect(None)),
+        ("an epoch that is not known here", False, {"token": 6}, Redirect(None)),
         ("the grant is over", False, {"at": 4.1}, Redirect(LEADER)),
         ("a copy of the same", False, {"number": 1}, Stale()),
         ("a late copy of an earlier one", False, {"number": 0, "tasks": [1]}, Stale()),
-        ("a copy of an earlier session", False, {"number": 99, "session": 0}, Stale()),
+        ("a copy of an earlier session", False, {"number": 99, "agent_epoch": 0}, Stale()),
         (
             "no way to the leader, nothing new",
             False,
-            {"reachable": False},
+            {"leader_reachable": False},
             Acknowledge(FencingToken(5)),
         ),
         (
             "no way to the leader for a moment",
             False,
-            {"reachable": False, "tasks": [1], "at": 1.0},
+            {"leader_reachable": False, "tasks": [1], "at": 1.0},
             Acknowledge(FencingToken(5)),
         ),
         (
             "no way to the leader, and it must be told",
             False,
-            {"reachable": False, "tasks": [1], "at": 2.0},
+            {"leader_reachable": False, "tasks": [1], "at": 2.0},
             Redirect(LEADER),
         ),
     ],
 )
 def test_what_becomes_of_a_report(
-    name: str, again: bool, then: dict[str, Any], expected: Any
+    name: str, wants_next: bool, then: dict[str, Any], expected: Any
 ) -> None:
-    r = granted()
-    taken(r, again=again)
-    assert report(r, **({"number": 2} | then)) == expected, name
+    relay = relay_with_lease()
+    handle_and_acknowledge(relay, wants_next=wants_next)
+    assert handle_heartbeat(relay, **({"number": 2} | then)) == expected, name
 
 
 def test_an_unanswered_report_is_followed_by_another_to_the_leader() -> None:
-    r = granted()
-    taken(r)
-    assert report(r, 2, tasks=[1]) == Forward()
-    assert report(r, 3, tasks=[1]) == Forward(), "the answer to the last one never came"
-    r.on_leader_response(
-        M, order(2), False, [1], False
+    relay = relay_with_lease()
+    handle_and_acknowledge(relay)
+    assert handle_heartbeat(relay, 2, tasks=[1]) == Forward()
+    assert handle_heartbeat(relay, 3, tasks=[1]) == Forward(), (
+        "the answer to the last one never came"
+    )
+    relay.on_leader_response(
+        MACHINE, sequence(2), False, [1], False
     )  # it comes now, for a report that is overtaken
-    assert report(r, 4, tasks=[1]) == Forward()
-    assert report(r, 5) == Forward(), "as it was before: the leader may have taken the other"
+    assert handle_heartbeat(relay, 4, tasks=[1]) == Forward()
+    assert handle_heartbeat(relay, 5) == Forward(), (
+        "as it was before: the leader may have taken the other"
+    )
 
 
 def test_wanted_machine_is_heard_by_the_leader() -> None:
-    r = granted()
-    taken(r)
-    r.request_next_heartbeat(M)
-    assert report(r, 2) == Forward()
+    relay = relay_with_lease()
+    handle_and_acknowledge(relay)
+    relay.request_next_heartbeat(MACHINE)
+    assert handle_heartbeat(relay, 2) == Forward()
 
 
 def test_new_epoch_empties_what_is_held() -> None:
-    r = granted()
-    taken(r)
-    r.renew_lease(FencingToken(9), NodeId("n2"), MonotonicTime(1.0), MonotonicTime(1.0))
-    assert report(r, 2, 1.0, epoch=5) == Acknowledge(FencingToken(9)), "it learns the epoch first"
-    assert report(r, 3, 1.5, epoch=5) == Forward(), "and is reported if it does not"
-    assert report(r, 4, 2.0, epoch=9) == Forward()
-    r.renew_lease(
+    relay = relay_with_lease()
+    handle_and_acknowledge(relay)
+    relay.renew_lease(FencingToken(9), NodeId("n2"), MonotonicTime(1.0), MonotonicTime(1.0))
+    assert handle_heartbeat(relay, 2, 1.0, token=5) == Acknowledge(FencingToken(9)), (
+        "it learns the epoch first"
+    )
+    assert handle_heartbeat(relay, 3, 1.5, token=5) == Forward(), "and is reported if it does not"
+    assert handle_heartbeat(relay, 4, 2.0, token=9) == Forward()
+    relay.renew_lease(
         FencingToken(5), LEADER, MonotonicTime(3.0), MonotonicTime(3.0)
     )  # a late word of the old leader
-    assert r.token == 9
+    assert relay.token == 9
 
 
 def test_grant_counts_from_before_it_was_asked_for() -> None:
-    r = granted()
-    r.renew_lease(FencingToken(5), LEADER, MonotonicTime(1.0), MonotonicTime(3.0))
-    assert r.holds_lease(MonotonicTime(4.9)) and not r.holds_lease(MonotonicTime(5.0))
-    r.confirm_token(FencingToken(4), MonotonicTime(9.0))  # of an epoch that is over
-    assert not r.holds_lease(MonotonicTime(9.0))
-    r.confirm_token(FencingToken(5), MonotonicTime(9.0))  # the store shows that it still leads
-    assert r.holds_lease(MonotonicTime(12.9))
+    relay = relay_with_lease()
+    relay.renew_lease(FencingToken(5), LEADER, MonotonicTime(1.0), MonotonicTime(3.0))
+    assert relay.holds_lease(MonotonicTime(4.9)) and not relay.holds_lease(MonotonicTime(5.0))
+    relay.confirm_token(FencingToken(4), MonotonicTime(9.0))  # of an epoch that is over
+    assert not relay.holds_lease(MonotonicTime(9.0))
+    relay.confirm_token(FencingToken(5), MonotonicTime(9.0))  # the store shows that it still leads
+    assert relay.holds_lease(MonotonicTime(12.9))
 
 
 def test_only_self_answered_reports_are_told_as_heard() -> None:
-    r = granted()
-    taken(r)
-    assert r.take_acknowledged(MonotonicTime(0.0)) == ()
-    report(r, 2)
-    report(r, 3)
-    assert r.take_acknowledged(MonotonicTime(0.0)) == ((M, order(3)),)
-    assert r.take_acknowledged(MonotonicTime(0.0)) == ()
+    relay = relay_with_lease()
+    handle_and_acknowledge(relay)
+    assert relay.take_acknowledged(MonotonicTime(0.0)) == ()
+    handle_heartbeat(relay, 2)
+    handle_heartbeat(relay, 3)
+    assert relay.take_acknowledged(MonotonicTime(0.0)) == ((MACHINE, sequence(3)),)
+    assert relay.take_acknowledged(MonotonicTime(0.0)) == ()
 
 
 def test_leader_calls_a_copy_what_a_new_relay_took_for_news() -> None:
-    r = granted()
-    assert report(r, 7) == Forward()
-    r.on_stale_heartbeat(M, order(7))
-    assert r.machine_count == 0 and r.take_acknowledged(MonotonicTime(0.0)) == ()
+    relay = relay_with_lease()
+    assert handle_heartbeat(relay, 7) == Forward()
+    relay.on_stale_heartbeat(MACHINE, sequence(7))
+    assert relay.machine_count == 0 and relay.take_acknowledged(MonotonicTime(0.0)) == ()
 
 
 def test_crowded_relay_sends_new_workers_on_once() -> None:
-    r = granted(max_machines=0, redirect_target=NodeId("n2"))
-    assert report(r, 1) == Redirect(NodeId("n2"))
-    assert report(r, 2) == Forward(), "it is back: nobody else takes it"
+    relay = relay_with_lease(max_machines=0, redirect_target=NodeId("n2"))
+    assert handle_heartbeat(relay, 1) == Redirect(NodeId("n2"))
+    assert handle_heartbeat(relay, 2) == Forward(), "it is back: nobody else takes it"
 
 
 @pytest.mark.parametrize(
