--- a/src/eldercart/server/graceful_shutdown.py
+++ b/src/eldercart/server/graceful_shutdown.py
@@ -3,19 +3,19 @@
 import logging
 import math
 import signal
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from twisted.internet import reactor as _reactor
 
 from eldercart.election.state_machine import Role
 from eldercart.server.http.replies import SHORT_RETRY_AFTER_S, reject_temporarily
-from eldercart.server.http.server import JsonRequest
+from eldercart.server.http.server import JsonRequest, JsonServer
+from eldercart.server.leadership.election_service import ElectionService
+from eldercart.server.leadership.leader_service import LeaderService
+from eldercart.server.node_context import Clock
 from eldercart.units import MonotonicTime
 from eldercart.wire import workers
 
-if TYPE_CHECKING:
-    from eldercart.server.controller_node import ControllerNode
-
 reactor: Any = _reactor
 log = logging.getLogger("eldercart.node")
 
@@ -27,9 +27,19 @@
 class GracefulShutdown:
     """Refuses what is new, waits for what is under way, and gives the leadership up at once."""
 
-    def __init__(self, node: "ControllerNode") -> None:
+    def __init__(
+        self,
+        http_server: JsonServer,
+        election_service: ElectionService,
+        leader_service: LeaderService,
+        clock: Clock,
+    ) -> None:
         """The node serves until `begin`."""
-        self.node = node
+        self._http_server = http_server
+        self._election_service = election_service
+        self._election = election_service.election
+        self._leader_service = leader_service
+        self._clock = clock
         self.has_begun = False
         self._deadline_at = MonotonicTime(math.inf)
 
@@ -46,29 +56,29 @@
             return
         log.info("ends on request")
         self.has_begun = True
-        self._deadline_at = MonotonicTime(self.node.clock() + DRAIN_TIMEOUT_S)
-        self.node.stop_accepting()
+        self._deadline_at = MonotonicTime(self._clock() + DRAIN_TIMEOUT_S)
+        self._http_server.stop_accepting()
         self._poll_drain()
 
     def refuse(self, request: JsonRequest) -> None:
         """A new request on a kept connection: another node can answer it."""
         if request.path == b"/v1/report":
-            leader = self.node.election.leader
-            other = None if leader == self.node.settings.label else leader
+            leader = self._election.leader
+            other = None if leader == self._election.node_id else leader
             request.reply(421, workers.redirect_body(other))
         else:
             reject_temporarily(request, "this node ends", SHORT_RETRY_AFTER_S)
 
     def _poll_drain(self) -> None:
         """A claim that was under way may still make this node leader, so it is looked at again."""
-        node = self.node
-        now = node.clock()
-        if node.election.role is Role.LEADER:
-            node.leader_service.end_leadership("ends on request")
-        node.election.resign_permanently(now)
-        node.election_service.tick(now)
-        unanswered = node.pending_requests()
-        if (unanswered or node.election.is_handing_over) and now < self._deadline_at:
+        now = self._clock()
+        election = self._election
+        if election.role is Role.LEADER:
+            self._leader_service.end_leadership("ends on request")
+        election.resign_permanently(now)
+        self._election_service.tick(now)
+        unanswered = self._http_server.pending_requests()
+        if (unanswered or election.is_handing_over) and now < self._deadline_at:
             reactor.callLater(DRAIN_POLL_S, self._poll_drain)
             return
         for request in unanswered:
--- a/src/eldercart/server/http/server.py
+++ b/src/eldercart/server/http/server.py
@@ -186,12 +186,33 @@
         return channel
 
 
-def listen(endpoint: Endpoint, factory: JsonFactory) -> Any:
-    """Accepts connections at the endpoint; returns the open port."""
-    # All workers may come at once, when theirs is the only node left: a full queue costs each of
-    # them a time-out, and several of those its lease.
-    port = reactor.listenTCP(
-        endpoint.port, factory, backlog=factory.max_connections, interface=endpoint.host
-    )
-    port.transport = ImmediateWriteServer
-    return port
+class JsonServer:
+    """The listening side of one endpoint."""
+
+    def __init__(self, endpoint: Endpoint, factory: JsonFactory) -> None:
+        """Nothing is listened on before `listen`."""
+        self._endpoint = endpoint
+        self._factory = factory
+        self._port: Any = None  # while it is open
+
+    def listen(self) -> None:
+        """Accepts connections at the endpoint."""
+        # All workers may come at once, when theirs is the only node left: a full queue costs each
+        # of them a time-out, and several of those its lease.
+        self._port = reactor.listenTCP(
+            self._endpoint.port,
+            self._factory,
+            backlog=self._factory.max_connections,
+            interface=self._endpoint.host,
+        )
+        self._port.transport = ImmediateWriteServer
+
+    def stop_accepting(self) -> None:
+        """Closes the port, and each connection with its next answer: clients go elsewhere."""
+        self._factory.is_closing = True
+        if self._port is not None:
+            self._port.stopListening()
+
+    def pending_requests(self) -> list[JsonRequest]:
+        """Return the requests that are not answered yet."""
+        return list(self._factory.pending_requests)
--- a/src/eldercart/server/leadership/catalog_record.py
+++ b/src/eldercart/server/leadership/catalog_record.py
@@ -1,21 +1,20 @@
 """The stored catalogue of machine types, for nodes that must decide while the cloud is down."""
 
 import logging
-from typing import TYPE_CHECKING, NamedTuple
+from typing import NamedTuple, Protocol
 
 from eldercart.election.state_machine import LEADER_KEY
 from eldercart.persistence.learned_state import VALUE_FILL_RATIO
 from eldercart.scheduling.scheduler import Scheduler
-from eldercart.server.leadership.current_leadership import is_current_leadership
-from eldercart.server.store.client import RESERVE_PLACEMENTS
+from eldercart.server.leadership.current_leadership import Leadership, is_current_leadership
+from eldercart.server.machine_types import KnownMachineTypes
+from eldercart.server.node_context import Clock
+from eldercart.server.store.client import RESERVE_PLACEMENTS, StoreClient
 from eldercart.units import DISTANT_PAST, MonotonicTime, Revision
 from eldercart.wire import cloud
 from eldercart.wire.cloud import MachineType
 from eldercart.wire.state import Put, Transaction
 
-if TYPE_CHECKING:
-    from eldercart.server.controller_node import ControllerNode
-
 log = logging.getLogger("eldercart.node")
 
 CATALOG_KEY = "catalog"
@@ -37,47 +36,69 @@
     return [MachineTypeShape(t.name, t.cpus, t.gpus, t.memory_gb, t.zones) for t in types.values()]
 
 
+class CatalogOwner(Protocol):
+    """Decides which node writes the stored catalogue."""
+
+    def owns_catalog(self) -> bool:
+        """Return whether the holder of a named lease, and not the leader, writes it."""
+
+
 class CatalogRecord:
     """Writes the leader's catalogue to the state service when its shape has changed."""
 
-    def __init__(self, node: "ControllerNode") -> None:
-        """Assumes that what the node knows is stored, until a take-over tells otherwise."""
-        self._node = node
+    def __init__(
+        self,
+        leadership: Leadership,
+        store: StoreClient,
+        machine_types: KnownMachineTypes,
+        clock: Clock,
+        max_value_bytes: int,
+    ) -> None:
+        """Assume that what the node knows is stored, until a failover reads otherwise.
+
+        `max_value_bytes` is the state service's limit on one value.
+        """
+        self._leadership = leadership
+        self._store = store
+        self._machine_types = machine_types
+        self._clock = clock
+        self._max_value_bytes = max_value_bytes
+        self.catalog_owner: CatalogOwner | None = None  # None: the leader writes the catalogue
         self.is_stored = True  # the types that this node knows, as far as it can tell
         self.has_any_stored = True  # some catalogue is stored, as far as this node can tell
         self._next_write_at = DISTANT_PAST  # the next write goes out no earlier
 
-    def sync(self, controller: Scheduler) -> None:
-        """Takes the controller's types over into the node, and writes them if they differ from
+    def sync(self, scheduler: Scheduler) -> None:
+        """Takes the scheduler's types over into the node, and writes them if they differ from
         what is stored. Without a token for a change, the next turn of the loop tries again."""
-        node = self._node
-        known = machine_type_shapes(node.machine_types)
-        node.machine_types = dict(controller.cluster_state.types)
+        known = machine_type_shapes(self._machine_types.by_name)
+        self._machine_types.by_name = dict(scheduler.cluster_state.types)
         self.is_stored = (
-            self.is_stored and machine_type_shapes(controller.cluster_state.types) == known
+            self.is_stored and machine_type_shapes(scheduler.cluster_state.types) == known
         )
-        kept = (
+        is_written_elsewhere = (
             self.has_any_stored
-            and node.singleton_service is not None
-            and node.singleton_service.owns_catalog()
+            and self.catalog_owner is not None
+            and self.catalog_owner.owns_catalog()
         )
-        if self.is_stored or kept:
-            controller.cloud_requests.catalog_changed = False
+        if self.is_stored or is_written_elsewhere:
+            scheduler.cloud_requests.catalog_changed = False
             return
-        now = node.clock()
-        if now < self._next_write_at or node.store.writes.available(now, RESERVE_PLACEMENTS) < 1:
+        now = self._clock()
+        if now < self._next_write_at or self._store.writes.available(now, RESERVE_PLACEMENTS) < 1:
             return
-        controller.cloud_requests.catalog_changed = False
+        scheduler.cloud_requests.catalog_changed = False
         self.is_stored = True
-        self._write(controller, now)
-
-    def _write(self, controller: Scheduler, now: MonotonicTime) -> None:
-        node = self._node
-        node.store.requests.force_take(now)
-        node.store.writes.force_take(now)
-        most_bytes = int(VALUE_FILL_RATIO * node.settings.value_bytes)
-        value = cloud.catalog_record(controller.cluster_state.types, most_bytes)
-        txn = Transaction({LEADER_KEY: Revision(controller.token)}, [Put(CATALOG_KEY, value)])
+        self._write(scheduler, now)
+
+    def _write(self, scheduler: Scheduler, now: MonotonicTime) -> None:
+        self._store.requests.force_take(now)
+        self._store.writes.force_take(now)
+        max_bytes = int(VALUE_FILL_RATIO * self._max_value_bytes)
+        value = cloud.catalog_record(scheduler.cluster_state.types, max_bytes)
+        transaction = Transaction(
+            {LEADER_KEY: Revision(scheduler.token)}, [Put(CATALOG_KEY, value)]
+        )
 
         def done(status: int | None, revision: Revision, failed: tuple[str, ...]) -> None:
             if status in (400, 413):
@@ -86,11 +107,11 @@
                 log.error("catalogue refused by the state service status=%s", status)
             elif status == 200:
                 self.has_any_stored = True
-            elif is_current_leadership(node, controller):
+            elif is_current_leadership(self._leadership, scheduler):
                 # Its own submissions go on being judged; a repeat at every turn of the loop would
                 # use up the changes just when there are too few.
                 self.is_stored = False
-                self._next_write_at = MonotonicTime(node.clock() + WRITE_RETRY_S)
-                controller.cloud_requests.catalog_changed = True
+                self._next_write_at = MonotonicTime(self._clock() + WRITE_RETRY_S)
+                scheduler.cloud_requests.catalog_changed = True
 
-        node.store.commit(txn, done)
+        self._store.commit(transaction, done)
--- a/src/eldercart/server/leadership/cloud_requests.py
+++ b/src/eldercart/server/leadership/cloud_requests.py
@@ -1,8 +1,9 @@
 """The leader's calls to the cloud, within its limit of calls a second."""
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING
+from typing import Protocol
 
+from eldercart.election.state_machine import Election
 from eldercart.scheduling.scheduler import (
     CloudRequest,
     DeleteMachines,
@@ -12,14 +13,14 @@
     Scheduler,
 )
 from eldercart.server.http.client import HttpClient
-from eldercart.server.leadership.current_leadership import is_current_leadership
+from eldercart.server.leadership.current_leadership import Leadership, is_current_leadership
+from eldercart.server.node_context import Clock
+from eldercart.server.store.client import StoreClient
 from eldercart.server.store.token_bucket import TokenBucket
+from eldercart.settings import NodeSettings
 from eldercart.units import MonotonicTime
 from eldercart.wire import cloud
 
-if TYPE_CHECKING:
-    from eldercart.server.controller_node import ControllerNode
-
 CloudResponseCallback = Callable[[int | None, bytes], None]
 
 RATE_SHARE = 0.9  # of the cloud's limit that is used
@@ -28,62 +29,88 @@
 RESPONSE_TIMEOUT_S = 5.0  # for which an answer is waited for
 
 
+class CloudRequestGate(Protocol):
+    """Records the requests that change the cloud's machines before they are sent."""
+
+    def process_events(
+        self, scheduler: Scheduler, cloud_requests: "CloudRequests", now: MonotonicTime, /
+    ) -> None:
+        """Send, record and read what is due."""
+
+    def try_admit(self, scheduler: Scheduler, request: CloudRequest, now: MonotonicTime, /) -> bool:
+        """Return whether the gate takes the request; otherwise it is sent as it is."""
+
+    def direct_answer_callback(self, request: CloudRequest, /) -> CloudResponseCallback | None:
+        """Return the callback for the answer to a request that the gate did not take."""
+
+
 class CloudRequests:
-    """Sends rentals, deletions, lists and catalogue reads, and hands in their answers."""
+    """Sends the scheduler's requests to the cloud and hands in their answers."""
 
-    def __init__(self, node: "ControllerNode") -> None:
-        """Connects to the cloud of the node's settings when it is first called."""
-        settings = node.settings
+    def __init__(
+        self,
+        leadership: Leadership,
+        election: Election,
+        store: StoreClient,
+        settings: NodeSettings,
+        clock: Clock,
+    ) -> None:
+        """Nothing is connected before the first request.
+
+        `election` and `store` tell whether this node's lease allows a request now.
+        """
         rate = RATE_SHARE * settings.cloud_rps
-        self._node = node
+        self._leadership = leadership
+        self._election = election
+        self._store = store
+        self._clock = clock
+        self.gate: CloudRequestGate | None = None  # None: every request is sent directly
         self._client = HttpClient(settings.cloud, CONNECT_TIMEOUT_S, MAX_IDLE_CONNECTIONS)
-        self._tokens = TokenBucket(rate, max(1.0, rate), node.clock())
-
-    def process_events(self, controller: Scheduler, now: MonotonicTime) -> None:
-        """Sends what the controller asks for while this node may order anything at all."""
-        node = self._node
-        duties = node.singleton_service
-        if duties is not None:
-            duties.cloud_requests.process_events(controller, self, now)
-        if not node.election.may_call_cloud(now, node.store.unavailable_at):
+        self._tokens = TokenBucket(rate, max(1.0, rate), clock())
+
+    def process_events(self, scheduler: Scheduler, now: MonotonicTime) -> None:
+        """Sends what the scheduler asks for while this node may order anything at all."""
+        gate = self.gate
+        if gate is not None:
+            gate.process_events(scheduler, self, now)
+        if not self._election.may_call_cloud(now, self._store.unavailable_at):
             return
         while self._tokens.available(now) >= 1:
-            call = controller.next_cloud_request(now)
-            if call is None:
+            request = scheduler.next_cloud_request(now)
+            if request is None:
                 break
             self._tokens.try_take(now)
-            if duties is None:
-                self.send(controller, call)
-            elif not duties.cloud_requests.try_admit(controller, call, now):
-                self.send(controller, call, duties.cloud_requests.direct_answer_callback(call))
-        if duties is not None:
-            duties.cloud_requests.process_events(controller, self, now)
+            if gate is None:
+                self.send(scheduler, request)
+            elif not gate.try_admit(scheduler, request, now):
+                self.send(scheduler, request, gate.direct_answer_callback(request))
+        if gate is not None:
+            gate.process_events(scheduler, self, now)
 
     def send(
         self,
-        controller: Scheduler,
-        call: CloudRequest,
-        answered: CloudResponseCallback | None = None,
+        scheduler: Scheduler,
+        request: CloudRequest,
+        on_response: CloudResponseCallback | None = None,
     ) -> None:
-        """Sends the call; `answered` is told of the answer before the controller is."""
-        leader_service = self._node.leader_service
-
-        def done(status: int | None, data: bytes) -> None:
-            if answered is not None:
-                answered(status, data)
-            if is_current_leadership(self._node, controller):
-                controller.on_cloud_response(call, status, data, self._node.clock())
-                leader_service.process_events_soon()
-
-        match call:
-            case ScaleOut(rental_request):
-                offer = rental_request.offering
+        """Send the request; `on_response` is called before the scheduler gets the answer."""
+
+        def done(status: int | None, body: bytes) -> None:
+            if on_response is not None:
+                on_response(status, body)
+            if is_current_leadership(self._leadership, scheduler):
+                scheduler.on_cloud_response(request, status, body, self._clock())
+                self._leadership.process_events_soon()
+
+        match request:
+            case ScaleOut(scale_out):
+                offer = scale_out.offering
                 body = cloud.create_machines_body(
-                    rental_request.name,
+                    scale_out.name,
                     offer.type,
                     offer.zone,
                     offer.is_spot,
-                    rental_request.machine_count,
+                    scale_out.machine_count,
                 )
                 self._client.request(b"POST", "/machines", body, RESPONSE_TIMEOUT_S, done)
             case DeleteMachines(machines):
--- a/src/eldercart/server/leadership/election_service.py
+++ b/src/eldercart/server/leadership/election_service.py
@@ -1,13 +1,13 @@
 """Carries out what the election asks of the state service."""
 
-import logging
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
 from twisted.internet import reactor as _reactor
 
 from eldercart.election.state_machine import (
     LEADER_KEY,
     Campaign,
+    Election,
     ElectionAction,
     GrantLease,
     KeepLeaseAlive,
@@ -15,22 +15,38 @@
     RevokeLease,
     Role,
 )
+from eldercart.server.node_context import Clock
+from eldercart.server.store.client import StoreClient
 from eldercart.units import LeaseId, MonotonicTime, Revision
 from eldercart.wire.state import Item
 
-if TYPE_CHECKING:
-    from eldercart.server.controller_node import ControllerNode
-
 reactor: Any = _reactor
-log = logging.getLogger("eldercart.node")
+
+WATCH_TIMEOUT_S = 20.0  # for which one request of the watch stays open
+WATCH_RETRY_S = 1.0  # before a watch that failed is tried again
+
+
+class LeadershipTerms(Protocol):
+    """What is told of each leadership's beginning and end."""
+
+    def start_failover(self) -> None:
+        """This node has been elected."""
+
+    def end_leadership(self, reason: str, /) -> None:
+        """This node leads no longer, or may not."""
 
 
 class ElectionService:
-    """Owns the watch on the leader key."""
+    """Carries out the election's actions; owns the watch on the leader key."""
 
-    def __init__(self, node: "ControllerNode") -> None:
+    def __init__(
+        self, election: Election, store: StoreClient, leadership: LeadershipTerms, clock: Clock
+    ) -> None:
         """Nothing has been read yet."""
-        self.node = node
+        self.election = election
+        self._store = store
+        self._leadership = leadership
+        self._clock = clock
         self.has_read_leader_key = False  # whether the leader key has been read once
         self._watch_revision = Revision(0)
         self._is_watching = False
@@ -42,8 +58,8 @@
             self._watch()
 
     def _run_next_action(self, now: MonotonicTime) -> None:
-        action = self.node.election.next_action(now)
-        store = self.node.store
+        action = self.election.next_action(now)
+        store = self._store
         match action:
             case None:
                 return
@@ -57,15 +73,18 @@
                 store.keep_lease_alive(lease, lambda alive: self._on_lease_renewed(action, alive))
             case RevokeLease(lease):
                 store.revoke_lease(lease, lambda ok: self._on_lease_revoked(action, ok))
-            case Campaign(txn):
+            case Campaign(transaction):
                 store.requests.force_take(now)
                 store.writes.force_take(now)
                 store.commit(
-                    txn, lambda status, rev, failed: self._on_claim_result(action, status, rev)
+                    transaction,
+                    lambda status, revision, failed: self._on_claim_result(
+                        action, status, revision
+                    ),
                 )
 
     def _on_lease_opened(self, action: ElectionAction, lease: LeaseId | None) -> None:
-        election, clock = self.node.election, self.node.clock
+        election, clock = self.election, self._clock
         if lease is None:
             election.on_action_failed(action, clock())
         else:
@@ -73,14 +92,14 @@
             self._run_next_action(clock())
 
     def _on_lease_renewed(self, action: ElectionAction, alive: bool | None) -> None:
-        election, clock = self.node.election, self.node.clock
+        election, clock = self.election, self._clock
         if alive is None:
             election.on_action_failed(action, clock())
         elif election.on_keep_alive(alive, clock()):
-            self.node.leader_service.end_leadership("lease ended")
+            self._leadership.end_leadership("lease ended")
 
     def _on_lease_revoked(self, action: ElectionAction, ok: bool) -> None:
-        election, clock = self.node.election, self.node.clock
+        election, clock = self.election, self._clock
         if ok:
             election.on_lease_revoked(clock())
             self._run_next_action(clock())
@@ -88,51 +107,48 @@
             election.on_action_failed(action, clock())
 
     def _on_leader_key_read(self, action: ElectionAction, ok: bool, item: Item | None) -> None:
-        e = self.node.election
-        now = self.node.clock()
+        election, now = self.election, self._clock()
         if not ok:
-            e.on_action_failed(action, now)
+            election.on_action_failed(action, now)
             return
         self.has_read_leader_key = True
         if item is not None:
             self._watch_revision = max(self._watch_revision, item.version)
-        e.on_leader_key_read(item, now)
-        if e.role is Role.LEADER:
-            self.node.leader_service.start_failover()
-        self._run_next_action(self.node.clock())
+        election.on_leader_key_read(item, now)
+        if election.role is Role.LEADER:
+            self._leadership.start_failover()
+        self._run_next_action(self._clock())
 
     def _on_claim_result(
         self, action: ElectionAction, status: int | None, revision: Revision
     ) -> None:
-        e = self.node.election
-        now = self.node.clock()
+        election, now = self.election, self._clock()
         if status == 200:
-            e.on_campaign_result(revision, now)
-            self.node.leader_service.start_failover()
+            election.on_campaign_result(revision, now)
+            self._leadership.start_failover()
         elif status in (400, 409):
-            e.on_campaign_result(None, now, lease_lost=status == 400)
+            election.on_campaign_result(None, now, lease_lost=status == 400)
             self._run_next_action(now)
         else:
-            e.on_action_failed(action, now)
+            election.on_action_failed(action, now)
 
     def _watch(self) -> None:
         self._is_watching = True
-        e = self.node.election
 
         def changed(status: int | None, revision: Revision, events: list[Any]) -> None:
             if status == 200:
                 self._watch_revision = max(self._watch_revision, revision)
                 if events:
-                    e.on_leader_key_changed(self.node.clock())
-                    self._run_next_action(self.node.clock())
+                    self.election.on_leader_key_changed(self._clock())
+                    self._run_next_action(self._clock())
                 self._is_watching = False
                 return
             if status == 410:
                 self._resync_watch()
                 return
-            reactor.callLater(1.0, self._allow_watch)
+            reactor.callLater(WATCH_RETRY_S, self._allow_watch)
 
-        self.node.store.watch(LEADER_KEY, self._watch_revision, 20.0, changed)
+        self._store.watch(LEADER_KEY, self._watch_revision, WATCH_TIMEOUT_S, changed)
 
     def _resync_watch(self) -> None:
         """More has changed since than the store keeps, as after a cut of less than a minute. The
@@ -141,10 +157,10 @@
         def listed(items: list[Item] | None, revision: Revision) -> None:
             if items is not None:
                 self._watch_revision = max(self._watch_revision, revision)
-                self.node.election.on_leader_key_changed(self.node.clock())
-            reactor.callLater(0.0 if items is not None else 1.0, self._allow_watch)
+                self.election.on_leader_key_changed(self._clock())
+            reactor.callLater(0.0 if items is not None else WATCH_RETRY_S, self._allow_watch)
 
-        self.node.store.range(LEADER_KEY, listed)
+        self._store.range(LEADER_KEY, listed)
 
     def _allow_watch(self) -> None:
         self._is_watching = False
--- a/src/eldercart/server/leadership/failover.py
+++ b/src/eldercart/server/leadership/failover.py
@@ -35,30 +35,31 @@
     learned_state: list[Item]
     dependency_lists: list[Item]  # read only if a job record refers to one
     jobs_revision: Revision  # as of which the job records were read
-    additional_records: list[Item] = field(
-        default_factory=list
-    )  # of the further prefixes asked for
+    additional_records: list[Item] = field(default_factory=list)  # of `additional_prefixes`
 
 
 class Failover:
     """Reads the records prefix by prefix, each until it succeeds, and hands them over once."""
 
     def __init__(
-        self, store: StoreClient, done: Callable[[StoredRecords], None], more: Sequence[str] = ()
+        self,
+        store: StoreClient,
+        on_complete: Callable[[StoredRecords], None],
+        additional_prefixes: Sequence[str] = (),
     ) -> None:
-        """`done` is called when everything has been read, unless `abandon` came before; `more`:
-        prefixes to be read beside those that every leader reads."""
+        """`on_complete` is called when everything has been read, unless `cancel` came before;
+        `additional_prefixes` are read beside those that every leader reads."""
         self._store = store
-        self._on_complete = done
+        self._on_complete = on_complete
         self._is_cancelled = False
-        self._additional_prefixes = more
+        self._additional_prefixes = additional_prefixes
         self._prefixes = [
             CATALOG_KEY,
             JOB_PREFIX,
             PLACEMENT_PREFIX,
             CLEANUP_PREFIX,
             LEARNED_STATE_PREFIX,
-            *more,
+            *additional_prefixes,
         ]
         self._items_by_prefix: dict[str, list[Item]] = {}
         self._jobs_revision = ABSENT_REVISION
--- a/src/eldercart/server/leadership/job_record_watch.py
+++ b/src/eldercart/server/leadership/job_record_watch.py
@@ -2,7 +2,7 @@
 dependencies that some of them refer to."""
 
 import logging
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import Any, NamedTuple
 
 from twisted.internet import reactor as _reactor
 
@@ -14,14 +14,14 @@
     resolve_dependency_list,
 )
 from eldercart.scheduling.scheduler import Scheduler
-from eldercart.server.leadership.current_leadership import is_current_leadership
+from eldercart.server.leadership.current_leadership import Leadership, is_current_leadership
+from eldercart.server.leadership.job_outcomes import JobOutcomes
+from eldercart.server.node_context import Clock
+from eldercart.server.store.client import StoreClient
 from eldercart.units import JobId, Revision
 from eldercart.wire import MalformedMessage
 from eldercart.wire.state import Item
 
-if TYPE_CHECKING:
-    from eldercart.server.controller_node import ControllerNode
-
 reactor: Any = _reactor
 log = logging.getLogger("eldercart.node")
 
@@ -31,14 +31,19 @@
 
 
 class JobRecordWatch:
-    """Teaches the controller the jobs that any node accepts, while this node leads.
+    """Teaches the scheduler the jobs that any node accepts, while this node leads.
 
-    Each call under way belongs to the controller it was made for and is dropped once another one,
+    Each call under way belongs to the scheduler it was made for and is dropped once another one,
     or none, is in its place."""
 
-    def __init__(self, node: "ControllerNode") -> None:
-        """Teaches whatever controller the node's `leader_service` has."""
-        self._node = node
+    def __init__(
+        self, leadership: Leadership, store: StoreClient, outcomes: JobOutcomes, clock: Clock
+    ) -> None:
+        """`outcomes` tells of jobs that have ended, whose records are not added any more."""
+        self._leadership = leadership
+        self._store = store
+        self._outcomes = outcomes
+        self._clock = clock
         self._jobs_resolving: set[JobId] = set()  # jobs whose list of dependencies is being read
 
     def reset(self) -> None:
@@ -47,93 +52,93 @@
 
     # -- the watch
 
-    def watch(self, controller: Scheduler, after: Revision) -> None:
+    def watch(self, scheduler: Scheduler, after: Revision) -> None:
         """Learns each record that is created after that revision."""
-        if not is_current_leadership(self._node, controller):
+        if not is_current_leadership(self._leadership, scheduler):
             return
 
         def got(status: int | None, revision: Revision, events: list[Any]) -> None:
-            if not is_current_leadership(self._node, controller):
+            if not is_current_leadership(self._leadership, scheduler):
                 return
             if status == 200:
                 self._on_events(events)
-                self.watch(controller, revision)
+                self.watch(scheduler, revision)
             elif status == 410:
-                self._resync(controller)
+                self._resync(scheduler)
             else:
-                reactor.callLater(WATCH_RETRY_S, self.watch, controller, after)
+                reactor.callLater(WATCH_RETRY_S, self.watch, scheduler, after)
 
-        self._node.store.watch(JOB_PREFIX, after, WATCH_TIMEOUT_S, got)
+        self._store.watch(JOB_PREFIX, after, WATCH_TIMEOUT_S, got)
 
     def _on_events(self, events: list[Any]) -> None:
         for event in events:
             if isinstance(event, Item):
                 self.add_record(event)
         if events:
-            self._node.leader_service.process_events_soon()
+            self._leadership.process_events_soon()
 
-    def _resync(self, controller: Scheduler) -> None:
+    def _resync(self, scheduler: Scheduler) -> None:
         """More has changed than the state service keeps: reads all records and watches on."""
-        if not is_current_leadership(self._node, controller):
+        if not is_current_leadership(self._leadership, scheduler):
             return
 
         def got(items: list[Item] | None, revision: Revision) -> None:
-            if not is_current_leadership(self._node, controller):
+            if not is_current_leadership(self._leadership, scheduler):
                 return
             if items is None:
-                reactor.callLater(WATCH_RETRY_S, self._resync, controller)
+                reactor.callLater(WATCH_RETRY_S, self._resync, scheduler)
                 return
             for item in items:
                 self.add_record(item)
-            self.watch(controller, revision)
+            self.watch(scheduler, revision)
 
-        self._node.store.range(JOB_PREFIX, got)
+        self._store.range(JOB_PREFIX, got)
 
     # -- single records
 
     def add_record(self, item: Item) -> None:
         """A record that refers to a list is learned with it. As long as the list can't be read the
         job stays unknown here: polls look it up, and nothing of it may start."""
-        controller = self._node.leader_service.scheduler
+        scheduler = self._leadership.scheduler
         job = JobId(item.key[len(JOB_PREFIX) :])
-        if controller is None or self._node.user_service.outcome_of(job) is not None:
+        if scheduler is None or self._outcomes.outcome_of(job) is not None:
             return
         if not has_dependency_list(item):
-            controller.load_job_record(item, self._node.clock())
-        elif job not in controller.jobs and job not in self._jobs_resolving:
+            scheduler.load_job_record(item, self._clock())
+        elif job not in scheduler.jobs and job not in self._jobs_resolving:
             self._jobs_resolving.add(job)
-            self._read_dependency_list(controller, job, item, LIST_RETRY_S)
+            self._read_dependency_list(scheduler, job, item, LIST_RETRY_S)
 
     def _read_dependency_list(
-        self, controller: Scheduler, job: JobId, item: Item, pause: float
+        self, scheduler: Scheduler, job: JobId, item: Item, pause: float
     ) -> None:
         """Reads the list that the record refers to, until it is there."""
-        if not is_current_leadership(self._node, controller):
+        if not is_current_leadership(self._leadership, scheduler):
             return
         reference = decode_dependency_list_reference(item.value)
-        known = job in controller.jobs or self._node.user_service.outcome_of(job) is not None
+        known = job in scheduler.jobs or self._outcomes.outcome_of(job) is not None
         if reference is None or known:
             self._jobs_resolving.discard(job)
             return
 
         def got(lists: list[Item] | None, revision: Revision) -> None:
-            if not is_current_leadership(self._node, controller):
+            if not is_current_leadership(self._leadership, scheduler):
                 return
             whole = None if lists is None else resolve_dependency_list(job, item, lists)
             if whole is None:
                 log.info("list of dependencies not read job=%s", job)
                 longer = min(MAX_LIST_RETRY_S, 2 * pause)
-                reactor.callLater(pause, self._read_dependency_list, controller, job, item, longer)
+                reactor.callLater(pause, self._read_dependency_list, scheduler, job, item, longer)
             else:
-                self._add_resolved_record(controller, job, whole)
+                self._add_resolved_record(scheduler, job, whole)
 
-        self._node.store.range(dependency_list_prefix(job, reference), got)
+        self._store.range(dependency_list_prefix(job, reference), got)
 
-    def _add_resolved_record(self, controller: Scheduler, job: JobId, whole: Item) -> None:
+    def _add_resolved_record(self, scheduler: Scheduler, job: JobId, whole: Item) -> None:
         self._jobs_resolving.discard(job)
-        if self._node.user_service.outcome_of(job) is None:
-            controller.load_job_record(whole, self._node.clock())
-            self._node.leader_service.process_events_soon()
+        if self._outcomes.outcome_of(job) is None:
+            scheduler.load_job_record(whole, self._clock())
+            self._leadership.process_events_soon()
 
 
 def has_dependency_list(item: Item) -> bool:
--- a/src/eldercart/server/leadership/leader_service.py
+++ b/src/eldercart/server/leadership/leader_service.py
@@ -1,21 +1,26 @@
-"""A node's leadership: takes the records over when it is elected, runs the controller and hands
+"""A node's leadership: takes the records over when it is elected, runs the scheduler and hands
 its work to the parts that carry it out."""
 
 import gc
 import logging
 import time
-from typing import TYPE_CHECKING, Any, NamedTuple
+from collections.abc import Callable, Mapping
+from typing import Any, NamedTuple, Protocol
 
-from eldercart.election.state_machine import Role
+from eldercart.election.state_machine import Election, Role
 from eldercart.scheduling.scheduler import Scheduler
 from eldercart.server.coalescing import CoalescedCall
-from eldercart.server.leadership.catalog_record import CatalogRecord
-from eldercart.server.leadership.cloud_requests import CloudRequests
+from eldercart.server.leadership.catalog_record import CatalogOwner, CatalogRecord
+from eldercart.server.leadership.cloud_requests import CloudRequestGate, CloudRequests
 from eldercart.server.leadership.failover import Failover, StoredRecords
+from eldercart.server.leadership.job_outcomes import JobStates
 from eldercart.server.leadership.job_record_watch import JobRecordWatch, resolve_dependency_lists
-from eldercart.server.leadership.state_store_requests import StateStoreRequests
+from eldercart.server.leadership.state_store_requests import CleanupPolicy, StateStoreRequests
 from eldercart.server.leadership.user_answers import UserAnswers
 from eldercart.server.leadership.worker_requests import WorkerRequests
+from eldercart.server.machine_types import KnownMachineTypes
+from eldercart.server.node_context import NodeContext
+from eldercart.server.store.client import StoreClient
 from eldercart.units import (
     AcknowledgedHeartbeats,
     FencingToken,
@@ -25,9 +30,7 @@
     WallTime,
 )
 from eldercart.wire import MalformedMessage, peers, workers
-
-if TYPE_CHECKING:
-    from eldercart.server.controller_node import ControllerNode
+from eldercart.wire.state import Item
 
 log = logging.getLogger("eldercart.node")
 
@@ -36,77 +39,150 @@
 
 
 class HeartbeatResponse(NamedTuple):
-    """The leader's answer to one report of a worker."""
+    """The leader's response to one heartbeat of a worker."""
+
+    commands: list[dict[str, Any]] | None  # for the worker; None: the heartbeat is outdated
+    wants_next: bool  # whether the machine's next heartbeat is needed even if nothing changes
+
+
+class SingletonTasks(CleanupPolicy, CatalogOwner, Protocol):
+    """The named leases of this node, as far as its leadership uses them."""
+
+    @property
+    def stored_prefixes(self) -> tuple[str, ...]:
+        """The key prefixes that a new leader reads for `on_leadership_gained`."""
+
+    @property
+    def cloud_requests(self) -> CloudRequestGate:
+        """The gate for requests that change the cloud's machines."""
+
+    def on_leadership_gained(
+        self, scheduler: Scheduler, records: list[Item], now: MonotonicTime, /
+    ) -> None:
+        """Take over what earlier leaders recorded under `stored_prefixes`."""
+
+    def on_leadership_lost(self) -> None:
+        """Record and send nothing more in this leadership's name."""
 
-    commands: list[dict[str, Any]] | None  # commands for the worker; None: the report is overtaken
-    wants_next: bool  # whether the machine's next report is wanted whatever it tells
+
+class RelayLease(Protocol):
+    """This node's permission to answer workers."""
+
+    def revoke_lease(self) -> None:
+        """End the permission at once."""
+
+
+class PeerStatus(Protocol):
+    """What the peers have said last."""
+
+    @property
+    def last_peer_contact_at(self) -> MonotonicTime:
+        """When any peer was heard last."""
+
+    def all_support(self, feature: str, /) -> bool:
+        """Return whether every node supports the feature."""
+
+
+class Peers(Protocol):
+    """The other nodes, as far as the leadership uses them."""
+
+    @property
+    def links(self) -> Mapping[NodeId, object]:
+        """The connections to the peers; empty for a node that is alone."""
+
+    @property
+    def relay(self) -> RelayLease:
+        """This node's relay."""
+
+    @property
+    def peer_heartbeats(self) -> PeerStatus:
+        """The heartbeats between the nodes."""
+
+    def request_next_heartbeats(self, machines_by_node: dict[NodeId, list[MachineId]], /) -> None:
+        """Ask each node to forward the next heartbeats of these of its machines."""
 
 
 class LeaderService:
-    """Owns the controller, which is there while this node leads and has read the records."""
+    """Owns the scheduler, which exists while this node leads and has read the records."""
 
-    def __init__(self, node: "ControllerNode") -> None:
-        """Not leading yet; `begin` and `end` follow the election."""
-        self.node = node
+    def __init__(
+        self,
+        context: NodeContext,
+        store: StoreClient,
+        election: Election,
+        job_states: JobStates,
+        machine_types: KnownMachineTypes,
+    ) -> None:
+        """Not leading yet; nothing may be called before `connect`."""
+        clock, settings = context.clock, context.settings
+        self._context = context
+        self._clock = clock
+        self._store = store
+        self._election = election
+        self._job_states = job_states
+        self._machine_types = machine_types
+        self._peers: Peers
+        self._singleton_tasks: SingletonTasks | None = None
         self.scheduler: Scheduler | None = None
-        self.job_record_watch = JobRecordWatch(node)
-        self.user_answers = UserAnswers(node)
-        self.catalog_record = CatalogRecord(node)
+        self.process_events_soon: Callable[[], None] = CoalescedCall(
+            EVENT_BATCH_DELAY_S, self.process_events
+        )
+        self.job_record_watch = JobRecordWatch(self, store, job_states, clock)
+        self.user_answers = UserAnswers(self, election, job_states, clock)
+        self.catalog_record = CatalogRecord(self, store, machine_types, clock, settings.value_bytes)
         self._failover: Failover | None = None
-        self._store_requests = StateStoreRequests(node)
-        self._cloud_requests = CloudRequests(node)
-        self._worker_requests = WorkerRequests(node)
-        self.process_events_soon = CoalescedCall(EVENT_BATCH_DELAY_S, self.process_events)
-        self._started_at = node.clock()
-        self.last_heartbeat_at = node.clock()  # when a worker reported last, here or to a relay
+        self._store_requests = StateStoreRequests(self, store, job_states, context.metrics, clock)
+        self._cloud_requests = CloudRequests(self, election, store, settings, clock)
+        self._worker_requests = WorkerRequests(self, settings.sockets, clock)
+        self._started_at = clock()
+        self.last_heartbeat_at = clock()  # of any worker, received here or by a relay
+
+    def connect(self, peer_nodes: Peers, singleton_tasks: SingletonTasks | None) -> None:
+        """Set the parts that are built after this one; `singleton_tasks` None: switched off."""
+        self._peers = peer_nodes
+        self._singleton_tasks = singleton_tasks
+        self._store_requests.cleanup_policy = singleton_tasks
+        self.catalog_record.catalog_owner = singleton_tasks
+        if singleton_tasks is not None:
+            self._cloud_requests.gate = singleton_tasks.cloud_requests
 
     @property
     def is_active(self) -> bool:
         """Whether this node leads and has read the records."""
-        return self.scheduler is not None and self.node.election.role is Role.LEADER
+        return self.scheduler is not None and self._election.role is Role.LEADER
 
     # -- terms
 
     def start_failover(self) -> None:
         """Elected: read all records, then act."""
-        node = self.node
         self._discard_scheduler()
         self.job_record_watch.reset()
-        node.store.set_leader(True)
-        log.info("elected epoch=%d", node.election.token)
-        epoch = node.election.token
+        self._store.set_leader(True)
+        token = self._election.token
+        log.info("elected epoch=%d", token)
         self._failover = Failover(
-            node.store,
-            lambda records: self._complete_failover(epoch, records),
-            () if node.singleton_service is None else node.singleton_service.stored_prefixes,
+            self._store,
+            lambda records: self._complete_failover(token, records),
+            () if self._singleton_tasks is None else self._singleton_tasks.stored_prefixes,
         )
         self._failover.read_next()
 
     def _discard_scheduler(self) -> None:
-        """Drops the controller, and a take-over that has not finished."""
+        """Drops the scheduler, and a take-over that has not finished."""
         self.scheduler = None
         if self._failover is not None:
             self._failover.cancel()
             self._failover = None
 
-    def _complete_failover(self, epoch: FencingToken, records: StoredRecords) -> None:
-        node = self.node
-        now = node.clock()
+    def _complete_failover(self, token: FencingToken, records: StoredRecords) -> None:
+        now = self._clock()
         self._failover = None
         for item in records.catalog:
-            node.load_machine_types(item)
+            self._machine_types.load(item)
         self.catalog_record.is_stored = self.catalog_record.has_any_stored = bool(records.catalog)
-        controller = Scheduler(
-            node.settings,
-            node.tuning,
-            epoch,
-            dict(node.machine_types),
-            now,
-            WallTime(time.time()),
-            node.incarnation,
-        )
+        scheduler = self._build_scheduler(token, now)
         resolved = resolve_dependency_lists(records.jobs, records.dependency_lists)
-        controller.load(
+        scheduler.load(
             resolved.resolved,
             records.placements,
             records.cleanup_markers,
@@ -116,54 +192,75 @@
         )
         gc.collect()
         gc.freeze()
-        if node.singleton_service is not None:
-            node.singleton_service.on_leadership_gained(controller, records.additional_records, now)
-        self.scheduler = controller
+        if self._singleton_tasks is not None:
+            self._singleton_tasks.on_leadership_gained(scheduler, records.additional_records, now)
+        self.scheduler = scheduler
         self._started_at = now
-        self.job_record_watch.watch(controller, records.jobs_revision)
+        self.job_record_watch.watch(scheduler, records.jobs_revision)
         for item in resolved.unresolved:
             self.job_record_watch.add_record(item)
         self.process_events()
 
-    def end_leadership(self, why: str) -> None:
+    def _build_scheduler(self, token: FencingToken, now: MonotonicTime) -> Scheduler:
+        context = self._context
+        return Scheduler(
+            context.settings,
+            context.tuning,
+            token,
+            dict(self._machine_types.by_name),
+            now,
+            WallTime(time.time()),
+            context.incarnation,
+        )
+
+    def observe_token(self, token: FencingToken, reason: str) -> None:
+        """Step down if the fencing token is higher than any that this node has seen."""
+        if self._election.observe_token(token, self._clock()):
+            self.end_leadership(reason)
+
+    def step_down(self, reason: str) -> None:
+        """End the leadership: a conditional write has shown that another node leads."""
+        self._election.on_write_fenced(self._clock())
+        self.end_leadership(reason)
+
+    def end_leadership(self, reason: str) -> None:
         """Leadership is over, or may be: nothing more is done in its name."""
-        if self.node.singleton_service is not None:
-            self.node.singleton_service.on_leadership_lost()
+        if self._singleton_tasks is not None:
+            self._singleton_tasks.on_leadership_lost()
         if self.scheduler is not None:
-            log.info("deposed epoch=%d why=%s", self.node.election.token, why)
+            log.info("deposed epoch=%d why=%s", self._election.token, reason)
         self._discard_scheduler()
         gc.unfreeze()
-        self.node.store.set_leader(False)
+        self._store.set_leader(False)
         self.user_answers.reset()
-        self.node.relay_service.relay.revoke_lease()
+        self._peers.relay.revoke_lease()
 
     def tick(self, now: MonotonicTime) -> None:
-        """Lets the controller look at the time; hands over if this node hears nobody."""
-        controller = self.scheduler
-        if controller is None:
+        """Lets the scheduler look at the time; hands over if this node hears nobody."""
+        scheduler = self.scheduler
+        if scheduler is None:
             return
-        if self._is_isolated(controller, now):
+        if self._is_isolated(scheduler, now):
             log.info("nobody is heard, peer or worker: hands over")
-            self.node.election.resign(now)
+            self._election.resign(now)
             self.end_leadership("hears nobody")
             return
-        node = self.node
-        controller.transaction_writer.subchunks_supported = (
-            node.relay_service.peer_heartbeats.all_support(peers.RECHUNKING)
+        scheduler.transaction_writer.subchunks_supported = self._peers.peer_heartbeats.all_support(
+            peers.RECHUNKING
         )
-        began = node.clock()
-        controller.tick(now)
-        controller.record_tick_duration(node.clock() - began)
-        if controller.is_planning_due(now):
-            self._plan(controller, now)
+        started_at = self._clock()
+        scheduler.tick(now)
+        scheduler.record_tick_duration(self._clock() - started_at)
+        if scheduler.is_planning_due(now):
+            self._plan(scheduler, now)
         self.process_events()
 
-    def _plan(self, controller: Scheduler, now: MonotonicTime) -> None:
-        began = self.node.clock()
-        controller.plan(now)
-        took = self.node.clock() - began
-        controller.planner.record_pass_duration(took)
-        self.node.metrics.record("plan", took)
+    def _plan(self, scheduler: Scheduler, now: MonotonicTime) -> None:
+        started_at = self._clock()
+        scheduler.plan(now)
+        duration_s = self._clock() - started_at
+        scheduler.planner.record_pass_duration(duration_s)
+        self._context.metrics.record("plan", duration_s)
 
     def exclude_stall(self, seconds: float) -> None:
         """Nobody's silence meanwhile was their own. Whether this node still leads only the state
@@ -172,81 +269,80 @@
         if self.scheduler is not None:
             self.scheduler.exclude_stall(seconds)
 
-    def _is_isolated(self, controller: Scheduler, now: MonotonicTime) -> bool:
+    def _is_isolated(self, scheduler: Scheduler, now: MonotonicTime) -> bool:
         """Whether the store alone can be reached: another node would then lead better."""
-        if not self.node.relay_service.links or not controller.inventory.machines:
+        if not self._peers.links or not scheduler.inventory.machines:
             return False
         since = max(
             self.last_heartbeat_at,
             self._started_at,
-            self.node.relay_service.peer_heartbeats.last_peer_contact_at,
+            self._peers.peer_heartbeats.last_peer_contact_at,
         )
         return now - since > ISOLATION_TIMEOUT_S
 
     # -- what follows from events
 
     def process_events(self) -> None:
-        """Carries out what the controller has to do now, as far as limits allow."""
-        controller = self.scheduler
-        if controller is None:
+        """Carries out what the scheduler has to do now, as far as limits allow."""
+        scheduler = self.scheduler
+        if scheduler is None:
             return
-        node = self.node
-        now = node.clock()
-        self._publish_finished_jobs(controller)
-        self._store_requests.process_events(controller, now)
-        self._worker_requests.process_events(controller, now)
-        if controller.cloud_requests.catalog_changed:
-            self.catalog_record.sync(controller)
-        self._cloud_requests.process_events(controller, now)
-        wants = controller.take_machines_needing_command()
-        if wants:
-            node.relay_service.request_next_heartbeats(wants)
-        for wait in controller.take_start_latencies_s():
-            node.metrics.record("start_wait", wait)
-
-    def _publish_finished_jobs(self, controller: Scheduler) -> None:
-        for job, how in controller.take_finished_jobs():
-            self.node.user_service.record_outcome(job, how)
-            self.user_answers.on_job_finished(job, how)
-
-    # -- reports
+        now = self._clock()
+        self._publish_finished_jobs(scheduler)
+        self._store_requests.process_events(scheduler, now)
+        self._worker_requests.process_events(scheduler, now)
+        if scheduler.cloud_requests.catalog_changed:
+            self.catalog_record.sync(scheduler)
+        self._cloud_requests.process_events(scheduler, now)
+        machines_by_node = scheduler.take_machines_needing_command()
+        if machines_by_node:
+            self._peers.request_next_heartbeats(machines_by_node)
+        for latency_s in scheduler.take_start_latencies_s():
+            self._context.metrics.record("start_wait", latency_s)
+
+    def _publish_finished_jobs(self, scheduler: Scheduler) -> None:
+        for job, outcome in scheduler.take_finished_jobs():
+            self._job_states.record_outcome(job, outcome)
+            self.user_answers.on_job_finished(job, outcome)
+
+    # -- heartbeats
 
     def handle_forwarded_heartbeat(
-        self, obj: dict[str, Any], epoch: FencingToken, relay: NodeId, now: MonotonicTime
+        self, message: dict[str, Any], token: FencingToken, relay: NodeId, now: MonotonicTime
     ) -> HeartbeatResponse:
-        """A report as a relay forwarded it under `epoch`."""
-        controller = self.scheduler
-        if controller is None or not self.is_active or epoch != controller.token:
-            return HeartbeatResponse(
-                [], True
-            )  # nothing is known of it here: the next one is wanted
+        """Handle a heartbeat as a relay forwarded it under the fencing token."""
+        scheduler = self.scheduler
+        if scheduler is None or not self.is_active or token != scheduler.token:
+            # Nothing is known of the machine here, so its next heartbeat is needed.
+            return HeartbeatResponse([], True)
         try:
-            report = workers.parse_heartbeat(obj)
+            heartbeat = workers.parse_heartbeat(message)
         except MalformedMessage as err:
             log.error("report malformed: %s", err)
             return HeartbeatResponse(None, True)
-        return self.handle_heartbeat(report, relay, now)
+        return self.handle_heartbeat(heartbeat, relay, now)
 
     def handle_heartbeat(
-        self, report: workers.Heartbeat, relay: NodeId, now: MonotonicTime
+        self, heartbeat: workers.Heartbeat, relay: NodeId, now: MonotonicTime
     ) -> HeartbeatResponse:
-        """A report that came in at `relay`, which may be this node."""
-        controller = self.scheduler
-        if controller is None or report.token > controller.token:
+        """Handle a heartbeat that came in at `relay`, which may be this node."""
+        scheduler = self.scheduler
+        if scheduler is None or heartbeat.token > scheduler.token:
             return HeartbeatResponse([], True)
         self.last_heartbeat_at = now
-        commands = controller.on_heartbeat(report, now, relay)
+        commands = scheduler.on_heartbeat(heartbeat, now, relay)
         if commands is None:
             return HeartbeatResponse(None, False)
-        calls = workers.command_objects(commands)
-        return HeartbeatResponse(calls, controller.needs_next_heartbeat(report.machine))
+        return HeartbeatResponse(
+            workers.command_objects(commands), scheduler.needs_next_heartbeat(heartbeat.machine)
+        )
 
     def record_relayed_heartbeats(
-        self, relay: NodeId, orders: AcknowledgedHeartbeats, now: MonotonicTime
+        self, relay: NodeId, heartbeats: AcknowledgedHeartbeats, now: MonotonicTime
     ) -> None:
         """The machines that a relay answered by itself, and the reports it answered."""
         if self.scheduler is not None:
-            self.scheduler.record_relayed_heartbeats(relay, orders, now)
+            self.scheduler.record_relayed_heartbeats(relay, heartbeats, now)
 
     def on_relay_lost(self, relay: NodeId) -> None:
         """The connection from that relay broke."""
--- a/src/eldercart/server/leadership/state_store_requests.py
+++ b/src/eldercart/server/leadership/state_store_requests.py
@@ -1,23 +1,25 @@
-"""The reads and writes that the leader's controller asks of the state service."""
+"""The reads and writes that the leader's scheduler asks of the state service."""
 
 import logging
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from eldercart.jobs.registry import END_PREFIX, decode_end_record
+from eldercart.persistence.transaction_writer import CleanupPermit
 from eldercart.scheduling.scheduler import PendingTransaction, Scheduler, TransactionOutcome
-from eldercart.server.leadership.current_leadership import is_current_leadership
+from eldercart.server.leadership.current_leadership import Leadership, is_current_leadership
+from eldercart.server.leadership.job_outcomes import JobOutcomes
+from eldercart.server.metrics import Metrics
+from eldercart.server.node_context import Clock
 from eldercart.server.store.client import (
     RESERVE_JOB_OUTCOMES,
     RESERVE_LEARNED_STATE,
     RESERVE_PLACEMENTS,
     RESERVE_POLLS,
+    StoreClient,
 )
 from eldercart.units import JobId, MonotonicTime, Revision
 from eldercart.wire.state import Item
 
-if TYPE_CHECKING:
-    from eldercart.server.controller_node import ControllerNode
-
 log = logging.getLogger("eldercart.node")
 
 OUTCOME_BY_STATUS = {
@@ -32,114 +34,132 @@
 MAX_LOGGED_BYTES = 300  # of a transaction that was answered unexpectedly
 
 
-class StateStoreRequests:
-    """Carries out the controller's work on the state service as far as tokens allow."""
+class CleanupPolicy(Protocol):
+    """Decides whether the leader may delete the remaining records of ended jobs."""
+
+    def cleanup_permit(self, scheduler: Scheduler, now: MonotonicTime, /) -> CleanupPermit:
+        """Return the present permit, with the conditions that a cleanup is committed under."""
+
+    def on_write_fenced(self) -> None:
+        """A conditional write failed: the lease that permitted it may be lost."""
 
-    def __init__(self, node: "ControllerNode") -> None:
-        """Uses the node's client of the state service and its tokens."""
-        self._node = node
 
-    def process_events(self, controller: Scheduler, now: MonotonicTime) -> None:
+class StateStoreRequests:
+    """Carries out the scheduler's work on the state service as far as tokens allow."""
+
+    def __init__(
+        self,
+        leadership: Leadership,
+        store: StoreClient,
+        outcomes: JobOutcomes,
+        metrics: Metrics,
+        clock: Clock,
+    ) -> None:
+        """`metrics` receives the duration of each committed transaction."""
+        self._leadership = leadership
+        self._store = store
+        self._outcomes = outcomes
+        self._metrics = metrics
+        self._clock = clock
+        self.cleanup_policy: CleanupPolicy | None = None  # None: cleanup is always permitted
+
+    def process_events(self, scheduler: Scheduler, now: MonotonicTime) -> None:
         """Starts what is due, in the order of its urgency."""
-        if self._node.singleton_service is not None:
-            controller.transaction_writer.cleanup_permit = (
-                self._node.singleton_service.cleanup_permit(controller, now)
+        if self.cleanup_policy is not None:
+            scheduler.transaction_writer.cleanup_permit = self.cleanup_policy.cleanup_permit(
+                scheduler, now
             )
-        self._refresh_records(controller, now)
-        self._read_outcomes(controller, now)
-        self._commit_next(controller, now)
-        self._commit_learned_state(controller, now)
+        self._refresh_records(scheduler, now)
+        self._read_outcomes(scheduler, now)
+        self._commit_next(scheduler, now)
+        self._commit_learned_state(scheduler, now)
 
     # -- reads
 
-    def _refresh_records(self, controller: Scheduler, now: MonotonicTime) -> None:
-        for key in list(controller.keys_to_refresh):
-            if self._node.store.requests.try_take(now):
-                self._refresh(controller, key)
+    def _refresh_records(self, scheduler: Scheduler, now: MonotonicTime) -> None:
+        for key in list(scheduler.keys_to_refresh):
+            if self._store.requests.try_take(now):
+                self._refresh(scheduler, key)
 
-    def _refresh(self, controller: Scheduler, key: str) -> None:
-        controller.refreshes_in_flight.add(key)
-        controller.keys_to_refresh.discard(key)
+    def _refresh(self, scheduler: Scheduler, key: str) -> None:
+        scheduler.refreshes_in_flight.add(key)
+        scheduler.keys_to_refresh.discard(key)
 
         def done(ok: bool, item: Item | None) -> None:
-            if not is_current_leadership(self._node, controller):
+            if not is_current_leadership(self._leadership, scheduler):
                 return
-            controller.refreshes_in_flight.discard(key)
+            scheduler.refreshes_in_flight.discard(key)
             if ok:
-                controller.on_key_refreshed(key, item, self._node.clock())
+                scheduler.on_key_refreshed(key, item, self._clock())
             else:
-                controller.keys_to_refresh.add(key)
+                scheduler.keys_to_refresh.add(key)
 
-        self._node.store.get(key, done)
+        self._store.get(key, done)
 
-    def _read_outcomes(self, controller: Scheduler, now: MonotonicTime) -> None:
-        tokens = self._node.store.requests.available(now, RESERVE_POLLS)
-        for job in controller.take_due_end_lookups(now, min(MAX_OUTCOME_READS, tokens)):
-            self._read_outcome(controller, job)
+    def _read_outcomes(self, scheduler: Scheduler, now: MonotonicTime) -> None:
+        tokens = self._store.requests.available(now, RESERVE_POLLS)
+        for job in scheduler.take_due_end_lookups(now, min(MAX_OUTCOME_READS, tokens)):
+            self._read_outcome(scheduler, job)
 
-    def _read_outcome(self, controller: Scheduler, job: JobId) -> None:
-        """How a job ended that others await and that is not in the job registry any more."""
-        node = self._node
-        how = node.user_service.outcome_of(job)
-        if how is not None:
-            controller.on_end_lookup_result(job, how, node.clock())
+    def _read_outcome(self, scheduler: Scheduler, job: JobId) -> None:
+        """Read the outcome of a dependency that is not in the job registry any more."""
+        outcome = self._outcomes.outcome_of(job)
+        if outcome is not None:
+            scheduler.on_end_lookup_result(job, outcome, self._clock())
             return
 
         def done(ok: bool, item: Item | None) -> None:
-            if not is_current_leadership(self._node, controller):
+            if not is_current_leadership(self._leadership, scheduler):
                 return
-            controller.on_end_lookup_result(
-                job, None if item is None else decode_end_record(item.value), node.clock()
+            scheduler.on_end_lookup_result(
+                job, None if item is None else decode_end_record(item.value), self._clock()
             )
-            node.leader_service.process_events_soon()
+            self._leadership.process_events_soon()
 
-        node.store.get(END_PREFIX + job, done)
+        self._store.get(END_PREFIX + job, done)
 
     # -- writes
 
-    def _commit_next(self, controller: Scheduler, now: MonotonicTime) -> None:
-        store = self._node.store
+    def _commit_next(self, scheduler: Scheduler, now: MonotonicTime) -> None:
+        store = self._store
         if store.requests.available(now, RESERVE_JOB_OUTCOMES) < 1:
             return
-        reserve = (
-            RESERVE_JOB_OUTCOMES if controller.has_unpersisted_outcomes else RESERVE_PLACEMENTS
-        )
-        pending = controller.next_transaction(now, store.writes.available(now, reserve))
+        reserve = RESERVE_JOB_OUTCOMES if scheduler.has_unpersisted_outcomes else RESERVE_PLACEMENTS
+        pending = scheduler.next_transaction(now, store.writes.available(now, reserve))
         if pending is not None:
-            self._commit(controller, pending, now)
+            self._commit(scheduler, pending, now)
 
     def _commit(
-        self, controller: Scheduler, pending: PendingTransaction, now: MonotonicTime
+        self, scheduler: Scheduler, pending: PendingTransaction, now: MonotonicTime
     ) -> None:
-        node = self._node
-        node.store.requests.force_take(now)
-        node.store.writes.force_take(now, len(pending.transaction.operations))
+        self._store.requests.force_take(now)
+        self._store.writes.force_take(now, len(pending.transaction.operations))
 
         def done(status: int | None, revision: Revision, failed: tuple[str, ...]) -> None:
-            if not is_current_leadership(self._node, controller):
+            if not is_current_leadership(self._leadership, scheduler):
                 return
             outcome = _outcome_of(status, pending)
-            answered_at = node.clock()
-            node.metrics.record("write", answered_at - now)
-            if node.singleton_service is not None and failed and pending.cleanup_permit.conditions:
-                node.singleton_service.on_write_fenced()
-            if controller.on_transaction_result(pending, outcome, revision, failed, answered_at):
-                node.step_down("write refused by the leader key")
+            answered_at = self._clock()
+            self._metrics.record("write", answered_at - now)
+            if self.cleanup_policy is not None and failed and pending.cleanup_permit.conditions:
+                self.cleanup_policy.on_write_fenced()
+            if scheduler.on_transaction_result(pending, outcome, revision, failed, answered_at):
+                self._leadership.step_down("write refused by the leader key")
             else:
-                node.leader_service.process_events()
+                self._leadership.process_events()
 
-        node.store.commit(pending.transaction, done)
+        self._store.commit(pending.transaction, done)
 
-    def _commit_learned_state(self, controller: Scheduler, now: MonotonicTime) -> None:
-        store = self._node.store
+    def _commit_learned_state(self, scheduler: Scheduler, now: MonotonicTime) -> None:
+        store = self._store
         spare = store.writes.available(now, RESERVE_LEARNED_STATE)
         if spare < 1:
             return
-        memory_txn = controller.next_learned_state_transaction(now, spare)
-        if memory_txn is not None:
+        transaction = scheduler.next_learned_state_transaction(now, spare)
+        if transaction is not None:
             store.requests.force_take(now)
-            store.writes.force_take(now, len(memory_txn.operations))
-            store.commit(memory_txn, lambda status, revision, failed: None)
+            store.writes.force_take(now, len(transaction.operations))
+            store.commit(transaction, lambda status, revision, failed: None)
 
 
 def _outcome_of(status: int | None, pending: PendingTransaction) -> TransactionOutcome:
--- a/src/eldercart/server/leadership/user_answers.py
+++ b/src/eldercart/server/leadership/user_answers.py
@@ -1,17 +1,18 @@
 """The leader's answers to users' polls and cancellations, whichever node took them."""
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from twisted.internet import reactor as _reactor
 
+from eldercart.election.state_machine import Election
 from eldercart.scheduling.scheduler import JobStatus, LookupFailure
+from eldercart.server.leadership.current_leadership import Leadership
+from eldercart.server.leadership.job_outcomes import JobStates
+from eldercart.server.node_context import Clock
 from eldercart.units import JobId
 from eldercart.wire import peers, users
 
-if TYPE_CHECKING:
-    from eldercart.server.controller_node import ControllerNode
-
 reactor: Any = _reactor
 
 CANCEL_TIMEOUT_S = 1.5  # for which a cancellation waits for its durable end
@@ -20,30 +21,34 @@
 class UserAnswers:
     """Owns the answers that wait for a durable end."""
 
-    def __init__(self, node: "ControllerNode") -> None:
-        """Nobody waits yet."""
-        self._node = node
+    def __init__(
+        self, leadership: Leadership, election: Election, job_states: JobStates, clock: Clock
+    ) -> None:
+        """`election` tells whether this node is within its leader lease."""
+        self._leadership = leadership
+        self._election = election
+        self._job_states = job_states
+        self._clock = clock
         self._waiters: dict[JobId, list[ReplyOnce]] = {}
 
     def reset(self) -> None:
         """Leadership ended: who waits is answered by time-out."""
         self._waiters.clear()
 
-    def on_job_finished(self, job: JobId, how: str) -> None:
+    def on_job_finished(self, job: JobId, outcome: str) -> None:
         """The job's end is durable: everyone who waits for it is told."""
         for waiter in self._waiters.pop(job, ()):
-            waiter(how)
+            waiter(outcome)
 
     def job_reply(self, number: int, job: JobId) -> peers.JobReply:
         """The leader's answer; only within its lease is a state that may change told."""
-        node = self._node
-        how = node.user_service.outcome_of(job)
-        if how is not None:
-            return peers.JobReply(number, how, 0, 0)
-        controller = node.leader_service.scheduler
-        if controller is None or not node.election.is_within_lease(node.clock()):
+        outcome = self._job_states.outcome_of(job)
+        if outcome is not None:
+            return peers.JobReply(number, outcome, 0, 0)
+        scheduler = self._leadership.scheduler
+        if scheduler is None or not self._election.is_within_lease(self._clock()):
             return peers.JobReply(number, peers.NOT_LEADER, 0, 0)
-        status = controller.job_status(job)
+        status = scheduler.job_status(job)
         if isinstance(status, JobStatus):
             waiting = status.unmet_dependencies[: users.MAX_LISTED_DEPENDENCIES]
             return peers.JobReply(
@@ -54,13 +59,12 @@
 
     def cancel(self, job: JobId, answer: Callable[[str], None]) -> None:
         """Calls `answer` once: with the job's durable end, or with a verdict of `peers`."""
-        node = self._node
-        controller = node.leader_service.scheduler
-        how = node.user_service.outcome_of(job)
-        if how is not None or controller is None:
-            answer(how or peers.NOT_LEADER)
+        scheduler = self._leadership.scheduler
+        outcome = self._job_states.outcome_of(job)
+        if outcome is not None or scheduler is None:
+            answer(outcome or peers.NOT_LEADER)
             return
-        verdict = controller.cancel_job(job, node.clock())
+        verdict = scheduler.cancel_job(job, self._clock())
         if verdict is LookupFailure.UNKNOWN_JOB:
             self._look_up_and_cancel(job, answer)
         elif isinstance(verdict, str):
@@ -70,20 +74,19 @@
 
     def _look_up_and_cancel(self, job: JobId, answer: Callable[[str], None]) -> None:
         """The watch may lag behind another node's acceptance: the look-up teaches the job."""
-        leader_service = self._node.leader_service
+        leadership = self._leadership
 
         def found(state: str) -> None:
             if state in (users.DONE, users.CANCELLED):
                 answer(state)
             elif (
-                leader_service.scheduler is not None
-                and leader_service.scheduler.jobs.get(job) is not None
+                leadership.scheduler is not None and leadership.scheduler.jobs.get(job) is not None
             ):
                 self.cancel(job, answer)
             else:
                 answer(peers.UNDECIDED)
 
-        self._node.user_service.read_job_state(
+        self._job_states.read_job_state(
             job, found, lambda: answer(peers.UNKNOWN), lambda: answer(peers.UNDECIDED)
         )
 
@@ -92,7 +95,7 @@
         waiter = ReplyOnce(answer)
         self._waiters.setdefault(job, []).append(waiter)
         reactor.callLater(CANCEL_TIMEOUT_S, waiter, peers.UNDECIDED)
-        self._node.leader_service.process_events()
+        self._leadership.process_events()
 
 
 class ReplyOnce:
--- a/src/eldercart/server/leadership/worker_requests.py
+++ b/src/eldercart/server/leadership/worker_requests.py
@@ -2,89 +2,85 @@
 
 import logging
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
 from eldercart.scheduling.scheduler import DirectKill, Scheduler
 from eldercart.server.http.client import WorkerClient
-from eldercart.server.leadership.current_leadership import is_current_leadership
+from eldercart.server.leadership.current_leadership import Leadership, is_current_leadership
+from eldercart.server.node_context import Clock
 from eldercart.units import MachineId, MonotonicTime
 from eldercart.wire import MalformedMessage, workers
 from eldercart.wire.checks import load_object
 
-if TYPE_CHECKING:
-    from eldercart.server.controller_node import ControllerNode
-
 log = logging.getLogger("eldercart.node")
 
-SOCKETS_PER_CONNECTION, MIN_CONNECTIONS = (
-    20,
-    4,
-)  # one connection for so many sockets, but so many at least
+SOCKETS_PER_CONNECTION = 20  # of the node's sockets, for each concurrent request to a worker
+MIN_CONNECTIONS = 4
 EXECUTED, OTHER_AGENT_EPOCH = 200, 409  # the statuses that come with the worker's report
 
 
 class WorkerRequests:
-    """Asks workers directly; an answer is handed to the controller that asked for it."""
+    """Asks workers directly; an answer is handed to the scheduler that asked for it."""
 
-    def __init__(self, node: "ControllerNode") -> None:
-        """So many connections at most as the node's sockets allow."""
-        self._node = node
-        connections = max(MIN_CONNECTIONS, node.settings.sockets // SOCKETS_PER_CONNECTION)
-        self._client = WorkerClient(connections)
+    def __init__(self, leadership: Leadership, max_sockets: int, clock: Clock) -> None:
+        """`max_sockets` is the node's limit on open sockets, of which this uses a share."""
+        self._leadership = leadership
+        self._clock = clock
+        self._client = WorkerClient(max(MIN_CONNECTIONS, max_sockets // SOCKETS_PER_CONNECTION))
 
-    def process_events(self, controller: Scheduler, now: MonotonicTime) -> None:
+    def process_events(self, scheduler: Scheduler, now: MonotonicTime) -> None:
         """Sends the probes and the direct commands that are due."""
-        for machine, address in controller.take_probes():
-            self._probe(controller, machine, address)
-        for order in controller.take_direct_kills(now):
-            self._send_kill(controller, order)
+        for machine, address in scheduler.take_probes():
+            self._probe(scheduler, machine, address)
+        for kill in scheduler.take_direct_kills(now):
+            self._send_kill(scheduler, kill)
 
-    def _probe(self, controller: Scheduler, machine: MachineId, address: str) -> None:
+    def _probe(self, scheduler: Scheduler, machine: MachineId, address: str) -> None:
         """`/show` tells whether a machine lives that nothing is heard of. What it lists is not
         read: it may cross the response to a report and lack what that response launches."""
 
-        def shown(status: int, report: workers.Heartbeat) -> None:
+        def on_heartbeat(status: int, heartbeat: workers.Heartbeat) -> None:
             if status == EXECUTED:
-                controller.record_probe_success(machine, self._node.clock())
+                scheduler.record_probe_success(machine, self._clock())
 
-        self._request(controller, machine, address, "/show", None, shown)
+        self._request(scheduler, machine, address, "/show", None, on_heartbeat)
 
-    def _send_kill(self, controller: Scheduler, order: DirectKill) -> None:
-        node = self._node
-        sent = node.clock()
+    def _send_kill(self, scheduler: Scheduler, kill: DirectKill) -> None:
+        sent_at = self._clock()
 
-        def told(status: int, report: workers.Heartbeat) -> None:
-            if report.token > controller.token:
-                node.observe_token(report.token, "a worker has seen a higher epoch")
+        def on_heartbeat(status: int, heartbeat: workers.Heartbeat) -> None:
+            if heartbeat.token > scheduler.token:
+                self._leadership.observe_token(heartbeat.token, "a worker has seen a higher epoch")
             else:
-                controller.on_direct_kill_response(report, status == EXECUTED, sent, node.clock())
-                node.leader_service.process_events_soon()
+                scheduler.on_direct_kill_response(
+                    heartbeat, status == EXECUTED, sent_at, self._clock()
+                )
+                self._leadership.process_events_soon()
 
-        body = workers.direct_commands_body(controller.token, order.agent_epoch, order.commands)
-        self._request(controller, order.machine_id, order.address, "/orders", body, told)
+        body = workers.direct_commands_body(scheduler.token, kill.agent_epoch, kill.commands)
+        self._request(scheduler, kill.machine_id, kill.address, "/orders", body, on_heartbeat)
 
     def _request(
         self,
-        controller: Scheduler,
+        scheduler: Scheduler,
         machine: MachineId,
         address: str,
         path: str,
         body: bytes | None,
-        told: Callable[[int, workers.Heartbeat], None],
+        on_heartbeat: Callable[[int, workers.Heartbeat], None],
     ) -> None:
-        """`told(status, report)` if that machine answers with its report."""
+        """Call `on_heartbeat(status, heartbeat)` if that machine answers with its heartbeat."""
 
         def got(status: int | None, data: bytes) -> None:
-            if not is_current_leadership(self._node, controller):
+            if not is_current_leadership(self._leadership, scheduler):
                 return
             if status not in (EXECUTED, OTHER_AGENT_EPOCH):
                 return
             try:
-                report = workers.parse_heartbeat(load_object(data))
+                heartbeat = workers.parse_heartbeat(load_object(data))
             except MalformedMessage as err:
                 log.error("report malformed address=%s: %s", address, err)
                 return
-            if report.machine == machine:
-                told(status, report)
+            if heartbeat.machine == machine:
+                on_heartbeat(status, heartbeat)
 
         self._client.request(address, path, body, got)
--- /dev/null
+++ b/src/eldercart/server/machine_types.py
@@ -0,0 +1,24 @@
+"""The machine types that this node knows."""
+
+import logging
+
+from eldercart.wire import MalformedMessage, cloud
+from eldercart.wire.cloud import MachineType
+from eldercart.wire.state import Item
+
+log = logging.getLogger("eldercart.node")
+
+
+class KnownMachineTypes:
+    """The machine types by name; submissions are judged by them."""
+
+    def __init__(self) -> None:
+        """No type is known."""
+        self.by_name: dict[str, MachineType] = {}
+
+    def load(self, item: Item) -> None:
+        """Replace the types by those of the stored catalogue, if it can be read."""
+        try:
+            self.by_name = cloud.parse_catalog(item.value)
+        except (MalformedMessage, AttributeError) as err:
+            log.error("stored catalogue unreadable: %s", err)
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -10,6 +10,7 @@
 import pytest
 
 from eldercart.cli.client import _waiting_reason, _with_awaits
+from eldercart.election.state_machine import Election
 from eldercart.jobs.registry import (
     DEPENDENCY_LIST_PREFIX,
     END_PREFIX,
@@ -23,11 +24,14 @@
 )
 from eldercart.server.leadership import job_record_watch
 from eldercart.server.leadership.leader_service import LeaderService
+from eldercart.server.machine_types import KnownMachineTypes
+from eldercart.server.metrics import Metrics
+from eldercart.server.node_context import NodeContext
 from eldercart.server.store.token_bucket import TokenBucket
 from eldercart.server.users.user_service import UserService
 from eldercart.settings import load_tuning
 from eldercart.settings.platform import parse_platform
-from eldercart.units import JobId, MonotonicTime, Revision
+from eldercart.units import IncarnationId, JobId, MonotonicTime, NodeId, Revision
 from eldercart.wire import MalformedMessage, cloud, peers, users
 from eldercart.wire.state import DeleteKey, Item, Put, Transaction
 from simulators import CATALOG, StoreSim
@@ -882,8 +886,13 @@
             callLater=lambda _, call, *args: self.later.append(lambda: call(*args))
         )
         monkeypatch.setattr(job_record_watch, "reactor", reactor)
-        self.leader_service = self.place.node.leader_service = LeaderService(
-            cast(Any, self.place.node)
+        node = self.place.node
+        self.leader_service = node.leader_service = LeaderService(
+            NodeContext(node.settings, node.tuning, IncarnationId("x"), node.clock, Metrics()),
+            cast(Any, node.store),
+            Election(NodeId("n"), 3.0, 0.02),
+            self.place.front,
+            KnownMachineTypes(),
         )
         self.leader_service.process_events_soon = cast(Any, lambda: None)
         self.leader_service.scheduler = cast(
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -938,8 +938,12 @@
     assert JobId(name) in c.jobs and late is not None and late.outcome is None
     place = Place()
     place.node.leader_service.scheduler = c
-    place.node.election = SimpleNamespace(is_within_lease=lambda now: True)
-    place.node.leader_service.user_answers = UserAnswers(cast(Any, place.node))
+    place.node.leader_service.user_answers = UserAnswers(
+        place.node.leader_service,
+        cast(Any, SimpleNamespace(is_within_lease=lambda now: True)),
+        place.front,
+        place.node.clock,
+    )
     body = submission("wk-late", awaits=[name])
     for asking in (place.submit(body), place.poll("wk-late")):
         assert (asking.status, asking.answer["standing"]) == (200, users.CANCELLED)
--- a/tests/test_duty_service.py
+++ b/tests/test_duty_service.py
@@ -99,22 +99,14 @@
         self.clock = Clock()
         settings = parse_platform(PLATFORM)
         features = None if on is None else parse_features({"duties": {"on": on} | duties})
-        self.node = ControllerNode(settings, load_tuning(), features)
-        self.node.clock = self.clock
-        for part in (self.node.store, self.node.store.requests, self.node.store.writes):
-            if hasattr(part, "_clock"):
-                part._clock = self.clock
+        self.node = ControllerNode(settings, load_tuning(), features, self.clock)
         self.store = StoreSim()
         self.state_service = StateServiceStub(self.store)
         self.cloud = CloudStub()
         self.node.store._http = self.state_service  # type: ignore[assignment]
         self.node.leader_service._cloud_requests._client = self.cloud  # type: ignore[assignment]
-        self.node.leader_service._cloud_requests._tokens._refilled_at = self.clock()
         if self.node.singleton_service is not None:
             self.node.singleton_service.catalog_refresh._client = self.cloud  # type: ignore[assignment]
-        for bucket in (self.node.store.requests, self.node.store.writes):
-            bucket._refilled_at = self.clock()
-        self.node.leader_service.last_heartbeat_at = self.clock()
 
     def become_leader(self) -> None:
         self.run(1.0)
--- a/tests/test_leading.py
+++ b/tests/test_leading.py
@@ -29,6 +29,7 @@
 from eldercart.server.leadership.state_store_requests import StateStoreRequests
 from eldercart.server.leadership.user_answers import UserAnswers
 from eldercart.server.leadership.worker_requests import WorkerRequests
+from eldercart.server.machine_types import KnownMachineTypes
 from eldercart.units import (
     AgentEpoch,
     FencingToken,
@@ -73,25 +74,55 @@
             watch=lambda key, after, wait_s, done: keep(done),
         )
         self.leader_service = SimpleNamespace(
-            scheduler=None, process_events=Mock(), process_events_soon=Mock()
+            scheduler=None,
+            process_events=Mock(),
+            process_events_soon=Mock(),
+            step_down=Mock(),
+            observe_token=Mock(),
         )
-        self.node = cast(
-            Any,
-            SimpleNamespace(
-                store=self.store,
-                leader_service=self.leader_service,
-                clock=lambda: NOW,
-                metrics=Mock(),
-                settings=SimpleNamespace(
-                    cloud=Mock(), cloud_rps=5.0, sockets=100, value_bytes=4096
-                ),
-                machine_types={},
-                singleton_service=None,
-                user_service=SimpleNamespace(outcome_of=lambda job: None),
-                step_down=Mock(),
-                observe_token=Mock(),
-                election=SimpleNamespace(may_call_cloud=lambda now, refused_at: True),
-            ),
+        self.outcomes = SimpleNamespace(outcome_of=lambda job: None)
+        self.machine_types = KnownMachineTypes()
+
+    def store_requests(self) -> StateStoreRequests:
+        return StateStoreRequests(
+            cast(Any, self.leader_service),
+            cast(Any, self.store),
+            cast(Any, self.outcomes),
+            Mock(),
+            lambda: NOW,
+        )
+
+    def cloud_requests(self) -> CloudRequests:
+        requests = CloudRequests(
+            cast(Any, self.leader_service),
+            cast(Any, SimpleNamespace(may_call_cloud=lambda now, refused_at: True)),
+            cast(Any, self.store),
+            cast(Any, SimpleNamespace(cloud=Mock(), cloud_rps=5.0)),
+            lambda: NOW,
+        )
+        requests._client = cast(Any, Mock(request=lambda *args: self.answers.append(args[-1])))
+        return requests
+
+    def worker_requests(self) -> WorkerRequests:
+        requests = WorkerRequests(cast(Any, self.leader_service), 100, lambda: NOW)
+        requests._client = cast(Any, Mock(request=lambda *args: self.answers.append(args[-1])))
+        return requests
+
+    def job_record_watch(self) -> JobRecordWatch:
+        return JobRecordWatch(
+            cast(Any, self.leader_service),
+            cast(Any, self.store),
+            cast(Any, self.outcomes),
+            lambda: NOW,
+        )
+
+    def catalog_record(self) -> CatalogRecord:
+        return CatalogRecord(
+            cast(Any, self.leader_service),
+            cast(Any, self.store),
+            self.machine_types,
+            lambda: NOW,
+            4096,
         )
 
     def scheduler(self) -> Any:
@@ -111,35 +142,31 @@
 
 def reread(place: Place, controller: Any) -> tuple[Any, tuple[Any, ...]]:
     controller.keys_to_refresh.add("place/1-1")
-    StateStoreRequests(place.node).process_events(controller, NOW)
+    place.store_requests().process_events(controller, NOW)
     return controller.on_key_refreshed, (True, None)
 
 
 def end(place: Place, controller: Any) -> tuple[Any, tuple[Any, ...]]:
     controller.take_due_end_lookups.return_value = [JobId("wk-1")]
-    StateStoreRequests(place.node).process_events(controller, NOW)
+    place.store_requests().process_events(controller, NOW)
     return controller.on_end_lookup_result, (True, None)
 
 
 def write(place: Place, controller: Any) -> tuple[Any, tuple[Any, ...]]:
     controller.next_transaction.return_value = SimpleNamespace(transaction=Transaction({}))
-    StateStoreRequests(place.node).process_events(controller, NOW)
+    place.store_requests().process_events(controller, NOW)
     return controller.on_transaction_result, (200, Revision(3), ())
 
 
 def cloud_call(place: Place, controller: Any) -> tuple[Any, tuple[Any, ...]]:
     controller.next_cloud_request.side_effect = [GetCatalog(), None]
-    calls = CloudRequests(place.node)
-    calls._client = Mock(request=lambda *args: place.answers.append(args[-1]))
-    calls.process_events(controller, NOW)
+    place.cloud_requests().process_events(controller, NOW)
     return controller.on_cloud_response, (200, b"{}")
 
 
 def probe(place: Place, controller: Any) -> tuple[Any, tuple[Any, ...]]:
     controller.take_probes.return_value = [(MachineId("n-1"), "a:1")]
-    calls = WorkerRequests(place.node)
-    calls._client = Mock(request=lambda *args: place.answers.append(args[-1]))
-    calls.process_events(controller, NOW)
+    place.worker_requests().process_events(controller, NOW)
     return controller.record_probe_success, (200, REPORT)
 
 
@@ -147,14 +174,12 @@
     controller.take_direct_kills.return_value = [
         DirectKill(MachineId("n-1"), "a:1", AgentEpoch(1), ())
     ]
-    calls = WorkerRequests(place.node)
-    calls._client = Mock(request=lambda *args: place.answers.append(args[-1]))
-    calls.process_events(controller, NOW)
+    place.worker_requests().process_events(controller, NOW)
     return controller.on_direct_kill_response, (200, REPORT)
 
 
 def watch(place: Place, controller: Any) -> tuple[Any, tuple[Any, ...]]:
-    JobRecordWatch(place.node).watch(controller, Revision(4))
+    place.job_record_watch().watch(controller, Revision(4))
     item = Item(JOB_PREFIX + "wk-1", {"s": []}, Revision(5))
     learners = Mock()
     controller.load_job_record = learners
@@ -228,14 +253,14 @@
     controller = place.scheduler()
     controller.cluster_state.types = {"b": kind}
     place.leader_service.scheduler = controller
-    record = CatalogRecord(place.node)
+    record = place.catalog_record()
     record.sync(controller)
     if not leads:
         place.leader_service.scheduler = place.scheduler()
     place.answers.pop()(503, Revision(0), ())
     assert controller.cloud_requests.catalog_changed is leads
     assert record.is_stored is not leads
-    assert place.node.machine_types, "this node's own submissions go on being judged"
+    assert place.machine_types.by_name, "this node's own submissions go on being judged"
 
 
 # -- the take-over
@@ -314,7 +339,7 @@
     )
     monkeypatch.setattr(job_record_watch, "resolve_dependency_list", lambda job, item, lists: item)
     place = Place()
-    records = JobRecordWatch(place.node)
+    records = place.job_record_watch()
     old = place.leader_service.scheduler = place.scheduler()
     records.add_record(job_item())
     new = place.leader_service.scheduler = place.scheduler()
@@ -375,13 +400,13 @@
         election.next_action(MonotonicTime(NOW + 2.0))
         election.on_keep_alive(True, MonotonicTime(NOW + 2.3))
     controller = SimpleNamespace(job_status=lambda job: status) if leads else None
-    node = SimpleNamespace(
-        clock=lambda: MonotonicTime(NOW + after),
-        election=election,
-        user_service=SimpleNamespace(outcome_of=lambda job: final),
-        leader_service=SimpleNamespace(scheduler=controller),
+    user_answers = UserAnswers(
+        cast(Any, SimpleNamespace(scheduler=controller)),
+        election,
+        cast(Any, SimpleNamespace(outcome_of=lambda job: final)),
+        lambda: MonotonicTime(NOW + after),
     )
-    told = UserAnswers(cast(Any, node)).job_reply(7, JobId("wk-1"))
+    told = user_answers.job_reply(7, JobId("wk-1"))
     assert (told.request_id, told.state) == (7, verdict), name
     assert (told.done_count, told.running_count) == (
         (3, 1) if verdict == users.RUNNING else (0, 0)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1106,10 +1106,8 @@
 
 def node_with_clock(next_: Any) -> tuple[ControllerNode, Clock]:
     """A node with the leader's share of the limits, and the clock that it goes by."""
-    node = ControllerNode(settings_of(next_, 5), load_tuning())
     clock = Clock()
-    clock.now = node.clock()  # its buckets count from there
-    node.clock = node.store._clock = clock  # type: ignore[method-assign]
+    node = ControllerNode(settings_of(next_, 5), load_tuning(), clock=clock)
     node.store.set_leader(True)
     return node, clock
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,7 +1,7 @@
 """The watch on the leader key after a cut in which more has changed than the store keeps."""
 
 from types import SimpleNamespace
-from typing import Any
+from typing import Any, cast
 
 from eldercart.election.state_machine import Election, ReadLeaderKey
 from eldercart.server.leadership import election_service
@@ -18,11 +18,13 @@
         range=lambda key, done: done([], Revision(50_000)),
     )
     election = Election(NodeId("n0"), 2.0, 0.02, IncarnationId("x"))
-    node = SimpleNamespace(store=store, election=election, clock=lambda: MonotonicTime(7.0))
     monkeypatch.setattr(
         election_service, "reactor", SimpleNamespace(callLater=lambda _, what, *args: what(*args))
     )
-    e = ElectionService(node)  # type: ignore[arg-type]
+    leadership = SimpleNamespace()  # neither begins nor ends here
+    e = ElectionService(
+        election, cast(Any, store), cast(Any, leadership), lambda: MonotonicTime(7.0)
+    )
     e._watch()
     after, done = asked[-1]
     assert after == 0
