--- a/src/eldercart/server/http/client.py
+++ b/src/eldercart/server/http/client.py
@@ -2,7 +2,7 @@
 
 import logging
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 from twisted.internet import reactor as _reactor
 from twisted.internet.defer import Deferred, succeed
@@ -16,7 +16,9 @@
 
 reactor: Any = _reactor
 ResponseCallback = Callable[[int | None, bytes], None]
+_CLOSE_HEADERS = {b"Connection": [b"close"]}
 _JSON_HEADERS = {b"Content-Type": [b"application/json"]}
+WORKER_TIMEOUT_S = 2.0  # for which a worker may take to answer
 CONNECT_TIMEOUT_S = 1.0  # for which a worker's host may take to accept a connection
 
 
@@ -25,8 +27,8 @@
     """Connects to hosts that are named by their IP number, as all here are: the agent asks for an
     endpoint with each request, and its own kind is made for names that must be looked up."""
 
-    def __init__(self, connect_timeout: float) -> None:
-        self._connect_timeout_s = connect_timeout
+    def __init__(self, connect_timeout_s: float) -> None:
+        self._connect_timeout_s = connect_timeout_s
 
     def endpointForURI(self, uri: URI) -> TCP4ClientEndpoint:
         """Where the URI's host listens."""
@@ -57,73 +59,87 @@
 
 
 class HttpClient:
-    """Calls `answer(status, body)` exactly once; status None means that there was no answer."""
+    """A client of one host; each request calls `on_response(status, body)` exactly once.
 
-    def __init__(self, endpoint: Endpoint, connect_timeout: float, connections: int) -> None:
-        """Keeps up to `connections` idle connections to the host."""
+    Status None means that there was no response in time.
+    """
+
+    def __init__(
+        self, endpoint: Endpoint, connect_timeout_s: float, max_idle_connections: int
+    ) -> None:
+        """Keep up to `max_idle_connections` idle connections to the host."""
         self._base_url = f"http://{endpoint.host}:{endpoint.port}".encode()
         pool = HTTPConnectionPool(reactor)
-        pool.maxPersistentPerHost = connections
-        pool.retryAutomatically = False  # a repeat is the core's decision
-        endpoints = _NumericHostEndpoints(connect_timeout)
+        pool.maxPersistentPerHost = max_idle_connections
+        pool.retryAutomatically = False  # the callers decide on retries
+        endpoints = _NumericHostEndpoints(connect_timeout_s)
         self._agent = Agent.usingEndpointFactory(reactor, endpoints, pool)
 
     def request(
-        self, method: bytes, path: str, body: bytes | None, timeout: float, answer: ResponseCallback
+        self,
+        method: bytes,
+        path: str,
+        body: bytes | None,
+        timeout_s: float,
+        on_response: ResponseCallback,
     ) -> None:
-        """Sends once; `timeout` counts from now until the whole answer is there."""
-        _send(self._agent, method, self._base_url + path.encode(), body, timeout, answer)
+        """Send once; `timeout_s` counts from now until the whole response is there."""
+        request = _Request(method, self._base_url + path.encode(), body)
+        _send(self._agent, request, timeout_s, on_response)
 
 
 class WorkerClient:
-    """Asks any worker, over a connection of its own each time; silence has no consequence."""
+    """A client of any worker; each request has a connection of its own."""
 
-    def __init__(self, most: int) -> None:
-        """At most `most` requests are under way at a time; more are dropped."""
+    def __init__(self, max_requests: int) -> None:
+        """At most `max_requests` are in flight at a time; more are dropped."""
         self._agent = Agent.usingEndpointFactory(reactor, _NumericHostEndpoints(CONNECT_TIMEOUT_S))
-        self._max_requests = most
+        self._max_requests = max_requests
         self._requests_in_flight = 0
 
     def request(
-        self, address: str, path: str, body: bytes | None, answer: ResponseCallback
+        self, address: str, path: str, body: bytes | None, on_response: ResponseCallback
     ) -> None:
-        """`answer(status, body)` if there is one."""
+        """Send once and call `on_response(status, body)`, if there is a response in time."""
         if self._requests_in_flight >= self._max_requests:
-            return  # hung machines must not eat the sockets; they will report by themselves
+            return  # hung machines must not use up the sockets; they send heartbeats themselves
         self._requests_in_flight += 1
 
-        def over(status: int | None, data: bytes) -> None:
+        def finish(status: int | None, data: bytes) -> None:
             self._requests_in_flight -= 1
             if status is not None:
-                answer(status, data)
+                on_response(status, data)
 
-        uri = f"http://{address}{path}".encode()
         method = b"GET" if body is None else b"POST"
-        _send(self._agent, method, uri, body, 2.0, over, {b"Connection": [b"close"]})
-
-
-def _send(
-    agent: Agent,
-    method: bytes,
-    uri: bytes,
-    body: bytes | None,
-    timeout: float,
-    answer: ResponseCallback,
-    extra: dict[bytes, list[bytes]] | None = None,
-) -> None:
-    producer = None if body is None else _InMemoryBody(body)
-    headers = Headers((_JSON_HEADERS if body is not None else {}) | (extra or {}))
-    d: Deferred[Any] = agent.request(method, uri, headers, producer)
+        uri = f"http://{address}{path}".encode()
+        request = _Request(method, uri, body, _CLOSE_HEADERS)
+        _send(self._agent, request, WORKER_TIMEOUT_S, finish)
+
+
+class _Request(NamedTuple):
+    method: bytes
+    uri: bytes
+    body: bytes | None
+    extra_headers: dict[bytes, list[bytes]] | None = None
+
+
+def _send(agent: Agent, request: _Request, timeout_s: float, on_response: ResponseCallback) -> None:
+    producer = None if request.body is None else _InMemoryBody(request.body)
+    json_headers = _JSON_HEADERS if request.body is not None else {}
+    headers = Headers(json_headers | (request.extra_headers or {}))
+    response: Deferred[Any] = agent.request(request.method, request.uri, headers, producer)
     status: list[int] = []
 
-    def got(response: Any) -> Deferred[bytes]:
-        status.append(response.code)
-        return readBody(response)
+    def read_body(head: Any) -> Deferred[bytes]:
+        status.append(head.code)
+        return readBody(head)
 
-    d.addCallback(got)
-    d.addTimeout(timeout, reactor)
-    d.addCallbacks(lambda data: answer(status[0], data), lambda _: answer(None, b""))
-    d.addErrback(_log_failure)
+    response.addCallback(read_body)
+    response.addTimeout(timeout_s, reactor)
+    response.addCallbacks(
+        lambda data: on_response(status[0], data), lambda _: on_response(None, b"")
+    )
+    response.addErrback(_log_failure)
 
 
 def _log_failure(failure: Any) -> None:
--- a/src/eldercart/server/store/client.py
+++ b/src/eldercart/server/store/client.py
@@ -15,21 +15,35 @@
 
 log = logging.getLogger("eldercart.node")
 
-# Reserves by urgency, as shares of the burst: renewals take tokens whatever there is; a user waits
-# for an acceptance, and an end can wait for the next token.
+# Reserves by urgency, as shares of the burst: lease renewals take tokens whatever there is; a user
+# waits for an admission, and a job's outcome can wait for the next token.
 RESERVE_ADMISSION, RESERVE_JOB_OUTCOMES, RESERVE_PLACEMENTS, RESERVE_POLLS = 0.0, 0.1, 0.3, 0.3
 RESERVE_LEARNED_STATE = 0.6
+CONNECT_TIMEOUT_S = 1.0
+MAX_IDLE_CONNECTIONS = 8
 REQUEST_TIMEOUT_S = 2.0
+RANGE_TIMEOUT_S = 5.0  # of one page
+LEASE_TIMEOUT_S = 1.0  # of a request about a lease, which is of no use once the lease has run out
+WATCH_TIMEOUT_MARGIN_S = 3.0  # beyond the time for which the state service holds the request
 MIN_ADMISSIONS = 5  # submissions that a node should be able to take at once
+LEADER_REQUEST_SHARE, LEADER_WRITE_SHARE = 0.6, 0.7  # of the limits; the others share the rest
+# Below the limit, and less of its burst: two clocks never agree on where a second ends.
+USED_RATE, USED_BURST = 0.92, 0.8
+
+CommitCallback = Callable[[int | None, Revision, tuple[str, ...]], None]
+WatchCallback = Callable[[int | None, Revision, list[Any]], None]
 
 
 class StoreClient:
-    """The state service as this node may use it. Tokens of transactions are their callers'
-    concern, since these can wait; all other calls take theirs here."""
+    """The state service, within this node's share of its rate limits.
+
+    The callers of `commit` take the tokens for their transactions, since these can wait; all other
+    requests take theirs here.
+    """
 
     def __init__(self, settings: NodeSettings, clock: Callable[[], MonotonicTime]) -> None:
-        """Starts with a follower's share of the present limits."""
-        self._http = HttpClient(settings.state, 1.0, 8)
+        """Start with a follower's share of the present limits."""
+        self._http = HttpClient(settings.state, CONNECT_TIMEOUT_S, MAX_IDLE_CONNECTIONS)
         self._clock = clock
         self._settings = settings
         now = clock()
@@ -37,70 +51,86 @@
         self.writes = TokenBucket(1, settings.state_write_rps, now)
         self.last_success_at = now
         self.failing_since: MonotonicTime | None = None
-        self.unavailable_at = DISTANT_PAST  # when it last answered that it can't
-        s = settings
+        self.unavailable_at = DISTANT_PAST  # when it last answered 503
         self.rate_limit_backoff = RateLimitBackoff(
-            s.state_rps_next < s.state_rps or s.state_write_rps_next < s.state_write_rps
+            settings.state_rps_next < settings.state_rps
+            or settings.state_write_rps_next < settings.state_write_rps
         )
         self._uses_reduced_rates = False
         self._is_leader = False
         self._allocate_rates(now)
 
-    def set_leader(self, leader: bool) -> None:
-        """The shares of a leader and of the others differ."""
-        self._is_leader = leader
+    def set_leader(self, is_leader: bool) -> None:
+        """Take a leader's share of the rate limits, or a follower's."""
+        self._is_leader = is_leader
         self._allocate_rates(self._clock())
 
     def update_rates(self, now: MonotonicTime) -> None:
-        """The rates that hold now: they change by a refusal, by a peer's word and by time."""
-        lowered = self.rate_limit_backoff.is_active(now)
-        if lowered != self._uses_reduced_rates:
-            self._uses_reduced_rates = lowered
+        """Apply the rates that hold now: 429s, peers and the passing of time change them."""
+        is_reduced = self.rate_limit_backoff.is_active(now)
+        if is_reduced != self._uses_reduced_rates:
+            self._uses_reduced_rates = is_reduced
             self._allocate_rates(now)
-            log.info("rates of the state service lowered=%s", lowered)
+            log.info("rates of the state service lowered=%s", is_reduced)
 
     def _allocate_rates(self, now: MonotonicTime) -> None:
-        """The leader writes most; the others need enough to accept and to answer."""
-        nodes, leader, s = self._settings.nodes, self._is_leader, self._settings
-        rps, write_rps = s.state_rps, s.state_write_rps
+        """Share the limits out: the leader writes most, the others admit jobs and answer polls."""
+        settings = self._settings
+        request_rate, write_rate = settings.state_rps, settings.state_write_rps
         if self._uses_reduced_rates:
-            rps, write_rps = s.state_rps_next, s.state_write_rps_next
-        # Below the limit, and half of its burst: two clocks never agree on where a second ends.
-        for bucket, rate, most in (
-            (self.requests, rps, 0.6),
-            (self.writes, write_rps, 0.7),
-        ):
-            share = 1.0 if nodes == 1 else (most if leader else (1.0 - most) / (nodes - 1))
-            bucket.set_rate(0.92 * rate * share, max(MIN_ADMISSIONS + 1.0, 0.8 * rate * share), now)
+            request_rate, write_rate = settings.state_rps_next, settings.state_write_rps_next
+        self._set_rate(self.requests, request_rate, LEADER_REQUEST_SHARE, now)
+        self._set_rate(self.writes, write_rate, LEADER_WRITE_SHARE, now)
+
+    def _set_rate(
+        self, bucket: TokenBucket, limit: float, leader_share: float, now: MonotonicTime
+    ) -> None:
+        nodes = self._settings.nodes
+        if nodes == 1:
+            share = 1.0
+        elif self._is_leader:
+            share = leader_share
+        else:
+            share = (1.0 - leader_share) / (nodes - 1)
+        burst = max(MIN_ADMISSIONS + 1.0, USED_BURST * limit * share)
+        bucket.set_rate(USED_RATE * limit * share, burst, now)
 
     def missing_tokens(self, now: MonotonicTime) -> int:
-        """How many tokens this node lacks to take a few submissions at once."""
+        """Return how many tokens this node lacks to admit a few jobs at once."""
         return max(
             0, MIN_ADMISSIONS - min(self.requests.available(now), self.writes.available(now))
         )
 
-    def lend_tokens(self, number: int, now: MonotonicTime) -> int:
-        """Takes up to so many of this node's tokens for another one, if it can well spare them."""
-        number = min(
-            number,
+    def lend_tokens(self, requested: int, now: MonotonicTime) -> int:
+        """Take up to `requested` tokens for another node, above the reserve for placements.
+
+        Return how many were taken of each kind.
+        """
+        count = min(
+            requested,
             self.requests.available(now, RESERVE_PLACEMENTS),
             self.writes.available(now, RESERVE_PLACEMENTS),
         )
-        if number <= 0:
+        if count <= 0:
             return 0
-        self.requests.force_take(now, number)
-        self.writes.force_take(now, number)
-        return number
+        self.requests.force_take(now, count)
+        self.writes.force_take(now, count)
+        return count
 
-    def receive_tokens(self, number: int, now: MonotonicTime) -> None:
-        """Adds tokens that the leader has taken from its own share for this node."""
-        self.requests.add(now, number)
-        self.writes.add(now, number)
+    def receive_tokens(self, count: int, now: MonotonicTime) -> None:
+        """Add tokens that the leader has taken from its own share for this node."""
+        self.requests.add(now, count)
+        self.writes.add(now, count)
 
     def _request(
-        self, method: bytes, path: str, body: bytes | None, timeout: float, answer: ResponseCallback
+        self,
+        method: bytes,
+        path: str,
+        body: bytes | None,
+        timeout_s: float,
+        on_response: ResponseCallback,
     ) -> None:
-        within = self._is_within_share()
+        within_share = self._is_within_share()
 
         def got(status: int | None, data: bytes) -> None:
             now = self._clock()
@@ -110,27 +140,31 @@
                 if status == 503:
                     self.unavailable_at = now
                 if status == 429:
-                    self._on_rate_limited(now, within)
+                    self._on_rate_limited(now, within_share)
             else:
                 self.last_success_at = now
                 self.failing_since = None
-            answer(status, data)
+            on_response(status, data)
 
-        self._http.request(method, path, body, timeout, got)
+        self._http.request(method, path, body, timeout_s, got)
 
     def _is_within_share(self) -> bool:
-        """Whether this node has kept within its share, the request now sent included."""
+        """Return whether this node has kept to its share, the request now sent included."""
         return not (self.requests.is_overdrawn or self.writes.is_overdrawn)
 
-    def _on_rate_limited(self, now: MonotonicTime, within: bool) -> None:
-        """The limit is reached, whatever the buckets say."""
+    def _on_rate_limited(self, now: MonotonicTime, within_share: bool) -> None:
+        """The limit is reached, whatever the token buckets say."""
         self.requests.empty(now)
         self.writes.empty(now)
-        self.rate_limit_backoff.record_rate_limited(now, within)
+        self.rate_limit_backoff.record_rate_limited(now, within_share)
         self.update_rates(now)
 
     def get(self, key: str, done: Callable[[bool, Item | None], None]) -> None:
-        """`done(True, item)`, `done(True, None)` for a 404, `done(False, None)` for no answer."""
+        """Read one key.
+
+        Calls `done(True, item)`, `done(True, None)` if the key is absent (404), or
+        `done(False, None)` if it could not be read.
+        """
 
         def got(status: int | None, data: bytes) -> None:
             try:
@@ -145,36 +179,42 @@
         self._request(b"GET", wire.key_path(key), None, REQUEST_TIMEOUT_S, got)
 
     def range(self, prefix: str, done: Callable[[list[Item] | None, Revision], None]) -> None:
-        """All items with the prefix, or None."""
+        """Read all keys with the prefix, page by page.
+
+        Calls `done(items, revision)` with the revision of the first page, or `done(None, 0)` if a
+        page could not be read.
+        """
         items: list[Item] = []
-        first: list[Revision] = []
+        page_revisions: list[Revision] = []
 
         def page(after: str | None) -> None:
             self.requests.force_take(self._clock())
-            self._request(b"GET", wire.range_path(prefix, after), None, 5.0, got)
+            self._request(b"GET", wire.range_path(prefix, after), None, RANGE_TIMEOUT_S, got)
 
         def got(status: int | None, data: bytes) -> None:
             try:
                 if status != 200:
                     raise MalformedMessage("status")
-                found, more, revision = wire.parse_range(data)
+                answer = wire.parse_range(data)
             except MalformedMessage:
                 done(None, Revision(0))
                 return
-            items.extend(found)
-            first.append(revision)
-            if more and found:
-                page(found[-1].key)
+            items.extend(answer.items)
+            page_revisions.append(answer.revision)
+            if answer.has_more and answer.items:
+                page(answer.items[-1].key)
             else:
                 # Changes after the first page may be missing from it: watch from there.
-                done(items, first[0])
+                done(items, page_revisions[0])
 
         page(None)
 
-    def commit(
-        self, txn: Transaction, done: Callable[[int | None, Revision, tuple[str, ...]], None]
-    ) -> None:
-        """`done(status, revision, failed keys)`; tokens are the caller's concern."""
+    def commit(self, transaction: Transaction, done: CommitCallback) -> None:
+        """Commit the transaction; the caller takes its tokens.
+
+        Calls `done(status, revision, keys of the conditions that did not hold)`; status None means
+        that the outcome is not known.
+        """
 
         def got(status: int | None, data: bytes) -> None:
             try:
@@ -188,10 +228,10 @@
                 status = None
             done(status, Revision(0), ())
 
-        self._request(b"POST", "/txn", txn.body(), REQUEST_TIMEOUT_S, got)
+        self._request(b"POST", "/txn", transaction.body(), REQUEST_TIMEOUT_S, got)
 
     def grant_lease(self, ttl_ms: int, done: Callable[[LeaseId | None], None]) -> None:
-        """A new lease; `done(None)` if none was given."""
+        """Open a lease and call `done(lease)`, or `done(None)` if none was granted."""
 
         def got(status: int | None, data: bytes) -> None:
             try:
@@ -200,22 +240,26 @@
                 done(None)
 
         self.requests.force_take(self._clock())
-        self._request(b"POST", "/holds", b'{"lifeMs":%d}' % ttl_ms, 1.0, got)
+        self._request(b"POST", "/holds", b'{"lifeMs":%d}' % ttl_ms, LEASE_TIMEOUT_S, got)
 
     def keep_lease_alive(self, lease: LeaseId, done: Callable[[bool | None], None]) -> None:
-        """True: alive; False: ended; None: nobody knows."""
+        """Renew the lease; `done` gets True: it is alive, False: it has ended, None: not known."""
 
         def got(status: int | None, _: bytes) -> None:
             done(True if status == 200 else False if status == 404 else None)
 
         self.requests.force_take(self._clock())
-        self._request(b"POST", f"/holds/{lease}/touch", b"{}", 1.0, got)
+        self._request(b"POST", f"/holds/{lease}/touch", b"{}", LEASE_TIMEOUT_S, got)
 
     def revoke_lease(self, lease: LeaseId, done: Callable[[bool], None]) -> None:
-        """Ends a lease; `done(True)` once it surely has ended."""
+        """End the lease; calls `done(True)` only if it surely has ended."""
         self.requests.force_take(self._clock())
         self._request(
-            b"DELETE", f"/holds/{lease}", None, 1.0, lambda s, _: done(s in (200, 204, 404))
+            b"DELETE",
+            f"/holds/{lease}",
+            None,
+            LEASE_TIMEOUT_S,
+            lambda status, _: done(status in (200, 204, 404)),
         )
 
     def watch(
@@ -223,27 +267,30 @@
         prefix: str,
         after: Revision,
         wait_s: float,
-        done: Callable[[int | None, Revision, list[Any]], None],
+        done: WatchCallback,
     ) -> None:
-        """Waits for changes under the prefix: `done(200, revision to go on from, events)`, or
-        `done(status, after, [])` if it failed."""
+        """Wait up to `wait_s` for changes under the prefix after a revision.
+
+        Calls `done(200, revision to go on from, events)`, or `done(status, after, [])` if it
+        failed; status 410 means that the state service no longer keeps the changes after it.
+        """
 
         def got(status: int | None, data: bytes) -> None:
             if status == 429:
-                self._on_rate_limited(self._clock(), within)
+                self._on_rate_limited(self._clock(), within_share)
             try:
                 if status == 200:
-                    revision, events = wire.parse_watch(data)
-                    done(200, revision, events)
+                    answer = wire.parse_watch(data)
+                    done(200, answer.revision, answer.events)
                     return
             except MalformedMessage:
                 status = None
             done(status, after, [])
 
         self.requests.force_take(self._clock())
-        within = self._is_within_share()
+        within_share = self._is_within_share()
         path = wire.watch_path(prefix, after, int(wait_s * 1000))
-        self._http.request(b"GET", path, None, wait_s + 3.0, got)
+        self._http.request(b"GET", path, None, wait_s + WATCH_TIMEOUT_MARGIN_S, got)
 
 
 __all__ = [
--- a/src/eldercart/server/store/key_ranges.py
+++ b/src/eldercart/server/store/key_ranges.py
@@ -7,8 +7,10 @@
 
 
 def common_key_prefix(prefix: str, jobs: Iterable[JobId]) -> str:
-    """What the keys of all the jobs begin with. The first and the last of the names share what
-    all between them share."""
+    """Return the longest prefix that the keys of all the jobs have in common.
+
+    The first and the last of the sorted names share what all between them share.
+    """
     names = list(jobs)
     pairs = zip(min(names), max(names), strict=False)
-    return prefix + "".join(a for a, _ in takewhile(lambda pair: pair[0] == pair[1], pairs))
+    return prefix + "".join(first for first, _ in takewhile(lambda pair: pair[0] == pair[1], pairs))
--- a/src/eldercart/server/store/rate_limit_backoff.py
+++ b/src/eldercart/server/store/rate_limit_backoff.py
@@ -9,48 +9,49 @@
 
 from eldercart.units import DISTANT_PAST, MonotonicTime
 
-INITIAL_BACKOFF_S, MAX_BACKOFF_S = (
-    20.0,
-    640.0,
-)  # for which the lower rates hold at least, and at most
+# For which the lower rates hold at least, and at most.
+INITIAL_BACKOFF_S, MAX_BACKOFF_S = 20.0, 640.0
 
 
 class RateLimitBackoff:
-    """One node's judgement. It tells its peers only of refusals that it met itself: two nodes that
-    repeated what they were told would keep the lower rates for ever."""
+    """One node's judgement of whether the lower rates hold.
 
-    def __init__(self, foretold: bool) -> None:
-        """`foretold`: the settings announce lower rates; otherwise nothing lowers them."""
-        self._reduction_announced = foretold
+    A node announces to its peers only the 429s that it met itself: two nodes that repeated each
+    other's announcements would keep the lower rates for ever.
+    """
+
+    def __init__(self, reduction_announced: bool) -> None:
+        """`reduction_announced`: the settings name lower rates; otherwise nothing lowers them."""
+        self._reduction_announced = reduction_announced
         self._backoff_s = INITIAL_BACKOFF_S
-        self._own_until = self._peers_until = (
-            DISTANT_PAST  # until when, by own refusals and by those of peers
-        )
+        self._own_until = DISTANT_PAST  # until when by this node's own 429s
+        self._peers_until = DISTANT_PAST  # until when by those that peers announced
         self.reduction_count = 0  # how often this node found it out by itself
 
-    def record_rate_limited(self, now: MonotonicTime, within: bool) -> None:
-        """The service answered 429; `within`: though this node had not overdrawn its share."""
-        if not self._reduction_announced or not within:
+    def record_rate_limited(self, now: MonotonicTime, within_share: bool) -> None:
+        """Record a 429; `within_share`: it came though this node had not overdrawn its share."""
+        if not self._reduction_announced or not within_share:
             return
         if not self.is_active(now):
-            soon = now - max(self._own_until, self._peers_until) <= self._backoff_s
-            self._backoff_s = min(MAX_BACKOFF_S, 2 * self._backoff_s) if soon else INITIAL_BACKOFF_S
+            failed_soon = now - max(self._own_until, self._peers_until) <= self._backoff_s
+            longer_s = min(MAX_BACKOFF_S, 2 * self._backoff_s)
+            self._backoff_s = longer_s if failed_soon else INITIAL_BACKOFF_S
             self.reduction_count += 1
         # While the lower rates hold this says only that it was no stray one: requests that were
         # under way come back refused, too, and are no reason to wait longer than that.
         self._own_until = MonotonicTime(max(self._own_until, now + self._backoff_s))
 
-    def record_peer_backoff(self, left_s: float, now: MonotonicTime) -> None:
-        """A peer met the fall, and keeps to the lower rates for so long."""
-        if self._reduction_announced and left_s > 0:
-            left_s = min(left_s, MAX_BACKOFF_S)
-            self._peers_until = MonotonicTime(max(self._peers_until, now + left_s))
-            self._backoff_s = max(self._backoff_s, left_s)
+    def record_peer_backoff(self, remaining_s: float, now: MonotonicTime) -> None:
+        """Record that a peer met 429s and uses the lower rates for `remaining_s`."""
+        if self._reduction_announced and remaining_s > 0:
+            remaining_s = min(remaining_s, MAX_BACKOFF_S)
+            self._peers_until = MonotonicTime(max(self._peers_until, now + remaining_s))
+            self._backoff_s = max(self._backoff_s, remaining_s)
 
     def is_active(self, now: MonotonicTime) -> bool:
-        """Whether the lower rates are to be used now."""
+        """Return whether the lower rates are to be used now."""
         return now < max(self._own_until, self._peers_until)
 
     def remaining_s(self, now: MonotonicTime) -> float:
-        """How long the lower rates hold by what this node met itself."""
+        """Return for how long the lower rates hold by this node's own 429s."""
         return max(0.0, self._own_until - now)
--- a/src/eldercart/settings/platform.py
+++ b/src/eldercart/settings/platform.py
@@ -1,9 +1,9 @@
-"""The settings file that the platform hands over. Unknown fields are ignored."""
+"""The settings file that the platform hands over; unknown fields are ignored."""
 
 import math
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import orjson
 
@@ -11,7 +11,7 @@
 
 
 class InvalidSettings(Exception):
-    """One clear line naming the field."""
+    """A setting is missing or invalid; the text is one line that names the field."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """All that a node is told about itself, the other nodes and the region."""
+    """The settings of a node: about itself, the other nodes and the region."""
 
     label: NodeId
     zone: str
@@ -55,7 +55,7 @@
     state: Endpoint
     nodes: int
     teams: dict[str, Team]
-    waits: dict[str, tuple[float, ...]]  # class -> the waits its users were promised, in seconds
+    waits: dict[str, tuple[float, ...]]  # class -> the longest waits that its users were promised, in seconds
     finishes: dict[str, tuple[float, ...]]  # class -> within what its jobs should be done
     deadlines: dict[str, tuple[float, ...]]  # class -> times its deadline by which they should
     report_s: float
@@ -75,8 +75,15 @@
     clock_off_s: float
 
 
+class ChangingLimit(NamedTuple):
+    """A limit of the state service that is reduced without notice while the node runs."""
+
+    current: float
+    next: float  # never above the current one
+
+
 class _Reader:
-    """Fetches a field by its path, so that every complaint names it."""
+    """Reads fields by their paths, so that every InvalidSettings names the field."""
 
     def __init__(self, root: Any) -> None:
         self._root = root
@@ -98,34 +105,35 @@
             raise InvalidSettings(f"settings: {path}: must be a text")
         return value
 
-    def number(self, path: str, least: float = 0.0) -> float:
+    def number(self, path: str, minimum: float = 0.0) -> float:
         value = self.get(path)
         if isinstance(value, bool) or not isinstance(value, int | float):
             raise InvalidSettings(f"settings: {path}: must be a number")
-        if not math.isfinite(value) or value < least:
-            raise InvalidSettings(f"settings: {path}: must be at least {least:g}")
+        if not math.isfinite(value) or value < minimum:
+            raise InvalidSettings(f"settings: {path}: must be at least {minimum:g}")
         return float(value)
 
     def optional_factor(self, path: str) -> float:
-        """A factor that may be left out."""
+        """Read a factor that may be left out; it is 1 then."""
         parent, _, name = path.rpartition(".")
         return self.number(path, 0.01) if self.get(parent).get(name) is not None else 1.0
 
-    def current_and_next(self, name: str, least: float, next_least: float) -> tuple[float, float]:
-        """A limit of the state service, and what it falls to: the same unless `next` says less."""
-        now = self.number(f"settings.state.{name}", least)
-        later = self.get("settings.state").get("next")
-        if later is None:
-            return now, now
-        if not isinstance(later, dict):
+    def current_and_next(self, name: str, minimum: float, next_minimum: float) -> ChangingLimit:
+        """Read a limit of the state service; the next one is the same unless `next` lowers it."""
+        current = self.number(f"settings.state.{name}", minimum)
+        following = self.get("settings.state").get("next")
+        if following is None:
+            return ChangingLimit(current, current)
+        if not isinstance(following, dict):
             raise InvalidSettings("settings: settings.state.next: must be an object")
-        if later.get(name) is None:
-            return now, now
-        return now, min(now, self.number(f"settings.state.next.{name}", next_least))
+        if following.get(name) is None:
+            return ChangingLimit(current, current)
+        lowered = self.number(f"settings.state.next.{name}", next_minimum)
+        return ChangingLimit(current, min(current, lowered))
 
     def item_indexes(self, path: str) -> range:
         value = self.get(path)
-        if not isinstance(value, list) or not all(isinstance(v, dict) for v in value):
+        if not isinstance(value, list) or not all(isinstance(item, dict) for item in value):
             raise InvalidSettings(f"settings: {path}: must be a list of objects")
         return range(len(value))
 
@@ -136,103 +144,114 @@
         return Endpoint(host, int(port))
 
 
-def _teams(read: _Reader) -> dict[str, Team]:
+def _teams(reader: _Reader) -> dict[str, Team]:
     teams = {}
-    for i in read.item_indexes("settings.teams"):
-        at = f"settings.teams.{i}."
+    for i in reader.item_indexes("settings.teams"):
+        prefix = f"settings.teams.{i}."
         team = Team(
-            read.text(at + "name"),
-            read.number(at + "cpus"),
-            read.number(at + "cpus_max"),
-            read.number(at + "gpus"),
-            read.number(at + "gpus_max"),
+            reader.text(prefix + "name"),
+            reader.number(prefix + "cpus"),
+            reader.number(prefix + "cpus_max"),
+            reader.number(prefix + "gpus"),
+            reader.number(prefix + "gpus_max"),
         )
         teams[team.name] = team
     return teams
 
 
-def _objectives(read: _Reader) -> dict[str, dict[str, tuple[float, ...]]]:
-    """By kind and class, what users were promised; other kinds of objectives are skipped."""
-    promised: dict[str, dict[str, tuple[float, ...]]] = {"wait": {}, "finished": {}, "deadline": {}}
-    for i in read.item_indexes("settings.objectives"):
-        at = f"settings.objectives.{i}."
-        kind = read.text(at + "kind")
-        of_kind = promised.get(kind)
-        if of_kind is None:
+def _objectives(reader: _Reader) -> dict[str, dict[str, tuple[float, ...]]]:
+    """Read the service level objectives by kind and class; unknown kinds are skipped."""
+    objectives: dict[str, dict[str, tuple[float, ...]]] = {
+        "wait": {},
+        "finished": {},
+        "deadline": {},
+    }
+    for i in reader.item_indexes("settings.objectives"):
+        prefix = f"settings.objectives.{i}."
+        kind = reader.text(prefix + "kind")
+        objectives_by_class = objectives.get(kind)
+        if objectives_by_class is None:
             continue
-        klass = read.text(at + "class")
-        within = (
-            read.optional_factor(at + "times")
+        job_class = reader.text(prefix + "class")
+        objective = (
+            reader.optional_factor(prefix + "times")
             if kind == "deadline"
-            else read.number(at + "within_s")
+            else reader.number(prefix + "within_s")
         )
-        of_kind[klass] = tuple(sorted({*of_kind.get(klass, ()), within}))
-    return promised
+        known = objectives_by_class.get(job_class, ())
+        objectives_by_class[job_class] = tuple(sorted({*known, objective}))
+    return objectives
 
 
-def _members(read: _Reader) -> tuple[Member, ...]:
+def _members(reader: _Reader) -> tuple[Member, ...]:
     return tuple(
         Member(
-            NodeId(read.text(f"members.{i}.label")),
-            read.text(f"members.{i}.location"),
-            read.endpoint(f"members.{i}.endpoint"),
+            NodeId(reader.text(f"members.{i}.label")),
+            reader.text(f"members.{i}.location"),
+            reader.endpoint(f"members.{i}.endpoint"),
         )
-        for i in read.item_indexes("members")
+        for i in reader.item_indexes("members")
     )
 
 
 def parse_platform(root: Any) -> NodeSettings:
-    """Checks the fields that the service uses; the first bad one is named."""
+    """Check the fields that the service uses.
+
+    Raises InvalidSettings, which names the first bad field.
+    """
     if not isinstance(root, dict):
         raise InvalidSettings("settings: must be an object")
-    read = _Reader(root)
-    teams = _teams(read)
-    promised = _objectives(read)
-    rps, rps_next = read.current_and_next("rps", 1, 1)
-    write_rps, write_rps_next = read.current_and_next("write_rps", 1, 1)
-    _, value_kb = read.current_and_next("value_kb", 1, 0.5)
-    _, txn_ops = read.current_and_next("txn_ops", 4, 2)  # an end takes two changes
+    reader = _Reader(root)
+    teams = _teams(reader)
+    objectives = _objectives(reader)
+    rps, rps_next = reader.current_and_next("rps", 1, 1)
+    write_rps, write_rps_next = reader.current_and_next("write_rps", 1, 1)
+    value_kb = reader.current_and_next("value_kb", 1, 0.5).next
+    txn_ops = reader.current_and_next("txn_ops", 4, 2).next  # an outcome takes two operations
     return NodeSettings(
-        label=NodeId(read.text("label")),
-        zone=read.text("location"),
-        front=read.endpoint("front"),
-        mesh=read.endpoint("mesh_addr"),
-        members=_members(read),
-        cloud=read.endpoint("endpoints.cloud"),
-        state=read.endpoint("endpoints.state"),
-        nodes=int(read.number("settings.count", 1)),
+        label=NodeId(reader.text("label")),
+        zone=reader.text("location"),
+        front=reader.endpoint("front"),
+        mesh=reader.endpoint("mesh_addr"),
+        members=_members(reader),
+        cloud=reader.endpoint("endpoints.cloud"),
+        state=reader.endpoint("endpoints.state"),
+        nodes=int(reader.number("settings.count", 1)),
         teams=teams,
-        waits=promised["wait"],
-        finishes=promised["finished"],
-        deadlines=promised["deadline"],
-        report_s=read.number("settings.workers.report_s", 0.001),
-        lease_s=read.number("settings.workers.lease_s", 0.001),
-        cancel_s=read.number("settings.workers.cancel_s", 0.001),
+        waits=objectives["wait"],
+        finishes=objectives["finished"],
+        deadlines=objectives["deadline"],
+        report_s=reader.number("settings.workers.report_s", 0.001),
+        lease_s=reader.number("settings.workers.lease_s", 0.001),
+        cancel_s=reader.number("settings.workers.cancel_s", 0.001),
         state_rps=rps,
         state_write_rps=write_rps,
         state_rps_next=rps_next,
         state_write_rps_next=write_rps_next,
         value_bytes=int(value_kb * 1024),
         txn_ops=int(txn_ops),
-        cloud_rps=read.number("settings.cloud.rps", 0.01),
-        list_lag_s=read.number("settings.cloud.list_lag_s"),
-        core_share=read.number("settings.machine_limits.core_share"),
-        mem_mb=read.number("settings.machine_limits.mem_mb"),
-        sockets=int(read.number("settings.machine_limits.sockets", 32)),
-        clock_off_s=read.number("settings.clock_off_ms") / 1000.0,
+        cloud_rps=reader.number("settings.cloud.rps", 0.01),
+        list_lag_s=reader.number("settings.cloud.list_lag_s"),
+        core_share=reader.number("settings.machine_limits.core_share"),
+        mem_mb=reader.number("settings.machine_limits.mem_mb"),
+        sockets=int(reader.number("settings.machine_limits.sockets", 32)),
+        clock_off_s=reader.number("settings.clock_off_ms") / 1000.0,
     )
 
 
-def read_json(path: str, what: str) -> Any:
-    """The content of a file; `what` begins the complaint about one that can't be read."""
+def read_json(path: str, file_kind: str) -> Any:
+    """Return the content of a JSON file.
+
+    Raises InvalidSettings, whose text begins with `file_kind`, if it cannot be read.
+    """
     try:
         return orjson.loads(Path(path).read_bytes())
     except OSError as err:
-        raise InvalidSettings(f"{what}: {path}: {err.strerror}") from None
+        raise InvalidSettings(f"{file_kind}: {path}: {err.strerror}") from None
     except orjson.JSONDecodeError as err:
-        raise InvalidSettings(f"{what}: {path}: not JSON: {err}") from None
+        raise InvalidSettings(f"{file_kind}: {path}: not JSON: {err}") from None
 
 
 def load_platform(path: str) -> NodeSettings:
-    """The settings in the file that the platform hands over."""
+    """Load the settings from the file that the platform hands over."""
     return parse_platform(read_json(path, "settings"))
--- a/src/eldercart/wire/checks.py
+++ b/src/eldercart/wire/checks.py
@@ -1,4 +1,4 @@
-"""Checks shared by the formats."""
+"""Checks of JSON messages and their fields, shared by all formats."""
 
 import math
 from typing import Any
@@ -11,19 +11,25 @@
 
 
 class MalformedMessage(Exception):
-    """A message that is not what the protocol says; the text names the field."""
+    """A message that breaks the protocol; the text names the field."""
 
 
 def load_object(body: bytes) -> dict[str, Any]:
-    """A request's body."""
+    """Parse the body of a request or a frame.
+
+    Raises MalformedMessage if it is too long or not an object.
+    """
     if len(body) > MAX_BODY_BYTES:
         raise MalformedMessage("body over 64 KiB")
     return load_response(body)
 
 
 def load_nested_object(body: bytes) -> dict[str, Any]:
-    """An object that goes on inside a frame. Nested as deeply as the parser just allows, it would
-    make the whole frame unreadable, and with it what others sent."""
+    """Parse an object that is forwarded inside a frame.
+
+    Nested as deeply as the parser just allows, it would make the whole frame unreadable, and with
+    it what others sent; so it is refused here.
+    """
     value = load_object(body)
     try:
         orjson.dumps(value)  # allows far fewer levels than the parser
@@ -33,7 +39,7 @@
 
 
 def load_response(body: bytes) -> dict[str, Any]:
-    """A response may be longer than a request."""
+    """Parse the body of a response, which may be longer than a request."""
     try:
         value = orjson.loads(body)
     except orjson.JSONDecodeError:
@@ -43,42 +49,42 @@
     return value
 
 
-def require_text(obj: dict[str, Any], field: str, most: int = 200) -> str:
-    """A text that is not empty, of at most so many characters."""
+def require_text(obj: dict[str, Any], field: str, max_length: int = 200) -> str:
+    """Return a text that is not empty."""
     value = obj.get(field)
-    if not isinstance(value, str) or not 0 < len(value) <= most:
+    if not isinstance(value, str) or not 0 < len(value) <= max_length:
         raise MalformedMessage(field)
     return value
 
 
-def require_number(obj: dict[str, Any], field: str, least: float = 0.0) -> float:
-    """A finite number within bounds, whole or not."""
+def require_number(obj: dict[str, Any], field: str, minimum: float = 0.0) -> float:
+    """Return a finite number within bounds, whole or not, as a float."""
     value = obj.get(field)
     # bool is an int in Python; JSON true is no number
     if type(value) is not float and type(value) is not int:
         raise MalformedMessage(field)
-    if not math.isfinite(value) or value < least or value > MAX_AMOUNT:
+    if not math.isfinite(value) or value < minimum or value > MAX_AMOUNT:
         raise MalformedMessage(field)
     return float(value)
 
 
 def optional_number(obj: dict[str, Any], field: str, default: float) -> float:
-    """An amount that may be null or left out."""
+    """Return a number, or the default if the field is null or left out."""
     return default if obj.get(field) is None else require_number(obj, field)
 
 
 def require_integer(
-    obj: dict[str, Any], field: str, least: int = 0, most: int = MAX_COUNT - 1
+    obj: dict[str, Any], field: str, minimum: int = 0, maximum: int = MAX_COUNT - 1
 ) -> int:
-    """A whole number in the form of one: 2.0 is none."""
+    """Return a whole number; 2.0 is malformed."""
     value = obj.get(field)
-    if type(value) is not int or not least <= value <= most:  # JSON true is no number
+    if type(value) is not int or not minimum <= value <= maximum:  # JSON true is no number
         raise MalformedMessage(field)
     return value
 
 
 def require_boolean(obj: dict[str, Any], field: str) -> bool:
-    """True or false."""
+    """Return true or false."""
     value = obj.get(field)
     if not isinstance(value, bool):
         raise MalformedMessage(field)
@@ -86,16 +92,16 @@
 
 
 def require_texts(obj: dict[str, Any], field: str) -> tuple[str, ...]:
-    """A list of texts, none of them empty."""
+    """Return a list of texts, none of them empty."""
     value = obj.get(field)
-    if not isinstance(value, list) or not all(isinstance(v, str) and v for v in value):
+    if not isinstance(value, list) or not all(isinstance(text, str) and text for text in value):
         raise MalformedMessage(field)
     return tuple(value)
 
 
 def require_objects(obj: dict[str, Any], field: str) -> list[dict[str, Any]]:
-    """A list of objects."""
+    """Return a list of objects."""
     value = obj.get(field)
-    if not isinstance(value, list) or not all(isinstance(v, dict) for v in value):
+    if not isinstance(value, list) or not all(isinstance(item, dict) for item in value):
         raise MalformedMessage(field)
     return value
--- a/src/eldercart/wire/cloud.py
+++ b/src/eldercart/wire/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud's interface."""
+"""The messages of the cloud that machines are created in."""
 
 from dataclasses import dataclass
 from typing import Any, NamedTuple
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineType:
-    """A type of machine as the cloud offers it: prices an hour, sizes in GB, times in seconds."""
+    """A type of machine as the cloud offers it; prices are per hour."""
 
     name: str
     cpus: float
@@ -53,35 +53,36 @@
 
 
 def parse_catalog(obj: dict[str, Any]) -> dict[str, MachineType]:
-    """The machine types by name, of the cloud's catalogue or of the stored one."""
+    """Parse the machine types by name, from the cloud's catalogue or the stored one."""
     types = {}
     for item in require_objects(obj, "breeds"):
-        kind = MachineType(
+        machine_type = MachineType(
             name=require_text(item, "sku"),
             cpus=require_number(item, "cpus"),
             gpus=optional_number(item, "accelerators", 0.0),
             memory_gb=require_number(item, "memGb"),
             cache_gb=optional_number(item, "localGb", 0.0),
-            fetch_gb_per_s=require_number(item, "pullGbPerS")
-            if item.get("pullGbPerS") is not None
-            else 1.0,
+            fetch_gb_per_s=optional_number(item, "pullGbPerS", 1.0),
             price=require_number(item, "rate"),
             spot_price=optional_number(item, "lowPrice", 0.0),
             boot_s=optional_number(item, "readyS", 60.0),
             zones=require_texts(item, "yards"),
         )
-        types[kind.name] = kind
+        types[machine_type.name] = machine_type
     if not types:
         raise MalformedMessage("breeds")
     return types
 
 
-def catalog_record(types: dict[str, MachineType], most_bytes: int | None = None) -> dict[str, Any]:
-    """What the state service keeps of the catalogue. If that were larger than `most_bytes`, it is
-    without the fields that only a leader uses, who soon has them from the cloud itself: every
-    reader takes defaults for them, and what a submission is judged by stays."""
-    breeds = [_machine_type_object(t) for t in types.values()]
-    if most_bytes is not None and len(orjson.dumps({"breeds": breeds})) > most_bytes:
+def catalog_record(types: dict[str, MachineType], max_bytes: int | None = None) -> dict[str, Any]:
+    """Return the catalogue as the state service stores it.
+
+    If it were larger than `max_bytes`, it is without the fields that only a leader uses, which
+    soon has them from the cloud itself: every reader takes defaults for them, and the fields by
+    which submissions are judged stay.
+    """
+    breeds = [_machine_type_object(machine_type) for machine_type in types.values()]
+    if max_bytes is not None and len(orjson.dumps({"breeds": breeds})) > max_bytes:
         for breed in breeds:
             for field in _LEADER_ONLY_FIELDS:
                 del breed[field]
@@ -93,39 +94,51 @@
 _LEADER_ONLY_FIELDS = ("localGb", "pullGbPerS", "readyS")
 
 
-def _machine_type_object(t: MachineType) -> dict[str, Any]:
+def _machine_type_object(machine_type: MachineType) -> dict[str, Any]:
     return {
-        "sku": t.name,
-        "cpus": t.cpus,
-        "accelerators": t.gpus,
-        "memGb": t.memory_gb,
-        "localGb": t.cache_gb,
-        "pullGbPerS": t.fetch_gb_per_s,
-        "rate": t.price,
-        "lowPrice": t.spot_price,
-        "readyS": t.boot_s,
-        "yards": list(t.zones),
+        "sku": machine_type.name,
+        "cpus": machine_type.cpus,
+        "accelerators": machine_type.gpus,
+        "memGb": machine_type.memory_gb,
+        "localGb": machine_type.cache_gb,
+        "pullGbPerS": machine_type.fetch_gb_per_s,
+        "rate": machine_type.price,
+        "lowPrice": machine_type.spot_price,
+        "readyS": machine_type.boot_s,
+        "yards": list(machine_type.zones),
     }
 
 
-def create_machines_body(request: str, type_: str, zone: str, spot: bool, number: int) -> bytes:
-    """Asks for machines. `request` names the rental: repeated under it, the call rents no more."""
-    body = {"hire": request, "breed": type_, "yard": zone, "loaners": spot, "number": number}
-    return orjson.dumps(body)
+def create_machines_body(
+    request_name: str, machine_type: str, zone: str, spot: bool, count: int
+) -> bytes:
+    """Return the body of a request for machines.
+
+    `request_name` makes it idempotent: repeated under the same name, it creates no more machines.
+    """
+    return orjson.dumps(
+        {
+            "hire": request_name,
+            "breed": machine_type,
+            "yard": zone,
+            "loaners": spot,
+            "number": count,
+        }
+    )
 
 
 def parse_created_machines(body: bytes) -> list[MachineId]:
-    """The machines of a rental."""
-    return [MachineId(m) for m in require_texts(load_response(body), "wagons")]
+    """Parse the ids of the created machines."""
+    return [MachineId(name) for name in require_texts(load_response(body), "wagons")]
 
 
 def delete_machines_body(machines: list[MachineId]) -> bytes:
-    """Asks for the deletion of machines."""
+    """Return the body of a request to delete machines."""
     return orjson.dumps({"wagons": machines})
 
 
 def machines_path(after: str | None) -> str:
-    """One page of the list of machines, after that one or from the beginning."""
+    """Return the path of a page of the machine list, after that machine or from the start."""
     return f"/machines?most={LIST_PAGE_MACHINES}" + (f"&from={after}" if after else "")
 
 
@@ -137,7 +150,7 @@
 
 
 def parse_machine_page(body: bytes) -> MachinePage:
-    """One page of the list of machines."""
+    """Parse a page of the machine list."""
     obj = load_response(body)
     machines = []
     for item in require_objects(obj, "wagons"):
--- a/src/eldercart/wire/state.py
+++ b/src/eldercart/wire/state.py
@@ -1,7 +1,7 @@
-"""The state service's interface."""
+"""The messages of the state service: a key-value store with leases and watches."""
 
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 from urllib.parse import quote
 
 import orjson
@@ -16,13 +16,14 @@
     require_texts,
 )
 
-RANGE_PAGE_KEYS = 1000  # keys of one answer to a range
-MAX_TRANSACTION_BYTES = 56 * 1024  # of values; the limit is 64 KiB, names and guards take the rest
+RANGE_PAGE_KEYS = 1000  # keys in one page of a range
+# Of values; the limit is 64 KiB, and keys and conditions take the rest.
+MAX_TRANSACTION_BYTES = 56 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """A change that writes a value, attached to a lease if one is given."""
+    """An operation that writes a value, attached to a lease if one is given."""
 
     key: str
     value: Any
@@ -31,37 +32,39 @@
 
 @dataclass(frozen=True, slots=True)
 class DeleteKey:
-    """A change, made or seen, that deletes a key."""
+    """The deletion of a key: an operation of a transaction, or an event of a watch."""
 
     key: str
 
 
 @dataclass(slots=True)
 class Transaction:
-    """An atomic transaction: the writes are applied if all guards hold, that is, if each key has
-    the given version."""
+    """An atomic compare-and-swap.
+
+    The operations are applied if all conditions hold, that is, if each key has the given version.
+    """
 
     conditions: dict[str, Revision] = field(default_factory=dict)
     operations: list[Put | DeleteKey] = field(default_factory=list)
 
     def body(self) -> bytes:
-        """The request's body."""
+        """Return the request's body."""
         writes: list[dict[str, Any]] = []
-        for write in self.operations:
-            if isinstance(write, Put):
-                item: dict[str, Any] = {"put": write.key, "v": write.value}
-                if write.lease is not None:
-                    item["tether"] = write.lease
+        for operation in self.operations:
+            if isinstance(operation, Put):
+                item: dict[str, Any] = {"put": operation.key, "v": operation.value}
+                if operation.lease is not None:
+                    item["tether"] = operation.lease
                 writes.append(item)
             else:
-                writes.append({"delete": write.key})
-        guards = [{"path": k, "stamp": v} for k, v in self.conditions.items()]
+                writes.append({"delete": operation.key})
+        guards = [{"path": key, "stamp": version} for key, version in self.conditions.items()]
         return orjson.dumps({"guards": guards, "writes": writes})
 
 
 @dataclass(frozen=True, slots=True)
 class Item:
-    """A key as it was read."""
+    """A key with its value and version, as it was read."""
 
     key: str
     value: Any
@@ -70,23 +73,23 @@
 
 
 def key_path(key: str) -> str:
-    """Where one key is read."""
+    """Return the path under which one key is read."""
     return "/keys/" + quote(key, safe="/:")
 
 
 def range_path(prefix: str, after: str | None) -> str:
-    """Where a page of the keys with a prefix is read, those after the given key."""
+    """Return the path of a page of the keys with a prefix, those after the given key."""
     path = f"/keys?prefix={quote(prefix, safe='')}&most={RANGE_PAGE_KEYS}"
     return path + (f"&from={quote(after, safe='')}" if after else "")
 
 
 def watch_path(prefix: str, after: Revision, wait_ms: int) -> str:
-    """Where changes under a prefix are waited for, those after the given revision."""
+    """Return the path that waits for changes under a prefix after the given revision."""
     return f"/follow?prefix={quote(prefix, safe='')}&from={after}&waitMs={wait_ms}"
 
 
 def parse_item(body: bytes) -> Item:
-    """The answer to the read of one key."""
+    """Parse the response to the read of one key."""
     obj = load_response(body)
     lease = obj.get("tether")
     return Item(
@@ -97,33 +100,49 @@
     )
 
 
-def parse_range(body: bytes) -> tuple[list[Item], bool, Revision]:
-    """A page of keys, whether more follow, and the revision at which it was read."""
+class RangePage(NamedTuple):
+    """One page of a range of keys."""
+
+    items: list[Item]
+    has_more: bool  # whether another page follows
+    revision: Revision  # of the store, as of which the page was read
+
+
+def parse_range(body: bytes) -> RangePage:
+    """Parse the response to the read of a page of keys."""
     obj = load_response(body)
     items = [
-        Item(require_text(i, "path"), i.get("v"), Revision(require_integer(i, "stamp", 1)))
-        for i in require_objects(obj, "pairs")
+        Item(require_text(pair, "path"), pair.get("v"), Revision(require_integer(pair, "stamp", 1)))
+        for pair in require_objects(obj, "pairs")
     ]
-    return items, obj.get("more") is True, Revision(require_integer(obj, "ledgerRev"))
+    revision = Revision(require_integer(obj, "ledgerRev"))
+    return RangePage(items, obj.get("more") is True, revision)
 
 
 def parse_revision(body: bytes) -> Revision:
-    """The revision of a transaction that was applied."""
+    """Parse the revision of a transaction that was applied."""
     return Revision(require_integer(load_response(body), "ledgerRev"))
 
 
 def parse_failed_conditions(body: bytes) -> tuple[str, ...]:
-    """The keys whose guards did not hold."""
+    """Parse the keys of the conditions that did not hold."""
     return require_texts(load_response(body), "failed")
 
 
 def parse_lease(body: bytes) -> LeaseId:
-    """The lease that was opened."""
+    """Parse the id of the lease that was opened."""
     return LeaseId(require_integer(load_response(body), "tether"))
 
 
-def parse_watch(body: bytes) -> tuple[Revision, list[Item | DeleteKey]]:
-    """The changes in their order, and the revision from which to go on."""
+class WatchResult(NamedTuple):
+    """The changes that a watch has seen."""
+
+    revision: Revision  # from which to watch on
+    events: list[Item | DeleteKey]  # in their order
+
+
+def parse_watch(body: bytes) -> WatchResult:
+    """Parse the response to a watch."""
     obj = load_response(body)
     events: list[Item | DeleteKey] = []
     for event in require_objects(obj, "log"):
@@ -139,4 +158,4 @@
             events.append(DeleteKey(require_text(event, "delete")))
         else:
             raise MalformedMessage("log")
-    return Revision(require_integer(obj, "ledgerRev")), events
+    return WatchResult(Revision(require_integer(obj, "ledgerRev")), events)
--- a/src/eldercart/wire/workers.py
+++ b/src/eldercart/wire/workers.py
@@ -1,4 +1,4 @@
-"""What workers report and what they are told."""
+"""The messages between controller nodes and workers: heartbeats and commands."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -104,17 +104,20 @@
 
 
 class HeartbeatHeader(NamedTuple):
-    """What a relay must know of a report to answer it or pass it on."""
+    """The fields of a heartbeat that a relay needs to answer or forward it."""
 
     machine: MachineId
     sequence: HeartbeatSequence
     token: FencingToken  # the highest the worker has seen
-    has_preemption_notice: bool  # whether the cloud has told that it takes the machine back
+    has_preemption_notice: bool  # whether the cloud has announced that it takes it back
     tasks: Any  # the list as it came, only compared
 
 
 def parse_heartbeat_header(obj: dict[str, Any]) -> HeartbeatHeader:
-    """Called for each report; the tasks are not checked."""
+    """Parse the header of a heartbeat; its tasks are not checked.
+
+    Called for each heartbeat, hundreds of times a second.
+    """
     return HeartbeatHeader(
         MachineId(require_text(obj, "wagon")),
         HeartbeatSequence(AgentEpoch(require_integer(obj, "stint")), require_integer(obj, "tally")),
@@ -125,7 +128,10 @@
 
 
 def parse_heartbeat(obj: dict[str, Any]) -> Heartbeat:
-    """Called hundreds of times a second, so the tasks are checked in place."""
+    """Parse a whole heartbeat.
+
+    Called hundreds of times a second, so the tasks are checked in place.
+    """
     tasks: list[TaskStatus] = []
     parcels = obj.get("parcels")
     if parcels is not None and not isinstance(parcels, list):
@@ -140,9 +146,11 @@
             raise MalformedMessage("try")
         if not isinstance(state, str):
             raise MalformedMessage("standing")
-        why = item.get("cause") if state == _EXITED else None
+        cause = item.get("cause") if state == _EXITED else None
         tasks.append(
-            TaskStatus(TaskKey(key), Attempt(attempt), state, why if isinstance(why, str) else None)
+            TaskStatus(
+                TaskKey(key), Attempt(attempt), state, cause if isinstance(cause, str) else None
+            )
         )
     return Heartbeat(
         machine=MachineId(require_text(obj, "wagon")),
@@ -160,12 +168,12 @@
 
 
 def command_object(command: Command) -> dict[str, Any]:
-    """One command as workers read it."""
+    """Return one command as workers read it."""
     match command:
         case Launch(key, attempt):
             return {"call": "launch", "parcel": key, "try": attempt}
-        case Kill(key, attempt, grace):
-            return {"call": "kill", "parcel": key, "try": attempt, "slackS": grace}
+        case Kill(key, attempt, grace_s):
+            return {"call": "kill", "parcel": key, "try": attempt, "slackS": grace_s}
         case Clear(key, attempt):
             return {"call": "clear", "parcel": key, "try": attempt}
 
@@ -175,26 +183,26 @@
 
 
 def command_objects(commands: list[Command]) -> list[dict[str, Any]]:
-    """The commands of one response, as many as fit into it."""
-    return [command_object(c) for c in commands[:MAX_COMMANDS]]
+    """Return the commands of one response, as many as fit into it."""
+    return [command_object(command) for command in commands[:MAX_COMMANDS]]
 
 
-def heartbeat_response_body(epoch: FencingToken, calls: list[dict[str, Any]]) -> bytes:
-    """The response to a report; `calls` as of `command_objects`."""
-    return orjson.dumps({"whip": epoch, "calls": calls})
+def heartbeat_response_body(token: FencingToken, commands: list[dict[str, Any]]) -> bytes:
+    """Return the response to a heartbeat; `commands` as of `command_objects`."""
+    return orjson.dumps({"whip": token, "calls": commands})
 
 
-def commands_response_body(epoch: FencingToken, commands: list[Command]) -> bytes:
-    """The response to a report with these commands."""
-    return heartbeat_response_body(epoch, command_objects(commands))
+def commands_response_body(token: FencingToken, commands: list[Command]) -> bytes:
+    """Return the response to a heartbeat with these commands."""
+    return heartbeat_response_body(token, command_objects(commands))
 
 
 def direct_commands_body(
-    epoch: FencingToken, session: AgentEpoch, commands: Iterable[Command]
+    token: FencingToken, agent_epoch: AgentEpoch, commands: Iterable[Command]
 ) -> bytes:
-    """A direct command."""
-    calls = [command_object(c) for c in commands]
-    return orjson.dumps({"whip": epoch, "stint": session, "calls": calls})
+    """Return the body of a request that sends commands directly to a worker."""
+    calls = [command_object(command) for command in commands]
+    return orjson.dumps({"whip": token, "stint": agent_epoch, "calls": calls})
 
 
 def redirect_body(leader: NodeId | None) -> bytes:
