--- a/src/eldercart/server/leadership/worker_requests.py
+++ b/src/eldercart/server/leadership/worker_requests.py
@@ -52,7 +52,7 @@
                 self._leadership.observe_token(heartbeat.token, "a worker has seen a higher epoch")
             else:
                 scheduler.on_direct_kill_response(
-                    heartbeat, status == EXECUTED, sent_at, self._clock()
+                    heartbeat, sent_at, self._clock(), executed=status == EXECUTED
                 )
                 self._leadership.process_events_soon()
 
