--- a/src/eldercart/server/controller_node.py
+++ b/src/eldercart/server/controller_node.py
@@ -9,6 +9,7 @@
 from twisted.internet import reactor as _reactor
 
 from eldercart.election.state_machine import Election
+from eldercart.server.event_loop_monitor import EventLoopMonitor
 from eldercart.server.graceful_shutdown import GracefulShutdown
 from eldercart.server.http.server import JsonFactory, JsonServer
 from eldercart.server.leadership.catalog_record import CATALOG_KEY
@@ -40,7 +41,6 @@
 PEER_STORE_OK_FRESH_S = 3.0  # for which a peer's word counts that the store serves it
 CATALOG_RETRY_S = 1.0  # before the stored machine types are asked for again
 LOAD_LOG_INTERVAL_S = 10.0  # between two lines of the log about the node's load
-LAG_SMOOTHING_FACTOR = 0.2  # of the last turn of the loop in the smoothed lag
 HTTP_SOCKETS_SHARE, MIN_HTTP_SOCKETS = 0.75, 16  # of a node's sockets, for users and workers
 
 
@@ -126,11 +126,14 @@
         self.supported_features = peers.SUPPORTED_FEATURES + (
             () if self.singleton_service is None else self.singleton_service.supported_features
         )
-        self.loop_lag_s = 0.0  # by which the event loop is late; recent turns weigh more
+        self._event_loop = EventLoopMonitor(TICK_INTERVAL_S, self.metrics, clock())
         self._catalog_read_at = DISTANT_PAST
-        self._last_tick_at = clock()
         self._load_log_due_at = MonotonicTime(0)
-        self._logged_cpu_s = time.process_time()
+
+    @property
+    def loop_lag_s(self) -> float:
+        """By how many seconds the event loop is late; recent ticks weigh more."""
+        return self._event_loop.lag_s
 
     @property
     def machine_types(self) -> dict[str, MachineType]:
@@ -156,9 +159,7 @@
     def _tick(self) -> None:
         reactor.callLater(TICK_INTERVAL_S, self._tick)
         now = self.clock()
-        late_s = max(0.0, now - self._last_tick_at - TICK_INTERVAL_S)
-        self._record_lag(late_s)
-        self._last_tick_at = now
+        late_s = self._event_loop.record_tick(now)
         if late_s > STALL_THRESHOLD_S:
             self._on_stall(late_s)
         self.election_service.tick(now)
@@ -171,30 +172,26 @@
         if now >= self._load_log_due_at:
             self._log_load(now)
 
-    def _record_lag(self, late_s: float) -> None:
-        weight = LAG_SMOOTHING_FACTOR
-        self.loop_lag_s = (1.0 - weight) * self.loop_lag_s + weight * late_s
-        self.metrics.record("loop_lag", late_s)
-
     def _on_stall(self, seconds: float) -> None:
-        """Nothing was read meanwhile, so nobody's silence in that time is theirs. (What this node
-        may say by its lease or its grant is judged by the clock, which ran on.)"""
+        """Exclude the time in which this process did not run from all silence of others.
+
+        Nothing was read meanwhile. What this node may do by its leases is judged by the clock,
+        which ran on.
+        """
         log.info("stalled seconds=%.2f", seconds)
         self.relay_service.exclude_stall(seconds)
         self.leader_service.exclude_stall(seconds)
 
     def _log_load(self, now: MonotonicTime) -> None:
-        cpu = time.process_time()
         self._load_log_due_at = MonotonicTime(now + LOAD_LOG_INTERVAL_S)
         log.info(
             "load role=%s cpu=%.2f lag_ms=%.0f workers=%d %s",
             self.election.role.value,
-            cpu - self._logged_cpu_s,
+            self._event_loop.take_cpu_s(),
             self.loop_lag_s * 1000,
             self.relay_service.relay.machine_count,
             self.metrics.take_summary(),
         )
-        self._logged_cpu_s = cpu
 
     def observe_token(self, token: FencingToken, reason: str) -> None:
         """Step down if the fencing token is higher than any that this node has seen."""
--- a/src/eldercart/server/graceful_shutdown.py
+++ b/src/eldercart/server/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a node on request (SIGTERM): it hands over and answers what it holds, then ends."""
+"""Graceful shutdown on SIGTERM: hand over, answer the pending requests, then stop."""
 
 import logging
 import math
@@ -25,7 +25,7 @@
 
 
 class GracefulShutdown:
-    """Refuses what is new, waits for what is under way, and gives the leadership up at once."""
+    """Rejects new requests, waits for pending ones, and gives up the leadership at once."""
 
     def __init__(
         self,
@@ -44,14 +44,14 @@
         self._deadline_at = MonotonicTime(math.inf)
 
     def install_signal_handler(self) -> None:
-        """Begins at SIGTERM. Where signals are not to be had, the node just ends when killed."""
+        """Begin at SIGTERM; where no handler can be set, SIGTERM just ends the process."""
         try:
             signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(self.begin))
         except (OSError, ValueError) as err:
             log.info("no handler for SIGTERM: %s", err)
 
     def begin(self) -> None:
-        """Starts the end, once."""
+        """Start the shutdown, once."""
         if self.has_begun:
             return
         log.info("ends on request")
@@ -61,7 +61,7 @@
         self._poll_drain()
 
     def refuse(self, request: JsonRequest) -> None:
-        """A new request on a kept connection: another node can answer it."""
+        """Reject a new request on an open connection: another node can answer it."""
         if request.path == b"/v1/report":
             leader = self._election.leader
             other = None if leader == self._election.node_id else leader
@@ -70,7 +70,10 @@
             reject_temporarily(request, "this node ends", SHORT_RETRY_AFTER_S)
 
     def _poll_drain(self) -> None:
-        """A claim that was under way may still make this node leader, so it is looked at again."""
+        """Stop when nothing is pending, or at the deadline; otherwise check again soon.
+
+        A campaign in flight may still make this node leader, so leadership is given up each time.
+        """
         now = self._clock()
         election = self._election
         if election.role is Role.LEADER:
--- a/src/eldercart/server/leadership/catalog_record.py
+++ b/src/eldercart/server/leadership/catalog_record.py
@@ -22,7 +22,7 @@
 
 
 class MachineTypeShape(NamedTuple):
-    """What of a machine type is worth a write. Prices move all the time and are not."""
+    """The properties of a machine type whose change is worth a write; prices change too often."""
 
     name: str
     cpus: float
@@ -32,8 +32,11 @@
 
 
 def machine_type_shapes(types: dict[str, MachineType]) -> list[MachineTypeShape]:
-    """The parts of each type that are compared before the catalogue is written."""
-    return [MachineTypeShape(t.name, t.cpus, t.gpus, t.memory_gb, t.zones) for t in types.values()]
+    """Return the properties of each type that are compared before the catalogue is written."""
+    return [
+        MachineTypeShape(each.name, each.cpus, each.gpus, each.memory_gb, each.zones)
+        for each in types.values()
+    ]
 
 
 class CatalogOwner(Protocol):
@@ -69,8 +72,10 @@
         self._next_write_at = DISTANT_PAST  # the next write goes out no earlier
 
     def sync(self, scheduler: Scheduler) -> None:
-        """Takes the scheduler's types over into the node, and writes them if they differ from
-        what is stored. Without a token for a change, the next turn of the loop tries again."""
+        """Copy the scheduler's types to the node, and write them if they differ from those stored.
+
+        Without a token for a write, the next call tries again.
+        """
         known = machine_type_shapes(self._machine_types.by_name)
         self._machine_types.by_name = dict(scheduler.cluster_state.types)
         self.is_stored = (
--- a/src/eldercart/server/leadership/cloud_requests.py
+++ b/src/eldercart/server/leadership/cloud_requests.py
@@ -1,4 +1,4 @@
-"""The leader's calls to the cloud, within its limit of calls a second."""
+"""The leader's requests to the cloud, within the cloud's rate limit."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -69,7 +69,7 @@
         self._tokens = TokenBucket(rate, max(1.0, rate), clock())
 
     def process_events(self, scheduler: Scheduler, now: MonotonicTime) -> None:
-        """Sends what the scheduler asks for while this node may order anything at all."""
+        """Send the scheduler's requests, if this node's leader lease allows any now."""
         gate = self.gate
         if gate is not None:
             gate.process_events(scheduler, self, now)
--- a/src/eldercart/server/leadership/election_service.py
+++ b/src/eldercart/server/leadership/election_service.py
@@ -1,4 +1,4 @@
-"""Carries out what the election asks of the state service."""
+"""The election's requests to the state service."""
 
 from typing import Any, Protocol
 
@@ -27,7 +27,7 @@
 
 
 class LeadershipTerms(Protocol):
-    """What is told of each leadership's beginning and end."""
+    """Receives the beginning and the end of each leadership."""
 
     def start_failover(self) -> None:
         """This node has been elected."""
@@ -52,7 +52,7 @@
         self._is_watching = False
 
     def tick(self, now: MonotonicTime) -> None:
-        """Carries out what the election wants now, and keeps the watch on the leader key."""
+        """Carry out the election's next action, and keep the watch on the leader key."""
         self._run_next_action(now)
         if not self._is_watching and self.has_read_leader_key:
             self._watch()
@@ -151,8 +151,11 @@
         self._store.watch(LEADER_KEY, self._watch_revision, WATCH_TIMEOUT_S, changed)
 
     def _resync_watch(self) -> None:
-        """More has changed since than the store keeps, as after a cut of less than a minute. The
-        key's own version may be older still: only a list tells from where to watch on."""
+        """Find the revision to watch on from, as the store no longer keeps the changes since.
+
+        That is so after a cut of less than a minute. The key's own version may be older still:
+        only a range read gives the present revision.
+        """
 
         def listed(items: list[Item] | None, revision: Revision) -> None:
             if items is not None:
--- a/src/eldercart/server/leadership/failover.py
+++ b/src/eldercart/server/leadership/failover.py
@@ -1,4 +1,4 @@
-"""Reads what the state service holds when this node has been elected."""
+"""The reads of the stored records by a node that has been elected."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
@@ -65,11 +65,11 @@
         self._jobs_revision = ABSENT_REVISION
 
     def cancel(self) -> None:
-        """Leadership ended before the records were read: answers under way are dropped."""
+        """Leadership ended before the records were read: drop the responses still to come."""
         self._is_cancelled = True
 
     def read_next(self) -> None:
-        """Reads the next prefix, or finishes when none is left."""
+        """Read the next prefix, or finish when none is left."""
         if self._is_cancelled:
             return
         if len(self._items_by_prefix) == len(self._prefixes):
--- a/src/eldercart/server/leadership/job_record_watch.py
+++ b/src/eldercart/server/leadership/job_record_watch.py
@@ -1,5 +1,7 @@
-"""The job records that other nodes create: the leader's watch on them, and the lists of
-dependencies that some of them refer to."""
+"""The leader's watch on the job records that all nodes create.
+
+A record may refer to a dependency list, which is stored under keys of its own.
+"""
 
 import logging
 from typing import Any, NamedTuple
@@ -31,10 +33,11 @@
 
 
 class JobRecordWatch:
-    """Teaches the scheduler the jobs that any node accepts, while this node leads.
+    """Adds the jobs that any node accepts to the scheduler, while this node leads.
 
-    Each call under way belongs to the scheduler it was made for and is dropped once another one,
-    or none, is in its place."""
+    Each request in flight belongs to the scheduler that it was made for; its response is dropped
+    once another one, or none, is in its place.
+    """
 
     def __init__(
         self, leadership: Leadership, store: StoreClient, outcomes: JobOutcomes, clock: Clock
@@ -47,13 +50,13 @@
         self._jobs_resolving: set[JobId] = set()  # jobs whose list of dependencies is being read
 
     def reset(self) -> None:
-        """A new leadership begins: reads of the one before don't count any more."""
+        """Forget the reads of the leadership before."""
         self._jobs_resolving.clear()
 
     # -- the watch
 
     def watch(self, scheduler: Scheduler, after: Revision) -> None:
-        """Learns each record that is created after that revision."""
+        """Add each record that is created after that revision."""
         if not is_current_leadership(self._leadership, scheduler):
             return
 
@@ -78,7 +81,7 @@
             self._leadership.process_events_soon()
 
     def _resync(self, scheduler: Scheduler) -> None:
-        """More has changed than the state service keeps: reads all records and watches on."""
+        """Read all records and watch on: the state service no longer keeps all the changes."""
         if not is_current_leadership(self._leadership, scheduler):
             return
 
@@ -97,8 +100,11 @@
     # -- single records
 
     def add_record(self, item: Item) -> None:
-        """A record that refers to a list is learned with it. As long as the list can't be read the
-        job stays unknown here: polls look it up, and nothing of it may start."""
+        """Add a job to the scheduler, with its dependency list if the record refers to one.
+
+        As long as the list can't be read the job stays unknown to the scheduler: polls read its
+        state from the state service, and no task of it may start.
+        """
         scheduler = self._leadership.scheduler
         job = JobId(item.key[len(JOB_PREFIX) :])
         if scheduler is None or self._outcomes.outcome_of(job) is not None:
@@ -110,9 +116,9 @@
             self._read_dependency_list(scheduler, job, item, LIST_RETRY_S)
 
     def _read_dependency_list(
-        self, scheduler: Scheduler, job: JobId, item: Item, pause: float
+        self, scheduler: Scheduler, job: JobId, item: Item, retry_s: float
     ) -> None:
-        """Reads the list that the record refers to, until it is there."""
+        """Read the list that the record refers to, with retries until it is there."""
         if not is_current_leadership(self._leadership, scheduler):
             return
         reference = decode_dependency_list_reference(item.value)
@@ -124,25 +130,27 @@
         def got(lists: list[Item] | None, revision: Revision) -> None:
             if not is_current_leadership(self._leadership, scheduler):
                 return
-            whole = None if lists is None else resolve_dependency_list(job, item, lists)
-            if whole is None:
+            record = None if lists is None else resolve_dependency_list(job, item, lists)
+            if record is None:
                 log.info("list of dependencies not read job=%s", job)
-                longer = min(MAX_LIST_RETRY_S, 2 * pause)
-                reactor.callLater(pause, self._read_dependency_list, scheduler, job, item, longer)
+                next_retry_s = min(MAX_LIST_RETRY_S, 2 * retry_s)
+                reactor.callLater(
+                    retry_s, self._read_dependency_list, scheduler, job, item, next_retry_s
+                )
             else:
-                self._add_resolved_record(scheduler, job, whole)
+                self._add_resolved_record(scheduler, job, record)
 
         self._store.range(dependency_list_prefix(job, reference), got)
 
-    def _add_resolved_record(self, scheduler: Scheduler, job: JobId, whole: Item) -> None:
+    def _add_resolved_record(self, scheduler: Scheduler, job: JobId, record: Item) -> None:
         self._jobs_resolving.discard(job)
         if self._outcomes.outcome_of(job) is None:
-            scheduler.load_job_record(whole, self._clock())
+            scheduler.load_job_record(record, self._clock())
             self._leadership.process_events_soon()
 
 
 def has_dependency_list(item: Item) -> bool:
-    """Whether the job's dependencies stand in records of their own."""
+    """Return whether the job's dependencies are stored under keys of their own."""
     try:
         return decode_dependency_list_reference(item.value) is not None
     except MalformedMessage:
@@ -150,30 +158,30 @@
 
 
 class ResolvedRecords(NamedTuple):
-    """Job records by whether their lists of dependencies were found."""
+    """Job records by whether their dependency lists were found."""
 
     resolved: list[Item]  # with their lists in them
     unresolved: list[Item]  # as they are; their lists are not all there
 
 
 def resolve_dependency_lists(records: list[Item], lists: list[Item]) -> ResolvedRecords:
-    """Puts the lists of dependencies into the job records that refer to them."""
-    of_job: dict[str, list[Item]] = {}
+    """Put the dependency lists into the job records that refer to them."""
+    lists_by_job: dict[str, list[Item]] = {}
     for item in lists:
-        of_job.setdefault(item.key[len(DEPENDENCY_LIST_PREFIX) :].partition("/")[0], []).append(
-            item
-        )
-    whole: list[Item] = []
-    missing: list[Item] = []
+        lists_by_job.setdefault(
+            item.key[len(DEPENDENCY_LIST_PREFIX) :].partition("/")[0], []
+        ).append(item)
+    resolved: list[Item] = []
+    unresolved: list[Item] = []
     for item in records:
         job = JobId(item.key[len(JOB_PREFIX) :])
         found = (
-            resolve_dependency_list(job, item, of_job.get(job, ()))
+            resolve_dependency_list(job, item, lists_by_job.get(job, ()))
             if has_dependency_list(item)
             else item
         )
         if found is None:
-            missing.append(item)
+            unresolved.append(item)
         else:
-            whole.append(found)
-    return ResolvedRecords(whole, missing)
+            resolved.append(found)
+    return ResolvedRecords(resolved, unresolved)
--- a/src/eldercart/server/leadership/leader_service.py
+++ b/src/eldercart/server/leadership/leader_service.py
@@ -1,5 +1,7 @@
-"""A node's leadership: takes the records over when it is elected, runs the scheduler and hands
-its work to the parts that carry it out."""
+"""A node's leadership: failover when it is elected, then the scheduler and its work.
+
+The parts beside this module carry that work out.
+"""
 
 import gc
 import logging
@@ -34,8 +36,8 @@
 
 log = logging.getLogger("eldercart.node")
 
-ISOLATION_TIMEOUT_S = 5.0  # without a word from any peer or worker, after which a leader hands over
-EVENT_BATCH_DELAY_S = 0.02  # in which events gather before what follows from them is looked for
+ISOLATION_TIMEOUT_S = 5.0  # without a message from any peer or worker; then the leader resigns
+EVENT_BATCH_DELAY_S = 0.02  # in which events gather before they are processed together
 
 
 class HeartbeatResponse(NamedTuple):
@@ -148,13 +150,13 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether this node leads and has read the records."""
+        """Whether this node leads and has completed its failover."""
         return self.scheduler is not None and self._election.role is Role.LEADER
 
     # -- terms
 
     def start_failover(self) -> None:
-        """Elected: read all records, then act."""
+        """This node has been elected: read all records, then start the scheduler."""
         self._discard_scheduler()
         self.job_record_watch.reset()
         self._store.set_leader(True)
@@ -168,7 +170,7 @@
         self._failover.read_next()
 
     def _discard_scheduler(self) -> None:
-        """Drops the scheduler, and a take-over that has not finished."""
+        """Drop the scheduler, and a failover that has not finished."""
         self.scheduler = None
         if self._failover is not None:
             self._failover.cancel()
@@ -224,7 +226,7 @@
         self.end_leadership(reason)
 
     def end_leadership(self, reason: str) -> None:
-        """Leadership is over, or may be: nothing more is done in its name."""
+        """Leadership is over, or may be: do nothing more in its name."""
         if self._singleton_tasks is not None:
             self._singleton_tasks.on_leadership_lost()
         if self.scheduler is not None:
@@ -236,7 +238,7 @@
         self._peers.relay.revoke_lease()
 
     def tick(self, now: MonotonicTime) -> None:
-        """Lets the scheduler look at the time; hands over if this node hears nobody."""
+        """Run what is due by the clock; resign if neither peers nor workers reach this node."""
         scheduler = self.scheduler
         if scheduler is None:
             return
@@ -263,14 +265,17 @@
         self._context.metrics.record("plan", duration_s)
 
     def exclude_stall(self, seconds: float) -> None:
-        """Nobody's silence meanwhile was their own. Whether this node still leads only the state
-        service can tell: another may have been elected."""
+        """Exclude a time in which this process did not run from the silence of machines.
+
+        Whether this node still leads only the state service can tell: another may have been
+        elected meanwhile.
+        """
         self.last_heartbeat_at = MonotonicTime(self.last_heartbeat_at + seconds)
         if self.scheduler is not None:
             self.scheduler.exclude_stall(seconds)
 
     def _is_isolated(self, scheduler: Scheduler, now: MonotonicTime) -> bool:
-        """Whether the store alone can be reached: another node would then lead better."""
+        """Return whether only the state service is reachable: another node would lead better."""
         if not self._peers.links or not scheduler.inventory.machines:
             return False
         since = max(
@@ -283,7 +288,7 @@
     # -- what follows from events
 
     def process_events(self) -> None:
-        """Carries out what the scheduler has to do now, as far as limits allow."""
+        """Carry out the work that the scheduler has now, as far as the rate limits allow."""
         scheduler = self.scheduler
         if scheduler is None:
             return
@@ -340,16 +345,16 @@
     def record_relayed_heartbeats(
         self, relay: NodeId, heartbeats: AcknowledgedHeartbeats, now: MonotonicTime
     ) -> None:
-        """The machines that a relay answered by itself, and the reports it answered."""
+        """Record the last heartbeat of each machine that a relay answered by itself."""
         if self.scheduler is not None:
             self.scheduler.record_relayed_heartbeats(relay, heartbeats, now)
 
     def on_relay_lost(self, relay: NodeId) -> None:
-        """The connection from that relay broke."""
+        """The connection from that relay was lost."""
         if self.scheduler is not None:
             self.scheduler.on_relay_lost(relay)
 
     def on_response_undelivered(self, machine: MachineId) -> None:
-        """The last answer to that machine surely came too late."""
+        """The last response to that machine surely came too late."""
         if self.scheduler is not None:
             self.scheduler.on_response_undelivered(machine)
--- a/src/eldercart/server/leadership/state_store_requests.py
+++ b/src/eldercart/server/leadership/state_store_requests.py
@@ -45,7 +45,7 @@
 
 
 class StateStoreRequests:
-    """Carries out the scheduler's work on the state service as far as tokens allow."""
+    """Carries out the scheduler's reads and commits as far as the rate limits allow."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         self.cleanup_policy: CleanupPolicy | None = None  # None: cleanup is always permitted
 
     def process_events(self, scheduler: Scheduler, now: MonotonicTime) -> None:
-        """Starts what is due, in the order of its urgency."""
+        """Start the requests that are due, in the order of their urgency."""
         if self.cleanup_policy is not None:
             scheduler.transaction_writer.cleanup_permit = self.cleanup_policy.cleanup_permit(
                 scheduler, now
--- a/src/eldercart/server/leadership/user_answers.py
+++ b/src/eldercart/server/leadership/user_answers.py
@@ -1,4 +1,4 @@
-"""The leader's answers to users' polls and cancellations, whichever node took them."""
+"""The leader's replies to users' polls and cancellations, whichever node received them."""
 
 from collections.abc import Callable
 from typing import Any
@@ -19,7 +19,7 @@
 
 
 class UserAnswers:
-    """Owns the answers that wait for a durable end."""
+    """Replies to polls and cancellations; owns the replies that wait for a durable outcome."""
 
     def __init__(
         self, leadership: Leadership, election: Election, job_states: JobStates, clock: Clock
@@ -32,81 +32,87 @@
         self._waiters: dict[JobId, list[ReplyOnce]] = {}
 
     def reset(self) -> None:
-        """Leadership ended: who waits is answered by time-out."""
+        """Leadership ended: the waiting cancellations are answered by their time-outs."""
         self._waiters.clear()
 
     def on_job_finished(self, job: JobId, outcome: str) -> None:
-        """The job's end is durable: everyone who waits for it is told."""
+        """The job's outcome is durable: answer the cancellations that wait for it."""
         for waiter in self._waiters.pop(job, ()):
             waiter(outcome)
 
-    def job_reply(self, number: int, job: JobId) -> peers.JobReply:
-        """The leader's answer; only within its lease is a state that may change told."""
+    def job_reply(self, request_id: int, job: JobId) -> peers.JobReply:
+        """Return the reply to a poll; a state that may change only within the leader lease."""
         outcome = self._job_states.outcome_of(job)
         if outcome is not None:
-            return peers.JobReply(number, outcome, 0, 0)
+            return peers.JobReply(request_id, outcome, 0, 0)
         scheduler = self._leadership.scheduler
         if scheduler is None or not self._election.is_within_lease(self._clock()):
-            return peers.JobReply(number, peers.NOT_LEADER, 0, 0)
+            return peers.JobReply(request_id, peers.NOT_LEADER, 0, 0)
         status = scheduler.job_status(job)
         if isinstance(status, JobStatus):
             waiting = status.unmet_dependencies[: users.MAX_LISTED_DEPENDENCIES]
             return peers.JobReply(
-                number, status.state, status.done_count, status.running_count, waiting
+                request_id, status.state, status.done_count, status.running_count, waiting
             )
         undecided = status is LookupFailure.UNDECIDED
-        return peers.JobReply(number, peers.UNDECIDED if undecided else peers.UNKNOWN, 0, 0)
+        return peers.JobReply(request_id, peers.UNDECIDED if undecided else peers.UNKNOWN, 0, 0)
 
-    def cancel(self, job: JobId, answer: Callable[[str], None]) -> None:
-        """Calls `answer` once: with the job's durable end, or with a verdict of `peers`."""
+    def cancel(self, job: JobId, on_reply: Callable[[str], None]) -> None:
+        """Cancel the job and call `on_reply` once.
+
+        It gets the job's durable outcome, or one of the reply states of `wire.peers`.
+        """
         scheduler = self._leadership.scheduler
         outcome = self._job_states.outcome_of(job)
         if outcome is not None or scheduler is None:
-            answer(outcome or peers.NOT_LEADER)
+            on_reply(outcome or peers.NOT_LEADER)
             return
-        verdict = scheduler.cancel_job(job, self._clock())
-        if verdict is LookupFailure.UNKNOWN_JOB:
-            self._look_up_and_cancel(job, answer)
-        elif isinstance(verdict, str):
-            answer(verdict)
+        result = scheduler.cancel_job(job, self._clock())
+        if result is LookupFailure.UNKNOWN_JOB:
+            self._read_state_and_cancel(job, on_reply)
+        elif isinstance(result, str):
+            on_reply(result)
         else:
-            self._wait_for_outcome(job, answer)
+            self._wait_for_outcome(job, on_reply)
+
+    def _read_state_and_cancel(self, job: JobId, on_reply: Callable[[str], None]) -> None:
+        """Read the job's state first, which adds its record to the scheduler.
 
-    def _look_up_and_cancel(self, job: JobId, answer: Callable[[str], None]) -> None:
-        """The watch may lag behind another node's acceptance: the look-up teaches the job."""
+        The watch may lag behind another node's acceptance.
+        """
         leadership = self._leadership
 
         def found(state: str) -> None:
             if state in (users.DONE, users.CANCELLED):
-                answer(state)
+                on_reply(state)
             elif (
                 leadership.scheduler is not None and leadership.scheduler.jobs.get(job) is not None
             ):
-                self.cancel(job, answer)
+                self.cancel(job, on_reply)
             else:
-                answer(peers.UNDECIDED)
+                on_reply(peers.UNDECIDED)
 
         self._job_states.read_job_state(
-            job, found, lambda: answer(peers.UNKNOWN), lambda: answer(peers.UNDECIDED)
+            job, found, lambda: on_reply(peers.UNKNOWN), lambda: on_reply(peers.UNDECIDED)
         )
 
-    def _wait_for_outcome(self, job: JobId, answer: Callable[[str], None]) -> None:
-        """The end must be durable before it is told; that takes one write."""
-        waiter = ReplyOnce(answer)
+    def _wait_for_outcome(self, job: JobId, on_reply: Callable[[str], None]) -> None:
+        """Reply once the outcome is durable, which takes one commit."""
+        waiter = ReplyOnce(on_reply)
         self._waiters.setdefault(job, []).append(waiter)
         reactor.callLater(CANCEL_TIMEOUT_S, waiter, peers.UNDECIDED)
         self._leadership.process_events()
 
 
 class ReplyOnce:
-    """Passes on the first answer only: the end or the time-out, whichever comes first."""
+    """Passes on the first reply only: the outcome or the time-out, whichever comes first."""
 
-    def __init__(self, answer: Callable[[str], None]) -> None:
-        """`answer` is called once at most."""
-        self._on_reply: Callable[[str], None] | None = answer
+    def __init__(self, on_reply: Callable[[str], None]) -> None:
+        """`on_reply` is called at most once."""
+        self._on_reply: Callable[[str], None] | None = on_reply
 
-    def __call__(self, verdict: str) -> None:
-        """Answers, unless it has been done before."""
-        answer, self._on_reply = self._on_reply, None
-        if answer is not None:
-            answer(verdict)
+    def __call__(self, state: str) -> None:
+        """Reply, unless that has been done before."""
+        on_reply, self._on_reply = self._on_reply, None
+        if on_reply is not None:
+            on_reply(state)
--- a/src/eldercart/server/leadership/worker_requests.py
+++ b/src/eldercart/server/leadership/worker_requests.py
@@ -19,7 +19,7 @@
 
 
 class WorkerRequests:
-    """Asks workers directly; an answer is handed to the scheduler that asked for it."""
+    """Sends requests to workers; a response goes to the scheduler that made the request."""
 
     def __init__(self, leadership: Leadership, max_sockets: int, clock: Clock) -> None:
         """`max_sockets` is the node's limit on open sockets, of which this uses a share."""
@@ -28,15 +28,18 @@
         self._client = WorkerClient(max(MIN_CONNECTIONS, max_sockets // SOCKETS_PER_CONNECTION))
 
     def process_events(self, scheduler: Scheduler, now: MonotonicTime) -> None:
-        """Sends the probes and the direct commands that are due."""
+        """Send the probes and the direct kills that are due."""
         for machine, address in scheduler.take_probes():
             self._probe(scheduler, machine, address)
         for kill in scheduler.take_direct_kills(now):
             self._send_kill(scheduler, kill)
 
     def _probe(self, scheduler: Scheduler, machine: MachineId, address: str) -> None:
-        """`/show` tells whether a machine lives that nothing is heard of. What it lists is not
-        read: it may cross the response to a report and lack what that response launches."""
+        """Ask a silent machine by `/show` whether it is alive.
+
+        The tasks that it lists are not read: the answer may cross the response to a heartbeat and
+        lack what that response launches.
+        """
 
         def on_heartbeat(status: int, heartbeat: workers.Heartbeat) -> None:
             if status == EXECUTED:
