--- a/src/eldercart/server/controller_node.py
+++ b/src/eldercart/server/controller_node.py
@@ -103,19 +103,13 @@
         )
         self._known_machine_types = KnownMachineTypes()
         self.user_service = UserService(self)
-        self.leader_service = LeaderService(
-            NodeContext(settings, tuning, self.incarnation, clock, self.metrics),
-            self.store,
-            self.election,
-            self.user_service,
-            self._known_machine_types,
-        )
+        self.leader_service = self._build_leader_service()
         self.relay_service = RelayService(self)
         self.election_service = ElectionService(
             self.election, self.store, self.leader_service, clock
         )
-        sockets = max(MIN_HTTP_SOCKETS, int(settings.sockets * HTTP_SOCKETS_SHARE))
-        self._http_factory = JsonFactory(self.user_service.route, sockets)
+        max_connections = max(MIN_HTTP_SOCKETS, int(settings.sockets * HTTP_SOCKETS_SHARE))
+        self._http_factory = JsonFactory(self.user_service.route, max_connections)
         self._http_server = JsonServer(settings.front, self._http_factory)
         self.graceful_shutdown = GracefulShutdown(
             self._http_server, self.election_service, self.leader_service, clock
@@ -130,6 +124,15 @@
         self._catalog_read_at = DISTANT_PAST
         self._load_log_due_at = MonotonicTime(0)
 
+    def _build_leader_service(self) -> LeaderService:
+        return LeaderService(
+            NodeContext(self.settings, self.tuning, self.incarnation, self.clock, self.metrics),
+            self.store,
+            self.election,
+            self.user_service,
+            self._known_machine_types,
+        )
+
     @property
     def loop_lag_s(self) -> float:
         """By how many seconds the event loop is late; recent ticks weigh more."""
