--- a/src/eldercart/autoscaling/autoscaler.py
+++ b/src/eldercart/autoscaling/autoscaler.py
@@ -14,7 +14,7 @@
     waiting_cpus,
 )
 from eldercart.cluster.inventory import Machine, MachineState
-from eldercart.jobs.registry import Job
+from eldercart.jobs.job import Job
 from eldercart.prediction.soft_reservations import ReservedCpus
 from eldercart.settings import Tuning
 from eldercart.settings.platform import Team
--- a/src/eldercart/autoscaling/successor_reservations.py
+++ b/src/eldercart/autoscaling/successor_reservations.py
@@ -4,7 +4,7 @@
 """
 
 from eldercart.cluster.inventory import MachineState
-from eldercart.jobs.registry import Job, PlacementPhase
+from eldercart.jobs.job import Job, PlacementPhase
 from eldercart.prediction.predictor import ReservationWindow
 from eldercart.scheduling.cluster_state import ClusterState
 from eldercart.units import JobId, MonotonicTime
--- a/src/eldercart/cluster/heartbeats.py
+++ b/src/eldercart/cluster/heartbeats.py
@@ -1,6 +1,7 @@
 """Handling of workers' heartbeats: their order, the machine they describe, its responsiveness."""
 
 import logging
+from enum import Enum
 
 from eldercart.autoscaling.inventory_updates import placeholder_type
 from eldercart.cluster.inventory import RESOURCE_EPSILON, Machine, MachineState
@@ -14,6 +15,14 @@
 log = logging.getLogger("eldercart.controller")
 
 
+class UnresponsiveReason(Enum):
+    """Why a response to a heartbeat counts as ignored."""
+
+    STALE_TOKEN = "stale_token"
+    LEASE_EXPIRED = "lease_expired"
+    COMMAND_IGNORED = "command_ignored"
+
+
 class HeartbeatHandler:
     """Takes heartbeats in their order and answers them with commands."""
 
@@ -29,12 +38,14 @@
 
         `relay` is the node that forwarded the heartbeat; None if the leader received it itself.
         """
-        machine = self._cluster_state.inventory.get(heartbeat.machine)
+        cluster_state = self._cluster_state
+        shows_current_token = heartbeat.token == cluster_state.token
+        machine = cluster_state.inventory.get(heartbeat.machine)
         if machine is None:
-            if self._cluster_state.inventory.is_deleted(heartbeat.machine):
+            if cluster_state.inventory.is_deleted(heartbeat.machine):
                 # Its deletion was answered: this is a late copy and proves nothing.
                 return None
-            if not self._shows_current_token(heartbeat):
+            if not shows_current_token:
                 # The first heartbeat of this machine, and it may be a late copy from a machine
                 # deleted under an earlier leader. A live worker learns the token from this response
                 # and shows it in its next heartbeat; a copy never can.
@@ -50,23 +61,23 @@
         machine.address = heartbeat.address
         if machine.state is MachineState.BOOTING:
             self._mark_up(machine, now)
-        if not self._shows_current_token(heartbeat):
+        if not shows_current_token:
             self._record_stale_token(machine, now)
             return []
-        self._record_current_token(machine)
+        if machine.stale_token_heartbeats:
+            machine.stale_token_heartbeats = 0
+            cluster_state.responsiveness.record_executed_command(machine)
         machine.last_heartbeat_at = now
         self._update_description(machine, heartbeat)
-        self._take_preemption_notice(machine, heartbeat, now)
+        if heartbeat.preemption_notice_s is not None and machine.reclaim_at is None:
+            self._schedule_reclaim(machine, heartbeat.preemption_notice_s, now)
         if not machine.is_confirmed:
             machine.is_confirmed = True
-            self._cluster_state.is_planning_requested = True
+            cluster_state.request_planning()
         elif lease_has_expired:
-            self._record_ignored_response(machine, "lets its lease run out", now)
+            self._record_ignored_response(machine, UnresponsiveReason.LEASE_EXPIRED, now)
         return self._respond(machine, heartbeat, now)
 
-    def _shows_current_token(self, heartbeat: workers.Heartbeat) -> bool:
-        return heartbeat.token == self._cluster_state.token
-
     def _machine_type(self, name: str) -> MachineType:
         return self._cluster_state.types.get(name) or placeholder_type(name)
 
@@ -82,7 +93,7 @@
             now,
         )
         log.info(
-            "machine adopted machine=%s type=%s zone=%s",
+            "machine registered machine=%s type=%s zone=%s",
             machine.id,
             heartbeat.type,
             heartbeat.zone,
@@ -92,8 +103,8 @@
     def _mark_up(self, machine: Machine, now: MonotonicTime) -> None:
         machine.state = MachineState.UP
         machine.idle_since = machine.last_heartbeat_at = now
-        self._cluster_state.is_planning_requested = True
-        log.debug("machine up machine=%s after=%.1f", machine.id, now - machine.provisioned_at)
+        self._cluster_state.request_planning()
+        log.debug("machine up machine=%s boot_s=%.1f", machine.id, now - machine.provisioned_at)
 
     def _record_stale_token(self, machine: Machine, now: MonotonicTime) -> None:
         """Count a heartbeat from a worker that has not seen this leader's fencing token.
@@ -103,12 +114,7 @@
         """
         machine.stale_token_heartbeats += 1
         if machine.stale_token_heartbeats > 1:
-            self._record_ignored_response(machine, "shows an old epoch", now)
-
-    def _record_current_token(self, machine: Machine) -> None:
-        if machine.stale_token_heartbeats:
-            machine.stale_token_heartbeats = 0
-            self._cluster_state.responsiveness.record_executed_command(machine)
+            self._record_ignored_response(machine, UnresponsiveReason.STALE_TOKEN, now)
 
     def _update_description(self, machine: Machine, heartbeat: workers.Heartbeat) -> None:
         """Take type, zone and kind from the heartbeat, which knows best."""
@@ -121,16 +127,12 @@
                 machine, self._machine_type(heartbeat.type), heartbeat.zone, heartbeat.spot
             )
 
-    def _take_preemption_notice(
-        self, machine: Machine, heartbeat: workers.Heartbeat, now: MonotonicTime
-    ) -> None:
-        """Stop using a spot machine that the cloud is about to take back."""
-        notice_s = heartbeat.preemption_notice_s
-        if notice_s is not None and machine.reclaim_at is None:
-            machine.reclaim_at = MonotonicTime(now + notice_s)
-            machine.is_unschedulable = True
-            log.info("spot notice machine=%s seconds=%.0f", machine.id, notice_s)
-            self._cluster_state.autoscaling_due_at = now
+    def _schedule_reclaim(self, machine: Machine, notice_s: float, now: MonotonicTime) -> None:
+        """Stop using a spot machine that the cloud takes back in `notice_s` seconds."""
+        machine.reclaim_at = MonotonicTime(now + notice_s)
+        machine.is_unschedulable = True
+        log.info("spot preemption notice machine=%s notice_s=%.0f", machine.id, notice_s)
+        self._cluster_state.request_autoscaling(now)
 
     def _respond(
         self, machine: Machine, heartbeat: workers.Heartbeat, now: MonotonicTime
@@ -139,13 +141,15 @@
         if result.has_command_effect:
             self._cluster_state.responsiveness.record_executed_command(machine)
         elif result.has_ignored_command:
-            self._record_ignored_response(machine, "does not do what it is told", now)
+            self._record_ignored_response(machine, UnresponsiveReason.COMMAND_IGNORED, now)
         machine.is_response_undelivered = False
         return result.commands
 
     # -- responsiveness
 
-    def _record_ignored_response(self, machine: Machine, reason: str, now: MonotonicTime) -> None:
+    def _record_ignored_response(
+        self, machine: Machine, reason: UnresponsiveReason, now: MonotonicTime
+    ) -> None:
         """Count a response without effect, and delete the machine once it is unresponsive."""
         if machine.is_response_undelivered:
             machine.is_response_undelivered = False
@@ -153,7 +157,7 @@
             self._cluster_state.responsiveness.record_ignored_response(machine, now)
             and machine.state is MachineState.UP
         ):
-            log.info("machine unresponsive machine=%s why=%s", machine.id, reason)
+            log.info("machine unresponsive machine=%s reason=%s", machine.id, reason.value)
             self._cluster_state.request_deletion(machine, now)
 
     def on_response_undelivered(self, machine_id: MachineId) -> None:
--- a/src/eldercart/cluster/machine_monitor.py
+++ b/src/eldercart/cluster/machine_monitor.py
@@ -4,7 +4,7 @@
 
 from eldercart.cluster.failure_detector import FailureDetector
 from eldercart.cluster.inventory import RESOURCE_EPSILON, Machine, MachineState, is_being_cancelled
-from eldercart.jobs.registry import Placement, PlacementPhase
+from eldercart.jobs.job import Placement, PlacementPhase
 from eldercart.scheduling import feasibility
 from eldercart.scheduling.cluster_state import ClusterState
 from eldercart.scheduling.pacing import AdaptiveInterval
@@ -57,7 +57,7 @@
         """Repeat the kills: until the cloud has answered its deletion the machine may be alive."""
         if any(placement.is_terminating for placement in machine.placements.values()):
             self._cluster_state.mark_needs_command(machine)
-            self._cluster_state.request_direct_kill(machine.id)
+            self._cluster_state.pending_commands.request_direct_kill(machine.id)
 
     def _check_machine(
         self, machine: Machine, timeout_s: float, now: MonotonicTime, *, tasks_due: bool
@@ -68,11 +68,11 @@
         if machine.state is MachineState.BOOTING:
             if self._failure_detector.is_boot_overdue(machine, now):
                 boot_s = now - machine.provisioned_at
-                log.info("machine late machine=%s seconds=%.1f", machine.id, boot_s)
+                log.info("machine boot overdue machine=%s boot_s=%.1f", machine.id, boot_s)
                 cluster_state.request_deletion(machine, now)
         elif self._failure_detector.is_dead(machine, timeout_s, now):
             silence_s = now - machine.last_heartbeat_at
-            log.info("machine silent machine=%s seconds=%.1f", machine.id, silence_s)
+            log.info("machine heartbeat timeout machine=%s silence_s=%.1f", machine.id, silence_s)
             cluster_state.request_deletion(machine, now)
         elif machine.is_cordoned and not machine.live_task_count:
             cluster_state.request_deletion(machine, now)
@@ -83,6 +83,7 @@
 
     def _check_tasks(self, machine: Machine, now: MonotonicTime) -> None:
         cluster_state = self._cluster_state
+        health = cluster_state.health
         if machine.prelaunch_queue and machine.free_cpus > RESOURCE_EPSILON:
             cluster_state.mark_needs_command(machine)
         cordon_grace_over = now - machine.cordoned_at > CORDON_GRACE_S
@@ -98,7 +99,7 @@
                     log.info("kill overdue machine=%s task=%s", machine.id, placement.key)
                     cluster_state.request_deletion(machine, now)
                     return
-            elif self._is_straggler(placement, now):
+            elif placement.phase is PlacementPhase.RUNNING and health.is_straggler(placement, now):
                 self._kill_straggler(machine, placement, now)
 
     def _kill_all_placements(self, machine: Machine, now: MonotonicTime) -> None:
@@ -115,16 +116,11 @@
             self._cluster_state.mark_needs_command(machine)
         direct_after_s = DIRECT_KILL_AFTER_HEARTBEATS * self._cluster_state.settings.report_s
         if is_being_cancelled(placement) and now - placement.job.cancelled_at > direct_after_s:
-            self._cluster_state.request_direct_kill(machine.id)
-
-    def _is_straggler(self, placement: Placement, now: MonotonicTime) -> bool:
-        return placement.phase is PlacementPhase.RUNNING and (
-            self._cluster_state.health.is_straggler(placement, now)
-        )
+            self._cluster_state.pending_commands.request_direct_kill(machine.id)
 
     def _kill_straggler(self, machine: Machine, placement: Placement, now: MonotonicTime) -> None:
         cluster_state = self._cluster_state
-        log.info("straggler task=%s machine=%s", placement.key, machine.id)
+        log.info("straggler killed task=%s machine=%s", placement.key, machine.id)
         placement.job.avoid_machine(machine.id, now)
         cluster_state.kill_placement(placement, now)
         if cluster_state.health.record_straggler(machine, placement.job):
--- a/src/eldercart/prediction/predictor.py
+++ b/src/eldercart/prediction/predictor.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from eldercart.jobs.registry import Job
+from eldercart.jobs.job import Job
 from eldercart.prediction.chain_predictor import ChainPredictor, SuccessorPrediction
 from eldercart.prediction.path_statistics import Path
 from eldercart.prediction.soft_reservations import (
--- a/src/eldercart/prediction/stream_predictor.py
+++ b/src/eldercart/prediction/stream_predictor.py
@@ -9,7 +9,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from eldercart.jobs.registry import Job
+from eldercart.jobs.job import Job
 from eldercart.prediction.path_statistics import Path, PathTable
 from eldercart.prediction.soft_reservations import Pipeline
 from eldercart.settings import Tuning
--- a/src/eldercart/scheduling/objectives.py
+++ b/src/eldercart/scheduling/objectives.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from eldercart.jobs.registry import Job
+from eldercart.jobs.job import Job
 from eldercart.units import DISTANT_FUTURE
 
 PREEMPTION_SHARE = 0.55  # of the first start objective that a job waits at most before it preempts
--- a/src/eldercart/scheduling/planner.py
+++ b/src/eldercart/scheduling/planner.py
@@ -5,7 +5,7 @@
 """
 
 from eldercart.cluster.inventory import Machine
-from eldercart.jobs.registry import Job
+from eldercart.jobs.job import Job
 from eldercart.scheduling.cluster_state import ClusterState
 from eldercart.scheduling.pacing import DecayingMaxCost
 from eldercart.scheduling.planning_pass import PlanningPass, QueueEntry
@@ -80,7 +80,7 @@
         for job in self.cluster.jobs.jobs.values():
             if (job.enqueued_count or job.unplaced_count) and job.is_runnable:
                 if job.backoff_until > now:
-                    self.cluster.is_planning_requested = True
+                    self.cluster.request_planning()
                     continue
                 waiting.append(job)
         return waiting
--- a/src/eldercart/scheduling/planning_pass.py
+++ b/src/eldercart/scheduling/planning_pass.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from eldercart.cluster.inventory import RESOURCE_EPSILON, Machine
-from eldercart.jobs.registry import Job
+from eldercart.jobs.job import Job
 from eldercart.scheduling.capacity_reservation import CapacityReserver
 from eldercart.scheduling.cluster_state import ClusterState
 from eldercart.scheduling.feasibility import TaskShape, quota_headroom, shape_of
@@ -187,7 +187,7 @@
                 placement = cluster.jobs.add_placement(job, index, assignment.machine.id, now)
                 placement.is_exempt_from_preemption = exempt_from_preemption
                 cluster.inventory.allocate(assignment.machine, placement)
-        cluster.dirty_jobs[job.id] = job
+        cluster.mark_dirty(job)
         min_task_cpus = self._min_task_cpus
         self._open_machines = [
             machine
--- a/src/eldercart/scheduling/preemption.py
+++ b/src/eldercart/scheduling/preemption.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from eldercart.cluster.inventory import Machine
-from eldercart.jobs.registry import Job, Placement, PlacementPhase
+from eldercart.jobs.job import Job, Placement, PlacementPhase
 from eldercart.scheduling.feasibility import count_fitting
 from eldercart.units import MonotonicTime
 
--- a/src/eldercart/scheduling/prelaunch_queue.py
+++ b/src/eldercart/scheduling/prelaunch_queue.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from eldercart.cluster.inventory import RESOURCE_EPSILON, Machine, MachineInventory
-from eldercart.jobs.registry import Job
+from eldercart.jobs.job import Job
 from eldercart.scheduling.cluster_state import ClusterState
 from eldercart.scheduling.feasibility import is_feasible
 from eldercart.units import JobId, MachineId, MonotonicTime
@@ -84,7 +84,7 @@
             cluster.jobs.mark_enqueued(placement, self._now)
             cluster.inventory.enqueue(machine, placement)
             cluster.inventory.reserve(machine, job.spec, 1)
-        cluster.dirty_jobs[job.id] = job
+        cluster.mark_dirty(job)
 
     def enqueue_ahead(self, job: Job, task_count: int, *, is_starving: bool) -> None:
         """Enqueue at most `task_count` tasks of the job wherever queues have space: where its image
--- a/src/eldercart/scheduling/queue_order.py
+++ b/src/eldercart/scheduling/queue_order.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from eldercart.cluster.inventory import RESOURCE_EPSILON, MachineInventory
-from eldercart.jobs.registry import Job
+from eldercart.jobs.job import Job
 from eldercart.scheduling.objectives import ServiceLevelObjectives
 from eldercart.settings.platform import Team
 from eldercart.units import DISTANT_PAST, MonotonicTime
--- a/src/eldercart/scheduling/scheduler.py
+++ b/src/eldercart/scheduling/scheduler.py
@@ -33,14 +33,10 @@
 from eldercart.cluster.failure_detector import FailureDetector, Probe
 from eldercart.cluster.heartbeats import HeartbeatHandler
 from eldercart.cluster.machine_monitor import MachineMonitor
-from eldercart.election.state_machine import LEADER_KEY
-from eldercart.jobs.registry import Job
+from eldercart.jobs.job import Job
 from eldercart.persistence import learned_state
-from eldercart.persistence.transaction_writer import (
-    PendingTransaction,
-    TransactionOutcome,
-    TransactionWriter,
-)
+from eldercart.persistence.transaction_writer import TransactionWriter
+from eldercart.persistence.transactions import PendingTransaction, TransactionOutcome
 from eldercart.scheduling.cluster_state import ClusterState, FinishedJob
 from eldercart.scheduling.pacing import AdaptiveInterval
 from eldercart.scheduling.planner import Planner
@@ -61,6 +57,7 @@
 )
 from eldercart.wire import users, workers
 from eldercart.wire.cloud import MachineType
+from eldercart.wire.leader_key import LEADER_KEY
 from eldercart.wire.state import Item, Transaction
 from eldercart.wire.users import DependencyListReference, JobSpec
 
@@ -110,8 +107,7 @@
         self.settings = settings
         self.tuning = tuning
         self.token = token
-        self.cluster_state = ClusterState(settings, tuning, token, types, now)
-        self.cluster_state.wall_clock_offset_s = wall_time - now
+        self.cluster_state = ClusterState(settings, tuning, token, types, now, wall_time - now)
         self.jobs = self.cluster_state.jobs
         self.inventory = self.cluster_state.inventory
         self.planner = Planner(self.cluster_state)
@@ -211,7 +207,7 @@
             self.cluster_state.mark_cancelled(job, now, now)
             self.cluster_state.mark_finalizing(job)
             self.cluster_state.kill_all_placements(job, now)
-            log.info("cancel asked job=%s", job_id)
+            log.info("job cancellation requested job=%s", job_id)
         return LookupFailure.UNDECIDED
 
     # -- workers
@@ -237,7 +233,7 @@
 
     def take_machines_needing_command(self) -> dict[NodeId, list[MachineId]]:
         """Return by relay the machines whose next heartbeats should be forwarded."""
-        return self.cluster_state.take_machines_needing_command()
+        return self.cluster_state.pending_commands.take_machines_needing_command()
 
     def on_relay_lost(self, relay: NodeId) -> None:
         """Record that the connection to the relay broke, and that what was sent on it is lost."""
--- a/src/eldercart/scheduling/state_loader.py
+++ b/src/eldercart/scheduling/state_loader.py
@@ -5,23 +5,23 @@
 
 from eldercart.autoscaling.inventory_updates import placeholder_type
 from eldercart.cluster.inventory import MachineState
-from eldercart.jobs.registry import (
-    CLEANUP_PREFIX,
-    JOB_PREFIX,
-    Job,
-    Placement,
-    decode_cancellation_time,
-    decode_end_record,
-    decode_job_record,
-    resolved_list_reference,
-)
+from eldercart.jobs.job import Job, Placement
 from eldercart.persistence import learned_state
+from eldercart.persistence.placement_record_loader import load_placement_records
 from eldercart.persistence.transaction_writer import TransactionWriter
 from eldercart.scheduling import feasibility
 from eldercart.scheduling.cluster_state import ClusterState
 from eldercart.units import JobId, MonotonicTime, WallTime
 from eldercart.wire import MalformedMessage, users
 from eldercart.wire.state import Item
+from eldercart.wire.stored_jobs import (
+    CLEANUP_PREFIX,
+    JOB_PREFIX,
+    decode_cancellation_time,
+    decode_end_record,
+    decode_job_record,
+    resolved_list_reference,
+)
 from eldercart.wire.users import DependencyListReference, JobSpec
 
 log = logging.getLogger("eldercart.controller")
@@ -57,15 +57,16 @@
         job_items = list(job_items)
         for item in job_items:
             self.load_job_record(item, now)
-        placement_records = self._transaction_writer.placement_records
-        placements = placement_records.load_records(placement_items, self._jobs, now)
+        placements = load_placement_records(
+            self._transaction_writer.placement_records, placement_items, self._jobs
+        )
         recorded = {item.key[len(JOB_PREFIX) :] for item in (*job_items, *incomplete_jobs)}
         self._load_cleanup_markers(cleanup_items, recorded, now)
         for job in self._jobs.jobs.values():
             self._finish_load(job, now)
         self._load_placements(placements, now)
         log.info(
-            "took over epoch=%d jobs=%d placements=%d orphans=%d",
+            "failover complete token=%d jobs=%d placements=%d orphaned_keys=%d",
             self._cluster_state.token,
             len(self._jobs.jobs),
             len(placements),
@@ -171,10 +172,10 @@
                     placement.machine_id,
                     placeholder_type("?"),
                     feasibility.UNKNOWN_ZONE,
-                    True,
-                    MachineState.UP,
-                    now,
-                    grace_until,
+                    is_spot=True,
+                    state=MachineState.UP,
+                    provisioned_at=now,
+                    last_heartbeat_at=grace_until,
                 )
             placement.is_terminating = placement.job.outcome is not None
             inventory.allocate(machine, placement)
--- a/src/eldercart/server/controller_node.py
+++ b/src/eldercart/server/controller_node.py
@@ -102,9 +102,9 @@
             settings.label, tuning.hold_s, tuning.drift_margin, self.incarnation
         )
         self._known_machine_types = KnownMachineTypes()
-        self.user_service = UserService(self)
-        self.leader_service = self._build_leader_service()
-        self.relay_service = RelayService(self)
+        self.user_service: UserService = UserService(self)
+        self.leader_service: LeaderService = self._build_leader_service()
+        self.relay_service: RelayService = RelayService(self)
         self.election_service = ElectionService(
             self.election, self.store, self.leader_service, clock
         )
--- a/src/eldercart/server/leadership/catalog_record.py
+++ b/src/eldercart/server/leadership/catalog_record.py
@@ -3,7 +3,6 @@
 import logging
 from typing import NamedTuple, Protocol
 
-from eldercart.election.state_machine import LEADER_KEY
 from eldercart.persistence.learned_state import VALUE_FILL_RATIO
 from eldercart.scheduling.scheduler import Scheduler
 from eldercart.server.leadership.current_leadership import Leadership, is_current_leadership
@@ -13,6 +12,7 @@
 from eldercart.units import DISTANT_PAST, MonotonicTime, Revision
 from eldercart.wire import cloud
 from eldercart.wire.cloud import MachineType
+from eldercart.wire.leader_key import LEADER_KEY
 from eldercart.wire.state import Put, Transaction
 
 log = logging.getLogger("eldercart.node")
--- a/src/eldercart/server/leadership/election_service.py
+++ b/src/eldercart/server/leadership/election_service.py
@@ -4,20 +4,19 @@
 
 from twisted.internet import reactor as _reactor
 
-from eldercart.election.state_machine import (
-    LEADER_KEY,
+from eldercart.election.actions import (
     Campaign,
-    Election,
     ElectionAction,
     GrantLease,
     KeepLeaseAlive,
     ReadLeaderKey,
     RevokeLease,
-    Role,
 )
+from eldercart.election.state_machine import Election, Role
 from eldercart.server.node_context import Clock
 from eldercart.server.store.client import StoreClient
 from eldercart.units import LeaseId, MonotonicTime, Revision
+from eldercart.wire.leader_key import LEADER_KEY
 from eldercart.wire.state import Item
 
 reactor: Any = _reactor
--- a/src/eldercart/server/leadership/job_record_watch.py
+++ b/src/eldercart/server/leadership/job_record_watch.py
@@ -8,13 +8,6 @@
 
 from twisted.internet import reactor as _reactor
 
-from eldercart.jobs.registry import (
-    DEPENDENCY_LIST_PREFIX,
-    JOB_PREFIX,
-    decode_dependency_list_reference,
-    dependency_list_prefix,
-    resolve_dependency_list,
-)
 from eldercart.scheduling.scheduler import Scheduler
 from eldercart.server.leadership.current_leadership import Leadership, is_current_leadership
 from eldercart.server.leadership.job_outcomes import JobOutcomes
@@ -23,6 +16,13 @@
 from eldercart.units import JobId, Revision
 from eldercart.wire import MalformedMessage
 from eldercart.wire.state import Item
+from eldercart.wire.stored_jobs import (
+    DEPENDENCY_LIST_PREFIX,
+    JOB_PREFIX,
+    decode_dependency_list_reference,
+    dependency_list_prefix,
+    resolve_dependency_list,
+)
 
 reactor: Any = _reactor
 log = logging.getLogger("eldercart.node")
--- a/src/eldercart/server/leadership/state_store_requests.py
+++ b/src/eldercart/server/leadership/state_store_requests.py
@@ -3,8 +3,7 @@
 import logging
 from typing import Protocol
 
-from eldercart.jobs.registry import END_PREFIX, decode_end_record
-from eldercart.persistence.transaction_writer import CleanupPermit
+from eldercart.persistence.transactions import CleanupPermit
 from eldercart.scheduling.scheduler import PendingTransaction, Scheduler, TransactionOutcome
 from eldercart.server.leadership.current_leadership import Leadership, is_current_leadership
 from eldercart.server.leadership.job_outcomes import JobOutcomes
@@ -19,6 +18,7 @@
 )
 from eldercart.units import JobId, MonotonicTime, Revision
 from eldercart.wire.state import Item
+from eldercart.wire.stored_jobs import END_PREFIX, decode_end_record
 
 log = logging.getLogger("eldercart.node")
 
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -11,17 +11,6 @@
 
 from eldercart.cli.client import _waiting_reason, _with_awaits
 from eldercart.election.state_machine import Election
-from eldercart.jobs.registry import (
-    DEPENDENCY_LIST_PREFIX,
-    END_PREFIX,
-    JOB_PREFIX,
-    decode_dependency_list_reference,
-    decode_job_record,
-    dependency_list_prefix,
-    encode_job_record,
-    resolve_dependency_list,
-    split_dependency_list,
-)
 from eldercart.server.leadership import job_record_watch
 from eldercart.server.leadership.leader_service import LeaderService
 from eldercart.server.machine_types import KnownMachineTypes
@@ -34,6 +23,17 @@
 from eldercart.units import IncarnationId, JobId, MonotonicTime, NodeId, Revision
 from eldercart.wire import MalformedMessage, cloud, peers, users
 from eldercart.wire.state import DeleteKey, Item, Put, Transaction
+from eldercart.wire.stored_jobs import (
+    DEPENDENCY_LIST_PREFIX,
+    END_PREFIX,
+    JOB_PREFIX,
+    decode_dependency_list_reference,
+    decode_job_record,
+    dependency_list_prefix,
+    encode_job_record,
+    resolve_dependency_list,
+    split_dependency_list,
+)
 from simulators import CATALOG, StoreSim
 from test_end_to_end import Region, Service, call, service, until
 from world import PLATFORM, submission
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -15,15 +15,14 @@
 import orjson
 import pytest
 
-from eldercart.election.state_machine import (
+from eldercart.election.actions import (
     Campaign,
-    Election,
     GrantLease,
     KeepLeaseAlive,
     ReadLeaderKey,
     RevokeLease,
-    Role,
 )
+from eldercart.election.state_machine import Election, Role
 from eldercart.units import LeaseId, MonotonicTime, NodeId, Revision
 from eldercart.wire.state import Item, Transaction
 from region import LIMIT_S, Region, Service, call, until
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -8,7 +8,7 @@
 import pytest
 
 from eldercart.cluster.heartbeat_relay import HeartbeatRelay, leader_lease_start, lease_extension_s
-from eldercart.jobs.registry import PlacementPhase
+from eldercart.jobs.job import PlacementPhase
 from eldercart.scheduling.scheduler import Scheduler, TransactionOutcome
 from eldercart.server.peers.relay_service import RelayService
 from eldercart.settings import load_tuning
@@ -219,7 +219,7 @@
 def test_direct_command_to_a_new_session_goes_out_again_at_once() -> None:
     a = CancelledTaskFixture()
     a.w.cancel("wk-1")
-    a.c.cluster_state.pending_direct_kills[MachineId(a.machine.id)] = None
+    a.c.cluster_state.pending_commands.request_direct_kill(MachineId(a.machine.id))
     now = MonotonicTime(a.w.now + 3.0)
     (order,) = a.c.take_direct_kills(now)
     assert order.agent_epoch == 1 and len(order.commands) == 1
--- a/tests/versions/reading.py
+++ b/tests/versions/reading.py
@@ -7,22 +7,9 @@
 
 import orjson
 
-from eldercart.election.state_machine import LEADER_KEY, Campaign, Election, Role
-from eldercart.jobs.registry import (
-    JOB_PREFIX,
-    PLACEMENT_PREFIX,
-    Chunk,
-    Job,
-    Placement,
-    PlacementPhase,
-    decode_end_record,
-    decode_job_record,
-    dependency_list_prefix,
-    encode_job_record,
-    max_tasks_per_chunk,
-    resolve_dependency_list,
-)
-from eldercart.persistence.learned_state import RUN_TIME_RATIOS_KEY
+from eldercart.election.actions import Campaign
+from eldercart.election.state_machine import Election, Role
+from eldercart.jobs.job import Chunk, Job, Placement, PlacementPhase
 from eldercart.scheduling.scheduler import Scheduler
 from eldercart.settings import load_tuning
 from eldercart.settings.platform import parse_platform
@@ -42,7 +29,18 @@
     WallTime,
 )
 from eldercart.wire import MalformedMessage, cloud, peers, users, workers
+from eldercart.wire.leader_key import LEADER_KEY
 from eldercart.wire.state import Item
+from eldercart.wire.stored_jobs import (
+    JOB_PREFIX,
+    decode_end_record,
+    decode_job_record,
+    dependency_list_prefix,
+    encode_job_record,
+    resolve_dependency_list,
+)
+from eldercart.wire.stored_learned_state import RUN_TIME_RATIOS_KEY
+from eldercart.wire.stored_placements import PLACEMENT_PREFIX, max_tasks_per_chunk
 from eldercart.wire.users import DependencyListReference, JobSpec
 from versions.legacy import old_fields
 from world import PLATFORM, submission
