--- a/src/eldercart/cluster/reconciliation.py
+++ b/src/eldercart/cluster/reconciliation.py
@@ -53,7 +53,7 @@
         self._heartbeat_number += 1
         self._reconcile_listed(machine, heartbeat, found, now)
         if machine.has_unknown_tasks and not found.has_unknown_tasks:
-            self._cluster_state.is_planning_requested = True
+            self._cluster_state.request_planning()
         machine.has_unknown_tasks = found.has_unknown_tasks
         if machine.live_task_count:
             self._reconcile_absent(machine, found, now)
@@ -135,7 +135,7 @@
         """Follow the state of a listed task, unless it was running and still is."""
         jobs = self._cluster_state.jobs
         if state == RUNNING:
-            self._cluster_state.start_latencies_s.append(now - placement.job.ready_at)
+            self._cluster_state.add_start_latency(now - placement.job.ready_at)
             jobs.set_phase(placement, PlacementPhase.RUNNING, now)
         elif state == SAVING:
             jobs.set_phase(placement, PlacementPhase.SAVING, now)
@@ -174,16 +174,16 @@
         run_time_s = placement.run_time_s(now) if placement.is_start_known else 0.0
         cluster_state.inventory.release(machine, placement, now)
         cluster_state.jobs.mark_done(placement, now)
-        cluster_state.dirty_jobs[job.id] = job
+        cluster_state.mark_dirty(job)
         if job.unplaced_count or job.enqueued_count or self._planner.unplaced_jobs:
-            cluster_state.is_planning_requested = True
+            cluster_state.request_planning()
         job.has_started = True
         cluster_state.completed_cpu_s += run_time_s * job.spec.cpus
         cluster_state.predictor.record_run_time(job, run_time_s)
         if cluster_state.health.record_task_success(machine, job, run_time_s):
             cluster_state.cordon(machine, "slow", now)
         if job.is_complete:
-            cluster_state.finalizing_jobs[job.id] = job
+            cluster_state.mark_finalizing(job)
 
     def _on_failed(
         self, machine: Machine, placement: Placement, cause: str | None, now: MonotonicTime
--- a/src/eldercart/persistence/commit_effects.py
+++ b/src/eldercart/persistence/commit_effects.py
@@ -7,7 +7,7 @@
 from eldercart.persistence.transaction_builder import dependency_list_keys_of
 from eldercart.persistence.transactions import ChunkUpdate, PendingTransaction
 from eldercart.persistence.write_backlog import CleanupBacklog
-from eldercart.scheduling.cluster_state import ClusterState, FinishedJob
+from eldercart.scheduling.cluster_state import ClusterState
 from eldercart.units import ABSENT_REVISION, MonotonicTime, Revision
 from eldercart.wire import users
 
@@ -52,14 +52,13 @@
         cluster_state = self._cluster_state
         job.outcome = outcome
         cluster_state.predictor.on_stream_job_ended(job, outcome)
-        cluster_state.finalizing_jobs.pop(job.id, None)
-        cluster_state.upstream_cancelled_jobs.pop(job.id, None)
+        cluster_state.on_end_persisted(job)
         if outcome == users.CANCELLED and not job.is_cancelled:
             cluster_state.mark_cancelled(job, now, now)
         cluster_state.kill_all_placements(job, now)
-        cluster_state.finished_jobs.append(FinishedJob(job.id, outcome))
+        cluster_state.add_finished_job(job.id, outcome)
         cluster_state.on_job_finished(job.id, outcome, now)
-        cluster_state.is_planning_requested = True
+        cluster_state.request_planning()
         _log_end(job, outcome, now)
         self._cleanup.jobs[job.id] = job
 
--- a/src/eldercart/persistence/invalid_transactions.py
+++ b/src/eldercart/persistence/invalid_transactions.py
@@ -67,7 +67,7 @@
         self._placement_records.subdivide_chunk(
             self._cluster_state.jobs, job, chunk, max_tasks, is_exclusive=True
         )
-        self._cluster_state.dirty_jobs[job.id] = job
+        self._cluster_state.mark_dirty(job)
         return True
 
     def _give_up(self, pending: PendingTransaction, now: MonotonicTime) -> None:
--- a/src/eldercart/persistence/transaction_builder.py
+++ b/src/eldercart/persistence/transaction_builder.py
@@ -209,7 +209,7 @@
             ((job, chunk),) = record.parts.values()
             if not self._placement_records.may_subdivide or chunk.task_count == 1:
                 return False  # as large as it was written before
-            self._cluster_state.dirty_jobs[job.id] = job
+            self._cluster_state.mark_dirty(job)
             max_tasks = min(self._max_part_tasks, (chunk.task_count + 1) // 2)
             subchunks = self._placement_records.subdivide_chunk(
                 self._cluster_state.jobs, job, chunk, max_tasks, is_exclusive=False
--- a/src/eldercart/persistence/write_backlog.py
+++ b/src/eldercart/persistence/write_backlog.py
@@ -74,4 +74,4 @@
 def requeue_chunk(cluster_state: ClusterState, job: Job, chunk: Chunk, now: MonotonicTime) -> None:
     """Let a chunk be written again soon."""
     cluster_state.jobs.mark_dirty(job, chunk, now, is_urgent=True)
-    cluster_state.dirty_jobs[job.id] = job
+    cluster_state.mark_dirty(job)
