--- a/src/eldercart/autoscaling/cloud_requests.py
+++ b/src/eldercart/autoscaling/cloud_requests.py
@@ -18,7 +18,7 @@
 from eldercart.scheduling.feasibility import fits_machine_type
 from eldercart.scheduling.machine_selection import required_zone
 from eldercart.units import DISTANT_PAST, MachineId, MonotonicTime
-from eldercart.wire import MalformedMessage, cloud
+from eldercart.wire import MalformedMessageError, cloud
 from eldercart.wire.checks import load_response
 
 log = logging.getLogger("eldercart.controller")
@@ -224,7 +224,7 @@
         """Apply the answer; `status` None: there was none. A malformed answer counts as none."""
         try:
             self._apply_answer(request, status, body, now)
-        except MalformedMessage as err:
+        except MalformedMessageError as err:
             log.error("cloud answer malformed request=%s error=%s", type(request).__name__, err)
             self._apply_answer(request, None, b"", now)
 
--- a/src/eldercart/cli/__init__.py
+++ b/src/eldercart/cli/__init__.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from eldercart import __version__
-from eldercart.settings import InvalidSettings, load_platform, load_tuning
+from eldercart.settings import InvalidSettingsError, load_platform, load_tuning
 
 if TYPE_CHECKING:
     from eldercart.settings.features import Features
@@ -114,7 +114,7 @@
         settings = load_platform(args.config)
         tuning = load_tuning(args.settings)
         features = None if args.features is None else _load_features(args.features)
-    except InvalidSettings as err:
+    except InvalidSettingsError as err:
         print(err, file=sys.stderr)
         return EXIT_USAGE
     if args.command == "check-settings":
--- a/src/eldercart/cli/client.py
+++ b/src/eldercart/cli/client.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from eldercart.wire import MalformedMessage
+from eldercart.wire import MalformedMessageError
 from eldercart.wire.checks import load_response
 from eldercart.wire.users import is_valid_job_id, parse_submission
 
@@ -64,7 +64,7 @@
         if args.awaits:
             body = _with_awaits(body, args.awaits)
         spec = parse_submission(load_response(body))
-    except MalformedMessage as err:
+    except MalformedMessageError as err:
         raise UsageError(f"the job is malformed: {err}") from None
     return Request(spec.id, "POST", "/work", body)
 
@@ -124,7 +124,7 @@
     submission = load_response(raw)
     named = submission.get("awaits")
     if named is not None and not isinstance(named, list):
-        raise MalformedMessage("awaits")
+        raise MalformedMessageError("awaits")
     return orjson.dumps({**submission, "awaits": [*(named or []), *jobs]})
 
 
@@ -141,7 +141,7 @@
 
 def _print_result(job: str, response: Response, *, as_json: bool) -> int:
     answer: dict[str, Any] = {}
-    with contextlib.suppress(MalformedMessage):
+    with contextlib.suppress(MalformedMessageError):
         answer = load_response(response.body) if response.body else {}
     if as_json:
         print(orjson.dumps({"status": response.status, **answer}).decode())
--- a/src/eldercart/cli/duties.py
+++ b/src/eldercart/cli/duties.py
@@ -16,7 +16,7 @@
     Response,
     send_with_retries,
 )
-from eldercart.wire import MalformedMessage
+from eldercart.wire import MalformedMessageError
 from eldercart.wire.checks import load_response
 from eldercart.wire.named_leases import encode_hand_over_request, encode_pause_request
 
@@ -66,7 +66,7 @@
 def _parse_answer(response: Response) -> Fields:
     try:
         return load_response(response.body) if response.body else {}
-    except MalformedMessage:
+    except MalformedMessageError:
         return {}
 
 
--- a/src/eldercart/jobs/registry.py
+++ b/src/eldercart/jobs/registry.py
@@ -4,7 +4,7 @@
 
 from eldercart.jobs.job import Chunk, Job, Placement, PlacementPhase
 from eldercart.units import Attempt, JobId, MachineId, MonotonicTime, task_key
-from eldercart.wire import MalformedMessage
+from eldercart.wire import MalformedMessageError
 from eldercart.wire.stored_placements import StoredPart, decode_part_content
 from eldercart.wire.users import DependencyListReference, JobSpec
 
@@ -48,12 +48,12 @@
         """Load a chunk from the stored content of a part and return its placements.
 
         Each of them may be on its machine. Unless `covers_whole_part`, the part covers more tasks
-        than the chunk, and other parts count for those. Raises `MalformedMessage` for a part that
-        can't be read; the job is unchanged then.
+        than the chunk, and other parts count for those. Raises `MalformedMessageError` for a part
+        that can't be read; the job is unchanged then.
         """
         part = decode_part_content(value)
         if any(last >= job.spec.task_count for _, last in part.done_ranges):
-            raise MalformedMessage(f"place record: {part.done_ranges}")
+            raise MalformedMessageError(f"place record: {part.done_ranges}")
         chunk.highest_attempt = max(chunk.highest_attempt, part.highest_attempt)
         job.chunks[chunk.first_index] = chunk
         self._load_done_tasks(job, chunk, part, covers_whole_part=covers_whole_part)
--- a/src/eldercart/persistence/placement_record_loader.py
+++ b/src/eldercart/persistence/placement_record_loader.py
@@ -21,7 +21,7 @@
     estimate_part_bytes,
 )
 from eldercart.units import JobId
-from eldercart.wire import MalformedMessage
+from eldercart.wire import MalformedMessageError
 from eldercart.wire.state import Item
 from eldercart.wire.stored_placements import (
     attempt_precedence,
@@ -140,7 +140,7 @@
             copy = copies[task_range]
             try:
                 self._load_part(job, task_range, copy, covered, loaded)
-            except (MalformedMessage, KeyError, TypeError, ValueError) as error:
+            except (MalformedMessageError, KeyError, TypeError, ValueError) as error:
                 # Where its tasks may be is not known, so none may start; it stays known, and the
                 # others are loaded all the same.
                 log.error(
--- a/src/eldercart/scheduling/state_loader.py
+++ b/src/eldercart/scheduling/state_loader.py
@@ -12,7 +12,7 @@
 from eldercart.scheduling import feasibility
 from eldercart.scheduling.cluster_state import ClusterState
 from eldercart.units import JobId, MonotonicTime, WallTime
-from eldercart.wire import MalformedMessage, users
+from eldercart.wire import MalformedMessageError, users
 from eldercart.wire.state import Item
 from eldercart.wire.stored_jobs import (
     CLEANUP_PREFIX,
@@ -80,7 +80,7 @@
             return
         try:
             spec, tasks_per_chunk, accepted_at = decode_job_record(job_id, item.value)
-        except (MalformedMessage, KeyError, TypeError, ValueError) as err:
+        except (MalformedMessageError, KeyError, TypeError, ValueError) as err:
             log.error("job record unreadable job=%s: %s", job_id, err)
             return
         reference = resolved_list_reference(item.value)
--- a/src/eldercart/server/leadership/job_record_watch.py
+++ b/src/eldercart/server/leadership/job_record_watch.py
@@ -14,7 +14,7 @@
 from eldercart.server.node_context import Clock
 from eldercart.server.store.client import StoreClient
 from eldercart.units import JobId, Revision
-from eldercart.wire import MalformedMessage
+from eldercart.wire import MalformedMessageError
 from eldercart.wire.state import Item
 from eldercart.wire.stored_jobs import (
     DEPENDENCY_LIST_PREFIX,
@@ -153,7 +153,7 @@
     """Return whether the job's dependencies are stored under keys of their own."""
     try:
         return decode_dependency_list_reference(item.value) is not None
-    except MalformedMessage:
+    except MalformedMessageError:
         return False  # unreadable in any case; whoever reads it says so
 
 
--- a/src/eldercart/server/leadership/leader_service.py
+++ b/src/eldercart/server/leadership/leader_service.py
@@ -31,7 +31,7 @@
     NodeId,
     WallTime,
 )
-from eldercart.wire import MalformedMessage, peers, workers
+from eldercart.wire import MalformedMessageError, peers, workers
 from eldercart.wire.state import Item
 
 log = logging.getLogger("eldercart.node")
@@ -322,7 +322,7 @@
             return HeartbeatResponse([], True)
         try:
             heartbeat = workers.parse_heartbeat(message)
-        except MalformedMessage as err:
+        except MalformedMessageError as err:
             log.error("report malformed: %s", err)
             return HeartbeatResponse(None, True)
         return self.handle_heartbeat(heartbeat, relay, now)
--- a/src/eldercart/server/leadership/worker_requests.py
+++ b/src/eldercart/server/leadership/worker_requests.py
@@ -8,7 +8,7 @@
 from eldercart.server.leadership.current_leadership import Leadership, is_current_leadership
 from eldercart.server.node_context import Clock
 from eldercart.units import MachineId, MonotonicTime
-from eldercart.wire import MalformedMessage, workers
+from eldercart.wire import MalformedMessageError, workers
 from eldercart.wire.checks import load_object
 
 log = logging.getLogger("eldercart.node")
@@ -80,7 +80,7 @@
                 return
             try:
                 heartbeat = workers.parse_heartbeat(load_object(data))
-            except MalformedMessage as err:
+            except MalformedMessageError as err:
                 log.error("report malformed address=%s: %s", address, err)
                 return
             if heartbeat.machine == machine:
--- a/src/eldercart/server/machine_types.py
+++ b/src/eldercart/server/machine_types.py
@@ -2,7 +2,7 @@
 
 import logging
 
-from eldercart.wire import MalformedMessage, cloud
+from eldercart.wire import MalformedMessageError, cloud
 from eldercart.wire.cloud import MachineType
 from eldercart.wire.state import Item
 
@@ -20,5 +20,5 @@
         """Replace the types by those of the stored catalogue, if it can be read."""
         try:
             self.by_name = cloud.parse_catalog(item.value)
-        except (MalformedMessage, AttributeError) as err:
+        except (MalformedMessageError, AttributeError) as err:
             log.error("stored catalogue unreadable: %s", err)
--- a/src/eldercart/server/peers/connections.py
+++ b/src/eldercart/server/peers/connections.py
@@ -14,7 +14,7 @@
 from eldercart.server.http.immediate_write import ImmediateWriteServer, flush
 from eldercart.settings.platform import Endpoint
 from eldercart.units import DISTANT_PAST, MonotonicTime, NodeId
-from eldercart.wire import MalformedMessage, peers
+from eldercart.wire import MalformedMessageError, peers
 
 reactor: Any = _reactor
 log = logging.getLogger("eldercart.net")
@@ -58,7 +58,7 @@
         """Twisted: one whole frame has arrived."""
         try:
             self._on_frame(self, peers.parse_frame(data))
-        except MalformedMessage as error:
+        except MalformedMessageError as error:
             # The frame is dropped; the sender's other frames may well be fine.
             log.error("peer frame malformed peer=%s: %s", self.peer, error)
         except Exception:
--- a/src/eldercart/server/peers/heartbeat_forwarding.py
+++ b/src/eldercart/server/peers/heartbeat_forwarding.py
@@ -19,7 +19,7 @@
 from eldercart.server.peers.connections import PeerLink, connected_link
 from eldercart.server.peers.relay_host import RelayHost
 from eldercart.units import FencingToken, MachineId, MonotonicTime, NodeId
-from eldercart.wire import MalformedMessage, peers, users, workers
+from eldercart.wire import MalformedMessageError, peers, users, workers
 from eldercart.wire.checks import load_nested_object
 
 log = logging.getLogger("eldercart.node")
@@ -69,7 +69,7 @@
         try:
             message = load_nested_object(body)
             header = workers.parse_heartbeat_header(message)
-        except MalformedMessage as error:
+        except MalformedMessageError as error:
             _reject_malformed(request, error)
             return
         link = connected_link(self._links, self._relay.leader)
@@ -116,7 +116,7 @@
         leader_service = self._host.leader_service
         try:
             heartbeat = workers.parse_heartbeat(message)
-        except MalformedMessage as error:
+        except MalformedMessageError as error:
             _reject_malformed(pending.request, error)
             return
         response = leader_service.handle_heartbeat(heartbeat, self._host.settings.label, now)
@@ -207,7 +207,7 @@
             pending.request.reply(503, users.error_body("no leader now"), SHORT_RETRY_AFTER_S)
 
 
-def _reject_malformed(request: JsonRequest, error: MalformedMessage) -> None:
+def _reject_malformed(request: JsonRequest, error: MalformedMessageError) -> None:
     log.error("report malformed: %s", error)
     request.reply(400, users.error_body(str(error)))
 
--- a/src/eldercart/server/singleton/catalog_refresh.py
+++ b/src/eldercart/server/singleton/catalog_refresh.py
@@ -15,7 +15,7 @@
 from eldercart.settings.platform import NodeSettings
 from eldercart.singleton.lease_candidate import LeaseCandidate
 from eldercart.units import ABSENT_REVISION, DISTANT_PAST, LeaseToken, MonotonicTime, Revision
-from eldercart.wire import MalformedMessage, cloud
+from eldercart.wire import MalformedMessageError, cloud
 from eldercart.wire.checks import load_response
 from eldercart.wire.cloud import MachineType
 from eldercart.wire.named_leases import LeaseName, holder_key
@@ -91,9 +91,9 @@
     def _on_offered_catalog(self, refresh: _Refresh, status: int | None, body: bytes) -> None:
         try:
             if status != 200:
-                raise MalformedMessage("status")
+                raise MalformedMessageError("status")
             types = cloud.parse_catalog(load_response(body))
-        except MalformedMessage as err:
+        except MalformedMessageError as err:
             log.info("catalog not read status=%s error=%s", status, err)
             self._finish(RETRY_S)
             return
@@ -135,6 +135,6 @@
 def _stored_types(item: Item) -> MachineTypes:
     try:
         return cloud.parse_catalog(item.value)
-    except (MalformedMessage, AttributeError) as err:
+    except (MalformedMessageError, AttributeError) as err:
         log.error("stored catalog unreadable error=%s", err)
         return {}
--- a/src/eldercart/server/singleton/operator_requests.py
+++ b/src/eldercart/server/singleton/operator_requests.py
@@ -13,10 +13,10 @@
 from eldercart.settings.platform import NodeSettings
 from eldercart.singleton import operator_commands
 from eldercart.singleton.lease_directory import LeaseDirectory, LeaseEntry
-from eldercart.singleton.operator_commands import CommandConflict
+from eldercart.singleton.operator_commands import CommandConflictError
 from eldercart.singleton.status_report import StatusContext, lease_status
 from eldercart.units import MonotonicTime, NodeId, Revision, WallTime
-from eldercart.wire import MalformedMessage
+from eldercart.wire import MalformedMessageError
 from eldercart.wire.named_leases import (
     INTENT_PREFIX,
     LEASE_PREFIX,
@@ -152,7 +152,7 @@
     def _hand_over(self, request: JsonRequest, lease_name: LeaseName) -> None:
         try:
             receiver = parse_hand_over_request(request.body())
-        except MalformedMessage as err:
+        except MalformedMessageError as err:
             reject(request, 400, f"malformed: {err}")
             return
         members = (member.label for member in self._settings.members)
@@ -171,7 +171,7 @@
     def _pause(self, request: JsonRequest, lease_name: LeaseName) -> None:
         try:
             reason = parse_pause_request(request.body())
-        except MalformedMessage as err:
+        except MalformedMessageError as err:
             reject(request, 400, f"malformed: {err}")
             return
 
@@ -200,7 +200,7 @@
         def on_directory(directory: LeaseDirectory) -> None:
             try:
                 transaction = decide(directory.entry(lease_name))
-            except CommandConflict as conflict:
+            except CommandConflictError as conflict:
                 reject(request, 409, str(conflict))
                 return
             self._commit(request, transaction, answer)
@@ -248,5 +248,5 @@
         return []
     try:
         return parse_intents(lease_name, item.value)
-    except MalformedMessage:
+    except MalformedMessageError:
         return None
--- a/src/eldercart/server/store/client.py
+++ b/src/eldercart/server/store/client.py
@@ -9,7 +9,7 @@
 from eldercart.server.store.token_bucket import TokenBucket
 from eldercart.settings import NodeSettings
 from eldercart.units import DISTANT_PAST, LeaseId, MonotonicTime, Revision
-from eldercart.wire import MalformedMessage
+from eldercart.wire import MalformedMessageError
 from eldercart.wire import state as wire
 from eldercart.wire.state import Item, Transaction
 
@@ -171,7 +171,7 @@
                 if status == 200:
                     done(True, wire.parse_item(data))
                     return
-            except MalformedMessage:
+            except MalformedMessageError:
                 status = None
             done(status == 404, None)
 
@@ -194,9 +194,9 @@
         def got(status: int | None, data: bytes) -> None:
             try:
                 if status != 200:
-                    raise MalformedMessage("status")
+                    raise MalformedMessageError("status")
                 answer = wire.parse_range(data)
-            except MalformedMessage:
+            except MalformedMessageError:
                 done(None, Revision(0))
                 return
             items.extend(answer.items)
@@ -224,7 +224,7 @@
                 if status == 409:
                     done(409, Revision(0), wire.parse_failed_conditions(data))
                     return
-            except MalformedMessage:
+            except MalformedMessageError:
                 status = None
             done(status, Revision(0), ())
 
@@ -236,7 +236,7 @@
         def got(status: int | None, data: bytes) -> None:
             try:
                 done(wire.parse_lease(data) if status == 200 else None)
-            except MalformedMessage:
+            except MalformedMessageError:
                 done(None)
 
         self.requests.force_take(self._clock())
@@ -283,7 +283,7 @@
                     answer = wire.parse_watch(data)
                     done(200, answer.revision, answer.events)
                     return
-            except MalformedMessage:
+            except MalformedMessageError:
                 status = None
             done(status, after, [])
 
--- a/src/eldercart/server/users/dependencies.py
+++ b/src/eldercart/server/users/dependencies.py
@@ -16,7 +16,7 @@
 from eldercart.server.users.lookup_context import LookupContext
 from eldercart.server.users.recent_cache import JobOutcomeCache, RecentCache
 from eldercart.units import JobId, MonotonicTime, Revision
-from eldercart.wire import MalformedMessage, users
+from eldercart.wire import MalformedMessageError, users
 from eldercart.wire.state import Item
 from eldercart.wire.stored_jobs import (
     END_PREFIX,
@@ -146,7 +146,7 @@
         try:
             record = item.value.get("s") if isinstance(item.value, dict) else None
             dependencies = users.dependencies_from_record(record)
-        except MalformedMessage:
+        except MalformedMessageError:
             return None
         self.record_dependencies(job, dependencies)
         return dependencies
@@ -167,7 +167,7 @@
 
         try:
             reference = decode_dependency_list_reference(item.value)
-        except MalformedMessage:
+        except MalformedMessageError:
             on_result(None)
             return
         if reference is None:
--- a/src/eldercart/server/users/job_admission.py
+++ b/src/eldercart/server/users/job_admission.py
@@ -31,7 +31,7 @@
 from eldercart.server.users.lookup_context import LookupContext
 from eldercart.server.users.recent_cache import JobOutcomeCache
 from eldercart.units import ABSENT_REVISION, JobId, MonotonicTime, Revision, WallTime
-from eldercart.wire import MalformedMessage, users
+from eldercart.wire import MalformedMessageError, users
 from eldercart.wire.checks import load_object
 from eldercart.wire.cloud import MachineType
 from eldercart.wire.state import Put, Transaction
@@ -99,7 +99,7 @@
         try:
             message = load_object(request.body())
             job = users.parse_job_id(message)
-        except MalformedMessage as error:
+        except MalformedMessageError as error:
             reject(request, 400, f"malformed: {error}")
             return
         outcome = self.outcomes.get(job)
@@ -118,7 +118,7 @@
         """Return the job's specification, or why it is rejected regardless of other jobs."""
         try:
             spec = users.parse_submission(message)
-        except MalformedMessage as error:
+        except MalformedMessageError as error:
             return Rejection(400, f"malformed: {error}")
         teams = self.context.settings.teams
         machine_types = self._limits.machine_types
--- a/src/eldercart/settings/__init__.py
+++ b/src/eldercart/settings/__init__.py
@@ -1,6 +1,6 @@
 """The settings: the platform's file and the operators' own."""
 
 from eldercart.settings.operator import Tuning, load_tuning
-from eldercart.settings.platform import InvalidSettings, NodeSettings, Team, load_platform
+from eldercart.settings.platform import InvalidSettingsError, NodeSettings, Team, load_platform
 
-__all__ = ["InvalidSettings", "NodeSettings", "Team", "Tuning", "load_platform", "load_tuning"]
+__all__ = ["InvalidSettingsError", "NodeSettings", "Team", "Tuning", "load_platform", "load_tuning"]
--- a/src/eldercart/settings/features.py
+++ b/src/eldercart/settings/features.py
@@ -11,7 +11,7 @@
 import fastjsonschema
 import orjson
 
-from eldercart.settings.platform import InvalidSettings, read_json
+from eldercart.settings.platform import InvalidSettingsError, read_json
 from eldercart.wire.named_leases import LeaseName
 
 if TYPE_CHECKING:
@@ -78,13 +78,13 @@
 def parse_features(value: Any) -> Features:
     """Check and return the features.
 
-    Raises InvalidSettings, which names the first bad place.
+    Raises InvalidSettingsError, which names the first bad place.
     """
     schema = orjson.loads(SCHEMA.read_bytes())
     try:
         checked = fastjsonschema.compile(schema)(value)
     except fastjsonschema.JsonSchemaValueException as err:
-        raise InvalidSettings(f"{FILE_KIND}: {err.message.removeprefix('data.')}") from None
+        raise InvalidSettingsError(f"{FILE_KIND}: {err.message.removeprefix('data.')}") from None
     duties = checked.get("duties")
     if duties is None or not duties["on"]:
         return Features(None)
@@ -115,7 +115,7 @@
     try:
         zone = ZoneInfo(values["time_zone"])
     except (ZoneInfoNotFoundError, ValueError, OSError):
-        raise InvalidSettings(
+        raise InvalidSettingsError(
             f"{FILE_KIND}: duties.maintenance.time_zone: unknown time zone {values['time_zone']!r}"
         ) from None
     weekly = tuple(
@@ -134,7 +134,7 @@
     try:
         day = date.fromisoformat(exception["date"])
     except ValueError:
-        raise InvalidSettings(
+        raise InvalidSettingsError(
             f"{FILE_KIND}: duties.maintenance.exceptions[{index}].date: "
             f"no such date {exception['date']}"
         ) from None
--- a/src/eldercart/settings/operator.py
+++ b/src/eldercart/settings/operator.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from eldercart.settings.platform import InvalidSettings, read_json
+from eldercart.settings.platform import InvalidSettingsError, read_json
 
 SCHEMA = Path(__file__).with_name("operator.schema.json")
 
@@ -37,7 +37,7 @@
 def load_tuning(path: str | None = None, values: dict[str, Any] | None = None) -> Tuning:
     """Return the defaults, overlaid with the operators' file or with `values`.
 
-    Raises InvalidSettings if the file cannot be read or breaks the schema.
+    Raises InvalidSettingsError if the file cannot be read or breaks the schema.
     """
     schema = load_schema()
     merged = {name: entry["default"] for name, entry in schema["properties"].items()}
@@ -50,6 +50,6 @@
         try:
             fastjsonschema.compile(schema)(values)
         except fastjsonschema.JsonSchemaValueException as err:
-            raise InvalidSettings(f"operator settings: {err.message}") from None
+            raise InvalidSettingsError(f"operator settings: {err.message}") from None
         merged.update(values)
     return Tuning(merged)
--- a/src/eldercart/settings/platform.py
+++ b/src/eldercart/settings/platform.py
@@ -10,7 +10,7 @@
 from eldercart.units import NodeId
 
 
-class InvalidSettings(Exception):
+class InvalidSettingsError(Exception):
     """A setting is missing or invalid; the text is one line that names the field."""
 
 
@@ -83,7 +83,7 @@
 
 
 class _Reader:
-    """Reads fields by their paths, so that every InvalidSettings names the field."""
+    """Reads fields by their paths, so that every InvalidSettingsError names the field."""
 
     def __init__(self, root: Any) -> None:
         self._root = root
@@ -96,21 +96,21 @@
             elif isinstance(value, dict) and part in value:
                 value = value[part]
             else:
-                raise InvalidSettings(f"settings: {path}: missing")
+                raise InvalidSettingsError(f"settings: {path}: missing")
         return value
 
     def text(self, path: str) -> str:
         value = self.get(path)
         if not isinstance(value, str) or not value:
-            raise InvalidSettings(f"settings: {path}: must be a text")
+            raise InvalidSettingsError(f"settings: {path}: must be a text")
         return value
 
     def number(self, path: str, minimum: float = 0.0) -> float:
         value = self.get(path)
         if isinstance(value, bool) or not isinstance(value, int | float):
-            raise InvalidSettings(f"settings: {path}: must be a number")
+            raise InvalidSettingsError(f"settings: {path}: must be a number")
         if not math.isfinite(value) or value < minimum:
-            raise InvalidSettings(f"settings: {path}: must be at least {minimum:g}")
+            raise InvalidSettingsError(f"settings: {path}: must be at least {minimum:g}")
         return float(value)
 
     def optional_factor(self, path: str) -> float:
@@ -125,7 +125,7 @@
         if following is None:
             return ChangingLimit(current, current)
         if not isinstance(following, dict):
-            raise InvalidSettings("settings: settings.state.next: must be an object")
+            raise InvalidSettingsError("settings: settings.state.next: must be an object")
         if following.get(name) is None:
             return ChangingLimit(current, current)
         lowered = self.number(f"settings.state.next.{name}", next_minimum)
@@ -134,13 +134,13 @@
     def item_indexes(self, path: str) -> range:
         value = self.get(path)
         if not isinstance(value, list) or not all(isinstance(item, dict) for item in value):
-            raise InvalidSettings(f"settings: {path}: must be a list of objects")
+            raise InvalidSettingsError(f"settings: {path}: must be a list of objects")
         return range(len(value))
 
     def endpoint(self, path: str) -> Endpoint:
         host, _, port = self.text(path).rpartition(":")
         if not host or not (port.isascii() and port.isdigit()) or not 0 < int(port) < 65536:
-            raise InvalidSettings(f"settings: {path}: must be host:port")
+            raise InvalidSettingsError(f"settings: {path}: must be host:port")
         return Endpoint(host, int(port))
 
 
@@ -197,10 +197,10 @@
 def parse_platform(root: Any) -> NodeSettings:
     """Check the fields that the service uses.
 
-    Raises InvalidSettings, which names the first bad field.
+    Raises InvalidSettingsError, which names the first bad field.
     """
     if not isinstance(root, dict):
-        raise InvalidSettings("settings: must be an object")
+        raise InvalidSettingsError("settings: must be an object")
     reader = _Reader(root)
     teams = _teams(reader)
     objectives = _objectives(reader)
@@ -242,14 +242,14 @@
 def read_json(path: str, file_kind: str) -> Any:
     """Return the content of a JSON file.
 
-    Raises InvalidSettings, whose text begins with `file_kind`, if it cannot be read.
+    Raises InvalidSettingsError, whose text begins with `file_kind`, if it cannot be read.
     """
     try:
         return orjson.loads(Path(path).read_bytes())
     except OSError as err:
-        raise InvalidSettings(f"{file_kind}: {path}: {err.strerror}") from None
+        raise InvalidSettingsError(f"{file_kind}: {path}: {err.strerror}") from None
     except orjson.JSONDecodeError as err:
-        raise InvalidSettings(f"{file_kind}: {path}: not JSON: {err}") from None
+        raise InvalidSettingsError(f"{file_kind}: {path}: not JSON: {err}") from None
 
 
 def load_platform(path: str) -> NodeSettings:
--- a/src/eldercart/singleton/intents.py
+++ b/src/eldercart/singleton/intents.py
@@ -23,7 +23,7 @@
     MonotonicTime,
     Revision,
 )
-from eldercart.wire import MalformedMessage
+from eldercart.wire import MalformedMessageError
 from eldercart.wire.leader_key import LEADER_KEY
 from eldercart.wire.named_leases import (
     EMPTY_RECORD_BYTES,
@@ -150,7 +150,7 @@
         self._version = ABSENT_REVISION if item is None else item.version
         try:
             intents = [] if item is None else parse_intents(self.lease_name, item.value)
-        except MalformedMessage as err:
+        except MalformedMessageError as err:
             log.error("intent record unreadable, replaced lease=%s error=%s", self.lease_name, err)
             intents = []
         self._durable = pmap({intent.name: intent for intent in intents})
--- a/src/eldercart/singleton/lease_directory.py
+++ b/src/eldercart/singleton/lease_directory.py
@@ -12,7 +12,7 @@
 from pyrsistent import pmap
 
 from eldercart.units import ABSENT_REVISION, NO_LEASE_TOKEN, LeaseToken, Revision
-from eldercart.wire import MalformedMessage
+from eldercart.wire import MalformedMessageError
 from eldercart.wire.named_leases import (
     HAND_OVER_PREFIX,
     HOLDER_PREFIX,
@@ -65,7 +65,7 @@
     def __init__(self) -> None:
         """Nothing has been read yet."""
         self.revision = ABSENT_REVISION  # from which a watch may go on
-        self._entries: Any = pmap({lease_name: EMPTY_ENTRY for lease_name in LeaseName})
+        self._entries: Any = pmap(dict.fromkeys(LeaseName, EMPTY_ENTRY))
         self._revision_by_key: dict[str, Revision] = {}  # as of which a key is known
 
     @property
@@ -123,6 +123,6 @@
         return None
     try:
         return parse(item.value)
-    except MalformedMessage as err:
+    except MalformedMessageError as err:
         log.error("lease record unreadable key=%s error=%s", item.key, err)
         return None
--- a/src/eldercart/singleton/operator_commands.py
+++ b/src/eldercart/singleton/operator_commands.py
@@ -17,7 +17,7 @@
 from eldercart.wire.state import DeleteKey, Put, Transaction
 
 
-class CommandConflict(Exception):
+class CommandConflictError(Exception):
     """The command contradicts what is in force; the message tells the operator how."""
 
 
@@ -27,18 +27,20 @@
     record: HandOverRecord,
     nodes_without_support: Collection[NodeId],
 ) -> Transaction:
-    """Return the transaction that hands the lease over; raises CommandConflict."""
+    """Return the transaction that hands the lease over; raises CommandConflictError."""
     receiver = record.receiver
     if entry.is_paused:
-        raise CommandConflict(f"{lease_name} is paused")
+        raise CommandConflictError(f"{lease_name} is paused")
     if entry.hand_over is not None:
-        raise CommandConflict(f"{lease_name} is being handed over to {entry.hand_over.receiver}")
+        raise CommandConflictError(
+            f"{lease_name} is being handed over to {entry.hand_over.receiver}"
+        )
     if not entry.is_held:
-        raise CommandConflict(f"{lease_name} is held by nobody")
+        raise CommandConflictError(f"{lease_name} is held by nobody")
     if entry.holder is not None and entry.holder.node == receiver:
-        raise CommandConflict(f"{lease_name} is held by {receiver} already")
+        raise CommandConflictError(f"{lease_name} is held by {receiver} already")
     if receiver in nodes_without_support:
-        raise CommandConflict(
+        raise CommandConflictError(
             f"{receiver} does not take part in {lease_name}, or has not been heard"
         )
     return Transaction(
@@ -52,12 +54,14 @@
 
 
 def pause(lease_name: LeaseName, entry: LeaseEntry, record: PauseRecord) -> Transaction:
-    """Return the transaction that pauses the lease; raises CommandConflict."""
+    """Return the transaction that pauses the lease; raises CommandConflictError."""
     if entry.pause is not None:
         reason = entry.pause.reason or "no reason given"
-        raise CommandConflict(f"{lease_name} is paused already: {reason}")
+        raise CommandConflictError(f"{lease_name} is paused already: {reason}")
     if entry.hand_over is not None:
-        raise CommandConflict(f"{lease_name} is being handed over to {entry.hand_over.receiver}")
+        raise CommandConflictError(
+            f"{lease_name} is being handed over to {entry.hand_over.receiver}"
+        )
     return Transaction(
         {pause_key(lease_name): entry.pause_version, hand_over_key(lease_name): ABSENT_REVISION},
         [Put(pause_key(lease_name), pause_value(record))],
@@ -65,9 +69,9 @@
 
 
 def resume(lease_name: LeaseName, entry: LeaseEntry) -> Transaction:
-    """Return the transaction that ends the pause of the lease; raises CommandConflict."""
+    """Return the transaction that ends the pause of the lease; raises CommandConflictError."""
     if not entry.is_paused:
-        raise CommandConflict(f"{lease_name} is not paused")
+        raise CommandConflictError(f"{lease_name} is not paused")
     return Transaction(
         {pause_key(lease_name): entry.pause_version}, [DeleteKey(pause_key(lease_name))]
     )
--- a/src/eldercart/wire/__init__.py
+++ b/src/eldercart/wire/__init__.py
@@ -1,5 +1,5 @@
 """The wire formats: names and validation. Nothing here does I/O, so clients can use it too."""
 
-from eldercart.wire.checks import MalformedMessage
+from eldercart.wire.checks import MalformedMessageError
 
-__all__ = ["MalformedMessage"]
+__all__ = ["MalformedMessageError"]
--- a/src/eldercart/wire/checks.py
+++ b/src/eldercart/wire/checks.py
@@ -10,17 +10,17 @@
 MAX_AMOUNT = 1e12
 
 
-class MalformedMessage(Exception):
+class MalformedMessageError(Exception):
     """A message that breaks the protocol; the text names the field."""
 
 
 def load_object(body: bytes) -> dict[str, Any]:
     """Parse the body of a request or a frame.
 
-    Raises MalformedMessage if it is too long or not an object.
+    Raises MalformedMessageError if it is too long or not an object.
     """
     if len(body) > MAX_BODY_BYTES:
-        raise MalformedMessage("body over 64 KiB")
+        raise MalformedMessageError("body over 64 KiB")
     return load_response(body)
 
 
@@ -34,7 +34,7 @@
     try:
         orjson.dumps(value)  # allows far fewer levels than the parser
     except orjson.JSONEncodeError:
-        raise MalformedMessage("nested too deeply") from None
+        raise MalformedMessageError("nested too deeply") from None
     return value
 
 
@@ -43,9 +43,9 @@
     try:
         value = orjson.loads(body)
     except orjson.JSONDecodeError:
-        raise MalformedMessage("not JSON") from None
+        raise MalformedMessageError("not JSON") from None
     if not isinstance(value, dict):
-        raise MalformedMessage("not an object")
+        raise MalformedMessageError("not an object")
     return value
 
 
@@ -53,7 +53,7 @@
     """Return a text that is not empty."""
     value = obj.get(field)
     if not isinstance(value, str) or not 0 < len(value) <= max_length:
-        raise MalformedMessage(field)
+        raise MalformedMessageError(field)
     return value
 
 
@@ -62,9 +62,9 @@
     value = obj.get(field)
     # bool is an int in Python; JSON true is no number
     if type(value) is not float and type(value) is not int:
-        raise MalformedMessage(field)
+        raise MalformedMessageError(field)
     if not math.isfinite(value) or value < minimum or value > MAX_AMOUNT:
-        raise MalformedMessage(field)
+        raise MalformedMessageError(field)
     return float(value)
 
 
@@ -79,7 +79,7 @@
     """Return a whole number; 2.0 is malformed."""
     value = obj.get(field)
     if type(value) is not int or not minimum <= value <= maximum:  # JSON true is no number
-        raise MalformedMessage(field)
+        raise MalformedMessageError(field)
     return value
 
 
@@ -87,7 +87,7 @@
     """Return true or false."""
     value = obj.get(field)
     if not isinstance(value, bool):
-        raise MalformedMessage(field)
+        raise MalformedMessageError(field)
     return value
 
 
@@ -95,7 +95,7 @@
     """Return a list of texts, none of them empty."""
     value = obj.get(field)
     if not isinstance(value, list) or not all(isinstance(text, str) and text for text in value):
-        raise MalformedMessage(field)
+        raise MalformedMessageError(field)
     return tuple(value)
 
 
@@ -103,5 +103,5 @@
     """Return a list of objects."""
     value = obj.get(field)
     if not isinstance(value, list) or not all(isinstance(item, dict) for item in value):
-        raise MalformedMessage(field)
+        raise MalformedMessageError(field)
     return value
--- a/src/eldercart/wire/cloud.py
+++ b/src/eldercart/wire/cloud.py
@@ -7,7 +7,7 @@
 
 from eldercart.units import MachineId
 from eldercart.wire.checks import (
-    MalformedMessage,
+    MalformedMessageError,
     load_response,
     optional_number,
     require_boolean,
@@ -70,7 +70,7 @@
         )
         types[machine_type.name] = machine_type
     if not types:
-        raise MalformedMessage("breeds")
+        raise MalformedMessageError("breeds")
     return types
 
 
--- a/src/eldercart/wire/named_leases.py
+++ b/src/eldercart/wire/named_leases.py
@@ -16,7 +16,7 @@
 
 from eldercart.units import IncarnationId, MachineId, NodeId, WallTime
 from eldercart.wire.checks import (
-    MalformedMessage,
+    MalformedMessageError,
     load_object,
     require_boolean,
     require_integer,
@@ -128,7 +128,7 @@
 
 
 def parse_holder(value: Any) -> HolderRecord:
-    """Decode the value of a holder key; raises MalformedMessage."""
+    """Decode the value of a holder key; raises MalformedMessageError."""
     obj = _require_object(value)
     return HolderRecord(
         NodeId(require_text(obj, "node")),
@@ -143,7 +143,7 @@
 
 
 def parse_pause(value: Any) -> PauseRecord:
-    """Decode the value of a pause key; raises MalformedMessage."""
+    """Decode the value of a pause key; raises MalformedMessageError."""
     obj = _require_object(value)
     reason = obj.get("why")
     return PauseRecord(
@@ -157,7 +157,7 @@
 
 
 def parse_hand_over(value: Any) -> HandOverRecord:
-    """Decode the value of a hand-over key; raises MalformedMessage."""
+    """Decode the value of a hand-over key; raises MalformedMessageError."""
     obj = _require_object(value)
     return HandOverRecord(NodeId(require_text(obj, "to")), WallTime(require_number(obj, "t")))
 
@@ -190,7 +190,7 @@
 
 
 def parse_intents(lease_name: LeaseName, value: Any) -> list[Intent]:
-    """Decode the record of a lease's open intents; raises MalformedMessage."""
+    """Decode the record of a lease's open intents; raises MalformedMessageError."""
     parse = _parse_scale_out if lease_name is LeaseName.SCALE_OUT else _parse_scale_in
     return [parse(obj) for obj in require_objects(_require_object(value), "i")]
 
@@ -212,7 +212,7 @@
 
 def _require_object(value: Any) -> dict[str, Any]:
     if not isinstance(value, dict):
-        raise MalformedMessage("not an object")
+        raise MalformedMessageError("not an object")
     return value
 
 
@@ -239,17 +239,17 @@
 
 
 def parse_hand_over_request(body: bytes) -> NodeId:
-    """Decode a hand-over request into its receiver; raises MalformedMessage."""
+    """Decode a hand-over request into its receiver; raises MalformedMessageError."""
     return NodeId(require_text(load_object(body), "to"))
 
 
 def parse_pause_request(body: bytes) -> str:
-    """Decode a pause request into its reason, "" if left out; raises MalformedMessage."""
+    """Decode a pause request into its reason, "" if left out; raises MalformedMessageError."""
     reason = load_object(body).get("reason")
     if reason is None:
         return ""
     if not isinstance(reason, str) or len(reason) > MAX_REASON_LENGTH:
-        raise MalformedMessage("reason")
+        raise MalformedMessageError("reason")
     return reason
 
 
--- a/src/eldercart/wire/peers.py
+++ b/src/eldercart/wire/peers.py
@@ -24,7 +24,7 @@
     NodeId,
 )
 from eldercart.wire.checks import (
-    MalformedMessage,
+    MalformedMessageError,
     load_response,
     require_integer,
     require_objects,
@@ -185,7 +185,7 @@
 
 
 def parse_frame(data: bytes) -> dict[str, Any]:
-    """Return the JSON object of a frame. Raises `MalformedMessage` if it is none."""
+    """Return the JSON object of a frame. Raises `MalformedMessageError` if it is none."""
     return load_response(data)
 
 
@@ -195,18 +195,18 @@
 
 
 def parse_request(frame: dict[str, Any]) -> Request:
-    """Return what the connecting side sent. Raises `MalformedMessage`, also for a reply."""
+    """Return what the connecting side sent. Raises `MalformedMessageError`, also for a reply."""
     parse = _REQUEST_PARSERS.get(frame_kind(frame))
     if parse is None:
-        raise MalformedMessage("k")
+        raise MalformedMessageError("k")
     return parse(frame)
 
 
 def parse_reply(frame: dict[str, Any]) -> Reply:
-    """Return what the accepting side sent. Raises `MalformedMessage`, also for a request."""
+    """Return what the accepting side sent. Raises `MalformedMessageError`, also for a request."""
     parse = _REPLY_PARSERS.get(frame_kind(frame))
     if parse is None:
-        raise MalformedMessage("k")
+        raise MalformedMessageError("k")
     return parse(frame)
 
 
@@ -251,7 +251,7 @@
     """Return the heartbeat in a frame, also of an earlier version."""
     items = frame.get("heard")
     if not isinstance(items, list):
-        raise MalformedMessage("heard")
+        raise MalformedMessageError("heard")
     try:
         # The additions fail for what is no number.
         acknowledged = tuple(
@@ -259,7 +259,7 @@
             for machine, agent_epoch, number in items
         )
     except (TypeError, ValueError):
-        raise MalformedMessage("heard") from None
+        raise MalformedMessageError("heard") from None
     return PeerHeartbeat(
         NodeId(require_text(frame, "from")),
         require_integer(frame, "n"),
@@ -348,10 +348,10 @@
     """Return the items of a frame by their request ids."""
     items = frame.get("i")
     if not isinstance(items, list):
-        raise MalformedMessage("i")
+        raise MalformedMessageError("i")
     for item in items:
         if not isinstance(item, list) or len(item) != 2 or type(item[0]) is not int:
-            raise MalformedMessage("i")
+            raise MalformedMessageError("i")
     return [(item[0], item[1]) for item in items]
 
 
@@ -365,14 +365,14 @@
     """Return the replies to forwarded heartbeats."""
     items = frame.get("i")
     if not isinstance(items, list):
-        raise MalformedMessage("i")
+        raise MalformedMessageError("i")
     replies = []
     for item in items:
         if not isinstance(item, list) or len(item) != 3 or type(item[0]) is not int:
-            raise MalformedMessage("i")
+            raise MalformedMessageError("i")
         request_id, commands, wants_next = item
         if commands is not None and not isinstance(commands, list):
-            raise MalformedMessage("i")
+            raise MalformedMessageError("i")
         replies.append(HeartbeatReply(request_id, commands, wants_next is True))
     return replies
 
@@ -386,7 +386,7 @@
     """Return the machines that such a frame names."""
     names = frame.get("m")
     if not isinstance(names, list):
-        raise MalformedMessage("m")
+        raise MalformedMessageError("m")
     return [MachineId(name) for name in names if isinstance(name, str)]
 
 
--- a/src/eldercart/wire/state.py
+++ b/src/eldercart/wire/state.py
@@ -8,7 +8,7 @@
 
 from eldercart.units import LeaseId, Revision
 from eldercart.wire.checks import (
-    MalformedMessage,
+    MalformedMessageError,
     load_response,
     require_integer,
     require_objects,
@@ -157,5 +157,5 @@
         elif "delete" in event:
             events.append(DeleteKey(require_text(event, "delete")))
         else:
-            raise MalformedMessage("log")
+            raise MalformedMessageError("log")
     return WatchResult(Revision(require_integer(obj, "ledgerRev")), events)
--- a/src/eldercart/wire/stored_jobs.py
+++ b/src/eldercart/wire/stored_jobs.py
@@ -9,7 +9,7 @@
 from typing import Any, NamedTuple
 
 from eldercart.units import JobId
-from eldercart.wire.checks import MalformedMessage
+from eldercart.wire.checks import MalformedMessageError
 from eldercart.wire.state import Item
 from eldercart.wire.users import (
     CANCELLED,
@@ -61,11 +61,11 @@
 def decode_job_record(job_id: JobId, value: Any) -> StoredJob:
     """Return what a job record holds.
 
-    Raises `MalformedMessage`, `KeyError`, `TypeError` or `ValueError` for a record that can't be
-    read, also for one that refers to a dependency list: that must be resolved before.
+    Raises `MalformedMessageError`, `KeyError`, `TypeError` or `ValueError` for a record that can't
+    be read, also for one that refers to a dependency list: that must be resolved before.
     """
     if not isinstance(value, dict):
-        raise MalformedMessage("job record")
+        raise MalformedMessageError("job record")
     spec = spec_from_record(job_id, value.get("s"))
     return StoredJob(spec, int(value["n"]), float(value["t"]))
 
--- a/src/eldercart/wire/stored_placements.py
+++ b/src/eldercart/wire/stored_placements.py
@@ -9,7 +9,7 @@
 from typing import Any, NamedTuple, Protocol
 
 from eldercart.units import Attempt, JobId, MachineId
-from eldercart.wire.checks import MalformedMessage
+from eldercart.wire.checks import MalformedMessageError
 
 PLACEMENT_PREFIX = "place/"
 MAX_PLACEMENT_ENTRY_BYTES = 48  # that one placement takes in a record
@@ -83,7 +83,7 @@
 
 
 def decode_part_content(value: Any) -> StoredPart:
-    """Return the content of a part; raises `MalformedMessage` if it can't be read."""
+    """Return the content of a part; raises `MalformedMessageError` if it can't be read."""
     try:
         return StoredPart(
             decode_highest_attempt(value),
@@ -94,7 +94,7 @@
             ],
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise MalformedMessage(f"place record: {error}") from None
+        raise MalformedMessageError(f"place record: {error}") from None
 
 
 def decode_highest_attempt(value: Any) -> Attempt:
--- a/src/eldercart/wire/users.py
+++ b/src/eldercart/wire/users.py
@@ -12,7 +12,7 @@
 
 from eldercart.units import JobId
 from eldercart.wire.checks import (
-    MalformedMessage,
+    MalformedMessageError,
     require_boolean,
     require_integer,
     require_number,
@@ -74,7 +74,7 @@
     """Return the job id of a submission that may be malformed otherwise."""
     value = message.get("nameId")
     if not isinstance(value, str) or not is_valid_job_id(value):
-        raise MalformedMessage("nameId")
+        raise MalformedMessageError("nameId")
     return JobId(value)
 
 
@@ -84,7 +84,7 @@
     if value is None:
         return ()
     if not isinstance(value, list) or not _are_job_ids(value):
-        raise MalformedMessage("awaits")
+        raise MalformedMessageError("awaits")
     return tuple(dict.fromkeys(JobId(job) for job in value))
 
 
@@ -95,22 +95,22 @@
 def _parse_priority(message: dict[str, Any]) -> int:
     urgency = message.get("urgency")
     if not isinstance(urgency, str) or urgency not in PRIORITIES:
-        raise MalformedMessage("urgency")
+        raise MalformedMessageError("urgency")
     return PRIORITIES[urgency]
 
 
 def parse_submission(message: dict[str, Any]) -> JobSpec:
     """Return the job of a submission; unknown fields are ignored.
 
-    Raises `MalformedMessage` with the name of the first bad field.
+    Raises `MalformedMessageError` with the name of the first bad field.
     """
     job = parse_job_id(message)
     if message.get("shape") not in SHAPES:
-        raise MalformedMessage("shape")
+        raise MalformedMessageError("shape")
     cpus = require_number(message, "cpus")
     gpus = require_number(message, "accelerators")
     if cpus <= 0 and gpus <= 0:
-        raise MalformedMessage("cpus")
+        raise MalformedMessageError("cpus")
     return JobSpec(
         id=job,
         job_class=require_text(message, "lot"),
@@ -185,7 +185,7 @@
         return None
     nonce = require_text(last, "set")
     if "/" in nonce:
-        raise MalformedMessage("set")
+        raise MalformedMessageError("set")
     return DependencyListReference(nonce, require_integer(last, "parts", 1, MAX_LIST_PARTS))
 
 
@@ -197,17 +197,17 @@
 def dependencies_from_record(record: Any) -> tuple[JobId, ...]:
     """Return the dependencies in a record.
 
-    Raises `MalformedMessage` if they are stored elsewhere, so that a list that was not read is
+    Raises `MalformedMessageError` if they are stored elsewhere, so that a list that was not read is
     never taken for an empty one.
     """
     field_count = len(_STORED_FIELDS)
     if not isinstance(record, list) or not field_count <= len(record) <= field_count + 1:
-        raise MalformedMessage("job record")
+        raise MalformedMessageError("job record")
     if len(record) == field_count:
         return ()
     last = record[-1]
     if not isinstance(last, list) or not last or not _are_job_ids(last):
-        raise MalformedMessage("dependencies")
+        raise MalformedMessageError("dependencies")
     return tuple(JobId(job) for job in last)
 
 
--- a/src/eldercart/wire/workers.py
+++ b/src/eldercart/wire/workers.py
@@ -18,7 +18,7 @@
 )
 from eldercart.wire.checks import (
     MAX_COUNT,
-    MalformedMessage,
+    MalformedMessageError,
     require_boolean,
     require_integer,
     require_number,
@@ -135,17 +135,17 @@
     tasks: list[TaskStatus] = []
     parcels = obj.get("parcels")
     if parcels is not None and not isinstance(parcels, list):
-        raise MalformedMessage("parcels")
+        raise MalformedMessageError("parcels")
     for item in parcels or ():
         if not isinstance(item, dict):
-            raise MalformedMessage("parcels")
+            raise MalformedMessageError("parcels")
         key, attempt, state = item.get("parcel"), item.get("try"), item.get("standing")
         if not isinstance(key, str) or not key:
-            raise MalformedMessage("parcel")
+            raise MalformedMessageError("parcel")
         if type(attempt) is not int or not 0 <= attempt < MAX_COUNT:
-            raise MalformedMessage("try")
+            raise MalformedMessageError("try")
         if not isinstance(state, str):
-            raise MalformedMessage("standing")
+            raise MalformedMessageError("standing")
         cause = item.get("cause") if state == _EXITED else None
         tasks.append(
             TaskStatus(
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -21,7 +21,7 @@
 from eldercart.settings import load_tuning
 from eldercart.settings.platform import parse_platform
 from eldercart.units import IncarnationId, JobId, MonotonicTime, NodeId, Revision
-from eldercart.wire import MalformedMessage, cloud, peers, users
+from eldercart.wire import MalformedMessageError, cloud, peers, users
 from eldercart.wire.state import DeleteKey, Item, Put, Transaction
 from eldercart.wire.stored_jobs import (
     DEPENDENCY_LIST_PREFIX,
@@ -66,7 +66,7 @@
 ) -> None:
     body = {**submission("wk-9"), "awaits": awaits}
     if names is None:
-        with pytest.raises(MalformedMessage, match="awaits"):
+        with pytest.raises(MalformedMessageError, match="awaits"):
             users.parse_submission(body)
     else:
         assert users.parse_submission(body).dependencies == names
@@ -102,7 +102,7 @@
     reference = users.DependencyListReference("abc", len(parts))
     value = encode_job_record(spec, 10, 1.0, reference)
     assert decode_dependency_list_reference(value) == reference
-    with pytest.raises(MalformedMessage):
+    with pytest.raises(MalformedMessageError):
         decode_job_record(spec.id, value)  # not read is not none
     item = Item(JOB_PREFIX + spec.id, value, Revision(5))
     prefix = dependency_list_prefix(spec.id, reference)
@@ -122,7 +122,7 @@
 def test_a_record_whose_last_field_is_odd_is_unreadable(last: Any) -> None:
     value = encode_job_record(users.parse_submission(submission("wk-9")), 10, 1.0)
     value["s"].append(last)
-    with pytest.raises(MalformedMessage):
+    with pytest.raises(MalformedMessageError):
         decode_job_record(JobId("wk-9"), value)
 
 
@@ -869,7 +869,7 @@
 ) -> None:
     raw = orjson.dumps(submission("wk-9", awaits=named))
     if result is None:
-        with pytest.raises(MalformedMessage):
+        with pytest.raises(MalformedMessageError):
             _with_awaits(raw, added)
     else:
         assert users.parse_submission(orjson.loads(_with_awaits(raw, added))).dependencies == result
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -24,7 +24,7 @@
     Revision,
     WallTime,
 )
-from eldercart.wire import MalformedMessage
+from eldercart.wire import MalformedMessageError
 from eldercart.wire import named_leases as wire
 from eldercart.wire.named_leases import (
     HolderRecord,
@@ -392,13 +392,13 @@
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{}", b'{"to":7}', b'{"to":""}', b"x" * 70000])
 def test_malformed_hand_overs(body: bytes) -> None:
-    with pytest.raises(MalformedMessage):
+    with pytest.raises(MalformedMessageError):
         wire.parse_hand_over_request(body)
 
 
 @pytest.mark.parametrize("body", [b"", b'{"reason":7}', b'{"reason":"' + b"x" * 300 + b'"}'])
 def test_malformed_pauses(body: bytes) -> None:
-    with pytest.raises(MalformedMessage):
+    with pytest.raises(MalformedMessageError):
         wire.parse_pause_request(body)
 
 
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -185,7 +185,7 @@
         world.submit(f"wk-{i:06d}", run_s=8.0, parcels=520, cpus=8.0, loaners=i % 2 == 0)
     world.run(13)
     assert len(world.cloud.machines) > 3900
-    yield world
+    return world
 
 
 def test_a_burst_on_4000_machines_outlives_all_nodes_and_a_silent_zone(burst: RelayWorld) -> None:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -27,7 +27,7 @@
     RateLimitBackoff,
 )
 from eldercart.server.store.token_bucket import TokenBucket
-from eldercart.settings import InvalidSettings, load_tuning
+from eldercart.settings import InvalidSettingsError, load_tuning
 from eldercart.settings.platform import NodeSettings, parse_platform
 from eldercart.units import (
     FencingToken,
@@ -110,7 +110,7 @@
     ],
 )
 def test_malformed_next_limits_are_named(next_: Any, field: str) -> None:
-    with pytest.raises(InvalidSettings) as err:
+    with pytest.raises(InvalidSettingsError) as err:
         settings_of(next_)
     assert f"settings: {field}: must be" in str(err.value)
 
@@ -342,7 +342,7 @@
     assert 0 < len(refused) < 25 and low > 480, (refused, low)
     # In the last minutes the tries have become rare.
     assert len([t for t in refused if t > 400]) < 6, refused
-    for start in range(0, 595):
+    for start in range(595):
         window = [
             n for t, status, n in service.log if status == 200 and start <= t - began < start + 5
         ]
@@ -982,9 +982,9 @@
         )
     assert not w.scheduler.cluster_state.dirty_jobs and not w.store.too_large
     w.check_kept()
-    assert {s.key for s in placement_records.by_key.values() if s.version} >= set(
+    assert {s.key for s in placement_records.by_key.values() if s.version} >= {
         i["path"] for i in w.store.range("place/")
-    )
+    }
 
 
 def test_memory_takes_turns_and_fits() -> None:
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -9,7 +9,7 @@
 import pytest
 
 from eldercart.cli import main
-from eldercart.settings import InvalidSettings
+from eldercart.settings import InvalidSettingsError
 from eldercart.settings.features import load_features, parse_features
 from eldercart.singleton.maintenance_calendar import MaintenanceCalendar
 from eldercart.singleton.maintenance_window import MaintenanceWindow
@@ -220,7 +220,7 @@
     ],
 )
 def test_bad_features_are_refused_with_their_place(duties: dict[str, Any], place: str) -> None:
-    with pytest.raises(InvalidSettings) as err:
+    with pytest.raises(InvalidSettingsError) as err:
         parse_features({"duties": duties})
     assert str(err.value).startswith(f"features: {place} ") or f" {place}:" in str(err.value)
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -26,7 +26,7 @@
 from eldercart.scheduling.queue_order import QueueOrderContext, order_jobs
 from eldercart.server.controller_node import is_healthy
 from eldercart.server.store.token_bucket import TokenBucket
-from eldercart.settings import InvalidSettings, load_tuning
+from eldercart.settings import InvalidSettingsError, load_tuning
 from eldercart.settings.platform import parse_platform
 from eldercart.units import FencingToken, LeaseId, MachineId, MonotonicTime, NodeId, Revision
 from eldercart.wire import cloud, users
@@ -56,13 +56,13 @@
     for part in parents:
         at = at[part]
     at[last] = value
-    with pytest.raises(InvalidSettings, match=f"settings: {names}: "):
+    with pytest.raises(InvalidSettingsError, match=f"settings: {names}: "):
         parse_platform(root)
 
 
 @pytest.mark.parametrize("values", [{"no_such": 1}, {"depth": 1.5}, {"predict_high": 2}, []])
 def test_bad_operator_settings(values: Any) -> None:
-    with pytest.raises(InvalidSettings):
+    with pytest.raises(InvalidSettingsError):
         load_tuning(values=values)
 
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -269,9 +269,9 @@
     before = {name: m for name, m in w.cloud.machines.items() if m.tasks}
     assert any(w.at[name] == old for name in before)
     w.cut.add(old)
-    w.run(LEADER_LEASE := 3.0)
+    w.run(leader_lease_s := 3.0)
     w.elect()
-    w.run(20 - LEADER_LEASE)
+    w.run(20 - leader_lease_s)
     assert not any(w.at[name] == old for name in w.cloud.machines)
     assert all(m.agent_epoch == 1 for m in before.values()), "a lease ran out"
     assert all(name in w.cloud.machines for name in before), "a healthy machine was deleted"
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -114,7 +114,7 @@
     assert "end/wk-000002" in w.store.keys
     status = c.job_status(JobId("wk-000001"))
     assert isinstance(status, JobStatus) and status.state == "pending"
-    assert not [p for p in c.jobs.jobs[JobId("wk-000001")].placements()]
+    assert not list(c.jobs.jobs[JobId("wk-000001")].placements())
 
 
 # -- placement records
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,7 +8,7 @@
 
 from eldercart.scheduling import feasibility
 from eldercart.settings.platform import parse_platform
-from eldercart.wire import MalformedMessage, cloud, peers, state, users, workers
+from eldercart.wire import MalformedMessageError, cloud, peers, state, users, workers
 from eldercart.wire.checks import load_nested_object, load_object
 from simulators import CATALOG
 from world import PLATFORM, submission
@@ -50,7 +50,7 @@
     ],
 )
 def test_submission_refused(changes: dict[str, Any], field: str) -> None:
-    with pytest.raises(MalformedMessage) as err:
+    with pytest.raises(MalformedMessageError) as err:
         users.parse_submission(submission("wk-000001", **changes))
     assert str(err.value) == field
 
@@ -72,13 +72,13 @@
         if field in ("breeds", "yard", "dueS"):  # may be null, so may be left out
             users.parse_submission(body)
             continue
-        with pytest.raises(MalformedMessage):
+        with pytest.raises(MalformedMessageError):
             users.parse_submission(body)
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[]", b"null", b'"x"', b"{" + b" " * 70_000 + b"}"])
 def test_bodies_refused(body: bytes) -> None:
-    with pytest.raises(MalformedMessage):
+    with pytest.raises(MalformedMessageError):
         load_object(body)
 
 
@@ -94,7 +94,7 @@
             peers.parse_frame(peers.encode_forwarded_heartbeats(workers.FencingToken(3), batch))
         )
     else:
-        with pytest.raises(MalformedMessage, match="nested"):
+        with pytest.raises(MalformedMessageError, match="nested"):
             load_nested_object(body)
 
 
@@ -151,7 +151,7 @@
     if good:
         assert workers.parse_heartbeat(report(**changes)).sequence == (1, 3)
     else:
-        with pytest.raises(MalformedMessage):
+        with pytest.raises(MalformedMessageError):
             workers.parse_heartbeat(report(**changes))
 
 
@@ -189,5 +189,5 @@
     ],
 )
 def test_malformed_answers_are_no_answers(parse: Any, body: bytes) -> None:
-    with pytest.raises(MalformedMessage):
+    with pytest.raises(MalformedMessageError):
         parse(body)
--- a/tests/versions/reading.py
+++ b/tests/versions/reading.py
@@ -28,7 +28,7 @@
     TaskKey,
     WallTime,
 )
-from eldercart.wire import MalformedMessage, cloud, peers, users, workers
+from eldercart.wire import MalformedMessageError, cloud, peers, users, workers
 from eldercart.wire.leader_key import LEADER_KEY
 from eldercart.wire.state import Item
 from eldercart.wire.stored_jobs import (
@@ -367,7 +367,7 @@
     if kind == "job":
         try:
             spec, size, at = decode_job_record(JobId(item.key[len(JOB_PREFIX) :]), item.value)
-        except (MalformedMessage, KeyError, TypeError, ValueError) as err:
+        except (MalformedMessageError, KeyError, TypeError, ValueError) as err:
             return f"unreadable: {err}"
         return _plain(_named(old_fields.READ_JOB_RECORD, _specification(spec), size, at))
     if kind in ("end", "gone"):
