--- a/src/eldercart/scheduling/scheduler.py
+++ b/src/eldercart/scheduling/scheduler.py
@@ -320,7 +320,7 @@
         failed_keys: tuple[str, ...],
         now: MonotonicTime,
     ) -> bool:
-        """Handle the result of a transaction; return whether this leader is deposed."""
+        """Handle the result of a transaction; return whether this leader must step down."""
         return self.transaction_writer.on_transaction_result(
             pending, outcome, revision, failed_keys, now
         )
--- a/src/eldercart/server/graceful_shutdown.py
+++ b/src/eldercart/server/graceful_shutdown.py
@@ -54,7 +54,7 @@
         """Start the shutdown, once."""
         if self.has_begun:
             return
-        log.info("ends on request")
+        log.info("graceful shutdown started")
         self.has_begun = True
         self._deadline_at = MonotonicTime(self._clock() + DRAIN_TIMEOUT_S)
         self._http_server.stop_accepting()
@@ -77,7 +77,7 @@
         now = self._clock()
         election = self._election
         if election.role is Role.LEADER:
-            self._leader_service.end_leadership("ends on request")
+            self._leader_service.end_leadership("graceful shutdown")
         election.resign_permanently(now)
         self._election_service.tick(now)
         unanswered = self._http_server.pending_requests()
@@ -86,5 +86,5 @@
             return
         for request in unanswered:
             reject_temporarily(request, "this node ends", SHORT_RETRY_AFTER_S)
-        log.info("ended refused=%d", len(unanswered))
+        log.info("graceful shutdown complete rejected=%d", len(unanswered))
         reactor.callLater(FLUSH_DELAY_S, reactor.stop)
--- a/src/eldercart/server/leadership/catalog_record.py
+++ b/src/eldercart/server/leadership/catalog_record.py
@@ -109,7 +109,7 @@
             if status in (400, 413):
                 # Too large, say: to repeat it would use up the changes. This node knows the types,
                 # and the others answer with 503 as long as they don't.
-                log.error("catalogue refused by the state service status=%s", status)
+                log.error("catalog rejected by the state store status=%s", status)
             elif status == 200:
                 self.has_any_stored = True
             elif is_current_leadership(self._leadership, scheduler):
--- a/src/eldercart/server/leadership/job_record_watch.py
+++ b/src/eldercart/server/leadership/job_record_watch.py
@@ -132,7 +132,7 @@
                 return
             record = None if lists is None else resolve_dependency_list(job, item, lists)
             if record is None:
-                log.info("list of dependencies not read job=%s", job)
+                log.info("dependency list not read job=%s", job)
                 next_retry_s = min(MAX_LIST_RETRY_S, 2 * retry_s)
                 reactor.callLater(
                     retry_s, self._read_dependency_list, scheduler, job, item, next_retry_s
--- a/src/eldercart/server/leadership/leader_service.py
+++ b/src/eldercart/server/leadership/leader_service.py
@@ -161,7 +161,7 @@
         self.job_record_watch.reset()
         self._store.set_leader(True)
         token = self._election.token
-        log.info("elected epoch=%d", token)
+        log.info("leadership acquired token=%d", token)
         self._failover = Failover(
             self._store,
             lambda records: self._complete_failover(token, records),
@@ -230,7 +230,7 @@
         if self._singleton_tasks is not None:
             self._singleton_tasks.on_leadership_lost()
         if self.scheduler is not None:
-            log.info("deposed epoch=%d why=%s", self._election.token, reason)
+            log.info("leadership lost token=%d reason=%s", self._election.token, reason)
         self._discard_scheduler()
         gc.unfreeze()
         self._store.set_leader(False)
@@ -243,9 +243,9 @@
         if scheduler is None:
             return
         if self._is_isolated(scheduler, now):
-            log.info("nobody is heard, peer or worker: hands over")
+            log.info("no peer or worker heard: leadership handed over")
             self._election.resign(now)
-            self.end_leadership("hears nobody")
+            self.end_leadership("isolated")
             return
         scheduler.transaction_writer.subchunks_supported = self._peers.peer_heartbeats.all_support(
             peers.RECHUNKING
@@ -323,7 +323,7 @@
         try:
             heartbeat = workers.parse_heartbeat(message)
         except MalformedMessageError as err:
-            log.error("report malformed: %s", err)
+            log.error("heartbeat malformed error=%s", err)
             return HeartbeatResponse(None, True)
         return self.handle_heartbeat(heartbeat, relay, now)
 
--- a/src/eldercart/server/leadership/worker_requests.py
+++ b/src/eldercart/server/leadership/worker_requests.py
@@ -81,7 +81,7 @@
             try:
                 heartbeat = workers.parse_heartbeat(load_object(data))
             except MalformedMessageError as err:
-                log.error("report malformed address=%s: %s", address, err)
+                log.error("heartbeat malformed address=%s error=%s", address, err)
                 return
             if heartbeat.machine == machine:
                 on_heartbeat(status, heartbeat)
--- a/src/eldercart/server/peers/heartbeat_forwarding.py
+++ b/src/eldercart/server/peers/heartbeat_forwarding.py
@@ -208,7 +208,7 @@
 
 
 def _reject_malformed(request: JsonRequest, error: MalformedMessageError) -> None:
-    log.error("report malformed: %s", error)
+    log.error("heartbeat malformed error=%s", error)
     request.reply(400, users.error_body(str(error)))
 
 
--- a/src/eldercart/server/store/client.py
+++ b/src/eldercart/server/store/client.py
@@ -71,7 +71,7 @@
         if is_reduced != self._uses_reduced_rates:
             self._uses_reduced_rates = is_reduced
             self._allocate_rates(now)
-            log.info("rates of the state service lowered=%s", is_reduced)
+            log.info("store rate limits reduced=%s", is_reduced)
 
     def _allocate_rates(self, now: MonotonicTime) -> None:
         """Share the limits out: the leader writes most, the others admit jobs and answer polls."""
