--- a/src/eldercart/persistence/transaction_writer.py
+++ b/src/eldercart/persistence/transaction_writer.py
@@ -137,7 +137,7 @@
         failed_keys: tuple[str, ...],
         now: MonotonicTime,
     ) -> bool:
-        """Handle the result of the transaction in flight; return whether this leader must step down.
+        """Handle the result of the transaction in flight; return whether to step down.
 
         `revision` counts if it was committed; `failed_keys` are those whose conditions failed.
         """
--- a/src/eldercart/server/controller_node.py
+++ b/src/eldercart/server/controller_node.py
@@ -181,7 +181,7 @@
         Nothing was read meanwhile. What this node may do by its leases is judged by the clock,
         which ran on.
         """
-        log.info("stalled seconds=%.2f", seconds)
+        log.info("event loop stalled stall_s=%.2f", seconds)
         self.relay_service.exclude_stall(seconds)
         self.leader_service.exclude_stall(seconds)
 
--- a/src/eldercart/server/machine_types.py
+++ b/src/eldercart/server/machine_types.py
@@ -21,4 +21,4 @@
         try:
             self.by_name = cloud.parse_catalog(item.value)
         except (MalformedMessageError, AttributeError) as err:
-            log.error("stored catalogue unreadable: %s", err)
+            log.error("stored catalog unreadable error=%s", err)
