--- a/tests/test_duty_loopback.py
+++ b/tests/test_duty_loopback.py
@@ -114,7 +114,9 @@
         effects = cluster.effects()
         until(lambda: cluster.effects() > effects)
         assert not any(key.startswith(("duty/", "intent/")) for key in cluster.region.store.keys)
-        assert call(cluster.user_addresses["node-0"], "GET", "/duties")[0] == 404
+        first = cluster.user_addresses["node-0"]
+        until(lambda: call(first, "GET", "/healthz")[0] == 200)  # another may have led before
+        assert call(first, "GET", "/duties")[0] == 404
         assert main(["duties", "list", "--server", cluster.user_addresses["node-0"]]) == 1
         for label in cluster.node_ids:
             assert not cluster.holder("rental"), "not before every node takes part"
