--- a/tests/duty_history.py
+++ b/tests/duty_history.py
@@ -93,7 +93,7 @@
 
 def _may_lack_intent(history: History, effect: CloudEffect) -> bool:
     """Whether the sender leads and, as far as its process has shown, has not yet heard all nodes:
-    until then it calls the cloud directly ("Without tokens" in docs/design-duties.md)."""
+    until then it calls the cloud directly ("Fallback without tokens" in docs/design-duties.md)."""
     starts = [
         start.at
         for start in history.starts
