--- a/src/eldercart/singleton/eligibility.py
+++ b/src/eldercart/singleton/eligibility.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 from eldercart.singleton.holder_preference import AFFINITY, Affinity, is_overloaded
-from eldercart.singleton.lease_directory import LeaseDirectory
+from eldercart.singleton.lease_directory import DirectorySnapshot, LeaseEntry
 from eldercart.units import NO_FENCING_TOKEN, FencingToken, MonotonicTime, NodeId, WallTime
 from eldercart.wire.named_leases import LeaseName
 
@@ -49,19 +49,21 @@
     def find_ineligibility(
         self,
         lease_name: LeaseName,
-        directory: LeaseDirectory,
+        entry: LeaseEntry,
+        snapshot: DirectorySnapshot,
         view: ClusterView,
         *,
         is_reserved: bool,
         held_since: MonotonicTime | None,
     ) -> IneligibilityReason | None:
-        """Return why this node may not hold the lease, or None if it may. `is_reserved`: another
-        node is to get it by a hand-over; `held_since`: when this node acquired it, if it did."""
+        """Return why this node may not hold the lease, or None if it may. `entry`: what is known of
+        it, `snapshot`: of all leases; `is_reserved`: another node is to get it by a hand-over;
+        `held_since`: when this node acquired it, if it did."""
         if lease_name not in self.lease_names or view.is_shutting_down:
             return IneligibilityReason.DISABLED
         if lease_name not in view.supported_leases:
             return IneligibilityReason.NOT_SUPPORTED_BY_ALL
-        if directory.entry(lease_name).is_paused:
+        if entry.is_paused:
             return IneligibilityReason.PAUSED
         affinity = AFFINITY[lease_name]
         if affinity is Affinity.LEADER and view.leader_token == NO_FENCING_TOKEN:
@@ -69,17 +71,17 @@
         if is_reserved:
             return IneligibilityReason.BEING_HANDED_OVER
         if affinity is Affinity.ANY:
-            return self._find_preference(directory, view, held_since)
+            return self._find_preference(snapshot, view, held_since)
         return None
 
     def _find_preference(
-        self, directory: LeaseDirectory, view: ClusterView, held_since: MonotonicTime | None
+        self, snapshot: DirectorySnapshot, view: ClusterView, held_since: MonotonicTime | None
     ) -> IneligibilityReason | None:
         """Return why another node should hold a lease that any node can hold."""
         if view.is_lagging:
             return IneligibilityReason.LAGGING
         if held_since is None or view.now - held_since < self.min_hold_s:
             return None
-        if is_overloaded(self.node_id, view.candidates, view.leader, directory.snapshot):
+        if is_overloaded(self.node_id, view.candidates, view.leader, snapshot):
             return IneligibilityReason.UNBALANCED
         return None
--- a/src/eldercart/singleton/lease_candidate.py
+++ b/src/eldercart/singleton/lease_candidate.py
@@ -135,10 +135,12 @@
         """Return whether the lease is being handed over to another node. How long that lasts goes
         by this node's own clock, which can at worst make it a candidate too early: the state
         service decides."""
-        hand_over = self.directory.entry(lease_name).hand_over
-        if hand_over is None or hand_over.receiver == self.node_id:
+        return self._is_reserved(self.directory.entry(lease_name), self._statuses[lease_name], now)
+
+    def _is_reserved(self, entry: LeaseEntry, status: _LeaseStatus, now: MonotonicTime) -> bool:
+        if entry.hand_over is None or entry.hand_over.receiver == self.node_id:
             return False
-        return now - self._statuses[lease_name].hand_over_seen_at < self._hand_over_s
+        return now - status.hand_over_seen_at < self._hand_over_s
 
     # -- decisions
 
@@ -198,9 +200,10 @@
             self._record_times(status, entry, is_held, view.now)
             status.ineligibility = self._rules.find_ineligibility(
                 lease_name,
-                self.directory,
+                entry,
+                self.directory.snapshot,
                 view,
-                is_reserved=self.is_reserved_for_other_node(lease_name, view.now),
+                is_reserved=self._is_reserved(entry, status, view.now),
                 held_since=status.held_since if is_held else None,
             )
             if is_held:
