--- a/src/eldercart/autoscaling/cloud_requests.py
+++ b/src/eldercart/autoscaling/cloud_requests.py
@@ -140,7 +140,7 @@
         machine."""
         machine = self.cluster.inventory.get(machine_id)
         if machine is None:
-            machine = inventory_updates.add_unknown_machine(self.cluster, machine_id, now)
+            machine = inventory_updates.add_unknown_machine(self.cluster, machine_id, now, now)
         self.cluster.request_deletion(machine, now)
 
     # -- requests
--- a/src/eldercart/autoscaling/inventory_updates.py
+++ b/src/eldercart/autoscaling/inventory_updates.py
@@ -93,17 +93,23 @@
 
 
 def add_unknown_machine(
-    cluster: ClusterState, machine_id: MachineId, now: MonotonicTime
+    cluster: ClusterState,
+    machine_id: MachineId,
+    now: MonotonicTime,
+    last_heartbeat_at: MonotonicTime,
 ) -> Machine:
-    """Add a machine of which nothing but its id is known."""
+    """Add a machine of which nothing but its id is known.
+
+    A `last_heartbeat_at` ahead of `now` gives it time to send one.
+    """
     return cluster.inventory.add(
         machine_id,
         placeholder_type(UNKNOWN_TYPE),
         UNKNOWN_ZONE,
-        True,
-        MachineState.UP,
-        now,
-        now,
+        is_spot=True,
+        state=MachineState.UP,
+        provisioned_at=now,
+        last_heartbeat_at=last_heartbeat_at,
     )
 
 
--- a/src/eldercart/scheduling/state_loader.py
+++ b/src/eldercart/scheduling/state_loader.py
@@ -3,13 +3,11 @@
 import logging
 from collections.abc import Iterable
 
-from eldercart.autoscaling.inventory_updates import placeholder_type
-from eldercart.cluster.inventory import MachineState
+from eldercart.autoscaling.inventory_updates import add_unknown_machine
 from eldercart.jobs.job import Job, Placement
 from eldercart.persistence import learned_state
 from eldercart.persistence.placement_record_loader import load_placement_records
 from eldercart.persistence.transaction_writer import TransactionWriter
-from eldercart.scheduling import feasibility
 from eldercart.scheduling.cluster_state import ClusterState
 from eldercart.units import JobId, MonotonicTime, WallTime
 from eldercart.wire import MalformedMessageError, users
@@ -168,14 +166,8 @@
             machine = inventory.get(placement.machine_id)
             if machine is None:
                 # Type and zone come with its heartbeat; until then nothing new starts on it.
-                machine = inventory.add(
-                    placement.machine_id,
-                    placeholder_type("?"),
-                    feasibility.UNKNOWN_ZONE,
-                    is_spot=True,
-                    state=MachineState.UP,
-                    provisioned_at=now,
-                    last_heartbeat_at=grace_until,
+                machine = add_unknown_machine(
+                    self._cluster_state, placement.machine_id, now, grace_until
                 )
             placement.is_terminating = placement.job.outcome is not None
             inventory.allocate(machine, placement)
