--- a/src/eldercart/election/state_machine.py
+++ b/src/eldercart/election/state_machine.py
@@ -31,18 +31,6 @@
 from eldercart.wire.leader_key import LEADER_KEY, LeaderRecord, leader_value, parse_leader
 from eldercart.wire.state import Item, Put, Transaction
 
-__all__ = [
-    "LEADER_KEY",
-    "Campaign",
-    "Election",
-    "ElectionAction",
-    "GrantLease",
-    "KeepLeaseAlive",
-    "ReadLeaderKey",
-    "RevokeLease",
-    "Role",
-]
-
 # Intervals, as parts of the lease's time to live.
 RETRIES_PER_LEASE = 16  # pauses after a failed action
 KEEP_ALIVES_PER_LEASE = 5
