--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -223,9 +223,13 @@
     """One of the measurements above."""
     name, *numbers = args
     commands: dict[str, Callable[..., None]] = {
-        "schedules": schedules, "freezes": freezes, "gaps": gaps, "requests": requests,
-        "views": views, "starts": starts,
-    }  # fmt: skip
+        "schedules": schedules,
+        "freezes": freezes,
+        "gaps": gaps,
+        "requests": requests,
+        "views": views,
+        "starts": starts,
+    }
     commands[name](*(int(number) for number in numbers))
 
 
--- a/benchmarks/relay_reports.py
+++ b/benchmarks/relay_reports.py
@@ -71,10 +71,19 @@
     """A report as workers send it: nothing has changed but its sequence number."""
     tasks = [{"parcel": f"wk-{n:06d}/{n}", "try": 1, "standing": "running"} for n in range(TASKS)]
     body = orjson.dumps(
-        {"wagon": machine, "address": "10.1.0.2:9000", "breed": "small", "yard": "a",
-         "loaners": True, "stint": 1, "tally": sequence, "whip": 7, "recallS": None,
-         "parcels": tasks}
-    )  # fmt: skip
+        {
+            "wagon": machine,
+            "address": "10.1.0.2:9000",
+            "breed": "small",
+            "yard": "a",
+            "loaners": True,
+            "stint": 1,
+            "tally": sequence,
+            "whip": 7,
+            "recallS": None,
+            "parcels": tasks,
+        }
+    )
     head = (
         "POST /v1/report HTTP/1.1\r\nHost: 10.0.0.1:8080\r\nContent-Type: application/json\r\n"
         f"Content-Length: {len(body)}\r\n\r\n"
--- a/deploy/compile_bytecode.py
+++ b/deploy/compile_bytecode.py
@@ -13,9 +13,13 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 MODULES = (
-    "eldercart.cli", "eldercart.cli.serve", "eldercart.cli.client", "eldercart.cli.duties",
-    "eldercart.server.singleton.lease_service", "eldercart.settings.features",
-)  # fmt: skip
+    "eldercart.cli",
+    "eldercart.cli.serve",
+    "eldercart.cli.client",
+    "eldercart.cli.duties",
+    "eldercart.server.singleton.lease_service",
+    "eldercart.settings.features",
+)
 
 if __name__ == "__main__":
     sys.path[:0] = [str(ROOT / "src"), str(ROOT / "target" / "deps")]
--- a/src/eldercart/autoscaling/cloud_requests.py
+++ b/src/eldercart/autoscaling/cloud_requests.py
@@ -348,14 +348,23 @@
             if scheduler.fleet.get(machine) is None and not scheduler.fleet.is_deleted(machine):
                 kind = scheduler.types.get(offer.type) or unknown_type(offer.type)
                 scheduler.fleet.add(
-                    machine, kind, offer.zone, offer.spot, MachineState.BOOTING,
-                    rental_request.sent, now,
-                )  # fmt: skip
+                    machine,
+                    kind,
+                    offer.zone,
+                    offer.spot,
+                    MachineState.BOOTING,
+                    rental_request.sent,
+                    now,
+                )
         log.info(
             "rented type=%s zone=%s spot=%s asked=%d got=%d request=%s",
-            offer.type, offer.zone, offer.spot, rental_request.number, len(machines),
+            offer.type,
+            offer.zone,
+            offer.spot,
+            rental_request.number,
+            len(machines),
             rental_request.name,
-        )  # fmt: skip
+        )
         if len(machines) < rental_request.number:
             scheduler.rental.refuse(offer, now)
         scheduler.rental_due = now
--- a/src/eldercart/cluster/heartbeat_relay.py
+++ b/src/eldercart/cluster/heartbeat_relay.py
@@ -125,9 +125,14 @@
     # -- the grant
 
     def granted(
-        self, epoch: Epoch, leader: NodeId, asked: Steady, now: Steady,
-        most: int | None = None, spare: NodeId | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        epoch: Epoch,
+        leader: NodeId,
+        asked: Steady,
+        now: Steady,
+        most: int | None = None,
+        spare: NodeId | None = None,
+    ) -> None:
         """The leader of `epoch` lets this node answer for it; counted from before it was asked."""
         if epoch < max(self.epoch, self._superseded):
             # Its leader has not heard yet of the one after it.
@@ -172,9 +177,15 @@
     # -- reports
 
     def report(
-        self, machine: MachineId, order: ReportOrder, epoch: Epoch, notice: bool, tasks: Any,
-        now: Steady, reachable: bool,
-    ) -> Decision:  # fmt: skip
+        self,
+        machine: MachineId,
+        order: ReportOrder,
+        epoch: Epoch,
+        notice: bool,
+        tasks: Any,
+        now: Steady,
+        reachable: bool,
+    ) -> Decision:
         """What becomes of a report. `notice`: whether the machine will be taken back; `tasks`: its
         list as it came; `reachable`: whether a report can be handed to the leader now."""
         known = self._known.get(machine)
--- a/src/eldercart/cluster/inventory.py
+++ b/src/eldercart/cluster/inventory.py
@@ -144,9 +144,15 @@
         return machine in self._deleted
 
     def add(
-        self, id_: MachineId, type_: MachineType, zone: str, spot: bool, state: MachineState,
-        rented_at: Steady, now: Steady,
-    ) -> Machine:  # fmt: skip
+        self,
+        id_: MachineId,
+        type_: MachineType,
+        zone: str,
+        spot: bool,
+        state: MachineState,
+        rented_at: Steady,
+        now: Steady,
+    ) -> Machine:
         """A machine that was rented, listed or reported; its room is that of its type."""
         m = Machine(id_, type_, zone, spot, state, rented_at, now, idle_since=now)
         m.free_cpus, m.free_gpus, m.free_memory = type_.cpus, type_.gpus, type_.memory_gb
--- a/src/eldercart/jobs/registry.py
+++ b/src/eldercart/jobs/registry.py
@@ -299,9 +299,14 @@
             if not whole and not chunk.low <= index < chunk.high:
                 continue
             p = Placement(
-                task_key(job.id, index), job, index, attempt, machine, Phase.WANTED,
+                task_key(job.id, index),
+                job,
+                index,
+                attempt,
+                machine,
+                Phase.WANTED,
                 maybe_there=True,  # whoever wrote it may have launched it
-            )  # fmt: skip
+            )
             chunk.placements[index] = p
             loaded.append(p)
         return loaded
@@ -332,9 +337,7 @@
             high = min(low + most, chunk.high)
             held = {i: p for i, p in chunk.placements.items() if low <= i < high}
             urgent = any(p.phase is Phase.PLANNED for p in held.values())
-            fine = Chunk(
-                low, high, True, chunk.attempt, True, urgent, chunk.dirty_since, held
-            )  # fmt: skip
+            fine = Chunk(low, high, True, chunk.attempt, True, urgent, chunk.dirty_since, held)
             job.chunks[low] = fine
             finer.append(fine)
         job.note_cuts(chunk.low // job.size)
--- a/src/eldercart/persistence/transaction_writer.py
+++ b/src/eldercart/persistence/transaction_writer.py
@@ -338,9 +338,13 @@
     # -- outcomes
 
     def txn_done(
-        self, pending: PendingTxn, outcome: Outcome, revision: Revision, failed: tuple[str, ...],
+        self,
+        pending: PendingTxn,
+        outcome: Outcome,
+        revision: Revision,
+        failed: tuple[str, ...],
         now: Steady,
-    ) -> bool:  # fmt: skip
+    ) -> bool:
         """Returns whether this leader is deposed."""
         self._txn = None
         self.scheduler.outage = outcome in (Outcome.REFUSED, Outcome.UNKNOWN)
@@ -353,8 +357,10 @@
             return False
         log.info(
             "write not done outcome=%s failed=%s keys=%s",
-            outcome.value, failed, [w.key for w in pending.txn.writes],
-        )  # fmt: skip
+            outcome.value,
+            failed,
+            [w.key for w in pending.txn.writes],
+        )
         for job, c, _, _ in pending.chunks:
             self.scheduler.jobs.touch(job, c, now, urgent=True)
             self.scheduler.dirty[job.id] = job
@@ -500,9 +506,12 @@
         if job.ran:
             log.debug(
                 "run times job=%s class=%s estimate=%.1f n=%d %s",
-                job.id, job.spec.klass, job.spec.estimate_s, len(job.ran),
+                job.id,
+                job.spec.klass,
+                job.spec.estimate_s,
+                len(job.ran),
                 " ".join(f"{r:.1f}" for r in sorted(job.ran)[:: max(1, len(job.ran) // 8)]),
-            )  # fmt: skip
+            )
 
 
 def _list_keys(job: Job) -> list[str]:
--- a/src/eldercart/prediction/predictor.py
+++ b/src/eldercart/prediction/predictor.py
@@ -247,9 +247,15 @@
         log.debug("booked pipeline=%s/%s image=%s cpus=%g", *pipeline, image, booking.cpus)
 
     def prepare_submitted(
-        self, after: Job, cpus: float, upstream: JobId, ends_in: float, boot_s: float, load: float,
+        self,
+        after: Job,
+        cpus: float,
+        upstream: JobId,
+        ends_in: float,
+        boot_s: float,
+        load: float,
         now: Steady,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """The same for a successor that is submitted already and waits for that job last: its room
         is booked, as deep as the load allows, without a prediction."""
         spec = after.spec
@@ -280,9 +286,15 @@
         if not self._book.has_room(expected.pipeline, load):
             return
         booking = Booking(
-            expected.pipeline, expected.upstream, expected.image, cpus, expected.spot, until,
-            Origin.CHAIN, chains={expected.chain: expected.path},
-        )  # fmt: skip
+            expected.pipeline,
+            expected.upstream,
+            expected.image,
+            cpus,
+            expected.spot,
+            until,
+            Origin.CHAIN,
+            chains={expected.chain: expected.path},
+        )
         self._book.add(booking)
         log.debug(
             "booked chain=%s/%s after=%s cpus=%g", *expected.pipeline, expected.upstream, cpus
--- a/src/eldercart/scheduling/cluster_state.py
+++ b/src/eldercart/scheduling/cluster_state.py
@@ -37,9 +37,13 @@
     take."""
 
     def __init__(
-        self, settings: NodeSettings, tuning: Tuning, epoch: Epoch, types: dict[str, MachineType],
+        self,
+        settings: NodeSettings,
+        tuning: Tuning,
+        epoch: Epoch,
+        types: dict[str, MachineType],
         now: Steady,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """Empty state of a leadership that begins at `now`, with the machine types known so far."""
         self.settings = settings
         self.tuning = tuning
--- a/src/eldercart/scheduling/planner.py
+++ b/src/eldercart/scheduling/planner.py
@@ -85,9 +85,15 @@
             return usable - sum(cpus for above, cpus in used.items() if above > priority)
 
         ordered = feasibility.order_jobs(
-            waiting, scheduler.fleet, scheduler.settings.teams, scheduler.promises, capacity,
-            scheduler.predictor.run_s, scheduler.predictor.longest_s, now,
-        )  # fmt: skip
+            waiting,
+            scheduler.fleet,
+            scheduler.settings.teams,
+            scheduler.promises,
+            capacity,
+            scheduler.predictor.run_s,
+            scheduler.predictor.longest_s,
+            now,
+        )
         for rank, job in enumerate(ordered):
             job.rank = rank
         _PlanningPass(self, machines, self._with_aged(ordered, now), now).run()
@@ -151,9 +157,12 @@
 
 class _PlanningPass:
     def __init__(
-        self, planner: Planner, machines: list[Machine], jobs: list[tuple[Job, int | None]],
+        self,
+        planner: Planner,
+        machines: list[Machine],
+        jobs: list[tuple[Job, int | None]],
         now: Steady,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.planner = planner
         self.scheduler = planner.scheduler
         self.now = now
--- a/src/eldercart/scheduling/scheduler.py
+++ b/src/eldercart/scheduling/scheduler.py
@@ -149,8 +149,11 @@
         self._load_placements(loaded, now)
         log.info(
             "took over epoch=%d jobs=%d placements=%d orphans=%d",
-            self.epoch, len(self.jobs.jobs), len(loaded), len(self.records.orphans),
-        )  # fmt: skip
+            self.epoch,
+            len(self.jobs.jobs),
+            len(loaded),
+            len(self.records.orphans),
+        )
 
     def _load_markers(self, markers: Iterable[Item], recorded: set[str], now: Steady) -> None:
         """Jobs that have ended and wait to be cleaned up. A marker without a job record is a
@@ -221,9 +224,13 @@
             self._load_ended(self.jobs.jobs[job_id], marker, now)
 
     def add_job(
-        self, spec: JobSpec, size: int, at: WallTime, now: Steady,
+        self,
+        spec: JobSpec,
+        size: int,
+        at: WallTime,
+        now: Steady,
         elsewhere: ListReference | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """A job that was accepted; `elsewhere`: its list of dependencies, if not in its record."""
         if spec.id in self.jobs:
             return
@@ -232,8 +239,13 @@
         scheduler.submitted(self.jobs.add(spec, size, arrived, elsewhere), now)
         log.info(
             "job accepted job=%s class=%s team=%s tasks=%d cpus=%g image=%s",
-            spec.id, spec.klass, spec.team, spec.tasks, spec.cpus, spec.image,
-        )  # fmt: skip
+            spec.id,
+            spec.klass,
+            spec.team,
+            spec.tasks,
+            spec.cpus,
+            spec.image,
+        )
 
     # ------------------------------------------------------------------ users
 
@@ -441,6 +453,15 @@
 
 
 __all__ = [
-    "CloudCall", "Controller", "Delete", "GetCatalog", "JobStatus", "ListPage", "Order",
-    "Outcome", "PendingTxn", "Rent", "Verdict",
-]  # fmt: skip
+    "CloudCall",
+    "Controller",
+    "Delete",
+    "GetCatalog",
+    "JobStatus",
+    "ListPage",
+    "Order",
+    "Outcome",
+    "PendingTxn",
+    "Rent",
+    "Verdict",
+]
--- a/src/eldercart/scheduling/summary.py
+++ b/src/eldercart/scheduling/summary.py
@@ -22,8 +22,12 @@
     tallies = " ".join(f"{origin.value}={tally}" for origin, tally in predictor.tallies.items())
     log.info(
         "prediction hits=%d misses=%d unused=%d booked=%d %s",
-        predictor.hits, predictor.misses, predictor.unused, len(predictor.bookings), tallies,
-    )  # fmt: skip
+        predictor.hits,
+        predictor.misses,
+        predictor.unused,
+        len(predictor.bookings),
+        tallies,
+    )
 
 
 def _log_fleet(scheduler: SchedulerState, cleaning: int) -> None:
@@ -37,13 +41,24 @@
         "summary jobs=%d up=%d booting=%d cpus=%g usable=%g running=%g free=%g queued=%g "
         "starting=%s waiting=%s want=%.0f/%.0f work=%.0f lost=%.0f ending=%d dirty=%d "
         "cleaning=%d",
-        len(jobs), len(up), booting, room.cpus, room.usable,
-        sum(job.running * job.spec.cpus for job in jobs), room.free,
+        len(jobs),
+        len(up),
+        booting,
+        room.cpus,
+        room.usable,
+        sum(job.running * job.spec.cpus for job in jobs),
+        room.free,
         sum(job.queued * job.spec.cpus for job in jobs),
-        _starting(up), _waiting(jobs), want_ordinary, want_any,
-        scheduler.work_done, scheduler.work_lost,
-        len(scheduler.ending), len(scheduler.dirty), cleaning,
-    )  # fmt: skip
+        _starting(up),
+        _waiting(jobs),
+        want_ordinary,
+        want_any,
+        scheduler.work_done,
+        scheduler.work_lost,
+        len(scheduler.ending),
+        len(scheduler.dirty),
+        cleaning,
+    )
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/eldercart/server/controller_node.py
+++ b/src/eldercart/server/controller_node.py
@@ -156,9 +156,12 @@
         self._load_due = Steady(now + LOAD_LOG_S)
         log.info(
             "load role=%s cpu=%.2f lag_ms=%.0f workers=%d %s",
-            self.election.role.value, cpu - self._cpu, self.lag * 1000,
-            self.relay_service.relay.machines, self.meters.line(),
-        )  # fmt: skip
+            self.election.role.value,
+            cpu - self._cpu,
+            self.lag * 1000,
+            self.relay_service.relay.machines,
+            self.meters.line(),
+        )
         self._cpu = cpu
 
     # -- what a part learns and the others must know
--- a/src/eldercart/server/http/client.py
+++ b/src/eldercart/server/http/client.py
@@ -101,9 +101,14 @@
 
 
 def _send(
-    agent: Agent, method: bytes, uri: bytes, body: bytes | None, timeout: float, answer: Answer,
+    agent: Agent,
+    method: bytes,
+    uri: bytes,
+    body: bytes | None,
+    timeout: float,
+    answer: Answer,
     extra: dict[bytes, list[bytes]] | None = None,
-) -> None:  # fmt: skip
+) -> None:
     producer = None if body is None else _WholeBody(body)
     headers = Headers((_HEADERS if body is not None else {}) | (extra or {}))
     d: Deferred[Any] = agent.request(method, uri, headers, producer)
--- a/src/eldercart/server/leadership/leader_service.py
+++ b/src/eldercart/server/leadership/leader_service.py
@@ -90,14 +90,23 @@
             node.take_types(item)
         self.catalog.stored = self.catalog.exists = bool(records.catalog)
         controller = Controller(
-            node.settings, node.tuning, epoch, dict(node.types), now, WallTime(time.time()),
+            node.settings,
+            node.tuning,
+            epoch,
+            dict(node.types),
+            now,
+            WallTime(time.time()),
             node.incarnation,
-        )  # fmt: skip
+        )
         resolved = resolve_all(records.jobs, records.dependency_lists)
         controller.load(
-            resolved.whole, records.placements, records.cleanup_markers, now,
-            records.memory_records, resolved.missing,
-        )  # fmt: skip
+            resolved.whole,
+            records.placements,
+            records.cleanup_markers,
+            now,
+            records.memory_records,
+            resolved.missing,
+        )
         gc.collect()
         gc.freeze()
         if node.duties is not None:
--- a/src/eldercart/server/leadership/worker_requests.py
+++ b/src/eldercart/server/leadership/worker_requests.py
@@ -61,9 +61,14 @@
         self._ask(controller, order.machine, order.address, "/orders", body, told)
 
     def _ask(
-        self, controller: Controller, machine: MachineId, address: str, path: str,
-        body: bytes | None, told: Callable[[int, workers.Report], None],
-    ) -> None:  # fmt: skip
+        self,
+        controller: Controller,
+        machine: MachineId,
+        address: str,
+        path: str,
+        body: bytes | None,
+        told: Callable[[int, workers.Report], None],
+    ) -> None:
         """`told(status, report)` if that machine answers with its report."""
 
         def got(status: int | None, data: bytes) -> None:
--- a/src/eldercart/server/peers/connections.py
+++ b/src/eldercart/server/peers/connections.py
@@ -27,10 +27,11 @@
     peer: NodeId | None = None  # by its own word
 
     def __init__(
-        self, frame: Callable[["Channel", dict[str, Any]], None],
+        self,
+        frame: Callable[["Channel", dict[str, Any]], None],
         made: Callable[["Channel"], None] | None = None,
         lost: Callable[["Channel"], None] | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`frame` gets each message; `made` and `lost` are told of the connection's state."""
         self._frame = frame
         self._made = made
@@ -75,9 +76,13 @@
     """Keeps a connection to one peer; what is sent while there is none is lost."""
 
     def __init__(
-        self, label: NodeId, endpoint: Endpoint, frame: Callable[["Link", dict[str, Any]], None],
-        down: Callable[["Link"], None], clock: Callable[[], Steady],
-    ) -> None:  # fmt: skip
+        self,
+        label: NodeId,
+        endpoint: Endpoint,
+        frame: Callable[["Link", dict[str, Any]], None],
+        down: Callable[["Link"], None],
+        clock: Callable[[], Steady],
+    ) -> None:
         """Not connected; `frame` gets each message, `down` is called when a connection is lost."""
         self.label = label
         self._endpoint = endpoint
@@ -160,9 +165,11 @@
     noisy = False
 
     def __init__(
-        self, frame: Callable[[Channel, dict[str, Any]], None], lost: Callable[[Channel], None],
+        self,
+        frame: Callable[[Channel, dict[str, Any]], None],
+        lost: Callable[[Channel], None],
         most: int,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """Accepts `most` connections at once; `frame` and `lost` as of `Channel`."""
         self._frame = frame
         self._lost = lost
--- a/src/eldercart/server/peers/peer_heartbeats.py
+++ b/src/eldercart/server/peers/peer_heartbeats.py
@@ -35,9 +35,13 @@
     """Greets the peers, answers their greetings, and keeps what both tell."""
 
     def __init__(
-        self, node: "Node", relay: Relay, links: Mapping[NodeId, Link], numbers: "Iterator[int]",
+        self,
+        node: "Node",
+        relay: Relay,
+        links: Mapping[NodeId, Link],
+        numbers: "Iterator[int]",
         spare_s: float,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`numbers`: of frames, never the same twice; `spare_s`: see `core.relay.spare_s`."""
         self._node = node
         self._relay = relay
@@ -108,9 +112,12 @@
         label = node.settings.label
         # Counted from the asking: what a peer said may have waited here while this node slept.
         since = contact(
-            node.election.lease_confirmed_at, node.election.lease_until,
-            [link.answered for link in self._links.values()], self._spare_s, now,
-        )  # fmt: skip
+            node.election.lease_confirmed_at,
+            node.election.lease_until,
+            [link.answered for link in self._links.values()],
+            self._spare_s,
+            now,
+        )
         self._share_out(now)
         mine = self._share_of(label)
         self._relay.granted(node.election.epoch, label, since, now, mine.most, mine.spare)
--- a/src/eldercart/server/peers/relay_service.py
+++ b/src/eldercart/server/peers/relay_service.py
@@ -165,6 +165,8 @@
         log.warning(
             "cancel_s=%g leaves nothing beyond lease_s=%g and two grants of %g s: "
             "in an outage leases end as soon as one node is not heard",
-            settings.cancel_s, settings.lease_s, grant_s,
-        )  # fmt: skip
+            settings.cancel_s,
+            settings.lease_s,
+            grant_s,
+        )
     return spare
--- a/src/eldercart/server/singleton/catalog_refresh.py
+++ b/src/eldercart/server/singleton/catalog_refresh.py
@@ -57,9 +57,12 @@
             self._over(AGAIN_S)
             return
         self._client.request(
-            b"GET", "/catalog", None, ANSWER_S,
+            b"GET",
+            "/catalog",
+            None,
+            ANSWER_S,
             lambda status, body: self._got_offered(token, item, status, body),
-        )  # fmt: skip
+        )
 
     def _got_offered(
         self, token: Token, stored: Item | None, status: int | None, body: bytes
--- a/src/eldercart/server/singleton/gated_cloud_requests.py
+++ b/src/eldercart/server/singleton/gated_cloud_requests.py
@@ -85,9 +85,13 @@
         return path is Path.DIRECT or (path is Path.RECORDED and gate.has_room(duty))
 
     def _process(
-        self, controller: Controller, gate: CloudGate, cloud_calls: CloudCalls,
-        routes: dict[DutyName, Route], now: Steady,
-    ) -> None:  # fmt: skip
+        self,
+        controller: Controller,
+        gate: CloudGate,
+        cloud_calls: CloudCalls,
+        routes: dict[DutyName, Route],
+        now: Steady,
+    ) -> None:
         store = self._node.store
         # From the same reserve as placements nothing would be left on a busy day: those take all
         # that is above it at each turn of the loop, and nothing would be rented or returned.
@@ -139,8 +143,10 @@
             if outcome is not WriteOutcome.DONE:
                 log.info(
                     "intents not written duty=%s outcome=%s failed=%s",
-                    duty, outcome.value, failed,
-                )  # fmt: skip
+                    duty,
+                    outcome.value,
+                    failed,
+                )
             if holder_key(duty) in failed:
                 self._duties.disproved()
             gate.written(duty, write, outcome, revision, self._node.clock())
--- a/src/eldercart/server/singleton/lease_service.py
+++ b/src/eldercart/server/singleton/lease_service.py
@@ -69,9 +69,14 @@
         self.prefixes = (INTENTS,)  # that a new leader reads
         self.announcements = tuple(announcement(duty) for duty in features.on)
         self.membership = DutyMembership(
-            node.settings.label, node.incarnation, features.on, features.lease_s,
-            node.tuning.drift_margin, features.hand_over_s, features.stay_s,
-        )  # fmt: skip
+            node.settings.label,
+            node.incarnation,
+            features.on,
+            features.lease_s,
+            node.tuning.drift_margin,
+            features.hand_over_s,
+            features.stay_s,
+        )
         self.calendar = _calendar(features.maintenance)
         self.calls = DutyCalls(self)
         self.requests = DutyRequests(self)
--- a/src/eldercart/singleton/write_ahead_gate.py
+++ b/src/eldercart/singleton/write_ahead_gate.py
@@ -121,9 +121,13 @@
             log.finished(name, now)
 
     def written(
-        self, duty: DutyName, write: IntentWrite, outcome: WriteOutcome, revision: Revision,
+        self,
+        duty: DutyName,
+        write: IntentWrite,
+        outcome: WriteOutcome,
+        revision: Revision,
         now: Steady,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """The outcome of a write of the duty's record."""
         self.logs[duty].written(write, outcome, revision, now)
 
--- a/src/eldercart/wire/cloud.py
+++ b/src/eldercart/wire/cloud.py
@@ -95,10 +95,17 @@
 
 def _breed(t: MachineType) -> dict[str, Any]:
     return {
-        "sku": t.name, "cpus": t.cpus, "accelerators": t.gpus, "memGb": t.memory_gb,
-        "localGb": t.cache_gb, "pullGbPerS": t.fetch_gb_per_s, "rate": t.price,
-        "lowPrice": t.spot_price, "readyS": t.boot_s, "yards": list(t.zones),
-    }  # fmt: skip
+        "sku": t.name,
+        "cpus": t.cpus,
+        "accelerators": t.gpus,
+        "memGb": t.memory_gb,
+        "localGb": t.cache_gb,
+        "pullGbPerS": t.fetch_gb_per_s,
+        "rate": t.price,
+        "lowPrice": t.spot_price,
+        "readyS": t.boot_s,
+        "yards": list(t.zones),
+    }
 
 
 def rent_body(request: str, type_: str, zone: str, spot: bool, number: int) -> bytes:
--- a/src/eldercart/wire/named_leases.py
+++ b/src/eldercart/wire/named_leases.py
@@ -151,9 +151,13 @@
     if isinstance(intent, ReturnIntent):
         return {"n": intent.name, "t": intent.at}
     return {
-        "n": intent.name, "t": intent.at, "k": intent.type, "z": intent.zone,
-        "s": intent.spot, "c": intent.number,
-    }  # fmt: skip
+        "n": intent.name,
+        "t": intent.at,
+        "k": intent.type,
+        "z": intent.zone,
+        "s": intent.spot,
+        "c": intent.number,
+    }
 
 
 def intent_bytes(intent: Intent) -> int:
@@ -177,9 +181,13 @@
 
 def _parse_rental(obj: dict[str, Any]) -> Intent:
     return RentalIntent(
-        text(obj, "n"), WallTime(amount(obj, "t")), text(obj, "k"), text(obj, "z"),
-        flag(obj, "s"), count(obj, "c", 1),
-    )  # fmt: skip
+        text(obj, "n"),
+        WallTime(amount(obj, "t")),
+        text(obj, "k"),
+        text(obj, "z"),
+        flag(obj, "s"),
+        count(obj, "c", 1),
+    )
 
 
 def _parse_return(obj: dict[str, Any]) -> Intent:
--- a/src/eldercart/wire/peers.py
+++ b/src/eldercart/wire/peers.py
@@ -129,10 +129,19 @@
     """The frame of a greeting."""
     heard = [[m, o.session, o.sequence] for m, o in g.heard]
     return orjson.dumps(
-        {"k": GREET, "from": g.sender, "n": g.number, "epoch": g.epoch, "store": g.store_ok,
-         "machines": g.machines, "short": g.short, "heard": heard,
-         "takes": g.takes, "low": g.low_ms}
-    )  # fmt: skip
+        {
+            "k": GREET,
+            "from": g.sender,
+            "n": g.number,
+            "epoch": g.epoch,
+            "store": g.store_ok,
+            "machines": g.machines,
+            "short": g.short,
+            "heard": heard,
+            "takes": g.takes,
+            "low": g.low_ms,
+        }
+    )
 
 
 def parse_greet(frame: dict[str, Any]) -> Greet:
@@ -145,30 +154,52 @@
     except (TypeError, ValueError):
         raise Malformed("heard") from None
     return Greet(
-        NodeId(text(frame, "from")), count(frame, "n"), Epoch(count(frame, "epoch")),
-        frame.get("store") is True, count(frame, "machines"), count(frame, "short"), orders,
-        _takes(frame), _low(frame),
-    )  # fmt: skip
+        NodeId(text(frame, "from")),
+        count(frame, "n"),
+        Epoch(count(frame, "epoch")),
+        frame.get("store") is True,
+        count(frame, "machines"),
+        count(frame, "short"),
+        orders,
+        _takes(frame),
+        _low(frame),
+    )
 
 
 def greeted(g: Greeted) -> bytes:
     """The frame of an answer to a greeting."""
     return orjson.dumps(
-        {"k": GREETED, "n": g.number, "epoch": g.epoch, "leads": g.leads, "store": g.store_ok,
-         "most": g.most, "spare": g.spare, "lent": g.lent, "takes": g.takes, "low": g.low_ms,
-         "ready": g.ready}
-    )  # fmt: skip
+        {
+            "k": GREETED,
+            "n": g.number,
+            "epoch": g.epoch,
+            "leads": g.leads,
+            "store": g.store_ok,
+            "most": g.most,
+            "spare": g.spare,
+            "lent": g.lent,
+            "takes": g.takes,
+            "low": g.low_ms,
+            "ready": g.ready,
+        }
+    )
 
 
 def parse_greeted(frame: dict[str, Any]) -> Greeted:
     """An answer to a greeting, also of an earlier version."""
     spare = frame.get("spare")
     return Greeted(
-        count(frame, "n"), Epoch(count(frame, "epoch")), frame.get("leads") is True,
-        frame.get("store") is True, count(frame, "most"),
-        NodeId(spare) if isinstance(spare, str) else None, count(frame, "lent"),
-        _takes(frame), _low(frame), frame.get("ready") is not False,  # 0.3 does not say
-    )  # fmt: skip
+        count(frame, "n"),
+        Epoch(count(frame, "epoch")),
+        frame.get("leads") is True,
+        frame.get("store") is True,
+        count(frame, "most"),
+        NodeId(spare) if isinstance(spare, str) else None,
+        count(frame, "lent"),
+        _takes(frame),
+        _low(frame),
+        frame.get("ready") is not False,  # 0.3 does not say
+    )
 
 
 def batches(items: list[tuple[int, bytes]]) -> Iterator[list[tuple[int, bytes]]]:
@@ -276,8 +307,11 @@
     """The answers to polls, or to a cancellation."""
     return [
         JobReply(
-            count(i, "n"), text(i, "v"), count(i, "d"), count(i, "r"),
+            count(i, "n"),
+            text(i, "v"),
+            count(i, "d"),
+            count(i, "r"),
             texts(i, "w") if i.get("w") is not None else (),
         )
         for i in objects(frame, "i")
-    ]  # fmt: skip
+    ]
--- a/src/eldercart/wire/users.py
+++ b/src/eldercart/wire/users.py
@@ -121,10 +121,25 @@
 
 
 _STORED = (
-    "klass", "team", "priority", "tasks", "cpus", "gpus", "memory_gb", "image", "image_gb",
-    "types", "zone", "together", "spread", "spot", "estimate_s", "checkpoint_s", "save_s",
+    "klass",
+    "team",
+    "priority",
+    "tasks",
+    "cpus",
+    "gpus",
+    "memory_gb",
+    "image",
+    "image_gb",
+    "types",
+    "zone",
+    "together",
+    "spread",
+    "spot",
+    "estimate_s",
+    "checkpoint_s",
+    "save_s",
     "deadline_s",
-)  # fmt: skip
+)
 
 
 def spec_to_record(spec: JobSpec, elsewhere: ListReference | None = None) -> list[Any]:
