--- a/src/eldercart/cli/__init__.py
+++ b/src/eldercart/cli/__init__.py
@@ -7,19 +7,19 @@
 from typing import TYPE_CHECKING
 
 from eldercart import __version__
-from eldercart.settings import BadSettings, load_platform, load_tuning
+from eldercart.settings import InvalidSettings, load_platform, load_tuning
 
 if TYPE_CHECKING:
     from eldercart.settings.features import Features
 
 EXIT_USAGE = 2
 TUNING_VARIABLE = "ELDERCART_SETTINGS"
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
 def set_up_logging() -> None:
     """To standard error, at the level that LOG_LEVEL names."""
-    level = LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO)
+    level = LOG_LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO)
     logging.basicConfig(
         stream=sys.stderr, level=level, format="%(levelname).1s %(name)s: %(message)s"
     )
@@ -46,7 +46,7 @@
     command.add_argument("--timeout", type=float, default=60.0, help="seconds to try for")
 
 
-def parser() -> argparse.ArgumentParser:
+def build_parser() -> argparse.ArgumentParser:
     """All commands with their options."""
     whole = argparse.ArgumentParser(prog="eldercart", description="A cluster scheduler.")
     whole.add_argument("--version", action="version", version=__version__)
@@ -69,11 +69,13 @@
         command = commands.add_parser(name, help=text)
         _add_client_options(command)
         command.add_argument("job", help="the job's id")
-    _add_duties(commands.add_parser("duties", help="who holds which duty, and commands on that"))
+    _add_duties_commands(
+        commands.add_parser("duties", help="who holds which duty, and commands on that")
+    )
     return whole
 
 
-def _add_duties(duties: argparse.ArgumentParser) -> None:
+def _add_duties_commands(duties: argparse.ArgumentParser) -> None:
     commands = duties.add_subparsers(dest="duties_command", required=True)
     _add_client_options(commands.add_parser("list", help="all duties, a line each"))
     for name, text in (
@@ -93,7 +95,7 @@
 
 def main(argv: list[str] | None = None) -> int:
     """Runs one command; returns its exit status."""
-    args = parser().parse_args(argv)
+    args = build_parser().parse_args(argv)
     set_up_logging()
     if args.command in ("serve", "check-settings"):
         return _run_node(args)
@@ -112,13 +114,13 @@
         settings = load_platform(args.config)
         tuning = load_tuning(args.settings)
         features = None if args.features is None else _load_features(args.features)
-    except BadSettings as err:
+    except InvalidSettings as err:
         print(err, file=sys.stderr)
         return EXIT_USAGE
     if args.command == "check-settings":
         print("settings are fine")
         if features is not None:
-            print("features:", _describe(features))
+            print("features:", _feature_summary(features))
         return 0
     from eldercart.cli.serve import serve
 
@@ -132,7 +134,7 @@
     return load_features(path)
 
 
-def _describe(features: "Features") -> str:
+def _feature_summary(features: "Features") -> str:
     if features.duties is None:
         return "none"
     return "duties " + " ".join(features.duties.on)
--- a/src/eldercart/cli/client.py
+++ b/src/eldercart/cli/client.py
@@ -11,25 +11,25 @@
 
 import orjson
 
-from eldercart.wire import Malformed
-from eldercart.wire.checks import load_answer
-from eldercart.wire.users import parse_submission, valid_job_id
+from eldercart.wire import MalformedMessage
+from eldercart.wire.checks import load_response
+from eldercart.wire.users import is_valid_job_id, parse_submission
 
-EXIT_OK, EXIT_REFUSED, EXIT_USAGE, EXIT_UNREACHABLE = 0, 1, 2, 3
+EXIT_OK, EXIT_REJECTED, EXIT_USAGE, EXIT_UNREACHABLE = 0, 1, 2, 3
 
-TAKEN = (200, 201)
-REFUSED = (400, 404, 405, 409, 422)  # not retried
-NO_ANSWER = 0
-TIMEOUT_S = 5.0  # of one try
-LEAST_PAUSE_S, MOST_PAUSE_S = 1.0, 30.0
+ACCEPTED_STATUSES = (200, 201)
+REJECTED_STATUSES = (400, 404, 405, 409, 422)  # not retried
+NO_RESPONSE = 0
+ATTEMPT_TIMEOUT_S = 5.0  # of one try
+MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = 1.0, 30.0
 
 
-class BadUsage(Exception):
+class UsageError(Exception):
     """What the user got wrong, before anything is sent."""
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
+class Request:
     """A request about one job."""
 
     job: str
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class Response:
     """A node's answer; `status` NO_ANSWER if there was none."""
 
     status: int
@@ -50,64 +50,64 @@
 def run(args: argparse.Namespace) -> int:
     """Carries out the command; returns the exit status."""
     try:
-        call = _submission(args) if args.command == "submit" else _question(args)
-    except BadUsage as err:
+        call = _submit_request(args) if args.command == "submit" else _job_request(args)
+    except UsageError as err:
         print(f"eldercart: {err}", file=sys.stderr)
         return EXIT_USAGE
-    reply = send_until_answered(args.server, call, args.timeout)
-    return _show(args.json, call.job, reply)
+    reply = send_with_retries(args.server, call, args.timeout)
+    return _print_result(args.json, call.job, reply)
 
 
-def _submission(args: argparse.Namespace) -> Call:
-    body = _read(args.file)
+def _submit_request(args: argparse.Namespace) -> Request:
+    body = _read_file(args.file)
     try:
         if args.awaits:
             body = _with_awaits(body, args.awaits)
-        spec = parse_submission(load_answer(body))
-    except Malformed as err:
-        raise BadUsage(f"the job is malformed: {err}") from None
-    return Call(spec.id, "POST", "/work", body)
+        spec = parse_submission(load_response(body))
+    except MalformedMessage as err:
+        raise UsageError(f"the job is malformed: {err}") from None
+    return Request(spec.id, "POST", "/work", body)
 
 
-def _read(file: str) -> bytes:
+def _read_file(file: str) -> bytes:
     try:
         return sys.stdin.buffer.read() if file == "-" else Path(file).read_bytes()
     except OSError as err:
-        raise BadUsage(f"{file}: {err.strerror}") from None
+        raise UsageError(f"{file}: {err.strerror}") from None
 
 
-def _question(args: argparse.Namespace) -> Call:
+def _job_request(args: argparse.Namespace) -> Request:
     job: str = args.job
-    if not valid_job_id(job):
-        raise BadUsage(f"not a job id: {job}")
+    if not is_valid_job_id(job):
+        raise UsageError(f"not a job id: {job}")
     if args.command == "cancel":
-        return Call(job, "POST", f"/work/{job}/cancel", b"{}")
-    return Call(job, "GET", f"/work/{job}", None)
+        return Request(job, "POST", f"/work/{job}/cancel", b"{}")
+    return Request(job, "GET", f"/work/{job}", None)
 
 
-def send_until_answered(server: str, call: Call, limit_s: float) -> Reply:
+def send_with_retries(server: str, call: Request, limit_s: float) -> Response:
     """Tries until an answer is final or the time is over."""
     end = time.monotonic() + limit_s
     while True:
         reply = _send(server, call)
-        pause = max(LEAST_PAUSE_S, min(MOST_PAUSE_S, reply.retry_after_s))
-        if reply.status in TAKEN + REFUSED or time.monotonic() + pause > end:
+        pause = max(MIN_RETRY_PAUSE_S, min(MAX_RETRY_PAUSE_S, reply.retry_after_s))
+        if reply.status in ACCEPTED_STATUSES + REJECTED_STATUSES or time.monotonic() + pause > end:
             return reply
         time.sleep(pause)
 
 
-def _send(server: str, call: Call) -> Reply:
+def _send(server: str, call: Request) -> Response:
     headers = {"Content-Type": "application/json"}
     try:
-        connection = http.client.HTTPConnection(server, timeout=TIMEOUT_S)
+        connection = http.client.HTTPConnection(server, timeout=ATTEMPT_TIMEOUT_S)
         with contextlib.closing(connection):
             connection.request(call.method, call.path, call.body, headers)
             response = connection.getresponse()
             body = response.read()
-            return Reply(response.status, body, _retry_after(response))
+            return Response(response.status, body, _retry_after(response))
     except (OSError, http.client.HTTPException, ValueError) as err:
         print(f"eldercart: {server}: {err}", file=sys.stderr)
-        return Reply(NO_ANSWER, b"", 0.0)
+        return Response(NO_RESPONSE, b"", 0.0)
 
 
 def _retry_after(response: http.client.HTTPResponse) -> float:
@@ -119,14 +119,14 @@
 
 
 def _with_awaits(raw: bytes, jobs: list[str]) -> bytes:
-    submission = load_answer(raw)
+    submission = load_response(raw)
     named = submission.get("awaits")
     if named is not None and not isinstance(named, list):
-        raise Malformed("awaits")
+        raise MalformedMessage("awaits")
     return orjson.dumps({**submission, "awaits": [*(named or []), *jobs]})
 
 
-def _reason(answer: dict[str, Any]) -> str:
+def _waiting_reason(answer: dict[str, Any]) -> str:
     """Why it waits, if the answer tells: jobs, or a text."""
     for field in ("awaits", "waiting"):
         why = answer.get(field)
@@ -137,24 +137,24 @@
     return ""
 
 
-def _show(as_json: bool, job: str, reply: Reply) -> int:
+def _print_result(as_json: bool, job: str, reply: Response) -> int:
     answer: dict[str, Any] = {}
-    with contextlib.suppress(Malformed):
-        answer = load_answer(reply.body) if reply.body else {}
+    with contextlib.suppress(MalformedMessage):
+        answer = load_response(reply.body) if reply.body else {}
     if as_json:
         print(orjson.dumps({"status": reply.status, **answer}).decode())
-    elif reply.status in TAKEN:
+    elif reply.status in ACCEPTED_STATUSES:
         print(_summary(job, answer))
     else:
         error = answer.get("error") or "no answer"
         print(f"{job}: {error} ({reply.status})", file=sys.stderr)
-    if reply.status in TAKEN:
+    if reply.status in ACCEPTED_STATUSES:
         return EXIT_OK
-    return EXIT_REFUSED if reply.status in REFUSED else EXIT_UNREACHABLE
+    return EXIT_REJECTED if reply.status in REJECTED_STATUSES else EXIT_UNREACHABLE
 
 
 def _summary(job: str, answer: dict[str, Any]) -> str:
     text = f"{job}: {answer.get('standing')}"
     if "done" in answer:
         text += f", {answer['done']} done, {answer.get('running')} running"
-    return text + _reason(answer)
+    return text + _waiting_reason(answer)
--- a/src/eldercart/cli/duties.py
+++ b/src/eldercart/cli/duties.py
@@ -9,84 +9,92 @@
 
 from eldercart.cli.client import (
     EXIT_OK,
-    EXIT_REFUSED,
+    EXIT_REJECTED,
     EXIT_UNREACHABLE,
-    NO_ANSWER,
-    Call,
-    Reply,
-    send_until_answered,
+    NO_RESPONSE,
+    Request,
+    Response,
+    send_with_retries,
 )
-from eldercart.wire import Malformed
-from eldercart.wire.checks import load_answer
-from eldercart.wire.named_leases import hand_over_request, pause_request
+from eldercart.wire import MalformedMessage
+from eldercart.wire.checks import load_response
+from eldercart.wire.named_leases import encode_hand_over_request, encode_pause_request
 
-TAKEN = 200
-NOT_THERE = "no such path"  # what a node without duties says
+ACCEPTED = 200
+UNKNOWN_PATH_ERROR = "no such path"  # what a node without duties says
 
 
 def run(args: argparse.Namespace) -> int:
     """Carries out the command; returns the exit status."""
-    call = _call(args)
-    reply = send_until_answered(args.server, call, args.timeout)
-    answer = _answer(reply)
-    if reply.status != TAKEN:
-        print(f"eldercart: {_complaint(args, reply, answer)}", file=sys.stderr)
-        waits = reply.status in (NO_ANSWER, 429) or reply.status >= 500
-        return EXIT_UNREACHABLE if waits else EXIT_REFUSED
+    call = _build_call(args)
+    reply = send_with_retries(args.server, call, args.timeout)
+    answer = _parse_answer(reply)
+    if reply.status != ACCEPTED:
+        print(f"eldercart: {_error_message(args, reply, answer)}", file=sys.stderr)
+        waits = reply.status in (NO_RESPONSE, 429) or reply.status >= 500
+        return EXIT_UNREACHABLE if waits else EXIT_REJECTED
     if args.json:
         print(orjson.dumps(answer).decode())
     else:
-        print("\n".join(_lines(args, answer)))
+        print("\n".join(_format_lines(args, answer)))
     return EXIT_OK
 
 
-def _call(args: argparse.Namespace) -> Call:
+def _build_call(args: argparse.Namespace) -> Request:
     match args.duties_command:
         case "list":
-            return Call("duties", "GET", "/duties", None)
+            return Request("duties", "GET", "/duties", None)
         case "show":
-            return Call(args.duty, "GET", f"/duties/{args.duty}", None)
+            return Request(args.lease_name, "GET", f"/duties/{args.lease_name}", None)
         case "hand-over":
-            return Call(
-                args.duty, "POST", f"/duties/{args.duty}/hand-over", hand_over_request(args.to)
+            return Request(
+                args.lease_name,
+                "POST",
+                f"/duties/{args.lease_name}/hand-over",
+                encode_hand_over_request(args.to),
             )
         case "pause":
-            return Call(args.duty, "POST", f"/duties/{args.duty}/pause", pause_request(args.reason))
+            return Request(
+                args.lease_name,
+                "POST",
+                f"/duties/{args.lease_name}/pause",
+                encode_pause_request(args.reason),
+            )
         case _:
-            return Call(args.duty, "POST", f"/duties/{args.duty}/resume", b"{}")
+            return Request(args.lease_name, "POST", f"/duties/{args.lease_name}/resume", b"{}")
 
 
-def _answer(reply: Reply) -> dict[str, Any]:
+def _parse_answer(reply: Response) -> dict[str, Any]:
     try:
-        return load_answer(reply.body) if reply.body else {}
-    except Malformed:
+        return load_response(reply.body) if reply.body else {}
+    except MalformedMessage:
         return {}
 
 
-def _complaint(args: argparse.Namespace, reply: Reply, answer: dict[str, Any]) -> str:
-    if reply.status == NO_ANSWER:
+def _error_message(args: argparse.Namespace, reply: Response, answer: dict[str, Any]) -> str:
+    if reply.status == NO_RESPONSE:
         return f"{args.server}: no answer"
     error = answer.get("error")
-    if error == NOT_THERE:
+    if error == UNKNOWN_PATH_ERROR:
         error = f"{args.server} runs without duties: they are off there, or its version is older"
     return f"{error or 'no reason given'} ({reply.status})"
 
 
-def _lines(args: argparse.Namespace, answer: dict[str, Any]) -> list[str]:
+def _format_lines(args: argparse.Namespace, answer: dict[str, Any]) -> list[str]:
     match args.duties_command:
         case "list":
-            return [_row(report) for report in answer.get("duties", [])]
+            return [_format_row(report) for report in answer.get("duties", [])]
         case "show":
-            return _details(answer)
+            return _format_details(answer)
         case "hand-over":
-            return [f"{args.duty}: is being handed over to {args.to}"]
+            return [f"{args.lease_name}: is being handed over to {args.to}"]
         case "pause":
-            return [f"{args.duty}: paused"]
+            return [f"{args.lease_name}: paused"]
         case _:
-            return [f"{args.duty}: resumed"]
+            return [f"{args.lease_name}: resumed"]
 
 
-def _row(report: dict[str, Any]) -> str:
+def _format_row(report: dict[str, Any]) -> str:
     duty = f"{report.get('duty')!s:<8}"
     if report.get("holder") is None:
         return f"{duty} held by nobody: {report.get('why')}"
@@ -102,28 +110,31 @@
     return text
 
 
-def _details(report: dict[str, Any]) -> list[str]:
-    lines = [_row(report), f"  held by: {_AFFINITIES.get(str(report.get('affinity')), '?')}"]
+def _format_details(report: dict[str, Any]) -> list[str]:
+    lines = [
+        _format_row(report),
+        f"  held by: {_AFFINITY_LABELS.get(str(report.get('affinity')), '?')}",
+    ]
     if "paused" in report:
         paused = report["paused"]
-        lines.append(f"  paused since {_time(paused['since'])}: {paused['reason'] or '-'}")
+        lines.append(f"  paused since {_format_time(paused['since'])}: {paused['reason'] or '-'}")
     window = report.get("window")
     if window is not None:
-        lines.append(f"  maintenance window: {_window(window)}")
+        lines.append(f"  maintenance window: {_format_window(window)}")
     elif "window" in report:
         lines.append("  maintenance window: always open")
     return lines
 
 
-_AFFINITIES = {"leader": "the leader", "any": "any node"}
+_AFFINITY_LABELS = {"leader": "the leader", "any": "any node"}
 
 
-def _window(window: dict[str, Any]) -> str:
+def _format_window(window: dict[str, Any]) -> str:
     if window["opens"] is None:
         return "none within a year"
-    span = f"{_time(window['opens'])} to {_time(window['closes'])}"
+    span = f"{_format_time(window['opens'])} to {_format_time(window['closes'])}"
     return f"open, {span}" if window["open"] else f"next {span}"
 
 
-def _time(at: float) -> str:
+def _format_time(at: float) -> str:
     return datetime.fromtimestamp(at).astimezone().isoformat(timespec="minutes")
--- a/src/eldercart/cli/serve.py
+++ b/src/eldercart/cli/serve.py
@@ -6,7 +6,7 @@
 from twisted.internet import reactor as _reactor
 from twisted.python.log import PythonLoggingObserver
 
-from eldercart.server.controller_node import Node
+from eldercart.server.controller_node import ControllerNode
 from eldercart.settings import NodeSettings, Tuning
 
 if TYPE_CHECKING:
@@ -17,9 +17,9 @@
     """Runs the node; returns the exit status when the loop ends."""
     reactor: Any = _reactor
     PythonLoggingObserver("twisted").start()
-    node = Node(settings, tuning, features)
+    node = ControllerNode(settings, tuning, features)
     reactor.callWhenRunning(node.start)
-    node.ending.install()
+    node.graceful_shutdown.install_signal_handler()
     # What was imported stays: the collector need not look at it again.
     gc.collect()
     gc.freeze()
--- a/src/eldercart/cluster/health.py
+++ b/src/eldercart/cluster/health.py
@@ -7,17 +7,20 @@
 
 from statistics import median
 
-from eldercart.cluster.inventory import Machine, Pace
+from eldercart.cluster.inventory import Machine, RunTimeRatio
 from eldercart.jobs.registry import Job, Placement
-from eldercart.units import Steady
-
-SLOW_FACTOR = 1.8  # mean run time against the jobs' own medians
-SLOW_TASKS, SLOW_JOBS = 5, 2  # tasks of one job differ by a factor of three: one proves nothing
-STRAGGLER_FACTOR = 3.0
+from eldercart.units import MonotonicTime
+
+SLOW_RUN_TIME_RATIO = 1.8  # mean run time against the jobs' own medians
+SLOW_MIN_TASKS, SLOW_MIN_JOBS = (
+    5,
+    2,
+)  # tasks of one job differ by a factor of three: one proves nothing
+STRAGGLER_RUN_TIME_RATIO = 3.0
 MAX_BACKOFF_S = 30.0
-GOOD_TASKS = 3  # in a row, after which earlier failures count no more
-PACES_KEPT = 12  # of the last tasks on a machine
-RUNS_KNOWN = 3  # run times of a job before one more is compared with them
+SUCCESSES_TO_CLEAR_FAILURES = 3  # in a row, after which earlier failures count no more
+MAX_RUN_TIME_RATIOS = 12  # of the last tasks on a machine
+MIN_KNOWN_RUN_TIMES = 3  # run times of a job before one more is compared with them
 
 
 class Responsiveness:
@@ -28,19 +31,22 @@
 
     def __init__(self, answers: int, least_s: float) -> None:
         """So many answers without effect condemn, if they span `least_s` seconds."""
-        self._answers = answers
-        self._least = least_s
+        self._min_ignored_responses = answers
+        self._min_duration_s = least_s
 
-    def ignored(self, m: Machine, now: Steady) -> bool:
+    def record_ignored_response(self, m: Machine, now: MonotonicTime) -> bool:
         """An answer that may have arrived had no effect; returns whether that is enough."""
-        if m.ignored_answers == 0:
+        if m.ignored_responses == 0:
             m.ignored_since = now
-        m.ignored_answers += 1
-        return m.ignored_answers >= self._answers and now - m.ignored_since >= self._least
+        m.ignored_responses += 1
+        return (
+            m.ignored_responses >= self._min_ignored_responses
+            and now - m.ignored_since >= self._min_duration_s
+        )
 
-    def obeyed(self, m: Machine) -> None:
+    def record_executed_command(self, m: Machine) -> None:
         """Something that the machine was told has had its effect."""
-        m.ignored_answers = 0
+        m.ignored_responses = 0
 
 
 class Health:
@@ -49,47 +55,56 @@
     def __init__(self, quarantine_jobs: int, error_backoff_s: float) -> None:
         """Failed tasks of `quarantine_jobs` jobs condemn a machine; a failing job waits for
         `error_backoff_s` seconds, and longer with each failure."""
-        self._jobs = quarantine_jobs
-        self._backoff = error_backoff_s
+        self._cordon_failed_jobs = quarantine_jobs
+        self._error_backoff_s = error_backoff_s
 
-    def task_failed(self, m: Machine, job: Job, now: Steady) -> bool:
+    def record_task_failure(self, m: Machine, job: Job, now: MonotonicTime) -> bool:
         """Returns whether the machine is to be taken out."""
-        m.failed_jobs.add(job.id)
-        m.good_since_fault = 0
-        job.avoid(m.id, now)
-        job.errors += 1
+        m.failed_job_ids.add(job.id)
+        m.successes_since_failure = 0
+        job.avoid_machine(m.id, now)
+        job.error_count += 1
         if job.done_count:
             # It runs well elsewhere: the fault is the machine's, so the job need not wait.
             return True
-        pause = min(MAX_BACKOFF_S, self._backoff * 2 ** min(job.errors - 1, 8))
-        if len(job.bad_machines) > 1:
-            job.backoff_until = Steady(now + pause)
-        return len(m.failed_jobs) >= self._jobs
+        pause = min(MAX_BACKOFF_S, self._error_backoff_s * 2 ** min(job.error_count - 1, 8))
+        if len(job.avoided_machines) > 1:
+            job.backoff_until = MonotonicTime(now + pause)
+        return len(m.failed_job_ids) >= self._cordon_failed_jobs
 
-    def task_done(self, m: Machine, job: Job, ran_s: float) -> bool:
+    def record_task_success(self, m: Machine, job: Job, ran_s: float) -> bool:
         """Returns whether the machine has proven slow over several jobs."""
-        m.good_since_fault += 1
-        if m.good_since_fault >= GOOD_TASKS:
-            m.failed_jobs.clear()
+        m.successes_since_failure += 1
+        if m.successes_since_failure >= SUCCESSES_TO_CLEAR_FAILURES:
+            m.failed_job_ids.clear()
         if ran_s <= 0:
             return False
-        slow = len(job.ran) >= RUNS_KNOWN and self._paced(m, job, ran_s / max(0.1, median(job.ran)))
-        job.note_run(ran_s)
+        slow = len(job.run_times_s) >= MIN_KNOWN_RUN_TIMES and self._record_run_time_ratio(
+            m, job, ran_s / max(0.1, median(job.run_times_s))
+        )
+        job.record_run_time(ran_s)
         return slow
 
-    def straggles(self, p: Placement, now: Steady) -> bool:
+    def is_straggler(self, p: Placement, now: MonotonicTime) -> bool:
         """Whether a running task has taken far longer than any other of its job did."""
         job = p.job
-        return len(job.ran) >= RUNS_KNOWN and now - p.since > STRAGGLER_FACTOR * job.longest + 5.0
+        return (
+            len(job.run_times_s) >= MIN_KNOWN_RUN_TIMES
+            and now - p.started_at > STRAGGLER_RUN_TIME_RATIO * job.longest_run_time_s + 5.0
+        )
 
-    def straggled(self, m: Machine, job: Job) -> bool:
+    def record_straggler(self, m: Machine, job: Job) -> bool:
         """A task was stopped as a straggler; returns whether the machine is to be taken out."""
-        return self._paced(m, job, STRAGGLER_FACTOR)
-
-    def _paced(self, m: Machine, job: Job, ratio: float) -> bool:
-        m.paces.append(Pace(job.id, ratio))
-        if len(m.paces) > PACES_KEPT:
-            del m.paces[0]
-        jobs = {pace.job for pace in m.paces}
-        mean = sum(pace.ratio for pace in m.paces) / len(m.paces)
-        return len(m.paces) >= SLOW_TASKS and len(jobs) >= SLOW_JOBS and mean > SLOW_FACTOR
+        return self._record_run_time_ratio(m, job, STRAGGLER_RUN_TIME_RATIO)
+
+    def _record_run_time_ratio(self, m: Machine, job: Job, ratio: float) -> bool:
+        m.run_time_ratios.append(RunTimeRatio(job.id, ratio))
+        if len(m.run_time_ratios) > MAX_RUN_TIME_RATIOS:
+            del m.run_time_ratios[0]
+        jobs = {pace.job_id for pace in m.run_time_ratios}
+        mean = sum(pace.ratio for pace in m.run_time_ratios) / len(m.run_time_ratios)
+        return (
+            len(m.run_time_ratios) >= SLOW_MIN_TASKS
+            and len(jobs) >= SLOW_MIN_JOBS
+            and mean > SLOW_RUN_TIME_RATIO
+        )
--- a/src/eldercart/jobs/registry.py
+++ b/src/eldercart/jobs/registry.py
@@ -18,47 +18,49 @@
 from typing import Any
 
 from eldercart.units import (
-    CLOCK_ZERO,
-    FOREVER,
-    NEVER,
+    DISTANT_FUTURE,
+    DISTANT_PAST,
+    MONOTONIC_ZERO,
     NO_ATTEMPT,
     Attempt,
     JobId,
     MachineId,
-    Steady,
+    MonotonicTime,
     TaskKey,
     task_key,
 )
-from eldercart.wire import Malformed
+from eldercart.wire import MalformedMessage
 from eldercart.wire.state import Item
 from eldercart.wire.users import (
     CANCELLED,
     DONE,
+    DependencyListReference,
     JobSpec,
-    ListReference,
-    reference_in,
+    parse_list_reference,
+    record_with_dependencies,
     spec_from_record,
     spec_to_record,
-    with_dependencies,
 )
 
-JOB, END, PLACE, CLEANUP = "job/", "end/", "place/", "gone/"
-DEPENDENCY_LISTS = "needs/"  # lists of dependencies that are too long for their job's record
-_LIST = "l"  # in a resolved record, never in a stored one: where its list was read
-ENTRY_BYTES = 48  # the most that one placement takes in a record
-AVOID_S = 40.0  # for which a job keeps off a machine where its tasks failed or were slow
+JOB_PREFIX, END_PREFIX, PLACEMENT_PREFIX, CLEANUP_PREFIX = "job/", "end/", "place/", "gone/"
+DEPENDENCY_LIST_PREFIX = "needs/"  # lists of dependencies that are too long for their job's record
+_RESOLVED_LIST_FIELD = "l"  # in a resolved record, never in a stored one: where its list was read
+MAX_PLACEMENT_ENTRY_BYTES = 48  # the most that one placement takes in a record
+MACHINE_AVOIDANCE_S = (
+    40.0  # for which a job keeps off a machine where its tasks failed or were slow
+)
 
 
-def chunk_size(value_bytes: int) -> int:
+def max_tasks_per_chunk(value_bytes: int) -> int:
     """How many tasks a part covers so that it fits a value, with a placement for each."""
-    return max(8, min(500, int(value_bytes * 0.8) // ENTRY_BYTES))
+    return max(8, min(500, int(value_bytes * 0.8) // MAX_PLACEMENT_ENTRY_BYTES))
 
 
-class Phase(IntEnum):
+class PlacementPhase(IntEnum):
     """How far a placement is."""
 
     PLANNED = 0  # not yet durable: nothing may be sent
-    WANTED = 1  # durable; launched or to be launched
+    COMMITTED = 1  # durable; launched or to be launched
     FETCHING = 2
     RUNNING = 3
     SAVING = 4
@@ -73,141 +75,168 @@
     job: "Job"
     index: int
     attempt: Attempt
-    machine: MachineId
-    phase: Phase = Phase.PLANNED
-    maybe_there: bool = False  # a launch was sent, or may have been by an earlier leader
-    queued: bool = False  # waits on its machine for room; nothing was sent
-    queued_at: Steady = CLOCK_ZERO
-    stopping: bool = False
-    since: Steady = CLOCK_ZERO  # start of running, as seen here
-    since_known: bool = True  # False: it ran already when this leader first heard of it
-    reported: bool = False
-    priority: int = 0  # the job's when it was placed
-    kept: bool = False  # the first of a job that waited too long: not stopped for others
-    mark: int = 0  # of the last report that listed it
-    unacknowledged: int = 0  # launches or kills of it that went out without effect so far
-
-    def ran(self, now: Steady) -> float:
+    machine_id: MachineId
+    phase: PlacementPhase = PlacementPhase.PLANNED
+    may_have_launched: bool = False  # a launch was sent, or may have been by an earlier leader
+    is_enqueued: bool = False  # waits on its machine for room; nothing was sent
+    enqueued_at: MonotonicTime = MONOTONIC_ZERO
+    is_terminating: bool = False
+    started_at: MonotonicTime = MONOTONIC_ZERO  # start of running, as seen here
+    is_start_known: bool = True  # False: it ran already when this leader first heard of it
+    has_been_reported: bool = False
+    priority_at_placement: int = 0  # the job's when it was placed
+    is_exempt_from_preemption: bool = (
+        False  # the first of a job that waited too long: not stopped for others
+    )
+    last_heartbeat_number: int = 0  # of the last report that listed it
+    unacknowledged_commands: int = 0  # launches or kills of it that went out without effect so far
+
+    def run_time_s(self, now: MonotonicTime) -> float:
         """Seconds of running, as seen here."""
-        return now - self.since if self.phase is Phase.RUNNING else 0.0
+        return now - self.started_at if self.phase is PlacementPhase.RUNNING else 0.0
 
 
 @dataclass(slots=True, eq=False)
 class Chunk:
     """A run of a job's tasks that share one part of a placement record."""
 
-    low: int  # its first task
-    high: int  # the task after its last
-    cut: bool = False  # finer than the job's record says
-    attempt: Attempt = NO_ATTEMPT
-    dirty: bool = False
-    urgent: bool = False  # holds a placement that waits to be launched
-    dirty_since: Steady = CLOCK_ZERO
+    first_index: int  # its first task
+    end_index: int  # the task after its last
+    is_subchunk: bool = False  # finer than the job's record says
+    highest_attempt: Attempt = NO_ATTEMPT
+    is_dirty: bool = False
+    is_urgent: bool = False  # holds a placement that waits to be launched
+    dirty_since: MonotonicTime = MONOTONIC_ZERO
     placements: dict[int, Placement] = field(default_factory=dict)
     # the key of the record that it is written in, see `placement_records`
     record_key: str | None = None
-    reserved: int = 0  # bytes of that record
-    written: tuple[Any, int] | None = None  # as it was written last, and its size in bytes
+    reserved_bytes: int = 0  # bytes of that record
+    last_written: tuple[Any, int] | None = None  # as it was written last, and its size in bytes
 
     @property
-    def tasks(self) -> int:
+    def task_count(self) -> int:
         """How many tasks it covers."""
-        return self.high - self.low
+        return self.end_index - self.first_index
 
 
 class Job:
     """One job. Only the job registry changes it."""
 
     def __init__(
-        self, spec: JobSpec, size: int, arrived: Steady, elsewhere: ListReference | None = None
+        self,
+        spec: JobSpec,
+        tasks_per_chunk: int,
+        submitted_at: MonotonicTime,
+        dependency_list_reference: DependencyListReference | None = None,
     ) -> None:
         """`size`: tasks of a chunk, as the job's record tells."""
         self.spec = spec
         self.id = spec.id
-        self.size = size
-        self.arrived = arrived
-        self.elsewhere = elsewhere  # its list of dependencies, if its record does not hold it
+        self.tasks_per_chunk = tasks_per_chunk
+        self.submitted_at = submitted_at
+        self.dependency_list_reference = (
+            dependency_list_reference  # its list of dependencies, if its record does not hold it
+        )
         # What the dependency graph says of it, see `graph`.
-        self.awaited: set[JobId] = set()  # jobs before it that are not known to be done
-        self.ready = not spec.dependencies  # all of them are done, durably
-        self.ready_at = arrived  # from when its waiting counts
-        self.orphaned = False  # the cancellation of a job before it is durable, and so is its own
+        self.unmet_dependencies: set[JobId] = set()  # jobs before it that are not known to be done
+        self.is_ready = not spec.dependencies  # all of them are done, durably
+        self.ready_at = submitted_at  # from when its waiting counts
+        self.upstream_cancelled = (
+            False  # the cancellation of a job before it is durable, and so is its own
+        )
         self.priority = spec.priority  # the highest of any job that needs it
-        self.due = FOREVER  # when it should be done for the sake of those that need it
-        self.done = bytearray(spec.tasks)
+        self.deadline_at = (
+            DISTANT_FUTURE  # when it should be done for the sake of those that need it
+        )
+        self.done_flags = bytearray(spec.task_count)
         self.done_count = 0
-        self.running = 0
+        self.running_count = 0
         self.chunks: dict[int, Chunk] = {}  # by first task
-        self.cuts: dict[int, list[int]] = {}  # by number of the chunk cut anew: where parts begin
-        self.fresh = 0  # the first task never placed
-        self.again: list[int] = []  # tasks to place once more
-        self.late = False  # deferred: its promises can't be kept any more
-        self.rank = 0  # its place in the last pass's order
-        self.queued = 0  # tasks written ahead of free room
-        self.cancelled = False  # asked for; durable once `ended` is set
-        self.cancelled_at = Steady(0)  # when it was asked for, by whichever leader
-        self.kill_due = Steady(0)  # from when on a machine that still has a task of it goes
-        self.begun = False  # a task of it has run, here or under an earlier leader
-        self.aged = False  # has waited so long that it goes ahead, see `planner.Planner`
-        self.end_sent = False  # its end may be in the store, and may be told elsewhere
-        self.end_unsure = False  # a write of it may still be applied late
+        self.subchunk_starts: dict[
+            int, list[int]
+        ] = {}  # by number of the chunk cut anew: where parts begin
+        self.next_unplaced_index = 0  # the first task never placed
+        self.retry_indexes: list[int] = []  # tasks to place once more
+        self.is_deferred = False  # deferred: its promises can't be kept any more
+        self.queue_position = 0  # its place in the last pass's order
+        self.enqueued_count = 0  # tasks written ahead of free room
+        self.is_cancelled = False  # asked for; durable once `ended` is set
+        self.cancelled_at = MonotonicTime(0)  # when it was asked for, by whichever leader
+        self.kill_deadline_at = MonotonicTime(
+            0
+        )  # from when on a machine that still has a task of it goes
+        self.has_started = False  # a task of it has run, here or under an earlier leader
+        self.is_starving = False  # has waited so long that it goes ahead, see `planner.Planner`
+        self.is_end_write_sent = False  # its end may be in the store, and may be told elsewhere
+        self.is_end_write_indeterminate = False  # a write of it may still be applied late
         # lost work to the cloud: what is started again prefers ordinary machines
-        self.prefers_ordinary = False
-        self.unreadable = False  # a record of it can't be read: nothing of it may start
-        self.ended: str | None = None
-        self.errors = 0
-        self.backoff_until = NEVER
-        self.bad_machines: dict[MachineId, Steady] = {}  # where it fared badly: avoided until
-        self.served = NEVER  # when it was last given room
-        self.ran: list[float] = []  # run times seen, for comparison
-        self.longest = 0.0  # of these, kept
+        self.prefers_on_demand = False
+        self.has_unreadable_record = False  # a record of it can't be read: nothing of it may start
+        self.outcome: str | None = None
+        self.error_count = 0
+        self.backoff_until = DISTANT_PAST
+        self.avoided_machines: dict[
+            MachineId, MonotonicTime
+        ] = {}  # where it fared badly: avoided until
+        self.last_placed_at = DISTANT_PAST  # when it was last given room
+        self.run_times_s: list[float] = []  # run times seen, for comparison
+        self.longest_run_time_s = 0.0  # of these, kept
 
     @property
-    def pending(self) -> int:
+    def unplaced_count(self) -> int:
         """Tasks that are neither done nor placed."""
-        return self.spec.tasks - self.fresh + len(self.again)
+        return self.spec.task_count - self.next_unplaced_index + len(self.retry_indexes)
 
     @property
-    def open(self) -> bool:
+    def is_runnable(self) -> bool:
         """Neither ended nor asked to be cancelled, and nothing before it is outstanding: its tasks
         may start."""
-        return self.ended is None and self.ready and not self.cancelled and not self.unreadable
+        return (
+            self.outcome is None
+            and self.is_ready
+            and not self.is_cancelled
+            and not self.has_unreadable_record
+        )
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether all tasks are done, as far as reports tell: not yet durable."""
-        return self.done_count == self.spec.tasks
+        return self.done_count == self.spec.task_count
 
-    def avoid(self, machine: MachineId, now: Steady) -> None:
+    def avoid_machine(self, machine: MachineId, now: MonotonicTime) -> None:
         """The job fared badly on this machine and keeps off it for a while."""
-        self.bad_machines[machine] = Steady(now + AVOID_S)
+        self.avoided_machines[machine] = MonotonicTime(now + MACHINE_AVOIDANCE_S)
 
-    def avoids(self, machine: MachineId, now: Steady) -> bool:
+    def avoids_machine(self, machine: MachineId, now: MonotonicTime) -> bool:
         """Not for ever: the others may be full, or deleted."""
-        return bool(self.bad_machines) and self.bad_machines.get(machine, NEVER) > now
+        return (
+            bool(self.avoided_machines) and self.avoided_machines.get(machine, DISTANT_PAST) > now
+        )
 
-    def note_run(self, seconds: float) -> None:
+    def record_run_time(self, seconds: float) -> None:
         """A task took so long to run."""
-        self.ran.append(seconds)
-        if len(self.ran) > 60:
-            del self.ran[:30]
-            self.longest = max(self.ran)
-        self.longest = max(self.longest, seconds)
+        self.run_times_s.append(seconds)
+        if len(self.run_times_s) > 60:
+            del self.run_times_s[:30]
+            self.longest_run_time_s = max(self.run_times_s)
+        self.longest_run_time_s = max(self.longest_run_time_s, seconds)
 
     def placements(self) -> Iterator[Placement]:
         """Of all its chunks."""
         for chunk in self.chunks.values():
             yield from chunk.placements.values()
 
-    def span(self, number: int) -> tuple[int, int]:
+    def chunk_range(self, number: int) -> tuple[int, int]:
         """The tasks of a chunk of the size that the job's record tells."""
-        return number * self.size, min((number + 1) * self.size, self.spec.tasks)
+        return number * self.tasks_per_chunk, min(
+            (number + 1) * self.tasks_per_chunk, self.spec.task_count
+        )
 
-    def chunk_of(self, index: int) -> Chunk:
+    def chunk_for(self, index: int) -> Chunk:
         """The chunk that covers the task; made if there is none yet."""
-        number = index // self.size
-        lows = self.cuts.get(number)
-        low, high = self.span(number)
+        number = index // self.tasks_per_chunk
+        lows = self.subchunk_starts.get(number)
+        low, high = self.chunk_range(number)
         if lows is not None:
             low = lows[bisect_right(lows, index) - 1]
         chunk = self.chunks.get(low)
@@ -215,41 +244,41 @@
             chunk = self.chunks[low] = Chunk(low, high)
         return chunk
 
-    def note_cuts(self, number: int) -> None:
+    def refresh_subchunk_starts(self, number: int) -> None:
         """The chunk of this number was cut anew, or found so."""
-        low, high = self.span(number)
-        self.cuts[number] = sorted(c for c in self.chunks if low <= c < high)
+        low, high = self.chunk_range(number)
+        self.subchunk_starts[number] = sorted(c for c in self.chunks if low <= c < high)
 
-    def part(self, chunk: Chunk) -> list[Any]:
+    def encode_part(self, chunk: Chunk) -> list[Any]:
         """As a placement record holds it. With `n`, the second entry is where the part begins;
         without, the number of a chunk of the job's own size, as all versions know it."""
-        if chunk.cut:
-            return [self.id, chunk.low, self.record(chunk) | {"n": chunk.tasks}]
-        return [self.id, chunk.low // self.size, self.record(chunk)]
+        if chunk.is_subchunk:
+            return [self.id, chunk.first_index, self.encode_chunk(chunk) | {"n": chunk.task_count}]
+        return [self.id, chunk.first_index // self.tasks_per_chunk, self.encode_chunk(chunk)]
 
-    def record(self, chunk: Chunk) -> dict[str, Any]:
+    def encode_chunk(self, chunk: Chunk) -> dict[str, Any]:
         """The content of a part: highest attempt, done tasks as ranges, placements."""
         ranges: list[list[int]] = []
-        for i in range(chunk.low, chunk.high):
-            if self.done[i]:
+        for i in range(chunk.first_index, chunk.end_index):
+            if self.done_flags[i]:
                 if ranges and ranges[-1][1] == i - 1:
                     ranges[-1][1] = i
                 else:
                     ranges.append([i, i])
         running = [
-            [p.index, p.attempt, p.machine]
+            [p.index, p.attempt, p.machine_id]
             for p in chunk.placements.values()
-            if p.phase is not Phase.ENDED
+            if p.phase is not PlacementPhase.ENDED
         ]
-        return {"a": chunk.attempt, "d": ranges, "r": running}
+        return {"a": chunk.highest_attempt, "d": ranges, "r": running}
 
 
 class JobRegistry:
     """Owns the jobs."""
 
-    def __init__(self, size: int) -> None:
+    def __init__(self, tasks_per_chunk: int) -> None:
         """`size`: tasks of a chunk."""
-        self._size = size
+        self._tasks_per_chunk = tasks_per_chunk
         self.jobs: dict[JobId, Job] = {}
 
     def __contains__(self, job: JobId) -> bool:
@@ -261,10 +290,14 @@
         return self.jobs.get(job)
 
     def add(
-        self, spec: JobSpec, size: int, arrived: Steady, elsewhere: ListReference | None = None
+        self,
+        spec: JobSpec,
+        tasks_per_chunk: int,
+        submitted_at: MonotonicTime,
+        dependency_list_reference: DependencyListReference | None = None,
     ) -> Job:
         """A job that was accepted, here or by another node."""
-        job = Job(spec, size, arrived, elsewhere)
+        job = Job(spec, tasks_per_chunk, submitted_at, dependency_list_reference)
         self.jobs[spec.id] = job
         return job
 
@@ -273,30 +306,30 @@
         self.jobs.pop(job.id, None)
 
     def load_chunk(
-        self, job: Job, chunk: Chunk, value: Any, now: Steady, whole: bool = True
+        self, job: Job, chunk: Chunk, value: Any, now: MonotonicTime, covers_whole_part: bool = True
     ) -> list[Placement]:
         """Takes over a record of an earlier leader. Its placements may be on their machines. Unless
         `whole`, the record covers more tasks than the chunk, which others tell of."""
         try:
             attempt, done = Attempt(int(value["a"])), [(int(a), int(b)) for a, b in value["d"]]
             placed = [(int(i), Attempt(int(a)), MachineId(str(m))) for i, a, m in value["r"]]
-            if any(b >= job.spec.tasks for _, b in done):
+            if any(b >= job.spec.task_count for _, b in done):
                 raise ValueError(done)
         except (KeyError, TypeError, ValueError) as err:
-            raise Malformed(f"place record: {err}") from None
-        chunk.attempt = max(chunk.attempt, attempt)
-        job.chunks[chunk.low] = chunk
+            raise MalformedMessage(f"place record: {err}") from None
+        chunk.highest_attempt = max(chunk.highest_attempt, attempt)
+        job.chunks[chunk.first_index] = chunk
         for low, high in done:
-            if not whole:
-                low, high = max(low, chunk.low), min(high, chunk.high - 1)
+            if not covers_whole_part:
+                low, high = max(low, chunk.first_index), min(high, chunk.end_index - 1)
             for i in range(low, high + 1):
-                if not job.done[i]:
-                    job.done[i] = 1
+                if not job.done_flags[i]:
+                    job.done_flags[i] = 1
                     job.done_count += 1
-        job.begun = job.begun or bool(done)
+        job.has_started = job.has_started or bool(done)
         loaded = []
         for index, attempt, machine in placed:
-            if not whole and not chunk.low <= index < chunk.high:
+            if not covers_whole_part and not chunk.first_index <= index < chunk.end_index:
                 continue
             p = Placement(
                 task_key(job.id, index),
@@ -304,8 +337,8 @@
                 index,
                 attempt,
                 machine,
-                Phase.WANTED,
-                maybe_there=True,  # whoever wrote it may have launched it
+                PlacementPhase.COMMITTED,
+                may_have_launched=True,  # whoever wrote it may have launched it
             )
             chunk.placements[index] = p
             loaded.append(p)
@@ -313,144 +346,161 @@
 
     def finish_load(self, job: Job) -> None:
         """Once all chunks are there: what is neither done nor placed waits."""
-        job.fresh = max((c.high for c in job.chunks.values()), default=0)
-        for number in {c.low // job.size for c in job.chunks.values() if c.cut}:
+        job.next_unplaced_index = max((c.end_index for c in job.chunks.values()), default=0)
+        for number in {
+            c.first_index // job.tasks_per_chunk for c in job.chunks.values() if c.is_subchunk
+        }:
             # Between the finer parts there may be tasks that no record tells of: never launched.
-            low, end = job.span(number)
-            inside = [c for c in job.chunks.values() if low <= c.low < end]
-            for chunk in sorted(inside, key=lambda c: c.low):
-                if low < chunk.low:
-                    job.chunks[low] = Chunk(low, chunk.low, cut=True)
-                low = chunk.high
+            low, end = job.chunk_range(number)
+            inside = [c for c in job.chunks.values() if low <= c.first_index < end]
+            for chunk in sorted(inside, key=lambda c: c.first_index):
+                if low < chunk.first_index:
+                    job.chunks[low] = Chunk(low, chunk.first_index, is_subchunk=True)
+                low = chunk.end_index
             if low < end:
-                job.chunks[low] = Chunk(low, end, cut=True)
-            job.note_cuts(number)
+                job.chunks[low] = Chunk(low, end, is_subchunk=True)
+            job.refresh_subchunk_starts(number)
         placed = {i for chunk in job.chunks.values() for i in chunk.placements}
-        job.again = [i for i in range(job.fresh) if not job.done[i] and i not in placed]
-        job.again.reverse()
+        job.retry_indexes = [
+            i for i in range(job.next_unplaced_index) if not job.done_flags[i] and i not in placed
+        ]
+        job.retry_indexes.reverse()
 
-    def recut(self, job: Job, chunk: Chunk, most: int) -> list[Chunk]:
+    def subdivide_chunk(self, job: Job, chunk: Chunk, max_tasks: int) -> list[Chunk]:
         """Cuts the chunk into finer ones of at most `most` tasks. All of them wait to be written,
         since together they take the place of the one that is not written any more."""
         finer = []
-        for low in range(chunk.low, chunk.high, most):
-            high = min(low + most, chunk.high)
+        for low in range(chunk.first_index, chunk.end_index, max_tasks):
+            high = min(low + max_tasks, chunk.end_index)
             held = {i: p for i, p in chunk.placements.items() if low <= i < high}
-            urgent = any(p.phase is Phase.PLANNED for p in held.values())
-            fine = Chunk(low, high, True, chunk.attempt, True, urgent, chunk.dirty_since, held)
+            urgent = any(p.phase is PlacementPhase.PLANNED for p in held.values())
+            fine = Chunk(
+                low, high, True, chunk.highest_attempt, True, urgent, chunk.dirty_since, held
+            )
             job.chunks[low] = fine
             finer.append(fine)
-        job.note_cuts(chunk.low // job.size)
+        job.refresh_subchunk_starts(chunk.first_index // job.tasks_per_chunk)
         return finer
 
-    def next_tasks(self, job: Job, number: int) -> list[int]:
+    def take_unplaced_tasks(self, job: Job, max_tasks: int) -> list[int]:
         """Takes up to so many tasks that wait, those to be repeated first."""
         taken = []
-        while number > 0 and job.again:
-            taken.append(job.again.pop())
-            number -= 1
-        fresh = min(number, job.spec.tasks - job.fresh)
-        taken.extend(range(job.fresh, job.fresh + fresh))
-        job.fresh += fresh
+        while max_tasks > 0 and job.retry_indexes:
+            taken.append(job.retry_indexes.pop())
+            max_tasks -= 1
+        fresh = min(max_tasks, job.spec.task_count - job.next_unplaced_index)
+        taken.extend(range(job.next_unplaced_index, job.next_unplaced_index + fresh))
+        job.next_unplaced_index += fresh
         return taken
 
-    def place(self, job: Job, index: int, machine: MachineId, now: Steady) -> Placement:
+    def add_placement(
+        self, job: Job, index: int, machine: MachineId, now: MonotonicTime
+    ) -> Placement:
         """A new placement of the task, to be written before anything is sent."""
-        chunk = job.chunk_of(index)
-        chunk.attempt = Attempt(chunk.attempt + 1)
-        p = Placement(task_key(job.id, index), job, index, chunk.attempt, machine)
+        chunk = job.chunk_for(index)
+        chunk.highest_attempt = Attempt(chunk.highest_attempt + 1)
+        p = Placement(task_key(job.id, index), job, index, chunk.highest_attempt, machine)
         chunk.placements[index] = p
-        self.touch(job, chunk, now, urgent=True)
+        self.mark_dirty(job, chunk, now, is_urgent=True)
         return p
 
-    def mark_queued(self, p: Placement, now: Steady) -> None:
+    def mark_enqueued(self, p: Placement, now: MonotonicTime) -> None:
         """It waits on its machine for room."""
-        p.queued = True
-        p.queued_at = now
-        p.job.queued += 1
+        p.is_enqueued = True
+        p.enqueued_at = now
+        p.job.enqueued_count += 1
 
-    def unmark_queued(self, p: Placement) -> None:
+    def mark_dequeued(self, p: Placement) -> None:
         """It waits no longer."""
-        p.queued = False
-        p.job.queued -= 1
+        p.is_enqueued = False
+        p.job.enqueued_count -= 1
 
-    def touch(self, job: Job, chunk: Chunk, now: Steady, urgent: bool = False) -> None:
+    def mark_dirty(
+        self, job: Job, chunk: Chunk, now: MonotonicTime, is_urgent: bool = False
+    ) -> None:
         """The chunk must be written."""
-        if not chunk.dirty:
-            chunk.dirty = True
+        if not chunk.is_dirty:
+            chunk.is_dirty = True
             chunk.dirty_since = now
-        chunk.urgent = chunk.urgent or urgent
+        chunk.is_urgent = chunk.is_urgent or is_urgent
 
-    def set_phase(self, p: Placement, phase: Phase, now: Steady) -> None:
+    def set_phase(self, p: Placement, phase: PlacementPhase, now: MonotonicTime) -> None:
         """Keeps the number of running tasks with the phase."""
         if phase is p.phase:
             return
-        if phase is Phase.RUNNING:
-            p.since = now
-            p.job.running += 1
-            p.job.begun = True
-        elif p.phase is Phase.RUNNING:
-            p.job.running -= 1
+        if phase is PlacementPhase.RUNNING:
+            p.started_at = now
+            p.job.running_count += 1
+            p.job.has_started = True
+        elif p.phase is PlacementPhase.RUNNING:
+            p.job.running_count -= 1
         p.phase = phase
 
-    def finish(self, p: Placement, now: Steady) -> None:
+    def mark_done(self, p: Placement, now: MonotonicTime) -> None:
         """The task is done. The placement stays, ended, until the record says so."""
         job = p.job
-        self.set_phase(p, Phase.ENDED, now)
-        if not job.done[p.index]:
-            job.done[p.index] = 1
+        self.set_phase(p, PlacementPhase.ENDED, now)
+        if not job.done_flags[p.index]:
+            job.done_flags[p.index] = 1
             job.done_count += 1
-        self.touch(job, job.chunk_of(p.index), now)
+        self.mark_dirty(job, job.chunk_for(p.index), now)
 
-    def drop(self, p: Placement, now: Steady, again: bool) -> None:
+    def remove_placement(self, p: Placement, now: MonotonicTime, retry: bool) -> None:
         """The task is proven not to be on the machine."""
         job = p.job
-        self.set_phase(p, Phase.ENDED, now)
-        chunk = job.chunk_of(p.index)
+        self.set_phase(p, PlacementPhase.ENDED, now)
+        chunk = job.chunk_for(p.index)
         if chunk.placements.get(p.index) is p:
             del chunk.placements[p.index]
-        self.touch(job, chunk, now)
-        if again and not job.cancelled and not job.done[p.index]:
-            job.again.append(p.index)
+        self.mark_dirty(job, chunk, now)
+        if retry and not job.is_cancelled and not job.done_flags[p.index]:
+            job.retry_indexes.append(p.index)
 
 
-def job_record(
-    spec: JobSpec, size: int, at: float, elsewhere: ListReference | None = None
+def encode_job_record(
+    spec: JobSpec,
+    tasks_per_chunk: int,
+    accepted_at: float,
+    dependency_list_reference: DependencyListReference | None = None,
 ) -> dict[str, Any]:
     """The stored record of a job accepted at the time of day `at`."""
-    return {"s": spec_to_record(spec, elsewhere), "n": size, "t": at}
+    return {
+        "s": spec_to_record(spec, dependency_list_reference),
+        "n": tasks_per_chunk,
+        "t": accepted_at,
+    }
 
 
-def parse_job_record(job: JobId, value: Any) -> tuple[JobSpec, int, float]:
+def decode_job_record(job: JobId, value: Any) -> tuple[JobSpec, int, float]:
     """The submission, the tasks of a chunk, and the time of acceptance."""
     if not isinstance(value, dict):
-        raise Malformed("job record")
+        raise MalformedMessage("job record")
     return spec_from_record(job, value.get("s")), int(value["n"]), float(value["t"])
 
 
-def list_reference(value: Any) -> ListReference | None:
+def decode_dependency_list_reference(value: Any) -> DependencyListReference | None:
     """Where a job record's dependencies must be read before the record can be."""
-    return reference_in(value.get("s")) if isinstance(value, dict) else None
+    return parse_list_reference(value.get("s")) if isinstance(value, dict) else None
 
 
-def list_read_at(value: Any) -> ListReference | None:
+def resolved_list_reference(value: Any) -> DependencyListReference | None:
     """Where the list was that `resolve` put into this record; None: the record held its own."""
-    found = value.get(_LIST) if isinstance(value, dict) else None
-    return found if isinstance(found, ListReference) else None
+    found = value.get(_RESOLVED_LIST_FIELD) if isinstance(value, dict) else None
+    return found if isinstance(found, DependencyListReference) else None
 
 
-def dependency_list_prefix(job: JobId, reference: ListReference) -> str:
+def dependency_list_prefix(job: JobId, reference: DependencyListReference) -> str:
     """What the keys of the job's list begin with."""
-    return f"{DEPENDENCY_LISTS}{job}/{reference.nonce}/"
+    return f"{DEPENDENCY_LIST_PREFIX}{job}/{reference.nonce}/"
 
 
-def dependency_list_keys(job: JobId, reference: ListReference) -> list[str]:
+def dependency_list_keys(job: JobId, reference: DependencyListReference) -> list[str]:
     """The keys of the job's list, as the node that accepted it wrote them."""
     prefix = dependency_list_prefix(job, reference)
-    return [f"{prefix}{number}" for number in range(reference.parts)]
+    return [f"{prefix}{number}" for number in range(reference.part_count)]
 
 
-def dependency_list_parts(dependencies: tuple[JobId, ...], value_bytes: int) -> list[list[JobId]]:
+def split_dependency_list(dependencies: tuple[JobId, ...], value_bytes: int) -> list[list[JobId]]:
     """The lists to write before the record of a job that has these; none if its record takes
     them: a quarter of the value limit is left to them there."""
     sizes = [len(job) + 3 for job in dependencies]  # quotes and a comma
@@ -468,10 +518,10 @@
     return parts
 
 
-def resolve(job: JobId, item: Item, lists: Iterable[Item]) -> Item | None:
+def resolve_dependency_list(job: JobId, item: Item, lists: Iterable[Item]) -> Item | None:
     """The job's record as if its dependencies were in it, from a read of the lists; None as long
     as one of them is missing: it is not known then what the job awaits."""
-    reference = list_reference(item.value)
+    reference = decode_dependency_list_reference(item.value)
     if reference is None:
         return item
     values = {found.key: found.value for found in lists}
@@ -481,17 +531,17 @@
         if not isinstance(part, list):
             return None
         dependencies += part
-    record = with_dependencies(item.value["s"], tuple(dependencies))
-    return replace(item, value={**item.value, "s": record, _LIST: reference})
+    record = record_with_dependencies(item.value["s"], tuple(dependencies))
+    return replace(item, value={**item.value, "s": record, _RESOLVED_LIST_FIELD: reference})
 
 
-def end_of(value: Any) -> str:
+def decode_end_record(value: Any) -> str:
     """The final state that an end record tells."""
     cancelled = isinstance(value, dict) and value.get("e") == CANCELLED
     return CANCELLED if cancelled else DONE
 
 
-def asked_at(value: Any) -> float | None:
+def decode_cancellation_time(value: Any) -> float | None:
     """The time of day of the cancellation that a marker tells; earlier releases wrote none."""
     at = value.get("t") if isinstance(value, dict) else None
     return float(at) if isinstance(at, int | float) else None
--- a/src/eldercart/prediction/predictor.py
+++ b/src/eldercart/prediction/predictor.py
@@ -13,88 +13,88 @@
 from dataclasses import dataclass, field
 
 from eldercart.jobs.registry import Job
-from eldercart.prediction.chain_predictor import ChainPredictor, Prediction
+from eldercart.prediction.chain_predictor import ChainPredictor, SuccessorPrediction
 from eldercart.prediction.soft_reservations import (
-    Booking,
-    BookingBook,
-    Origin,
     Path,
     Pipeline,
-    Tally,
+    ReservationOrigin,
+    ReservationOutcomes,
+    SoftReservation,
+    SoftReservations,
 )
 from eldercart.settings import Tuning
-from eldercart.units import JobId, Steady
+from eldercart.units import JobId, MonotonicTime
 from eldercart.wire.users import CANCELLED, DONE
 
 log = logging.getLogger("eldercart.prediction")
 
 MAX_PATHS = 512  # a pipeline; beyond, the path seen longest ago is forgotten
-LONGEST = 1.4  # the longest task of a job against its mean, as seen
-LAUNCH_S = 3.0
-SIZE_MEMORY = 0.7  # weight of the earlier sizes in the usual size of an image's jobs
-PACE_MEMORY = 0.98  # weight of the earlier run times
-PACE_LEAST, PACE_MOST = 0.2, 4.0  # a ratio beyond is not believed
-ENOUGH_RUNS = 3  # after which a job's own run times tell more than its class
-KEEP = 64  # jobs of a pipeline whose successor may still be unknown
+LONGEST_TO_MEAN_RATIO = 1.4  # the longest task of a job against its mean, as seen
+LAUNCH_DELAY_S = 3.0
+SIZE_DECAY = 0.7  # weight of the earlier sizes in the usual size of an image's jobs
+RUN_TIME_DECAY = 0.98  # weight of the earlier run times
+MIN_RUN_TIME_RATIO, MAX_RUN_TIME_RATIO = 0.2, 4.0  # a ratio beyond is not believed
+MIN_OBSERVED_RUNS = 3  # after which a job's own run times tell more than its class
+MAX_RECENT_JOBS = 64  # jobs of a pipeline whose successor may still be unknown
 
 
 @dataclass(slots=True)
-class SubEntry:
+class StreamPathStatistics:
     """What was counted for one path of images."""
 
-    outcomes: dict[str, int] = field(default_factory=dict)
-    successors: dict[str, dict[str, int]] = field(default_factory=dict)
+    outcome_counts: dict[str, int] = field(default_factory=dict)
+    successor_counts: dict[str, dict[str, int]] = field(default_factory=dict)
 
-    def share_done(self) -> float | None:
+    def success_ratio(self) -> float | None:
         """The share of jobs that ended done; None without any."""
-        total = sum(self.outcomes.values())
-        return self.outcomes.get(DONE, 0) / total if total else None
+        total = sum(self.outcome_counts.values())
+        return self.outcome_counts.get(DONE, 0) / total if total else None
 
-    def likeliest(self, outcome: str) -> str | None:
+    def most_likely_successor(self, outcome: str) -> str | None:
         """The image that most often followed that outcome."""
-        counts = self.successors.get(outcome)
+        counts = self.successor_counts.get(outcome)
         return max(counts, key=lambda image: (counts[image], image)) if counts else None
 
 
 @dataclass(slots=True)
-class StreamedJob:
+class StreamJob:
     """One job of a stream: its path, and what is known of its end and its successor."""
 
-    job: JobId
+    job_id: JobId
     path: Path
     outcome: str | None = None
-    successor: str | None = None
-    counted: bool = False
+    successor_image: str | None = None
+    is_counted: bool = False
 
 
 @dataclass(slots=True)
 class Stream:
     """The independent jobs of one team's class."""
 
-    table: dict[Path, SubEntry] = field(default_factory=dict)
-    recent: deque[str] = field(default_factory=deque)
-    seen: deque[StreamedJob] = field(default_factory=deque)
-    cpus: dict[str, float] = field(default_factory=dict)  # image -> usual size of its jobs
+    statistics: dict[Path, StreamPathStatistics] = field(default_factory=dict)
+    recent_images: deque[str] = field(default_factory=deque)
+    recent_jobs: deque[StreamJob] = field(default_factory=deque)
+    usual_cpus: dict[str, float] = field(default_factory=dict)  # image -> usual size of its jobs
     spot: bool = True
 
 
 @dataclass(slots=True)
-class Pace:
+class ClassRunTimeRatio:
     """How run times compare with the owners' estimates, per class; recent ones weigh more."""
 
-    ran: float = 0.0
-    estimated: float = 0.0
+    actual_s: float = 0.0
+    estimated_s: float = 0.0
 
     def add(self, ran: float, estimate: float) -> None:
         """One more task has run."""
-        self.ran = self.ran * PACE_MEMORY + ran
-        self.estimated = self.estimated * PACE_MEMORY + estimate
+        self.actual_s = self.actual_s * RUN_TIME_DECAY + ran
+        self.estimated_s = self.estimated_s * RUN_TIME_DECAY + estimate
 
     def ratio(self) -> float:
         """Run time against estimate, within bounds."""
-        if self.estimated < 1.0:
+        if self.estimated_s < 1.0:
             return 1.0
-        return min(PACE_MOST, max(PACE_LEAST, self.ran / self.estimated))
+        return min(MAX_RUN_TIME_RATIO, max(MIN_RUN_TIME_RATIO, self.actual_s / self.estimated_s))
 
 
 class Predictor:
@@ -104,149 +104,165 @@
         """Starts without knowledge and bookings."""
         self._tuning = tuning
         self._streams: dict[Pipeline, Stream] = {}
-        self._paces: dict[str, Pace] = {}
-        self._book = BookingBook(tuning)
+        self._run_time_ratios: dict[str, ClassRunTimeRatio] = {}
+        self._reservations = SoftReservations(tuning)
         self.chains = ChainPredictor(tuning)
 
     # -- run times
 
-    def ran(self, job: Job, seconds: float) -> None:
+    def record_run_time(self, job: Job, seconds: float) -> None:
         """A task of the job has run that long."""
-        if seconds > 0 and job.spec.estimate_s > 0:
-            self._paces.setdefault(job.spec.klass, Pace()).add(seconds, job.spec.estimate_s)
+        if seconds > 0 and job.spec.estimated_run_time_s > 0:
+            self._run_time_ratios.setdefault(job.spec.job_class, ClassRunTimeRatio()).add(
+                seconds, job.spec.estimated_run_time_s
+            )
 
-    def run_s(self, job: Job) -> float:
+    def expected_run_s(self, job: Job) -> float:
         """The run time of one of the job's tasks, as far as can be told."""
-        if len(job.ran) >= ENOUGH_RUNS:
-            return sum(job.ran) / len(job.ran)
-        pace = self._paces.get(job.spec.klass)
-        return job.spec.estimate_s * (pace.ratio() if pace else 1.0)
+        if len(job.run_times_s) >= MIN_OBSERVED_RUNS:
+            return sum(job.run_times_s) / len(job.run_times_s)
+        pace = self._run_time_ratios.get(job.spec.job_class)
+        return job.spec.estimated_run_time_s * (pace.ratio() if pace else 1.0)
 
-    def longest_s(self, job: Job) -> float:
+    def expected_longest_run_s(self, job: Job) -> float:
         """How long the job's last task takes once it is launched: tasks of one job differ, and
         the job is done only with the longest; report, launch and fetch come on top."""
-        longest = job.longest if len(job.ran) >= ENOUGH_RUNS else LONGEST * self.run_s(job)
-        return max(longest, LONGEST * self.run_s(job)) + LAUNCH_S
+        longest = (
+            job.longest_run_time_s
+            if len(job.run_times_s) >= MIN_OBSERVED_RUNS
+            else LONGEST_TO_MEAN_RATIO * self.expected_run_s(job)
+        )
+        return max(longest, LONGEST_TO_MEAN_RATIO * self.expected_run_s(job)) + LAUNCH_DELAY_S
 
-    def paces(self) -> dict[str, tuple[float, float]]:
+    def run_time_sums(self) -> dict[str, tuple[float, float]]:
         """The sums of run times and estimates by class, to be kept for the next leader."""
-        return {klass: (round(p.ran, 1), round(p.estimated, 1)) for klass, p in self._paces.items()}
+        return {
+            klass: (round(p.actual_s, 1), round(p.estimated_s, 1))
+            for klass, p in self._run_time_ratios.items()
+        }
 
-    def recall_paces(self, paces: dict[str, tuple[float, float]]) -> None:
+    def restore_run_time_sums(self, paces: dict[str, tuple[float, float]]) -> None:
         """Takes over what the leader before had learned."""
         for klass, (ran, estimated) in paces.items():
-            self._paces.setdefault(klass, Pace(ran, estimated))
+            self._run_time_ratios.setdefault(klass, ClassRunTimeRatio(ran, estimated))
 
     # -- the stream
 
-    def arrived(self, job: Job, now: Steady) -> None:
+    def on_job_ready(self, job: Job, now: MonotonicTime) -> None:
         """A job is ready to start. It is the next of its stream unless it awaited others."""
         spec = job.spec
         if spec.dependencies:
-            self._resolve(job)
+            self._match_reservation(job)
             return
-        stream = self._streams.setdefault((spec.team, spec.klass), Stream())
-        if stream.seen:
-            before = stream.seen[-1]
-            before.successor = spec.image
-            self._count(stream, before)
-        self._resolve(job)
-        stream.recent.append(spec.image)
-        while len(stream.recent) > self._tuning.path_length:
-            stream.recent.popleft()
-        stream.seen.append(StreamedJob(job.id, tuple(stream.recent)))
-        while len(stream.seen) > KEEP:
-            stream.seen.popleft()
-        size = spec.cpus * spec.tasks
-        usual = stream.cpus.get(spec.image, size)
-        stream.cpus[spec.image] = SIZE_MEMORY * usual + (1.0 - SIZE_MEMORY) * size
-        stream.spot = spec.spot
-
-    def ended(self, job: Job, outcome: str) -> None:
+        stream = self._streams.setdefault((spec.team, spec.job_class), Stream())
+        if stream.recent_jobs:
+            before = stream.recent_jobs[-1]
+            before.successor_image = spec.image
+            self._count_outcome(stream, before)
+        self._match_reservation(job)
+        stream.recent_images.append(spec.image)
+        while len(stream.recent_images) > self._tuning.path_length:
+            stream.recent_images.popleft()
+        stream.recent_jobs.append(StreamJob(job.id, tuple(stream.recent_images)))
+        while len(stream.recent_jobs) > MAX_RECENT_JOBS:
+            stream.recent_jobs.popleft()
+        size = spec.cpus * spec.task_count
+        usual = stream.usual_cpus.get(spec.image, size)
+        stream.usual_cpus[spec.image] = SIZE_DECAY * usual + (1.0 - SIZE_DECAY) * size
+        stream.spot = spec.allows_spot
+
+    def on_stream_job_ended(self, job: Job, outcome: str) -> None:
         """The durable end of a job of a stream."""
-        stream = self._streams.get((job.spec.team, job.spec.klass))
+        stream = self._streams.get((job.spec.team, job.spec.job_class))
         if stream is None:
             return
-        for seen in stream.seen:
-            if seen.job == job.id:
+        for seen in stream.recent_jobs:
+            if seen.job_id == job.id:
                 seen.outcome = outcome
-                self._count(stream, seen)
+                self._count_outcome(stream, seen)
                 return
 
-    def _count(self, stream: Stream, seen: StreamedJob) -> None:
+    def _count_outcome(self, stream: Stream, seen: StreamJob) -> None:
         """Updated only with what has really happened, once both ends of the edge are known."""
-        if seen.counted or seen.outcome is None or seen.successor is None:
+        if seen.is_counted or seen.outcome is None or seen.successor_image is None:
             return
-        seen.counted = True
-        entry = stream.table.pop(seen.path, None) or SubEntry()
-        stream.table[seen.path] = entry
-        while len(stream.table) > MAX_PATHS:
-            del stream.table[next(iter(stream.table))]
-        entry.outcomes[seen.outcome] = entry.outcomes.get(seen.outcome, 0) + 1
-        counts = entry.successors.setdefault(seen.outcome, {})
-        counts[seen.successor] = counts.get(seen.successor, 0) + 1
+        seen.is_counted = True
+        entry = stream.statistics.pop(seen.path, None) or StreamPathStatistics()
+        stream.statistics[seen.path] = entry
+        while len(stream.statistics) > MAX_PATHS:
+            del stream.statistics[next(iter(stream.statistics))]
+        entry.outcome_counts[seen.outcome] = entry.outcome_counts.get(seen.outcome, 0) + 1
+        counts = entry.successor_counts.setdefault(seen.outcome, {})
+        counts[seen.successor_image] = counts.get(seen.successor_image, 0) + 1
 
     def predict(self, team: str, klass: str, path: Path) -> str | None:
         """The image to prepare, or None between the two thresholds or with nothing known."""
         stream = self._streams.get((team, klass))
-        entry = stream.table.get(path) if stream else None
-        share = entry.share_done() if entry else None
+        entry = stream.statistics.get(path) if stream else None
+        share = entry.success_ratio() if entry else None
         if entry is None or share is None:
             return None
         if share >= self._tuning.predict_high:
-            return entry.likeliest(DONE)
+            return entry.most_likely_successor(DONE)
         if share <= self._tuning.predict_low:
-            return entry.likeliest(CANCELLED)
+            return entry.most_likely_successor(CANCELLED)
         return None
 
     # -- bookings
 
     @property
-    def bookings(self) -> list[Booking]:
+    def soft_reservations(self) -> list[SoftReservation]:
         """The room that is booked now."""
-        return self._book.bookings
+        return self._reservations.active
 
     @property
-    def tallies(self) -> dict[Origin, Tally]:
+    def reservation_outcomes(self) -> dict[ReservationOrigin, ReservationOutcomes]:
         """What became of the bookings, by origin."""
-        return self._book.tallies
+        return self._reservations.outcomes
 
     @property
     def hits(self) -> int:
         """Bookings of all origins that their job took."""
-        return sum(tally.hits for tally in self.tallies.values())
+        return sum(tally.hits for tally in self.reservation_outcomes.values())
 
     @property
     def misses(self) -> int:
         """Bookings of all origins that were returned since their job did not come."""
-        return sum(tally.misses for tally in self.tallies.values())
+        return sum(tally.misses for tally in self.reservation_outcomes.values())
 
     @property
-    def unused(self) -> int:
+    def expired(self) -> int:
         """Bookings of all origins that expired."""
-        return sum(tally.unused for tally in self.tallies.values())
+        return sum(tally.expired for tally in self.reservation_outcomes.values())
 
-    def prepare(self, job: Job, ends_in: float, boot_s: float, load: float, now: Steady) -> None:
+    def reserve_for_stream(
+        self, job: Job, ends_in: float, boot_s: float, load: float, now: MonotonicTime
+    ) -> None:
         """Books room for the next job of the stream about one boot before the estimated end of
         this one. Jobs of chains are not in the stream."""
         if ends_in > boot_s:
             return
-        pipeline = (job.spec.team, job.spec.klass)
+        pipeline = (job.spec.team, job.spec.job_class)
         stream = self._streams.get(pipeline)
-        if stream is None or not self._book.has_room(pipeline, load):
+        if stream is None or not self._reservations.has_capacity(pipeline, load):
             return
-        if any(b.upstream == job.id for b in self._book.of(pipeline, Origin.STREAM)):
+        if any(
+            b.upstream == job.id
+            for b in self._reservations.for_pipeline(pipeline, ReservationOrigin.STREAM)
+        ):
             return
-        seen = next((s for s in stream.seen if s.job == job.id), None)
+        seen = next((s for s in stream.recent_jobs if s.job_id == job.id), None)
         image = self.predict(*pipeline, seen.path) if seen is not None else None
         if image is None:
             return
-        until = Steady(now + max(ends_in, 0.0) + boot_s)
-        booking = Booking(pipeline, job.id, image, stream.cpus.get(image, 0.0), stream.spot, until)
-        self._book.add(booking)
+        until = MonotonicTime(now + max(ends_in, 0.0) + boot_s)
+        booking = SoftReservation(
+            pipeline, job.id, image, stream.usual_cpus.get(image, 0.0), stream.spot, until
+        )
+        self._reservations.add(booking)
         log.debug("booked pipeline=%s/%s image=%s cpus=%g", *pipeline, image, booking.cpus)
 
-    def prepare_submitted(
+    def reserve_for_submitted(
         self,
         after: Job,
         cpus: float,
@@ -254,112 +270,126 @@
         ends_in: float,
         boot_s: float,
         load: float,
-        now: Steady,
+        now: MonotonicTime,
     ) -> None:
         """The same for a successor that is submitted already and waits for that job last: its room
         is booked, as deep as the load allows, without a prediction."""
         spec = after.spec
-        pipeline = (spec.team, spec.klass)
-        if not self._book.has_room(pipeline, load):
+        pipeline = (spec.team, spec.job_class)
+        if not self._reservations.has_capacity(pipeline, load):
             return
-        if any(b.successor == after.id for b in self._book.of(pipeline)):
+        if any(b.successor == after.id for b in self._reservations.for_pipeline(pipeline)):
             return
-        until = Steady(now + max(ends_in, 0.0) + boot_s)
-        self._book.add(
-            Booking(
-                pipeline, upstream, spec.image, cpus, spec.spot, until, Origin.SUBMITTED, after.id
+        until = MonotonicTime(now + max(ends_in, 0.0) + boot_s)
+        self._reservations.add(
+            SoftReservation(
+                pipeline,
+                upstream,
+                spec.image,
+                cpus,
+                spec.allows_spot,
+                until,
+                ReservationOrigin.SUBMITTED,
+                after.id,
             )
         )
         log.debug("booked job=%s image=%s cpus=%g", after.id, spec.image, cpus)
 
-    def prepare_chain(
-        self, expected: Prediction, cpus: float, boot_s: float, load: float, now: Steady
+    def reserve_for_chain(
+        self,
+        expected: SuccessorPrediction,
+        cpus: float,
+        boot_s: float,
+        load: float,
+        now: MonotonicTime,
     ) -> None:
         """Books room for a successor along a chain that is not submitted yet. A fan-in is booked
         once: the other jobs that it awaits join the booking that the first of them made."""
-        until = Steady(now + max(expected.ends_in, 0.0) + boot_s)
-        booked = self._booked_for(expected)
+        until = MonotonicTime(now + max(expected.ends_in_s, 0.0) + boot_s)
+        booked = self._find_reservation(expected)
         if booked is not None:
-            booked.chains[expected.chain] = expected.path
-            booked.until = max(booked.until, until)
+            booked.chains[expected.chain_id] = expected.path
+            booked.expires_at = max(booked.expires_at, until)
             return
-        if not self._book.has_room(expected.pipeline, load):
+        if not self._reservations.has_capacity(expected.pipeline, load):
             return
-        booking = Booking(
+        booking = SoftReservation(
             expected.pipeline,
             expected.upstream,
             expected.image,
             cpus,
             expected.spot,
             until,
-            Origin.CHAIN,
-            chains={expected.chain: expected.path},
+            ReservationOrigin.CHAIN,
+            chains={expected.chain_id: expected.path},
         )
-        self._book.add(booking)
+        self._reservations.add(booking)
         log.debug(
             "booked chain=%s/%s after=%s cpus=%g", *expected.pipeline, expected.upstream, cpus
         )
 
-    def returned(self, job: JobId) -> None:
+    def cancel_reservation(self, job: JobId) -> None:
         """The successor will not come: its room is returned."""
-        for booking in [b for b in self.bookings if b.successor == job]:
-            self._book.miss(booking)
+        for booking in [b for b in self.soft_reservations if b.successor == job]:
+            self._reservations.record_miss(booking)
 
-    def expire(self, now: Steady) -> None:
+    def expire(self, now: MonotonicTime) -> None:
         """Returns the room that no job took in time, and counts the chains that ended."""
-        self._book.expire(now)
-        self.chains.settle(now)
+        self._reservations.expire(now)
+        self.chains.settle_ended_chains(now)
 
-    def booked(self, held: Callable[[JobId], float] = lambda _: 0.0) -> tuple[float, float]:
+    def reserved_cpus(self, held: Callable[[JobId], float] = lambda _: 0.0) -> tuple[float, float]:
         """CPUs booked beyond what the upstream jobs hold: for jobs that need ordinary machines,
         and in all."""
-        return self._book.booked(held)
+        return self._reservations.reserved_cpus(held)
 
-    def _resolve(self, job: Job) -> None:
+    def _match_reservation(self, job: Job) -> None:
         """A job is ready: it takes the booking made for it or, if it has no dependencies, for the
         next of its image; if there is none, the oldest prediction of the stream was a miss."""
-        pipeline = (job.spec.team, job.spec.klass)
-        own = next((b for b in self._book.of(pipeline) if b.successor == job.id), None)
+        pipeline = (job.spec.team, job.spec.job_class)
+        own = next(
+            (b for b in self._reservations.for_pipeline(pipeline) if b.successor == job.id), None
+        )
         if own is not None:
-            self._book.hit(own)
+            self._reservations.record_hit(own)
             return
-        expected = self._book.of(pipeline, Origin.STREAM)
+        expected = self._reservations.for_pipeline(pipeline, ReservationOrigin.STREAM)
         if job.spec.dependencies or not expected:
             return
         same_image = next((b for b in expected if b.image == job.spec.image), None)
         if same_image is not None:
-            self._book.hit(same_image)
+            self._reservations.record_hit(same_image)
         else:
-            self._book.miss(expected[0])
+            self._reservations.record_miss(expected[0])
 
     # -- chains
 
-    def submitted(self, job: Job, dependents: Iterable[Job] = ()) -> None:
+    def on_job_submitted(self, job: Job, dependents: Iterable[Job] = ()) -> None:
         """A job was accepted, perhaps learned of after some that await it. If it awaits others, it
         takes the room booked for what follows them; what else was booked there is returned."""
-        pipeline = (job.spec.team, job.spec.klass)
+        pipeline = (job.spec.team, job.spec.job_class)
         took = False
-        for booking in self._book.continuing(self.chains.submitted(job, dependents)):
+        for booking in self._reservations.for_chains(self.chains.on_job_submitted(job, dependents)):
             if booking.pipeline == pipeline and not took:
-                self._book.hit(booking)
+                self._reservations.record_hit(booking)
                 took = True
             else:
-                self._book.miss(booking)
+                self._reservations.record_miss(booking)
 
-    def chain_ended(self, job: JobId, outcome: str, now: Steady) -> None:
+    def on_chain_job_ended(self, job: JobId, outcome: str, now: MonotonicTime) -> None:
         """The durable end of a job. If it is aborted, so is all that awaits it: the room booked
         for its successor is returned."""
-        chain = self.chains.ended(job, outcome, now)
+        chain = self.chains.on_job_ended(job, outcome, now)
         if chain is not None and outcome == CANCELLED:
-            for booking in self._book.continuing({chain}):
-                self._book.miss(booking)
+            for booking in self._reservations.for_chains({chain}):
+                self._reservations.record_miss(booking)
 
-    def _booked_for(self, expected: Prediction) -> Booking | None:
+    def _find_reservation(self, expected: SuccessorPrediction) -> SoftReservation | None:
         """The booking that was made for the same job: along the same chain or, if the job awaits
         several chains, along another one of these."""
-        mine = self._book.of(expected.pipeline, Origin.CHAIN)
+        mine = self._reservations.for_pipeline(expected.pipeline, ReservationOrigin.CHAIN)
         for booking in mine:
-            if expected.chain in booking.chains:
+            if expected.chain_id in booking.chains:
                 return booking
         for booking in mine:
             if expected.fan_in.issuperset(booking.chains.values()):
--- a/src/eldercart/prediction/soft_reservations.py
+++ b/src/eldercart/prediction/soft_reservations.py
@@ -9,14 +9,14 @@
 from enum import Enum
 
 from eldercart.settings import Tuning
-from eldercart.units import JobId, Steady
+from eldercart.units import JobId, MonotonicTime
 
 Path = tuple[str, ...]
 Pipeline = tuple[str, str]  # team and class
-ChainNumber = int
+ChainId = int
 
 
-class Origin(Enum):
+class ReservationOrigin(Enum):
     """Why room was booked."""
 
     STREAM = "stream"  # the next job of a team's class, as the stream predictor expects it
@@ -25,20 +25,20 @@
 
 
 @dataclass(slots=True)
-class Tally:
+class ReservationOutcomes:
     """What became of the bookings of one origin."""
 
     hits: int = 0
     misses: int = 0
-    unused: int = 0
+    expired: int = 0
 
     def __str__(self) -> str:
         """As the log shows it."""
-        return f"{self.hits}/{self.misses}/{self.unused}"
+        return f"{self.hits}/{self.misses}/{self.expired}"
 
 
 @dataclass(slots=True)
-class Booking:
+class SoftReservation:
     """Room for one expected job, of `pipeline` and most likely with `image`."""
 
     pipeline: Pipeline
@@ -46,74 +46,74 @@
     image: str
     cpus: float
     spot: bool
-    until: Steady
-    origin: Origin = Origin.STREAM
+    expires_at: MonotonicTime
+    origin: ReservationOrigin = ReservationOrigin.STREAM
     successor: JobId | None = None  # known if the job is submitted already
     # The chains that the job is expected to continue, and the path of each. A fan-in has several.
-    chains: dict[ChainNumber, Path] = field(default_factory=dict)
+    chains: dict[ChainId, Path] = field(default_factory=dict)
 
 
-class BookingBook:
+class SoftReservations:
     """Owns the bookings, the cap on their number, and the tallies."""
 
     def __init__(self, tuning: Tuning) -> None:
         """Starts without bookings."""
         self._tuning = tuning
-        self.bookings: list[Booking] = []
-        self.tallies = {origin: Tally() for origin in Origin}
+        self.active: list[SoftReservation] = []
+        self.outcomes = {origin: ReservationOutcomes() for origin in ReservationOrigin}
 
-    def depth(self, booked_share: float) -> int:
+    def max_per_pipeline(self, booked_share: float) -> int:
         """How many bookings a pipeline may have at that load of the fleet."""
         tuning = self._tuning
         if booked_share > tuning.load_much:
             return int(tuning.depth_full)
         return int(tuning.depth_loaded if booked_share > tuning.load_some else tuning.depth)
 
-    def of(self, pipeline: Pipeline, origin: Origin | None = None) -> list[Booking]:
+    def for_pipeline(
+        self, pipeline: Pipeline, origin: ReservationOrigin | None = None
+    ) -> list[SoftReservation]:
         """The pipeline's bookings, oldest first; of all origins unless one is named."""
         return [
             booking
-            for booking in self.bookings
+            for booking in self.active
             if booking.pipeline == pipeline and origin in (None, booking.origin)
         ]
 
-    def has_room(self, pipeline: Pipeline, load: float) -> bool:
+    def has_capacity(self, pipeline: Pipeline, load: float) -> bool:
         """Whether the load allows one more booking of the pipeline."""
-        return len(self.of(pipeline)) < self.depth(load)
+        return len(self.for_pipeline(pipeline)) < self.max_per_pipeline(load)
 
-    def continuing(self, chains: Collection[ChainNumber]) -> list[Booking]:
+    def for_chains(self, chains: Collection[ChainId]) -> list[SoftReservation]:
         """Those for the successor of one of these chains."""
         return [
-            booking
-            for booking in self.bookings
-            if any(number in chains for number in booking.chains)
+            booking for booking in self.active if any(number in chains for number in booking.chains)
         ]
 
-    def add(self, booking: Booking) -> None:
+    def add(self, booking: SoftReservation) -> None:
         """Books."""
-        self.bookings.append(booking)
+        self.active.append(booking)
 
-    def hit(self, booking: Booking) -> None:
+    def record_hit(self, booking: SoftReservation) -> None:
         """The expected job has come and takes its room."""
-        self.tallies[booking.origin].hits += 1
-        self.bookings.remove(booking)
+        self.outcomes[booking.origin].hits += 1
+        self.active.remove(booking)
 
-    def miss(self, booking: Booking) -> None:
+    def record_miss(self, booking: SoftReservation) -> None:
         """Another job came, or none will: the room is returned."""
-        self.tallies[booking.origin].misses += 1
-        self.bookings.remove(booking)
+        self.outcomes[booking.origin].misses += 1
+        self.active.remove(booking)
 
-    def expire(self, now: Steady) -> None:
+    def expire(self, now: MonotonicTime) -> None:
         """Returns the room that no job took in time."""
-        for booking in [b for b in self.bookings if b.until <= now]:
-            self.tallies[booking.origin].unused += 1
-            self.bookings.remove(booking)
+        for booking in [b for b in self.active if b.expires_at <= now]:
+            self.outcomes[booking.origin].expired += 1
+            self.active.remove(booking)
 
-    def booked(self, held: Callable[[JobId], float]) -> tuple[float, float]:
+    def reserved_cpus(self, held: Callable[[JobId], float]) -> tuple[float, float]:
         """CPUs booked: for jobs that need ordinary machines, and in all. What the upstream still
         holds comes free for its successor, so only the rest is needed beside it."""
         ordinary = everything = 0.0
-        for booking in self.bookings:
+        for booking in self.active:
             cpus = max(0.0, booking.cpus - held(booking.upstream))
             everything += cpus
             if not booking.spot:
--- a/src/eldercart/server/coalescing.py
+++ b/src/eldercart/server/coalescing.py
@@ -14,15 +14,15 @@
     def __init__(self, delay_s: float, what: Callable[[], None]) -> None:
         """`what` does the work that is asked for."""
         self._delay_s = delay_s
-        self._what = what
-        self._set = False
+        self._function = what
+        self._is_scheduled = False
 
     def __call__(self) -> None:
         """Asks for the call; without effect while one is scheduled."""
-        if not self._set:
-            self._set = True
+        if not self._is_scheduled:
+            self._is_scheduled = True
             reactor.callLater(self._delay_s, self._run)
 
     def _run(self) -> None:
-        self._set = False
-        self._what()
+        self._is_scheduled = False
+        self._function()
--- a/src/eldercart/server/graceful_shutdown.py
+++ b/src/eldercart/server/graceful_shutdown.py
@@ -8,32 +8,32 @@
 from twisted.internet import reactor as _reactor
 
 from eldercart.election.state_machine import Role
-from eldercart.server.http.replies import SOON_S, refuse_for_now
+from eldercart.server.http.replies import SHORT_RETRY_AFTER_S, reject_temporarily
 from eldercart.server.http.server import JsonRequest
-from eldercart.units import Steady
+from eldercart.units import MonotonicTime
 from eldercart.wire import workers
 
 if TYPE_CHECKING:
-    from eldercart.server.controller_node import Node
+    from eldercart.server.controller_node import ControllerNode
 
 reactor: Any = _reactor
 log = logging.getLogger("eldercart.node")
 
-DRAIN_S = 2.5  # for requests under way; a worker drops answers after 4 s
-LOOK_S = 0.05
-FLUSH_S = 0.1  # from the last answer to the end of the process
+DRAIN_TIMEOUT_S = 2.5  # for requests under way; a worker drops answers after 4 s
+DRAIN_POLL_S = 0.05
+FLUSH_DELAY_S = 0.1  # from the last answer to the end of the process
 
 
-class Ending:
+class GracefulShutdown:
     """Refuses what is new, waits for what is under way, and gives the leadership up at once."""
 
-    def __init__(self, node: "Node") -> None:
+    def __init__(self, node: "ControllerNode") -> None:
         """The node serves until `begin`."""
         self.node = node
-        self.begun = False
-        self._until = Steady(math.inf)
+        self.has_begun = False
+        self._deadline_at = MonotonicTime(math.inf)
 
-    def install(self) -> None:
+    def install_signal_handler(self) -> None:
         """Begins at SIGTERM. Where signals are not to be had, the node just ends when killed."""
         try:
             signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(self.begin))
@@ -42,13 +42,13 @@
 
     def begin(self) -> None:
         """Starts the end, once."""
-        if self.begun:
+        if self.has_begun:
             return
         log.info("ends on request")
-        self.begun = True
-        self._until = Steady(self.node.clock() + DRAIN_S)
+        self.has_begun = True
+        self._deadline_at = MonotonicTime(self.node.clock() + DRAIN_TIMEOUT_S)
         self.node.stop_accepting()
-        self._look()
+        self._poll_drain()
 
     def refuse(self, request: JsonRequest) -> None:
         """A new request on a kept connection: another node can answer it."""
@@ -57,21 +57,21 @@
             other = None if leader == self.node.settings.label else leader
             request.reply(421, workers.redirect_body(other))
         else:
-            refuse_for_now(request, "this node ends", SOON_S)
+            reject_temporarily(request, "this node ends", SHORT_RETRY_AFTER_S)
 
-    def _look(self) -> None:
+    def _poll_drain(self) -> None:
         """A claim that was under way may still make this node leader, so it is looked at again."""
         node = self.node
         now = node.clock()
         if node.election.role is Role.LEADER:
-            node.leader_service.end("ends on request")
-        node.election.retire(now)
+            node.leader_service.end_leadership("ends on request")
+        node.election.resign_permanently(now)
         node.election_service.tick(now)
-        unanswered = node.requests_under_way()
-        if (unanswered or node.election.hands_over) and now < self._until:
-            reactor.callLater(LOOK_S, self._look)
+        unanswered = node.pending_requests()
+        if (unanswered or node.election.is_handing_over) and now < self._deadline_at:
+            reactor.callLater(DRAIN_POLL_S, self._poll_drain)
             return
         for request in unanswered:
-            refuse_for_now(request, "this node ends", SOON_S)
+            reject_temporarily(request, "this node ends", SHORT_RETRY_AFTER_S)
         log.info("ended refused=%d", len(unanswered))
-        reactor.callLater(FLUSH_S, reactor.stop)
+        reactor.callLater(FLUSH_DELAY_S, reactor.stop)
--- a/src/eldercart/server/http/replies.py
+++ b/src/eldercart/server/http/replies.py
@@ -3,17 +3,17 @@
 from eldercart.server.http.server import JsonRequest
 from eldercart.wire import users
 
-RETRY_S = 2  # a change of leader or a short outage is over by then, often
-SOON_S = 1  # what is under way now is over by then
+RETRY_AFTER_S = 2  # a change of leader or a short outage is over by then, often
+SHORT_RETRY_AFTER_S = 1  # what is under way now is over by then
 
 
-def refuse(request: JsonRequest, status: int, message: str) -> None:
+def reject(request: JsonRequest, status: int, message: str) -> None:
     """Answers for good: the same request would get the same answer again."""
     request.reply(status, users.error_body(message))
 
 
-def refuse_for_now(
-    request: JsonRequest, message: str, retry_after: int = RETRY_S, close: bool = False
+def reject_temporarily(
+    request: JsonRequest, message: str, retry_after: int = RETRY_AFTER_S, close: bool = False
 ) -> None:
     """Answers 503. `close` sends the user through the load balancer, to another node perhaps."""
     request.reply(503, users.error_body(message), retry_after, close)
--- a/src/eldercart/server/http/server.py
+++ b/src/eldercart/server/http/server.py
@@ -12,15 +12,15 @@
 
 from eldercart.server.http.immediate_write import ImmediateWriteServer
 from eldercart.settings.platform import Endpoint
-from eldercart.wire.checks import MAX_BODY
+from eldercart.wire.checks import MAX_BODY_BYTES
 from eldercart.wire.users import error_body
 
 reactor: Any = _reactor
 log = logging.getLogger("eldercart.net")
 
-IDLE_S = 120.0  # without a byte, after which a connection is closed
+IDLE_TIMEOUT_S = 120.0  # without a byte, after which a connection is closed
 # Names of headers that nothing here reads; workers send them with each report.
-UNREAD_HEADERS = frozenset((b"host", b"content-type", b"user-agent", b"accept"))
+IGNORED_HEADERS = frozenset((b"host", b"content-type", b"user-agent", b"accept"))
 
 
 @cache
@@ -32,22 +32,22 @@
 class JsonRequest(http.Request):
     """One request. `reply` may be called later; a peer that has left is not answered."""
 
-    disconnected = False
-    too_long = False
+    is_disconnected = False
+    is_too_long = False
 
     def gotLength(self, length: int | None) -> None:
         """Prepares for a body of this length, or of an unknown one."""
         # Never a temporary file: /tmp counts as memory.
         self.content = BytesIO()
-        self.too_long = length is not None and length > MAX_BODY
+        self.is_too_long = length is not None and length > MAX_BODY_BYTES
 
     def parseCookies(self) -> None:
         """Nothing here reads cookies."""
 
     def handleContentChunk(self, data: bytes) -> None:
         """Keeps the next part of the body; beyond the bound nothing more is kept."""
-        if self.too_long or self.content.tell() + len(data) > MAX_BODY:
-            self.too_long = True
+        if self.is_too_long or self.content.tell() + len(data) > MAX_BODY_BYTES:
+            self.is_too_long = True
             return
         self.content.write(data)
 
@@ -62,8 +62,8 @@
 
     def process(self) -> None:
         """Hands the whole request to the factory's route."""
-        self.channel.factory.unanswered.add(self)
-        if self.too_long:
+        self.channel.factory.pending_requests.add(self)
+        if self.is_too_long:
             self.reply(400, error_body("body over 64 KiB"))
             return
         try:
@@ -72,12 +72,12 @@
             # A defect in one request must not end the loop or the connection of another.
             log.exception("request failed path=%s", self.path[:100])
             if not self.finished:
-                self.reply(503, error_body("internal"), retry_after=1)
+                self.reply(503, error_body("internal"), retry_after_s=1)
 
     def connectionLost(self, reason: Any) -> None:
         """The peer has left: nothing is sent any more."""
-        self.disconnected = True
-        self.channel.factory.unanswered.discard(self)
+        self.is_disconnected = True
+        self.channel.factory.pending_requests.discard(self)
         super().connectionLost(reason)
 
     def body(self) -> bytes:
@@ -86,19 +86,19 @@
         return value
 
     def reply(
-        self, status: int, body: bytes, retry_after: int | None = None, close: bool = False
+        self, status: int, body: bytes, retry_after_s: int | None = None, close: bool = False
     ) -> None:
         """Answers, once; `close` ends the connection afterwards."""
-        if self.disconnected or self.finished:
+        if self.is_disconnected or self.finished:
             return
-        self.channel.factory.unanswered.discard(self)
-        if close or self.channel.factory.ending:
+        self.channel.factory.pending_requests.discard(self)
+        if close or self.channel.factory.is_closing:
             self.channel.persistent = False
         # Head and body in one piece: a packet, and a call to send it, for each answer.
         head = status_line(status) + b"content-type: application/json\r\n"
         head += b"content-length: %d\r\n" % len(body)
-        if retry_after is not None:
-            head += b"retry-after: %d\r\n" % retry_after
+        if retry_after_s is not None:
+            head += b"retry-after: %d\r\n" % retry_after_s
         if not self.channel.persistent:
             head += b"connection: close\r\n"
         self.startedWriting = 1
@@ -113,22 +113,22 @@
     # The base class stops and starts its idle timer around each request. All requests are answered
     # within seconds, so one timer is enough for as long as the connection stands.
     timeOut = None
-    _idle: Any = None
+    _idle_timer: Any = None
 
     def connectionMade(self) -> None:
         """Counts the connection."""
-        self.factory.open += 1
+        self.factory.open_connections += 1
         # Small answers on kept connections: do not wait to fill a packet.
         self.transport.setTcpNoDelay(True)
         # Asked for by each request, and never read.
         self._addresses = (self.transport.getPeer(), self.transport.getHost())
         super().connectionMade()
-        self._idle = self.callLater(IDLE_S, self.timeoutConnection)
+        self._idle_timer = self.callLater(IDLE_TIMEOUT_S, self.timeoutConnection)
 
     def dataReceived(self, data: bytes) -> None:
         """Puts off the end of the connection, and reads on."""
-        if self._idle is not None and self._idle.active():
-            self._idle.reset(IDLE_S)
+        if self._idle_timer is not None and self._idle_timer.active():
+            self._idle_timer.reset(IDLE_TIMEOUT_S)
         super().dataReceived(data)
 
     def getPeer(self) -> Any:
@@ -141,16 +141,16 @@
 
     def headerReceived(self, line: bytes) -> bool:
         """Keeps a header, unless nothing reads it."""
-        if line.partition(b":")[0].lower() in UNREAD_HEADERS:
+        if line.partition(b":")[0].lower() in IGNORED_HEADERS:
             return True
         kept: bool = super().headerReceived(line)
         return kept
 
     def connectionLost(self, reason: Any) -> None:
         """Counts it no longer."""
-        self.factory.open -= 1
-        if self._idle is not None and self._idle.active():
-            self._idle.cancel()
+        self.factory.open_connections -= 1
+        if self._idle_timer is not None and self._idle_timer.active():
+            self._idle_timer.cancel()
         super().connectionLost(reason)
 
 
@@ -162,10 +162,10 @@
         """Accepts at most `most` connections at a time."""
         super().__init__(reactor=reactor)
         self.route = route
-        self.most = most
-        self.open = 0
-        self.unanswered: set[JsonRequest] = set()
-        self.ending = False  # each connection is closed with its next answer
+        self.max_connections = most
+        self.open_connections = 0
+        self.pending_requests: set[JsonRequest] = set()
+        self.is_closing = False  # each connection is closed with its next answer
 
     def log(self, request: Any) -> None:
         """No access log."""
@@ -178,7 +178,7 @@
 
     def buildProtocol(self, addr: Any) -> Any:
         """The channel for a new connection; None closes it at once."""
-        if self.open >= self.most:
+        if self.open_connections >= self.max_connections:
             return None
         channel = JsonChannel()
         channel.factory = self
@@ -190,6 +190,8 @@
     """Accepts connections at the endpoint; returns the open port."""
     # All workers may come at once, when theirs is the only node left: a full queue costs each of
     # them a time-out, and several of those its lease.
-    port = reactor.listenTCP(endpoint.port, factory, backlog=factory.most, interface=endpoint.host)
+    port = reactor.listenTCP(
+        endpoint.port, factory, backlog=factory.max_connections, interface=endpoint.host
+    )
     port.transport = ImmediateWriteServer
     return port
--- a/src/eldercart/server/leadership/current_leadership.py
+++ b/src/eldercart/server/leadership/current_leadership.py
@@ -2,13 +2,13 @@
 
 from typing import TYPE_CHECKING
 
-from eldercart.scheduling.scheduler import Controller
+from eldercart.scheduling.scheduler import Scheduler
 
 if TYPE_CHECKING:
-    from eldercart.server.controller_node import Node
+    from eldercart.server.controller_node import ControllerNode
 
 
-def serves(node: "Node", controller: Controller) -> bool:
+def is_current_leadership(node: "ControllerNode", controller: Scheduler) -> bool:
     """Whether that controller is the one that leads here. An answer that comes after its
     leadership must change nothing in the next one."""
-    return node.leader_service.controller is controller
+    return node.leader_service.scheduler is controller
--- a/src/eldercart/server/leadership/failover.py
+++ b/src/eldercart/server/leadership/failover.py
@@ -6,17 +6,22 @@
 
 from twisted.internet import reactor as _reactor
 
-from eldercart.jobs.registry import CLEANUP, DEPENDENCY_LISTS, JOB, PLACE
-from eldercart.persistence.learned_state import MEMORY
+from eldercart.jobs.registry import (
+    CLEANUP_PREFIX,
+    DEPENDENCY_LIST_PREFIX,
+    JOB_PREFIX,
+    PLACEMENT_PREFIX,
+)
+from eldercart.persistence.learned_state import LEARNED_STATE_PREFIX
 from eldercart.server.leadership.catalog_record import CATALOG_KEY
-from eldercart.server.leadership.job_record_watch import refers_to_list
-from eldercart.server.store.client import Store
-from eldercart.units import ABSENT, Revision
+from eldercart.server.leadership.job_record_watch import has_dependency_list
+from eldercart.server.store.client import StoreClient
+from eldercart.units import ABSENT_REVISION, Revision
 from eldercart.wire.state import Item
 
 reactor: Any = _reactor
 
-READ_AGAIN_S = 0.5  # before a prefix is read again that could not be read
+READ_RETRY_S = 0.5  # before a prefix is read again that could not be read
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,67 +32,78 @@
     jobs: list[Item]
     placements: list[Item]
     cleanup_markers: list[Item]
-    memory_records: list[Item]
+    learned_state: list[Item]
     dependency_lists: list[Item]  # read only if a job record refers to one
     jobs_revision: Revision  # as of which the job records were read
-    others: list[Item] = field(default_factory=list)  # of the further prefixes asked for
+    additional_records: list[Item] = field(
+        default_factory=list
+    )  # of the further prefixes asked for
 
 
-class TakeOver:
+class Failover:
     """Reads the records prefix by prefix, each until it succeeds, and hands them over once."""
 
     def __init__(
-        self, store: Store, done: Callable[[StoredRecords], None], more: Sequence[str] = ()
+        self, store: StoreClient, done: Callable[[StoredRecords], None], more: Sequence[str] = ()
     ) -> None:
         """`done` is called when everything has been read, unless `abandon` came before; `more`:
         prefixes to be read beside those that every leader reads."""
         self._store = store
-        self._done = done
-        self._abandoned = False
-        self._more = more
-        self._prefixes = [CATALOG_KEY, JOB, PLACE, CLEANUP, MEMORY, *more]
-        self._read: dict[str, list[Item]] = {}
-        self._jobs_revision = ABSENT
+        self._on_complete = done
+        self._is_cancelled = False
+        self._additional_prefixes = more
+        self._prefixes = [
+            CATALOG_KEY,
+            JOB_PREFIX,
+            PLACEMENT_PREFIX,
+            CLEANUP_PREFIX,
+            LEARNED_STATE_PREFIX,
+            *more,
+        ]
+        self._items_by_prefix: dict[str, list[Item]] = {}
+        self._jobs_revision = ABSENT_REVISION
 
-    def abandon(self) -> None:
+    def cancel(self) -> None:
         """Leadership ended before the records were read: answers under way are dropped."""
-        self._abandoned = True
+        self._is_cancelled = True
 
     def read_next(self) -> None:
         """Reads the next prefix, or finishes when none is left."""
-        if self._abandoned:
+        if self._is_cancelled:
             return
-        if len(self._read) == len(self._prefixes):
+        if len(self._items_by_prefix) == len(self._prefixes):
             self._finish()
             return
-        prefix = self._prefixes[len(self._read)]
-        self._store.range(prefix, lambda items, revision: self._got(prefix, items, revision))
+        prefix = self._prefixes[len(self._items_by_prefix)]
+        self._store.range(prefix, lambda items, revision: self._on_range(prefix, items, revision))
 
-    def _got(self, prefix: str, items: list[Item] | None, revision: Revision) -> None:
-        if self._abandoned:
+    def _on_range(self, prefix: str, items: list[Item] | None, revision: Revision) -> None:
+        if self._is_cancelled:
             return
         if items is None:
-            reactor.callLater(READ_AGAIN_S, self.read_next)
+            reactor.callLater(READ_RETRY_S, self.read_next)
             return
-        self._read[prefix] = items
-        if prefix == JOB:
+        self._items_by_prefix[prefix] = items
+        if prefix == JOB_PREFIX:
             self._jobs_revision = revision
-            if any(refers_to_list(item) for item in items):
+            if any(has_dependency_list(item) for item in items):
                 # After the records: a list is there before the record that refers to it.
-                self._prefixes.append(DEPENDENCY_LISTS)
+                self._prefixes.append(DEPENDENCY_LIST_PREFIX)
         self.read_next()
 
     def _finish(self) -> None:
-        read = self._read
-        self._done(
+        read = self._items_by_prefix
+        self._on_complete(
             StoredRecords(
                 catalog=read[CATALOG_KEY],
-                jobs=read[JOB],
-                placements=read[PLACE],
-                cleanup_markers=read[CLEANUP],
-                memory_records=read[MEMORY],
-                dependency_lists=read.get(DEPENDENCY_LISTS, []),
-                others=[item for prefix in self._more for item in read[prefix]],
+                jobs=read[JOB_PREFIX],
+                placements=read[PLACEMENT_PREFIX],
+                cleanup_markers=read[CLEANUP_PREFIX],
+                learned_state=read[LEARNED_STATE_PREFIX],
+                dependency_lists=read.get(DEPENDENCY_LIST_PREFIX, []),
+                additional_records=[
+                    item for prefix in self._additional_prefixes for item in read[prefix]
+                ],
                 jobs_revision=self._jobs_revision,
             )
         )
--- a/src/eldercart/server/leadership/job_record_watch.py
+++ b/src/eldercart/server/leadership/job_record_watch.py
@@ -7,158 +7,166 @@
 from twisted.internet import reactor as _reactor
 
 from eldercart.jobs.registry import (
-    DEPENDENCY_LISTS,
-    JOB,
+    DEPENDENCY_LIST_PREFIX,
+    JOB_PREFIX,
+    decode_dependency_list_reference,
     dependency_list_prefix,
-    list_reference,
-    resolve,
+    resolve_dependency_list,
 )
-from eldercart.scheduling.scheduler import Controller
-from eldercart.server.leadership.current_leadership import serves
+from eldercart.scheduling.scheduler import Scheduler
+from eldercart.server.leadership.current_leadership import is_current_leadership
 from eldercart.units import JobId, Revision
-from eldercart.wire import Malformed
+from eldercart.wire import MalformedMessage
 from eldercart.wire.state import Item
 
 if TYPE_CHECKING:
-    from eldercart.server.controller_node import Node
+    from eldercart.server.controller_node import ControllerNode
 
 reactor: Any = _reactor
 log = logging.getLogger("eldercart.node")
 
-WATCH_LONGEST_S = 10.0  # for which one request of the watch stays open
-WATCH_AGAIN_S = 0.5  # before a watch that failed is tried again
-LIST_AGAIN_S, LIST_LONGEST_S = 0.5, 10.0  # pauses before a list is read again
+WATCH_TIMEOUT_S = 10.0  # for which one request of the watch stays open
+WATCH_RETRY_S = 0.5  # before a watch that failed is tried again
+LIST_RETRY_S, MAX_LIST_RETRY_S = 0.5, 10.0  # pauses before a list is read again
 
 
-class JobRecords:
+class JobRecordWatch:
     """Teaches the controller the jobs that any node accepts, while this node leads.
 
     Each call under way belongs to the controller it was made for and is dropped once another one,
     or none, is in its place."""
 
-    def __init__(self, node: "Node") -> None:
+    def __init__(self, node: "ControllerNode") -> None:
         """Teaches whatever controller the node's `leader_service` has."""
         self._node = node
-        self._resolving: set[JobId] = set()  # jobs whose list of dependencies is being read
+        self._jobs_resolving: set[JobId] = set()  # jobs whose list of dependencies is being read
 
     def reset(self) -> None:
         """A new leadership begins: reads of the one before don't count any more."""
-        self._resolving.clear()
+        self._jobs_resolving.clear()
 
     # -- the watch
 
-    def watch(self, controller: Controller, after: Revision) -> None:
+    def watch(self, controller: Scheduler, after: Revision) -> None:
         """Learns each record that is created after that revision."""
-        if not serves(self._node, controller):
+        if not is_current_leadership(self._node, controller):
             return
 
         def got(status: int | None, revision: Revision, events: list[Any]) -> None:
-            if not serves(self._node, controller):
+            if not is_current_leadership(self._node, controller):
                 return
             if status == 200:
-                self._take_events(events)
+                self._on_events(events)
                 self.watch(controller, revision)
             elif status == 410:
-                self._reread(controller)
+                self._resync(controller)
             else:
-                reactor.callLater(WATCH_AGAIN_S, self.watch, controller, after)
+                reactor.callLater(WATCH_RETRY_S, self.watch, controller, after)
 
-        self._node.store.watch(JOB, after, WATCH_LONGEST_S, got)
+        self._node.store.watch(JOB_PREFIX, after, WATCH_TIMEOUT_S, got)
 
-    def _take_events(self, events: list[Any]) -> None:
+    def _on_events(self, events: list[Any]) -> None:
         for event in events:
             if isinstance(event, Item):
-                self.learn(event)
+                self.add_record(event)
         if events:
             self._node.leader_service.process_events_soon()
 
-    def _reread(self, controller: Controller) -> None:
+    def _resync(self, controller: Scheduler) -> None:
         """More has changed than the state service keeps: reads all records and watches on."""
-        if not serves(self._node, controller):
+        if not is_current_leadership(self._node, controller):
             return
 
         def got(items: list[Item] | None, revision: Revision) -> None:
-            if not serves(self._node, controller):
+            if not is_current_leadership(self._node, controller):
                 return
             if items is None:
-                reactor.callLater(WATCH_AGAIN_S, self._reread, controller)
+                reactor.callLater(WATCH_RETRY_S, self._resync, controller)
                 return
             for item in items:
-                self.learn(item)
+                self.add_record(item)
             self.watch(controller, revision)
 
-        self._node.store.range(JOB, got)
+        self._node.store.range(JOB_PREFIX, got)
 
     # -- single records
 
-    def learn(self, item: Item) -> None:
+    def add_record(self, item: Item) -> None:
         """A record that refers to a list is learned with it. As long as the list can't be read the
         job stays unknown here: polls look it up, and nothing of it may start."""
-        controller = self._node.leader_service.controller
-        job = JobId(item.key[len(JOB) :])
-        if controller is None or self._node.user_service.final_of(job) is not None:
+        controller = self._node.leader_service.scheduler
+        job = JobId(item.key[len(JOB_PREFIX) :])
+        if controller is None or self._node.user_service.outcome_of(job) is not None:
             return
-        if not refers_to_list(item):
-            controller.learn_job(item, self._node.clock())
-        elif job not in controller.jobs and job not in self._resolving:
-            self._resolving.add(job)
-            self._resolve(controller, job, item, LIST_AGAIN_S)
-
-    def _resolve(self, controller: Controller, job: JobId, item: Item, pause: float) -> None:
+        if not has_dependency_list(item):
+            controller.load_job_record(item, self._node.clock())
+        elif job not in controller.jobs and job not in self._jobs_resolving:
+            self._jobs_resolving.add(job)
+            self._read_dependency_list(controller, job, item, LIST_RETRY_S)
+
+    def _read_dependency_list(
+        self, controller: Scheduler, job: JobId, item: Item, pause: float
+    ) -> None:
         """Reads the list that the record refers to, until it is there."""
-        if not serves(self._node, controller):
+        if not is_current_leadership(self._node, controller):
             return
-        reference = list_reference(item.value)
-        known = job in controller.jobs or self._node.user_service.final_of(job) is not None
+        reference = decode_dependency_list_reference(item.value)
+        known = job in controller.jobs or self._node.user_service.outcome_of(job) is not None
         if reference is None or known:
-            self._resolving.discard(job)
+            self._jobs_resolving.discard(job)
             return
 
         def got(lists: list[Item] | None, revision: Revision) -> None:
-            if not serves(self._node, controller):
+            if not is_current_leadership(self._node, controller):
                 return
-            whole = None if lists is None else resolve(job, item, lists)
+            whole = None if lists is None else resolve_dependency_list(job, item, lists)
             if whole is None:
                 log.info("list of dependencies not read job=%s", job)
-                longer = min(LIST_LONGEST_S, 2 * pause)
-                reactor.callLater(pause, self._resolve, controller, job, item, longer)
+                longer = min(MAX_LIST_RETRY_S, 2 * pause)
+                reactor.callLater(pause, self._read_dependency_list, controller, job, item, longer)
             else:
-                self._learn_resolved(controller, job, whole)
+                self._add_resolved_record(controller, job, whole)
 
         self._node.store.range(dependency_list_prefix(job, reference), got)
 
-    def _learn_resolved(self, controller: Controller, job: JobId, whole: Item) -> None:
-        self._resolving.discard(job)
-        if self._node.user_service.final_of(job) is None:
-            controller.learn_job(whole, self._node.clock())
+    def _add_resolved_record(self, controller: Scheduler, job: JobId, whole: Item) -> None:
+        self._jobs_resolving.discard(job)
+        if self._node.user_service.outcome_of(job) is None:
+            controller.load_job_record(whole, self._node.clock())
             self._node.leader_service.process_events_soon()
 
 
-def refers_to_list(item: Item) -> bool:
+def has_dependency_list(item: Item) -> bool:
     """Whether the job's dependencies stand in records of their own."""
     try:
-        return list_reference(item.value) is not None
-    except Malformed:
+        return decode_dependency_list_reference(item.value) is not None
+    except MalformedMessage:
         return False  # unreadable in any case; whoever reads it says so
 
 
 class ResolvedRecords(NamedTuple):
     """Job records by whether their lists of dependencies were found."""
 
-    whole: list[Item]  # with their lists in them
-    missing: list[Item]  # as they are; their lists are not all there
+    resolved: list[Item]  # with their lists in them
+    unresolved: list[Item]  # as they are; their lists are not all there
 
 
-def resolve_all(records: list[Item], lists: list[Item]) -> ResolvedRecords:
+def resolve_dependency_lists(records: list[Item], lists: list[Item]) -> ResolvedRecords:
     """Puts the lists of dependencies into the job records that refer to them."""
     of_job: dict[str, list[Item]] = {}
     for item in lists:
-        of_job.setdefault(item.key[len(DEPENDENCY_LISTS) :].partition("/")[0], []).append(item)
+        of_job.setdefault(item.key[len(DEPENDENCY_LIST_PREFIX) :].partition("/")[0], []).append(
+            item
+        )
     whole: list[Item] = []
     missing: list[Item] = []
     for item in records:
-        job = JobId(item.key[len(JOB) :])
-        found = resolve(job, item, of_job.get(job, ())) if refers_to_list(item) else item
+        job = JobId(item.key[len(JOB_PREFIX) :])
+        found = (
+            resolve_dependency_list(job, item, of_job.get(job, ()))
+            if has_dependency_list(item)
+            else item
+        )
         if found is None:
             missing.append(item)
         else:
--- a/src/eldercart/server/leadership/state_store_requests.py
+++ b/src/eldercart/server/leadership/state_store_requests.py
@@ -3,136 +3,151 @@
 import logging
 from typing import TYPE_CHECKING
 
-from eldercart.jobs.registry import END, end_of
-from eldercart.scheduling.scheduler import Controller, Outcome, PendingTxn
-from eldercart.server.leadership.current_leadership import serves
-from eldercart.server.store.client import FOR_ENDS, FOR_MEMORY, FOR_PLACING, FOR_POLLS
-from eldercart.units import JobId, Revision, Steady
+from eldercart.jobs.registry import END_PREFIX, decode_end_record
+from eldercart.scheduling.scheduler import PendingTransaction, Scheduler, TransactionOutcome
+from eldercart.server.leadership.current_leadership import is_current_leadership
+from eldercart.server.store.client import (
+    RESERVE_JOB_OUTCOMES,
+    RESERVE_LEARNED_STATE,
+    RESERVE_PLACEMENTS,
+    RESERVE_POLLS,
+)
+from eldercart.units import JobId, MonotonicTime, Revision
 from eldercart.wire.state import Item
 
 if TYPE_CHECKING:
-    from eldercart.server.controller_node import Node
+    from eldercart.server.controller_node import ControllerNode
 
 log = logging.getLogger("eldercart.node")
 
-OUTCOMES = {
-    200: Outcome.OK,
-    400: Outcome.MALFORMED,
-    409: Outcome.CONFLICT,
-    413: Outcome.MALFORMED,
-    429: Outcome.REFUSED,
-    503: Outcome.REFUSED,
+OUTCOME_BY_STATUS = {
+    200: TransactionOutcome.COMMITTED,
+    400: TransactionOutcome.INVALID,
+    409: TransactionOutcome.CONFLICT,
+    413: TransactionOutcome.INVALID,
+    429: TransactionOutcome.REJECTED,
+    503: TransactionOutcome.REJECTED,
 }  # any other status, or none: unknown
-MAX_END_READS = 20  # ends of awaited jobs that are read at once
-LOGGED_CHARACTERS = 300  # of a transaction that was answered unexpectedly
+MAX_OUTCOME_READS = 20  # ends of awaited jobs that are read at once
+MAX_LOGGED_BYTES = 300  # of a transaction that was answered unexpectedly
 
 
-class StoreWork:
+class StateStoreRequests:
     """Carries out the controller's work on the state service as far as tokens allow."""
 
-    def __init__(self, node: "Node") -> None:
+    def __init__(self, node: "ControllerNode") -> None:
         """Uses the node's client of the state service and its tokens."""
         self._node = node
 
-    def process_events(self, controller: Controller, now: Steady) -> None:
+    def process_events(self, controller: Scheduler, now: MonotonicTime) -> None:
         """Starts what is due, in the order of its urgency."""
-        if self._node.duties is not None:
-            controller.records.cleanup_permit = self._node.duties.cleanup_permit(controller, now)
-        self._reread_records(controller, now)
-        self._read_ends(controller, now)
-        self._write_next(controller, now)
-        self._write_memory(controller, now)
+        if self._node.singleton_service is not None:
+            controller.transaction_writer.cleanup_permit = (
+                self._node.singleton_service.cleanup_permit(controller, now)
+            )
+        self._refresh_records(controller, now)
+        self._read_outcomes(controller, now)
+        self._commit_next(controller, now)
+        self._commit_learned_state(controller, now)
 
     # -- reads
 
-    def _reread_records(self, controller: Controller, now: Steady) -> None:
-        for key in list(controller.reread):
-            if self._node.store.requests.take(now):
-                self._reread(controller, key)
+    def _refresh_records(self, controller: Scheduler, now: MonotonicTime) -> None:
+        for key in list(controller.keys_to_refresh):
+            if self._node.store.requests.try_take(now):
+                self._refresh(controller, key)
 
-    def _reread(self, controller: Controller, key: str) -> None:
-        controller.reread_under_way.add(key)
-        controller.reread.discard(key)
+    def _refresh(self, controller: Scheduler, key: str) -> None:
+        controller.refreshes_in_flight.add(key)
+        controller.keys_to_refresh.discard(key)
 
         def done(ok: bool, item: Item | None) -> None:
-            if not serves(self._node, controller):
+            if not is_current_leadership(self._node, controller):
                 return
-            controller.reread_under_way.discard(key)
+            controller.refreshes_in_flight.discard(key)
             if ok:
-                controller.reread_done(key, item, self._node.clock())
+                controller.on_key_refreshed(key, item, self._node.clock())
             else:
-                controller.reread.add(key)
+                controller.keys_to_refresh.add(key)
 
         self._node.store.get(key, done)
 
-    def _read_ends(self, controller: Controller, now: Steady) -> None:
-        tokens = self._node.store.requests.available(now, FOR_POLLS)
-        for job in controller.take_unread(now, min(MAX_END_READS, tokens)):
-            self._read_end(controller, job)
+    def _read_outcomes(self, controller: Scheduler, now: MonotonicTime) -> None:
+        tokens = self._node.store.requests.available(now, RESERVE_POLLS)
+        for job in controller.take_due_end_lookups(now, min(MAX_OUTCOME_READS, tokens)):
+            self._read_outcome(controller, job)
 
-    def _read_end(self, controller: Controller, job: JobId) -> None:
+    def _read_outcome(self, controller: Scheduler, job: JobId) -> None:
         """How a job ended that others await and that is not in the job registry any more."""
         node = self._node
-        how = node.user_service.final_of(job)
+        how = node.user_service.outcome_of(job)
         if how is not None:
-            controller.end_read(job, how, node.clock())
+            controller.on_end_lookup_result(job, how, node.clock())
             return
 
         def done(ok: bool, item: Item | None) -> None:
-            if not serves(self._node, controller):
+            if not is_current_leadership(self._node, controller):
                 return
-            controller.end_read(job, None if item is None else end_of(item.value), node.clock())
+            controller.on_end_lookup_result(
+                job, None if item is None else decode_end_record(item.value), node.clock()
+            )
             node.leader_service.process_events_soon()
 
-        node.store.get(END + job, done)
+        node.store.get(END_PREFIX + job, done)
 
     # -- writes
 
-    def _write_next(self, controller: Controller, now: Steady) -> None:
+    def _commit_next(self, controller: Scheduler, now: MonotonicTime) -> None:
         store = self._node.store
-        if store.requests.available(now, FOR_ENDS) < 1:
+        if store.requests.available(now, RESERVE_JOB_OUTCOMES) < 1:
             return
-        reserve = FOR_ENDS if controller.ends_waiting else FOR_PLACING
-        pending = controller.next_txn(now, store.writes.available(now, reserve))
+        reserve = (
+            RESERVE_JOB_OUTCOMES if controller.has_unpersisted_outcomes else RESERVE_PLACEMENTS
+        )
+        pending = controller.next_transaction(now, store.writes.available(now, reserve))
         if pending is not None:
-            self._write(controller, pending, now)
+            self._commit(controller, pending, now)
 
-    def _write(self, controller: Controller, pending: PendingTxn, now: Steady) -> None:
+    def _commit(
+        self, controller: Scheduler, pending: PendingTransaction, now: MonotonicTime
+    ) -> None:
         node = self._node
-        node.store.requests.force(now)
-        node.store.writes.force(now, len(pending.txn.writes))
+        node.store.requests.force_take(now)
+        node.store.writes.force_take(now, len(pending.transaction.operations))
 
         def done(status: int | None, revision: Revision, failed: tuple[str, ...]) -> None:
-            if not serves(self._node, controller):
+            if not is_current_leadership(self._node, controller):
                 return
             outcome = _outcome_of(status, pending)
             answered_at = node.clock()
-            node.meters.add("write", answered_at - now)
-            if node.duties is not None and failed and pending.permit.guards:
-                node.duties.disproved()
-            if controller.txn_done(pending, outcome, revision, failed, answered_at):
-                node.deposed("write refused by the leader key")
+            node.metrics.record("write", answered_at - now)
+            if node.singleton_service is not None and failed and pending.cleanup_permit.conditions:
+                node.singleton_service.on_write_fenced()
+            if controller.on_transaction_result(pending, outcome, revision, failed, answered_at):
+                node.step_down("write refused by the leader key")
             else:
                 node.leader_service.process_events()
 
-        node.store.txn(pending.txn, done)
+        node.store.commit(pending.transaction, done)
 
-    def _write_memory(self, controller: Controller, now: Steady) -> None:
+    def _commit_learned_state(self, controller: Scheduler, now: MonotonicTime) -> None:
         store = self._node.store
-        spare = store.writes.available(now, FOR_MEMORY)
+        spare = store.writes.available(now, RESERVE_LEARNED_STATE)
         if spare < 1:
             return
-        memory_txn = controller.next_memory_txn(now, spare)
+        memory_txn = controller.next_learned_state_transaction(now, spare)
         if memory_txn is not None:
-            store.requests.force(now)
-            store.writes.force(now, len(memory_txn.writes))
-            store.txn(memory_txn, lambda status, revision, failed: None)
+            store.requests.force_take(now)
+            store.writes.force_take(now, len(memory_txn.operations))
+            store.commit(memory_txn, lambda status, revision, failed: None)
 
 
-def _outcome_of(status: int | None, pending: PendingTxn) -> Outcome:
+def _outcome_of(status: int | None, pending: PendingTransaction) -> TransactionOutcome:
     if status is None:
-        return Outcome.UNKNOWN
-    outcome = OUTCOMES.get(status, Outcome.UNKNOWN)
-    if outcome in (Outcome.MALFORMED, Outcome.UNKNOWN):
-        log.error("transaction answered %d: %s", status, pending.txn.body()[:LOGGED_CHARACTERS])
+        return TransactionOutcome.INDETERMINATE
+    outcome = OUTCOME_BY_STATUS.get(status, TransactionOutcome.INDETERMINATE)
+    if outcome in (TransactionOutcome.INVALID, TransactionOutcome.INDETERMINATE):
+        log.error(
+            "transaction answered %d: %s", status, pending.transaction.body()[:MAX_LOGGED_BYTES]
+        )
     return outcome
--- a/src/eldercart/server/leadership/user_answers.py
+++ b/src/eldercart/server/leadership/user_answers.py
@@ -5,66 +5,68 @@
 
 from twisted.internet import reactor as _reactor
 
-from eldercart.scheduling.scheduler import JobStatus, Verdict
+from eldercart.scheduling.scheduler import JobStatus, LookupFailure
 from eldercart.units import JobId
 from eldercart.wire import peers, users
 
 if TYPE_CHECKING:
-    from eldercart.server.controller_node import Node
+    from eldercart.server.controller_node import ControllerNode
 
 reactor: Any = _reactor
 
-CANCEL_WAIT_S = 1.5  # for which a cancellation waits for its durable end
+CANCEL_TIMEOUT_S = 1.5  # for which a cancellation waits for its durable end
 
 
 class UserAnswers:
     """Owns the answers that wait for a durable end."""
 
-    def __init__(self, node: "Node") -> None:
+    def __init__(self, node: "ControllerNode") -> None:
         """Nobody waits yet."""
         self._node = node
-        self._waiting: dict[JobId, list[AnswerOnce]] = {}
+        self._waiters: dict[JobId, list[ReplyOnce]] = {}
 
     def reset(self) -> None:
         """Leadership ended: who waits is answered by time-out."""
-        self._waiting.clear()
+        self._waiters.clear()
 
-    def finished(self, job: JobId, how: str) -> None:
+    def on_job_finished(self, job: JobId, how: str) -> None:
         """The job's end is durable: everyone who waits for it is told."""
-        for waiter in self._waiting.pop(job, ()):
+        for waiter in self._waiters.pop(job, ()):
             waiter(how)
 
-    def tell(self, number: int, job: JobId) -> peers.JobReply:
+    def job_reply(self, number: int, job: JobId) -> peers.JobReply:
         """The leader's answer; only within its lease is a state that may change told."""
         node = self._node
-        how = node.user_service.final_of(job)
+        how = node.user_service.outcome_of(job)
         if how is not None:
             return peers.JobReply(number, how, 0, 0)
-        controller = node.leader_service.controller
-        if controller is None or not node.election.within_lease(node.clock()):
+        controller = node.leader_service.scheduler
+        if controller is None or not node.election.is_within_lease(node.clock()):
             return peers.JobReply(number, peers.NOT_LEADER, 0, 0)
-        status = controller.status(job)
+        status = controller.job_status(job)
         if isinstance(status, JobStatus):
-            waiting = status.waiting[: users.MAX_TOLD]
-            return peers.JobReply(number, status.state, status.done, status.running, waiting)
-        undecided = status is Verdict.UNDECIDED
+            waiting = status.unmet_dependencies[: users.MAX_LISTED_DEPENDENCIES]
+            return peers.JobReply(
+                number, status.state, status.done_count, status.running_count, waiting
+            )
+        undecided = status is LookupFailure.UNDECIDED
         return peers.JobReply(number, peers.UNDECIDED if undecided else peers.UNKNOWN, 0, 0)
 
     def cancel(self, job: JobId, answer: Callable[[str], None]) -> None:
         """Calls `answer` once: with the job's durable end, or with a verdict of `peers`."""
         node = self._node
-        controller = node.leader_service.controller
-        how = node.user_service.final_of(job)
+        controller = node.leader_service.scheduler
+        how = node.user_service.outcome_of(job)
         if how is not None or controller is None:
             answer(how or peers.NOT_LEADER)
             return
-        verdict = controller.cancel(job, node.clock())
-        if verdict is Verdict.UNKNOWN_JOB:
+        verdict = controller.cancel_job(job, node.clock())
+        if verdict is LookupFailure.UNKNOWN_JOB:
             self._look_up_and_cancel(job, answer)
         elif isinstance(verdict, str):
             answer(verdict)
         else:
-            self._wait_for_end(job, answer)
+            self._wait_for_outcome(job, answer)
 
     def _look_up_and_cancel(self, job: JobId, answer: Callable[[str], None]) -> None:
         """The watch may lag behind another node's acceptance: the look-up teaches the job."""
@@ -74,34 +76,34 @@
             if state in (users.DONE, users.CANCELLED):
                 answer(state)
             elif (
-                leader_service.controller is not None
-                and leader_service.controller.jobs.get(job) is not None
+                leader_service.scheduler is not None
+                and leader_service.scheduler.jobs.get(job) is not None
             ):
                 self.cancel(job, answer)
             else:
                 answer(peers.UNDECIDED)
 
-        self._node.user_service.look_up(
+        self._node.user_service.read_job_state(
             job, found, lambda: answer(peers.UNKNOWN), lambda: answer(peers.UNDECIDED)
         )
 
-    def _wait_for_end(self, job: JobId, answer: Callable[[str], None]) -> None:
+    def _wait_for_outcome(self, job: JobId, answer: Callable[[str], None]) -> None:
         """The end must be durable before it is told; that takes one write."""
-        waiter = AnswerOnce(answer)
-        self._waiting.setdefault(job, []).append(waiter)
-        reactor.callLater(CANCEL_WAIT_S, waiter, peers.UNDECIDED)
+        waiter = ReplyOnce(answer)
+        self._waiters.setdefault(job, []).append(waiter)
+        reactor.callLater(CANCEL_TIMEOUT_S, waiter, peers.UNDECIDED)
         self._node.leader_service.process_events()
 
 
-class AnswerOnce:
+class ReplyOnce:
     """Passes on the first answer only: the end or the time-out, whichever comes first."""
 
     def __init__(self, answer: Callable[[str], None]) -> None:
         """`answer` is called once at most."""
-        self._answer: Callable[[str], None] | None = answer
+        self._on_reply: Callable[[str], None] | None = answer
 
     def __call__(self, verdict: str) -> None:
         """Answers, unless it has been done before."""
-        answer, self._answer = self._answer, None
+        answer, self._on_reply = self._on_reply, None
         if answer is not None:
             answer(verdict)
--- a/src/eldercart/server/leadership/worker_requests.py
+++ b/src/eldercart/server/leadership/worker_requests.py
@@ -4,81 +4,84 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from eldercart.scheduling.scheduler import Controller, Order
+from eldercart.scheduling.scheduler import DirectKill, Scheduler
 from eldercart.server.http.client import WorkerClient
-from eldercart.server.leadership.current_leadership import serves
-from eldercart.units import MachineId, Steady
-from eldercart.wire import Malformed, workers
+from eldercart.server.leadership.current_leadership import is_current_leadership
+from eldercart.units import MachineId, MonotonicTime
+from eldercart.wire import MalformedMessage, workers
 from eldercart.wire.checks import load_object
 
 if TYPE_CHECKING:
-    from eldercart.server.controller_node import Node
+    from eldercart.server.controller_node import ControllerNode
 
 log = logging.getLogger("eldercart.node")
 
-SOCKETS_SHARE, CONNECTIONS_LEAST = 20, 4  # one connection for so many sockets, but so many at least
-EXECUTED, OTHER_SESSION = 200, 409  # the statuses that come with the worker's report
+SOCKETS_PER_CONNECTION, MIN_CONNECTIONS = (
+    20,
+    4,
+)  # one connection for so many sockets, but so many at least
+EXECUTED, OTHER_AGENT_EPOCH = 200, 409  # the statuses that come with the worker's report
 
 
-class WorkerCalls:
+class WorkerRequests:
     """Asks workers directly; an answer is handed to the controller that asked for it."""
 
-    def __init__(self, node: "Node") -> None:
+    def __init__(self, node: "ControllerNode") -> None:
         """So many connections at most as the node's sockets allow."""
         self._node = node
-        connections = max(CONNECTIONS_LEAST, node.settings.sockets // SOCKETS_SHARE)
+        connections = max(MIN_CONNECTIONS, node.settings.sockets // SOCKETS_PER_CONNECTION)
         self._client = WorkerClient(connections)
 
-    def process_events(self, controller: Controller, now: Steady) -> None:
+    def process_events(self, controller: Scheduler, now: MonotonicTime) -> None:
         """Sends the probes and the direct commands that are due."""
         for machine, address in controller.take_probes():
             self._probe(controller, machine, address)
-        for order in controller.take_orders(now):
-            self._order(controller, order)
+        for order in controller.take_direct_kills(now):
+            self._send_kill(controller, order)
 
-    def _probe(self, controller: Controller, machine: MachineId, address: str) -> None:
+    def _probe(self, controller: Scheduler, machine: MachineId, address: str) -> None:
         """`/show` tells whether a machine lives that nothing is heard of. What it lists is not
         read: it may cross the response to a report and lack what that response launches."""
 
-        def shown(status: int, report: workers.Report) -> None:
+        def shown(status: int, report: workers.Heartbeat) -> None:
             if status == EXECUTED:
-                controller.shown(machine, self._node.clock())
+                controller.record_probe_success(machine, self._node.clock())
 
-        self._ask(controller, machine, address, "/show", None, shown)
+        self._request(controller, machine, address, "/show", None, shown)
 
-    def _order(self, controller: Controller, order: Order) -> None:
+    def _send_kill(self, controller: Scheduler, order: DirectKill) -> None:
         node = self._node
         sent = node.clock()
 
-        def told(status: int, report: workers.Report) -> None:
-            if report.epoch > controller.epoch:
-                node.saw_epoch(report.epoch, "a worker has seen a higher epoch")
+        def told(status: int, report: workers.Heartbeat) -> None:
+            if report.token > controller.token:
+                node.observe_token(report.token, "a worker has seen a higher epoch")
             else:
-                controller.ordered(report, status == EXECUTED, sent, node.clock())
+                controller.on_direct_kill_response(report, status == EXECUTED, sent, node.clock())
                 node.leader_service.process_events_soon()
 
-        body = workers.order_body(controller.epoch, order.session, order.commands)
-        self._ask(controller, order.machine, order.address, "/orders", body, told)
+        body = workers.direct_commands_body(controller.token, order.agent_epoch, order.commands)
+        self._request(controller, order.machine_id, order.address, "/orders", body, told)
 
-    def _ask(
+    def _request(
         self,
-        controller: Controller,
+        controller: Scheduler,
         machine: MachineId,
         address: str,
         path: str,
         body: bytes | None,
-        told: Callable[[int, workers.Report], None],
+        told: Callable[[int, workers.Heartbeat], None],
     ) -> None:
         """`told(status, report)` if that machine answers with its report."""
 
         def got(status: int | None, data: bytes) -> None:
-            if not serves(self._node, controller):
+            if not is_current_leadership(self._node, controller):
                 return
-            if status not in (EXECUTED, OTHER_SESSION):
+            if status not in (EXECUTED, OTHER_AGENT_EPOCH):
                 return
             try:
-                report = workers.parse_report(load_object(data))
-            except Malformed as err:
+                report = workers.parse_heartbeat(load_object(data))
+            except MalformedMessage as err:
                 log.error("report malformed address=%s: %s", address, err)
                 return
             if report.machine == machine:
--- a/src/eldercart/server/peers/connections.py
+++ b/src/eldercart/server/peers/connections.py
@@ -10,52 +10,52 @@
 
 from eldercart.server.http.immediate_write import ImmediateWriteServer, flush
 from eldercart.settings.platform import Endpoint
-from eldercart.units import NEVER, NodeId, Steady
-from eldercart.wire import Malformed, peers
+from eldercart.units import DISTANT_PAST, MonotonicTime, NodeId
+from eldercart.wire import MalformedMessage, peers
 
 reactor: Any = _reactor
 log = logging.getLogger("eldercart.net")
 
-CONNECT_S = 1.0
-AGAIN_S = 0.4  # before a lost connection is tried again
+CONNECT_TIMEOUT_S = 1.0
+RECONNECT_DELAY_S = 0.4  # before a lost connection is tried again
 
 
-class Channel(Int32StringReceiver):
+class PeerConnection(Int32StringReceiver):
     """One connection, seen from either side."""
 
-    MAX_LENGTH = peers.MAX_FRAME
+    MAX_LENGTH = peers.MAX_FRAME_BYTES
     peer: NodeId | None = None  # by its own word
 
     def __init__(
         self,
-        frame: Callable[["Channel", dict[str, Any]], None],
-        made: Callable[["Channel"], None] | None = None,
-        lost: Callable[["Channel"], None] | None = None,
+        on_frame: Callable[["PeerConnection", dict[str, Any]], None],
+        on_connected: Callable[["PeerConnection"], None] | None = None,
+        on_disconnected: Callable[["PeerConnection"], None] | None = None,
     ) -> None:
         """`frame` gets each message; `made` and `lost` are told of the connection's state."""
-        self._frame = frame
-        self._made = made
-        self._lost = lost
-        self.open = False
+        self._on_frame = on_frame
+        self._on_connected = on_connected
+        self._on_disconnected = on_disconnected
+        self.is_open = False
 
     def connectionMade(self) -> None:
         """Called by twisted when the connection stands."""
         self.transport.setTcpNoDelay(True)
-        self.open = True
-        if self._made is not None:
-            self._made(self)
+        self.is_open = True
+        if self._on_connected is not None:
+            self._on_connected(self)
 
     def connectionLost(self, reason: Any = None) -> None:
         """Called by twisted when the connection has ended."""
-        self.open = False
-        if self._lost is not None:
-            self._lost(self)
+        self.is_open = False
+        if self._on_disconnected is not None:
+            self._on_disconnected(self)
 
     def stringReceived(self, data: bytes) -> None:
         """Called by twisted with each whole frame."""
         try:
-            self._frame(self, peers.parse(data))
-        except Malformed as err:
+            self._on_frame(self, peers.parse_frame(data))
+        except MalformedMessage as err:
             # Treated as no message; the sender's other frames may well be fine.
             log.error("peer frame malformed peer=%s: %s", self.peer, err)
         except Exception:
@@ -68,126 +68,132 @@
 
     def send(self, data: bytes) -> None:
         """Sends one frame, or drops it if the connection has ended."""
-        if self.open:
+        if self.is_open:
             self.sendString(data)
 
 
-class Link:
+class PeerLink:
     """Keeps a connection to one peer; what is sent while there is none is lost."""
 
     def __init__(
         self,
         label: NodeId,
         endpoint: Endpoint,
-        frame: Callable[["Link", dict[str, Any]], None],
-        down: Callable[["Link"], None],
-        clock: Callable[[], Steady],
+        on_frame: Callable[["PeerLink", dict[str, Any]], None],
+        on_disconnected: Callable[["PeerLink"], None],
+        clock: Callable[[], MonotonicTime],
     ) -> None:
         """Not connected; `frame` gets each message, `down` is called when a connection is lost."""
         self.label = label
         self._endpoint = endpoint
-        self._frame = frame
-        self._down = down
+        self._on_frame = on_frame
+        self._on_disconnected = on_disconnected
         self._clock = clock
-        self._channel: Channel | None = None
-        self._trying = False
-        self._again = NEVER
-        self._heard = NEVER
-        self.greeted = NEVER  # when the peer was greeted last
-        self.asked: dict[int, Steady] = {}  # greetings under way
-        self.answered = NEVER  # when the greeting was sent that was answered last
+        self._connection: PeerConnection | None = None
+        self._is_connecting = False
+        self._reconnect_at = DISTANT_PAST
+        self._last_received_at = DISTANT_PAST
+        self.last_heartbeat_at = DISTANT_PAST  # when the peer was greeted last
+        self.pending_heartbeats: dict[int, MonotonicTime] = {}  # greetings under way
+        self.acknowledged_at = DISTANT_PAST  # when the greeting was sent that was answered last
 
     @property
-    def up(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether the connection stands."""
-        return self._channel is not None
+        return self._connection is not None
 
-    def check(self, silent_s: float, now: Steady) -> None:
+    def check_connection(self, silence_timeout_s: float, now: MonotonicTime) -> None:
         """Connects anew where needed; gives up a connection that went silent."""
-        if self._channel is not None:
-            if now - self._heard > silent_s:
-                self._channel.transport.abortConnection()
-                self._closed(self._channel)
-        elif not self._trying and now >= self._again:
-            self._trying = True
+        if self._connection is not None:
+            if now - self._last_received_at > silence_timeout_s:
+                self._connection.transport.abortConnection()
+                self._on_connection_lost(self._connection)
+        elif not self._is_connecting and now >= self._reconnect_at:
+            self._is_connecting = True
             creator = protocol.ClientCreator(
-                reactor, Channel, self._got, self._opened, self._closed
+                reactor,
+                PeerConnection,
+                self._on_frame_received,
+                self._on_connection_made,
+                self._on_connection_lost,
             )
-            d = creator.connectTCP(self._endpoint.host, self._endpoint.port, timeout=CONNECT_S)
-            d.addErrback(self._failed)
+            d = creator.connectTCP(
+                self._endpoint.host, self._endpoint.port, timeout=CONNECT_TIMEOUT_S
+            )
+            d.addErrback(self._on_connect_failed)
 
-    def stalled(self, seconds: float) -> None:
+    def exclude_stall(self, seconds: float) -> None:
         """What the peer said meanwhile waits to be read: it was not silent."""
-        self._heard = Steady(self._heard + seconds)
-
-    def _opened(self, channel: Channel) -> None:
-        channel.peer = self.label
-        self._channel = channel
-        self._trying = False
-        self._heard = self._clock()
-        self.greeted = NEVER
-        self.asked.clear()
-
-    def _failed(self, _: Any) -> None:
-        self._trying = False
-        self._again = Steady(self._clock() + AGAIN_S)
-
-    def _closed(self, channel: Channel) -> None:
-        self._trying = False
-        if self._channel is channel:
-            self._channel = None
-            self._again = Steady(self._clock() + AGAIN_S)
-            self._down(self)
-
-    def _got(self, channel: Channel, frame: dict[str, Any]) -> None:
-        if channel is self._channel:
-            self._heard = self._clock()
-            self._frame(self, frame)
+        self._last_received_at = MonotonicTime(self._last_received_at + seconds)
+
+    def _on_connection_made(self, connection: PeerConnection) -> None:
+        connection.peer = self.label
+        self._connection = connection
+        self._is_connecting = False
+        self._last_received_at = self._clock()
+        self.last_heartbeat_at = DISTANT_PAST
+        self.pending_heartbeats.clear()
+
+    def _on_connect_failed(self, _: Any) -> None:
+        self._is_connecting = False
+        self._reconnect_at = MonotonicTime(self._clock() + RECONNECT_DELAY_S)
+
+    def _on_connection_lost(self, connection: PeerConnection) -> None:
+        self._is_connecting = False
+        if self._connection is connection:
+            self._connection = None
+            self._reconnect_at = MonotonicTime(self._clock() + RECONNECT_DELAY_S)
+            self._on_disconnected(self)
+
+    def _on_frame_received(self, connection: PeerConnection, frame: dict[str, Any]) -> None:
+        if connection is self._connection:
+            self._last_received_at = self._clock()
+            self._on_frame(self, frame)
 
     def send(self, data: bytes) -> bool:
         """Sends one frame at once; False: there is no connection."""
-        if self._channel is None:
+        if self._connection is None:
             return False
-        self._channel.send(data)
-        flush(self._channel.transport)
+        self._connection.send(data)
+        flush(self._connection.transport)
         return True
 
 
-def link_up(links: Mapping[NodeId, Link], label: NodeId | None) -> Link | None:
+def connected_link(links: Mapping[NodeId, PeerLink], label: NodeId | None) -> PeerLink | None:
     """The connection to that node, if there is such a node and the connection stands."""
     link = None if label is None else links.get(label)
-    return link if link is not None and link.up else None
+    return link if link is not None and link.is_connected else None
 
 
-class Exchange(protocol.Factory):
+class PeerServer(protocol.Factory):
     """The side that is connected to."""
 
     noisy = False
 
     def __init__(
         self,
-        frame: Callable[[Channel, dict[str, Any]], None],
-        lost: Callable[[Channel], None],
-        most: int,
+        on_frame: Callable[[PeerConnection, dict[str, Any]], None],
+        on_disconnected: Callable[[PeerConnection], None],
+        max_connections: int,
     ) -> None:
         """Accepts `most` connections at once; `frame` and `lost` as of `Channel`."""
-        self._frame = frame
-        self._lost = lost
-        self._most = most
-        self.channels: set[Channel] = set()
+        self._on_frame = on_frame
+        self._on_disconnected = on_disconnected
+        self._max_connections = max_connections
+        self.connections: set[PeerConnection] = set()
 
     def buildProtocol(self, addr: Any) -> Any:
         """Called by twisted for a new connection; None closes it."""
-        if len(self.channels) >= self._most:
+        if len(self.connections) >= self._max_connections:
             return None
-        return Channel(self._frame, self.channels.add, self._closed)
+        return PeerConnection(self._on_frame, self.connections.add, self._on_connection_lost)
 
-    def _closed(self, channel: Channel) -> None:
-        self.channels.discard(channel)
-        self._lost(channel)
+    def _on_connection_lost(self, connection: PeerConnection) -> None:
+        self.connections.discard(connection)
+        self._on_disconnected(connection)
 
 
-def listen(endpoint: Endpoint, exchange: Exchange) -> None:
+def listen(endpoint: Endpoint, peer_server: PeerServer) -> None:
     """Accepts connections of peers at the endpoint."""
-    port = reactor.listenTCP(endpoint.port, exchange, backlog=32, interface=endpoint.host)
+    port = reactor.listenTCP(endpoint.port, peer_server, backlog=32, interface=endpoint.host)
     port.transport = ImmediateWriteServer
--- a/src/eldercart/server/peers/peer_heartbeats.py
+++ b/src/eldercart/server/peers/peer_heartbeats.py
@@ -3,196 +3,240 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, NamedTuple
 
-from eldercart.cluster.heartbeat_relay import Relay, Share, contact, shares
-from eldercart.server.peers.connections import Channel, Link
-from eldercart.units import NEVER, NodeId, Steady
+from eldercart.cluster.heartbeat_relay import (
+    HeartbeatRelay,
+    MachineShare,
+    leader_lease_start,
+    machine_shares,
+)
+from eldercart.server.peers.connections import PeerConnection, PeerLink
+from eldercart.units import DISTANT_PAST, MonotonicTime, NodeId
 from eldercart.wire import peers
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from eldercart.server.controller_node import Node
+    from eldercart.server.controller_node import ControllerNode
 
 # The leader is told whom this node answered; of the others it is enough to know that they live.
-GREET_LEADER_S, GREET_S = 0.5, 2.0
+LEADER_HEARTBEAT_INTERVAL_S, PEER_HEARTBEAT_INTERVAL_S = 0.5, 2.0
 # In an outage of the store a leader's grant hangs on every node's answer to its greeting.
-GREET_OUTAGE_S = 0.7
+OUTAGE_HEARTBEAT_INTERVAL_S = 0.7
 # A peer answers greetings; without a word for this long, the connection is dead.
-SILENT_LEAST_S, SILENT_GREETINGS = 2.5, 2.5
-GREETINGS_OPEN = 8  # greetings of one link that may still be answered
-COUNT_FRESH_S = 2.5  # for which a peer's number of workers counts
-WORKER_SOCKETS = 0.55  # of a node's sockets, for workers
+MIN_SILENCE_TIMEOUT_S, SILENCE_TIMEOUT_INTERVALS = 2.5, 2.5
+MAX_PENDING_HEARTBEATS = 8  # greetings of one link that may still be answered
+MACHINE_COUNT_FRESH_S = 2.5  # for which a peer's number of workers counts
+WORKER_SOCKETS_SHARE = 0.55  # of a node's sockets, for workers
 
 
-class WorkerCount(NamedTuple):
+class MachineCount(NamedTuple):
     """How many workers report to a node, by its own word."""
 
-    machines: int
-    at: Steady
+    machine_count: int
+    reported_at: MonotonicTime
 
 
-class Greetings:
+class PeerHeartbeats:
     """Greets the peers, answers their greetings, and keeps what both tell."""
 
     def __init__(
         self,
-        node: "Node",
-        relay: Relay,
-        links: Mapping[NodeId, Link],
-        numbers: "Iterator[int]",
-        spare_s: float,
+        node: "ControllerNode",
+        relay: HeartbeatRelay,
+        links: Mapping[NodeId, PeerLink],
+        request_ids: "Iterator[int]",
+        lease_extension_s: float,
     ) -> None:
         """`numbers`: of frames, never the same twice; `spare_s`: see `core.relay.spare_s`."""
         self._node = node
         self._relay = relay
         self._links = links
-        self._numbers = numbers
-        self._spare_s = spare_s
-        self.peer_heard = NEVER  # when any peer was heard last
-        self.peer_served = NEVER  # when a peer last said that the store serves it
-        self._counts: dict[NodeId, WorkerCount] = {}
-        self._takes: dict[NodeId, tuple[str, ...]] = {}  # by what each peer said last
-        self._reductions_told = 0
-        self._shares: dict[NodeId, Share] = {}
+        self._request_ids = request_ids
+        self._lease_extension_s = lease_extension_s
+        self.last_peer_contact_at = DISTANT_PAST  # when any peer was heard last
+        self.last_peer_store_ok_at = DISTANT_PAST  # when a peer last said that the store serves it
+        self._machine_counts: dict[NodeId, MachineCount] = {}
+        self._supported_features: dict[NodeId, tuple[str, ...]] = {}  # by what each peer said last
+        self._announced_reductions = 0
+        self._machine_shares: dict[NodeId, MachineShare] = {}
 
     # -- time
 
-    def tick(self, now: Steady) -> None:
+    def tick(self, now: MonotonicTime) -> None:
         """Greets whom it is time to greet, and renews this node's own grant if it leads."""
-        self._node.store.follow(now)
-        self._greet_peers(now)
-        self._renew_grant(now)
+        self._node.store.update_rates(now)
+        self._send_heartbeats(now)
+        self._renew_own_lease(now)
 
-    def _greet_peers(self, now: Steady) -> None:
+    def _send_heartbeats(self, now: MonotonicTime) -> None:
         node = self._node
         leader = node.election.leader
         # That the store's rates have fallen the others should not have to find out, too.
-        news = node.store.reduced_rates.reductions != self._reductions_told
-        self._reductions_told = node.store.reduced_rates.reductions
+        news = node.store.rate_limit_backoff.reduction_count != self._announced_reductions
+        self._announced_reductions = node.store.rate_limit_backoff.reduction_count
         for link in self._links.values():
-            every = GREET_LEADER_S if link.label == leader else GREET_S
-            if node.leader_service.acts and node.store.failing_since is not None:
-                every = GREET_OUTAGE_S
-            link.check(max(SILENT_LEAST_S, SILENT_GREETINGS * every), now)
-            if link.up and (news or now - link.greeted >= every):
-                self._greet(link, link.label == leader, now)
-
-    def _greet(self, link: Link, leads: bool, now: Steady) -> None:
+            every = (
+                LEADER_HEARTBEAT_INTERVAL_S if link.label == leader else PEER_HEARTBEAT_INTERVAL_S
+            )
+            if node.leader_service.is_active and node.store.failing_since is not None:
+                every = OUTAGE_HEARTBEAT_INTERVAL_S
+            link.check_connection(
+                max(MIN_SILENCE_TIMEOUT_S, SILENCE_TIMEOUT_INTERVALS * every), now
+            )
+            if link.is_connected and (news or now - link.last_heartbeat_at >= every):
+                self._send_heartbeat(link, link.label == leader, now)
+
+    def _send_heartbeat(self, link: PeerLink, to_leader: bool, now: MonotonicTime) -> None:
         """`leads`: the peer is the leader as far as this node knows."""
         node = self._node
-        number = next(self._numbers)
-        link.greeted = now
-        link.asked[number] = now
-        while len(link.asked) > GREETINGS_OPEN:
-            del link.asked[next(iter(link.asked))]
-        heard = self._relay.take_heard(now) if leads and not node.leader_service.acts else ()
-        greet = peers.Greet(
+        number = next(self._request_ids)
+        link.last_heartbeat_at = now
+        link.pending_heartbeats[number] = now
+        while len(link.pending_heartbeats) > MAX_PENDING_HEARTBEATS:
+            del link.pending_heartbeats[next(iter(link.pending_heartbeats))]
+        heard = (
+            self._relay.take_acknowledged(now)
+            if to_leader and not node.leader_service.is_active
+            else ()
+        )
+        greet = peers.PeerHeartbeat(
             sender=node.settings.label,
-            number=number,
-            epoch=node.election.epoch,
+            request_id=number,
+            token=node.election.token,
             store_ok=node.store.failing_since is None,
-            machines=self._relay.machines,
-            short=node.store.short(now) if leads else 0,
-            heard=heard,
-            takes=node.takes,
-            low_ms=int(node.store.reduced_rates.left_s(now) * 1000),
+            machine_count=self._relay.machine_count,
+            missing_rate_tokens=node.store.missing_tokens(now) if to_leader else 0,
+            acknowledged=heard,
+            supported_features=node.supported_features,
+            backoff_remaining_ms=int(node.store.rate_limit_backoff.remaining_s(now) * 1000),
         )
-        link.send(peers.greet(greet))
+        link.send(peers.encode_peer_heartbeat(greet))
 
-    def _renew_grant(self, now: Steady) -> None:
+    def _renew_own_lease(self, now: MonotonicTime) -> None:
         node = self._node
-        if node.leader_service.acts:
-            self._grant_oneself(now)
-        elif node.election.epoch == self._relay.epoch and node.store.failing_since is None:
+        if node.leader_service.is_active:
+            self._renew_lease_as_leader(now)
+        elif node.election.token == self._relay.token and node.store.failing_since is None:
             # The watch on the leader key would have told of another epoch.
-            self._relay.current(self._relay.epoch, node.store.last_ok)
+            self._relay.confirm_token(self._relay.token, node.store.last_success_at)
 
-    def _grant_oneself(self, now: Steady) -> None:
+    def _renew_lease_as_leader(self, now: MonotonicTime) -> None:
         node = self._node
         label = node.settings.label
         # Counted from the asking: what a peer said may have waited here while this node slept.
-        since = contact(
+        since = leader_lease_start(
             node.election.lease_confirmed_at,
-            node.election.lease_until,
-            [link.answered for link in self._links.values()],
-            self._spare_s,
+            node.election.lease_expires_at,
+            [link.acknowledged_at for link in self._links.values()],
+            self._lease_extension_s,
             now,
         )
-        self._share_out(now)
-        mine = self._share_of(label)
-        self._relay.granted(node.election.epoch, label, since, now, mine.most, mine.spare)
-        node.leader_service.heard(label, self._relay.take_heard(now), now)
+        self._assign_shares(now)
+        mine = self._share_for(label)
+        self._relay.renew_lease(
+            node.election.token, label, since, now, mine.max_machines, mine.redirect_target
+        )
+        node.leader_service.record_relayed_heartbeats(
+            label, self._relay.take_acknowledged(now), now
+        )
 
-    def _share_out(self, now: Steady) -> None:
+    def _assign_shares(self, now: MonotonicTime) -> None:
         """Shares the workers out among the nodes that have said lately how many they have."""
         settings = self._node.settings
-        counts = {n: c.machines for n, c in self._counts.items() if now - c.at < COUNT_FRESH_S}
-        counts[settings.label] = self._relay.machines
-        self._shares = shares(counts, settings.label, int(settings.sockets * WORKER_SOCKETS))
+        counts = {
+            n: c.machine_count
+            for n, c in self._machine_counts.items()
+            if now - c.reported_at < MACHINE_COUNT_FRESH_S
+        }
+        counts[settings.label] = self._relay.machine_count
+        self._machine_shares = machine_shares(
+            counts, settings.label, int(settings.sockets * WORKER_SOCKETS_SHARE)
+        )
 
-    def _share_of(self, label: NodeId) -> Share:
-        return self._shares.get(label, Share(self._node.settings.sockets, None))
+    def _share_for(self, label: NodeId) -> MachineShare:
+        return self._machine_shares.get(label, MachineShare(self._node.settings.sockets, None))
 
     # -- what peers tell
 
-    def heard_peer(self, peer: NodeId, told: peers.Greet | peers.Greeted, now: Steady) -> None:
+    def record_peer_status(
+        self, peer: NodeId, status: peers.PeerHeartbeat | peers.PeerHeartbeatAck, now: MonotonicTime
+    ) -> None:
         """What a greeting and its answer tell alike."""
         node = self._node
-        self.peer_heard = now
-        if told.store_ok:
-            self.peer_served = now
-        self._takes[peer] = told.takes
-        node.store.reduced_rates.told(told.low_ms / 1000, now)
-        node.store.follow(now)
-        node.saw_epoch(told.epoch, "a peer knows a higher epoch")
-        if told.epoch > self._relay.epoch:
-            self._relay.superseded(told.epoch, now)
-
-    def all_take(self, what: str) -> bool:
+        self.last_peer_contact_at = now
+        if status.store_ok:
+            self.last_peer_store_ok_at = now
+        self._supported_features[peer] = status.supported_features
+        node.store.rate_limit_backoff.record_peer_backoff(status.backoff_remaining_ms / 1000, now)
+        node.store.update_rates(now)
+        node.observe_token(status.token, "a peer knows a higher epoch")
+        if status.token > self._relay.token:
+            self._relay.observe_newer_token(status.token, now)
+
+    def all_support(self, feature: str) -> bool:
         """Whether every node can read it: any may lead next. One never heard counts as old."""
-        return all(self.takes(member.label, what) for member in self._node.settings.members)
+        return all(self.supports(member.label, feature) for member in self._node.settings.members)
 
-    def takes(self, peer: NodeId, what: str) -> bool:
+    def supports(self, peer: NodeId, feature: str) -> bool:
         """Whether the peer has said that it can read it, or takes part in it."""
-        return what in self._takes.get(peer, ())
+        return feature in self._supported_features.get(peer, ())
 
-    def answered(self, link: Link, told: peers.Greeted, now: Steady) -> None:
+    def on_acknowledgement(
+        self, link: PeerLink, acknowledgement: peers.PeerHeartbeatAck, now: MonotonicTime
+    ) -> None:
         """A peer answers this node's greeting; the leader may grant that workers are answered."""
         node = self._node
-        asked = link.asked.pop(told.number, None)
-        self.heard_peer(link.label, told, now)
-        if asked is not None and told.ready and told.epoch <= node.election.epoch:
-            link.answered = max(link.answered, asked)
-        if told.lent:
-            node.store.lent(told.lent, now)
-        if told.leads and asked is not None:
-            self._relay.granted(told.epoch, link.label, asked, now, told.most, told.spare)
-            node.election.heard_leader(link.label, told.epoch)
-
-    def answer(self, channel: Channel, greet: peers.Greet, now: Steady) -> None:
+        asked = link.pending_heartbeats.pop(acknowledgement.request_id, None)
+        self.record_peer_status(link.label, acknowledgement, now)
+        if (
+            asked is not None
+            and acknowledgement.is_ready
+            and acknowledgement.token <= node.election.token
+        ):
+            link.acknowledged_at = max(link.acknowledged_at, asked)
+        if acknowledgement.lent_rate_tokens:
+            node.store.receive_tokens(acknowledgement.lent_rate_tokens, now)
+        if acknowledgement.grants_lease and asked is not None:
+            self._relay.renew_lease(
+                acknowledgement.token,
+                link.label,
+                asked,
+                now,
+                acknowledgement.max_machines,
+                acknowledgement.redirect_target,
+            )
+            node.election.observe_leader(link.label, acknowledgement.token)
+
+    def on_heartbeat(
+        self, connection: PeerConnection, heartbeat: peers.PeerHeartbeat, now: MonotonicTime
+    ) -> None:
         """Answers a peer's greeting, as the leader with a grant, its share and tokens."""
         node = self._node
-        if greet.epoch > self._relay.epoch and greet.sender in self._links:
+        if heartbeat.token > self._relay.token and heartbeat.sender in self._links:
             # It may lead: ask it for a grant at once.
-            self._links[greet.sender].greeted = NEVER
-        self.heard_peer(greet.sender, greet, now)
-        self._counts[greet.sender] = WorkerCount(greet.machines, now)
-        acts = node.leader_service.acts
+            self._links[heartbeat.sender].last_heartbeat_at = DISTANT_PAST
+        self.record_peer_status(heartbeat.sender, heartbeat, now)
+        self._machine_counts[heartbeat.sender] = MachineCount(heartbeat.machine_count, now)
+        acts = node.leader_service.is_active
         if acts:
-            node.leader_service.heard(greet.sender, greet.heard, now)
-        share = self._share_of(greet.sender)
-        answer = peers.Greeted(
-            number=greet.number,
-            epoch=node.election.epoch,
+            node.leader_service.record_relayed_heartbeats(
+                heartbeat.sender, heartbeat.acknowledged, now
+            )
+        share = self._share_for(heartbeat.sender)
+        answer = peers.PeerHeartbeatAck(
+            request_id=heartbeat.request_id,
+            token=node.election.token,
             # A leader that may not answer workers itself lets nobody do it for it: what its relays
             # are granted would otherwise outlive its own contact for as long as they reach it.
-            leads=acts and self._relay.holds_grant(now),
+            grants_lease=acts and self._relay.holds_lease(now),
             store_ok=node.store.failing_since is None,
-            most=share.most,
-            spare=share.spare,
-            lent=node.store.lend(greet.short, now) if acts else 0,
-            takes=node.takes,
-            low_ms=int(node.store.reduced_rates.left_s(now) * 1000),
-            ready=node.election_service.ready,
+            max_machines=share.max_machines,
+            redirect_target=share.redirect_target,
+            lent_rate_tokens=node.store.lend_tokens(heartbeat.missing_rate_tokens, now)
+            if acts
+            else 0,
+            supported_features=node.supported_features,
+            backoff_remaining_ms=int(node.store.rate_limit_backoff.remaining_s(now) * 1000),
+            is_ready=node.election_service.has_read_leader_key,
         )
-        channel.send(peers.greeted(answer))
+        connection.send(peers.encode_peer_heartbeat_ack(answer))
--- a/src/eldercart/server/store/key_ranges.py
+++ b/src/eldercart/server/store/key_ranges.py
@@ -6,7 +6,7 @@
 from eldercart.units import JobId
 
 
-def common_key(prefix: str, jobs: Iterable[JobId]) -> str:
+def common_key_prefix(prefix: str, jobs: Iterable[JobId]) -> str:
     """What the keys of all the jobs begin with. The first and the last of the names share what
     all between them share."""
     names = list(jobs)
--- a/src/eldercart/server/users/job_states.py
+++ b/src/eldercart/server/users/job_states.py
@@ -4,71 +4,78 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from eldercart.jobs.registry import END, JOB, end_of
-from eldercart.server.http.replies import RETRY_S, SOON_S
-from eldercart.server.store.client import FOR_POLLS
-from eldercart.server.users.ancestor_search import Ancestors
-from eldercart.server.users.dependencies import Dependencies
-from eldercart.server.users.recent_cache import FinalStates
+from eldercart.jobs.registry import END_PREFIX, JOB_PREFIX, decode_end_record
+from eldercart.server.http.replies import RETRY_AFTER_S, SHORT_RETRY_AFTER_S
+from eldercart.server.store.client import RESERVE_POLLS
+from eldercart.server.users.ancestor_search import AncestorSearchResult
+from eldercart.server.users.dependencies import DependencyResolver
+from eldercart.server.users.recent_cache import JobOutcomeCache
 from eldercart.units import JobId
 from eldercart.wire import peers, users
 from eldercart.wire.state import Item
 
 if TYPE_CHECKING:
-    from eldercart.server.controller_node import Node
+    from eldercart.server.controller_node import ControllerNode
 
-READ_TOKENS = 2  # a fresh read takes two requests
+STATE_READ_REQUESTS = 2  # a fresh read takes two requests
 
 
 @dataclass(frozen=True, slots=True)
-class StateHandlers:
+class JobStateHandlers:
     """What follows from the answer; one of them is called, once."""
 
-    found: Callable[[peers.JobReply], Any]
-    absent: Callable[[], Any]  # never accepted, as of a fresh read
-    failed: Callable[[int], Any]  # nobody can tell now; seconds after which to ask again
+    on_found: Callable[[peers.JobReply], Any]
+    on_absent: Callable[[], Any]  # never accepted, as of a fresh read
+    on_failed: Callable[[int], Any]  # nobody can tell now; seconds after which to ask again
 
 
-class JobStates:
+class JobStateReader:
     """Answers what state a job is in."""
 
-    def __init__(self, node: "Node", finals: FinalStates, dependencies: Dependencies) -> None:
+    def __init__(
+        self,
+        node: "ControllerNode",
+        outcomes: JobOutcomeCache,
+        dependency_resolver: DependencyResolver,
+    ) -> None:
         """Ends and acceptances that are found are added to `finals` and `dependencies`."""
         self.node = node
-        self.finals = finals
-        self.dependencies = dependencies
+        self.outcomes = outcomes
+        self.dependency_resolver = dependency_resolver
 
-    def ask(self, job: JobId, handlers: StateHandlers) -> None:
+    def query(self, job: JobId, handlers: JobStateHandlers) -> None:
         """As the leader tells, which takes no token; what it does not know is read."""
-        state = self.finals.get(job)
+        state = self.outcomes.get(job)
         if state is not None:
-            handlers.found(_told(state))
-        elif self.node.leader_service.controller is not None:
-            self._leader_answered(job, handlers, self.node.leader_service.user_answers.tell(0, job))
-        elif not self.node.relay_service.questions.poll(
-            job, lambda told: self._leader_answered(job, handlers, told)
+            handlers.on_found(_state_reply(state))
+        elif self.node.leader_service.scheduler is not None:
+            self._on_leader_reply(
+                job, handlers, self.node.leader_service.user_answers.job_reply(0, job)
+            )
+        elif not self.node.relay_service.leader_client.poll(
+            job, lambda told: self._on_leader_reply(job, handlers, told)
         ):
             self.read(job, handlers)
 
-    def _leader_answered(
-        self, job: JobId, handlers: StateHandlers, told: peers.JobReply | None
+    def _on_leader_reply(
+        self, job: JobId, handlers: JobStateHandlers, reply: peers.JobReply | None
     ) -> None:
-        if told is None or told.verdict in (peers.NOT_LEADER, peers.UNKNOWN):
+        if reply is None or reply.state in (peers.NOT_LEADER, peers.UNKNOWN):
             self.read(job, handlers)
-        elif told.verdict == peers.UNDECIDED:
-            handlers.failed(SOON_S)  # its end is being written
+        elif reply.state == peers.UNDECIDED:
+            handlers.on_failed(SHORT_RETRY_AFTER_S)  # its end is being written
         else:
-            self.dependencies.accepted(job)
-            if told.verdict in (users.DONE, users.CANCELLED):
-                self.finals.keep(job, told.verdict)
-            handlers.found(told)
+            self.dependency_resolver.record_accepted(job)
+            if reply.state in (users.DONE, users.CANCELLED):
+                self.outcomes.put(job, reply.state)
+            handlers.on_found(reply)
 
-    def read(self, job: JobId, handlers: StateHandlers) -> None:
+    def read(self, job: JobId, handlers: JobStateHandlers) -> None:
         """A fresh read of the state service."""
-        _StateRead(self, job, handlers).begin()
+        _JobStateRead(self, job, handlers).begin()
 
 
-class _StateRead:
+class _JobStateRead:
     """One fresh read: first the job's record, then its end, since at the end the record goes and
     the end appears in one transaction.
 
@@ -80,9 +87,9 @@
     changes.
     """
 
-    def __init__(self, states: JobStates, job: JobId, handlers: StateHandlers) -> None:
-        self._states = states
-        self._node = states.node
+    def __init__(self, job_states: JobStateReader, job: JobId, handlers: JobStateHandlers) -> None:
+        self._job_states = job_states
+        self._node = job_states.node
         self._job = job
         self._handlers = handlers
         self._record: Item | None = None
@@ -90,56 +97,58 @@
     def begin(self) -> None:
         """Without tokens it fails at once."""
         store = self._node.store
-        if store.requests.available(self._node.clock(), FOR_POLLS) < READ_TOKENS:
+        if store.requests.available(self._node.clock(), RESERVE_POLLS) < STATE_READ_REQUESTS:
             self._fail()
         else:
-            store.get(JOB + self._job, self._got_record)
+            store.get(JOB_PREFIX + self._job, self._on_record)
 
-    def _got_record(self, ok: bool, record: Item | None) -> None:
+    def _on_record(self, ok: bool, record: Item | None) -> None:
         if not ok:
             self._fail()
             return
         self._record = record
         if record is not None:
-            self._states.dependencies.accepted(self._job)
-            self._node.leader_service.job_records.learn(record)
-        self._node.store.get(END + self._job, self._got_end)
+            self._job_states.dependency_resolver.record_accepted(self._job)
+            self._node.leader_service.job_record_watch.add_record(record)
+        self._node.store.get(END_PREFIX + self._job, self._on_outcome)
 
-    def _got_end(self, ok: bool, end: Item | None) -> None:
+    def _on_outcome(self, ok: bool, outcome_record: Item | None) -> None:
         if not ok:
             self._fail()
-        elif end is not None:
-            state = end_of(end.value)
-            self._states.finals.keep(self._job, state)
-            self._find(state)
+        elif outcome_record is not None:
+            state = decode_end_record(outcome_record.value)
+            self._job_states.outcomes.put(self._job, state)
+            self._finish(state)
         elif self._record is not None:
-            self._states.dependencies.read_names(self._record, self._got_names)
+            self._job_states.dependency_resolver.read_dependencies(
+                self._record, self._on_dependencies
+            )
         else:
-            self._handlers.absent()
+            self._handlers.on_absent()
 
-    def _got_names(self, names: tuple[JobId, ...] | None) -> None:
-        if names is None:
+    def _on_dependencies(self, dependencies: tuple[JobId, ...] | None) -> None:
+        if dependencies is None:
             self._fail()
-        elif names:
-            self._states.dependencies.search_ancestors(names, self._got_ancestors)
+        elif dependencies:
+            self._job_states.dependency_resolver.search_ancestors(dependencies, self._on_ancestors)
         else:
-            self._find(users.PENDING)
+            self._finish(users.PENDING)
 
-    def _got_ancestors(self, ancestors: Ancestors) -> None:
-        match ancestors:
-            case Ancestors.UNDETERMINED:
+    def _on_ancestors(self, result: AncestorSearchResult) -> None:
+        match result:
+            case AncestorSearchResult.INDETERMINATE:
                 self._fail()
-            case Ancestors.CANCELLED:
-                self._find(users.CANCELLED)
-            case Ancestors.NOT_CANCELLED:
-                self._find(users.PENDING)
+            case AncestorSearchResult.CANCELLED:
+                self._finish(users.CANCELLED)
+            case AncestorSearchResult.NOT_CANCELLED:
+                self._finish(users.PENDING)
 
-    def _find(self, state: str) -> None:
-        self._handlers.found(_told(state))
+    def _finish(self, state: str) -> None:
+        self._handlers.on_found(_state_reply(state))
 
     def _fail(self) -> None:
-        self._handlers.failed(RETRY_S)
+        self._handlers.on_failed(RETRY_AFTER_S)
 
 
-def _told(state: str) -> peers.JobReply:
+def _state_reply(state: str) -> peers.JobReply:
     return peers.JobReply(0, state, 0, 0)
--- a/src/eldercart/server/users/recent_cache.py
+++ b/src/eldercart/server/users/recent_cache.py
@@ -5,52 +5,52 @@
 
 from eldercart.units import JobId
 
-Fact = TypeVar("Fact")
+Value = TypeVar("Value")
 
 
-class RecentFacts(Generic[Fact]):
+class RecentCache(Generic[Value]):
     """The facts used last, one for each job, up to a total weight."""
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, max_weight: int) -> None:
         """`most` is the total weight to keep."""
-        self._most = most
+        self._max_weight = max_weight
         self._weight = 0
-        self._facts: OrderedDict[JobId, tuple[Fact, int]] = OrderedDict()
+        self._entries: OrderedDict[JobId, tuple[Value, int]] = OrderedDict()
 
-    def get(self, job: JobId) -> Fact | None:
+    def get(self, job: JobId) -> Value | None:
         """The fact about the job, which thereby counts as used."""
-        entry = self._facts.get(job)
+        entry = self._entries.get(job)
         if entry is None:
             return None
-        self._facts.move_to_end(job)
+        self._entries.move_to_end(job)
         return entry[0]
 
-    def keep(self, job: JobId, fact: Fact, weight: int = 1) -> None:
+    def put(self, job: JobId, value: Value, weight: int = 1) -> None:
         """Remembers the fact and drops those unused for longest, but never this one."""
-        previous = self._facts.pop(job, None)
+        previous = self._entries.pop(job, None)
         if previous is not None:
             self._weight -= previous[1]
-        self._facts[job] = (fact, weight)
+        self._entries[job] = (value, weight)
         self._weight += weight
-        while self._weight > self._most and len(self._facts) > 1:
-            _, (_, dropped) = self._facts.popitem(last=False)
+        while self._weight > self._max_weight and len(self._entries) > 1:
+            _, (_, dropped) = self._entries.popitem(last=False)
             self._weight -= dropped
 
 
-class FinalStates:
+class JobOutcomeCache:
     """How jobs ended, as far as this node has heard. An end never changes."""
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, max_entries: int) -> None:
         """`most` is the number of jobs to remember."""
-        self._most = most
-        self._states: OrderedDict[JobId, str] = OrderedDict()
+        self._max_entries = max_entries
+        self._outcomes: OrderedDict[JobId, str] = OrderedDict()
 
     def get(self, job: JobId) -> str | None:
         """The job's final state; None if it is not known here."""
-        return self._states.get(job)
+        return self._outcomes.get(job)
 
-    def keep(self, job: JobId, state: str) -> None:
+    def put(self, job: JobId, outcome: str) -> None:
         """Remembers a durable end and drops the oldest beyond the bound."""
-        self._states[job] = state
-        while len(self._states) > self._most:
-            self._states.popitem(last=False)
+        self._outcomes[job] = outcome
+        while len(self._outcomes) > self._max_entries:
+            self._outcomes.popitem(last=False)
