--- a/src/eldercart/server/users/user_service.py
+++ b/src/eldercart/server/users/user_service.py
@@ -3,19 +3,24 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from eldercart.server.http.replies import RETRY_S, SOON_S, refuse, refuse_for_now
+from eldercart.server.http.replies import (
+    RETRY_AFTER_S,
+    SHORT_RETRY_AFTER_S,
+    reject,
+    reject_temporarily,
+)
 from eldercart.server.http.server import JsonRequest
-from eldercart.server.users.dependencies import Dependencies
-from eldercart.server.users.job_admission import Submissions
-from eldercart.server.users.job_states import JobStates, StateHandlers
-from eldercart.server.users.recent_cache import FinalStates
+from eldercart.server.users.dependencies import DependencyResolver
+from eldercart.server.users.job_admission import JobAdmission
+from eldercart.server.users.job_states import JobStateHandlers, JobStateReader
+from eldercart.server.users.recent_cache import JobOutcomeCache
 from eldercart.units import JobId
 from eldercart.wire import peers, users
 
 if TYPE_CHECKING:
-    from eldercart.server.controller_node import Node
+    from eldercart.server.controller_node import ControllerNode
 
-Handler = Callable[[JsonRequest], None]
+RequestHandler = Callable[[JsonRequest], None]
 
 JOB_PATH, CANCEL_SUFFIX = b"/work/", b"/cancel"
 
@@ -23,20 +28,25 @@
 class UserService:
     """Routes requests and bounds those under way; answers polls and cancellations."""
 
-    def __init__(self, node: "Node") -> None:
+    def __init__(self, node: "ControllerNode") -> None:
         """Owns the parts that know the states of jobs."""
         self.node = node
-        self._finals = FinalStates(node.tuning.final_cache)
-        self.dependencies = Dependencies(node, self._finals)
-        self.states = JobStates(node, self._finals, self.dependencies)
-        self._submissions = Submissions(node, self._finals, self.dependencies, self.states)
-        self._busy = 0
-        self._further: dict[bytes, Handler] = {}  # by the first part of the path
-        self._routes: dict[bytes, tuple[bytes, Handler]] = {
-            b"/v1/report": (b"POST", lambda request: node.relay_service.forwarding.report(request)),
-            b"/healthz": (b"GET", self._health),
+        self._outcomes = JobOutcomeCache(node.tuning.final_cache)
+        self.dependency_resolver = DependencyResolver(node, self._outcomes)
+        self.job_states = JobStateReader(node, self._outcomes, self.dependency_resolver)
+        self._job_admission = JobAdmission(
+            node, self._outcomes, self.dependency_resolver, self.job_states
+        )
+        self._requests_in_flight = 0
+        self._prefix_routes: dict[bytes, RequestHandler] = {}  # by the first part of the path
+        self._routes: dict[bytes, tuple[bytes, RequestHandler]] = {
+            b"/v1/report": (
+                b"POST",
+                lambda request: node.relay_service.heartbeat_forwarding.handle_heartbeat(request),
+            ),
+            b"/healthz": (b"GET", self._serve_health),
             b"/status": (b"GET", lambda request: request.reply(200, node.status_page())),
-            b"/work": (b"POST", lambda request: self._guarded(request, self._submit)),
+            b"/work": (b"POST", lambda request: self._serve_bounded(request, self._submit)),
         }
 
     # -- routing
@@ -44,119 +54,124 @@
     def route(self, request: JsonRequest) -> None:
         """Hands the request to what serves its path and method."""
         route = self._routes.get(request.path)
-        if self.node.ending.begun:
-            self.node.ending.refuse(request)
+        if self.node.graceful_shutdown.has_begun:
+            self.node.graceful_shutdown.refuse(request)
         elif route is not None:
             method, serve = route
             if request.method == method:
                 serve(request)
             else:
-                refuse(request, 405, "method")
+                reject(request, 405, "method")
         elif request.path.startswith(JOB_PATH):
             self._route_job(request, request.path[len(JOB_PATH) :])
         else:
-            self._guarded(request, self._further.get(_first_part(request.path), _no_such_path))
+            self._serve_bounded(
+                request, self._prefix_routes.get(_first_segment(request.path), _no_such_path)
+            )
 
-    def serve_under(self, first_part: bytes, serve: Handler) -> None:
+    def add_prefix_route(self, first_segment: bytes, handler: RequestHandler) -> None:
         """Hands all requests to `serve` whose path begins with that part."""
-        self._further[first_part] = serve
+        self._prefix_routes[first_segment] = handler
 
-    def _route_job(self, request: JsonRequest, rest: bytes) -> None:
-        name, method, serve = rest, b"GET", self._poll
-        if rest.endswith(CANCEL_SUFFIX):
-            name, method, serve = rest[: -len(CANCEL_SUFFIX)], b"POST", self._cancel
+    def _route_job(self, request: JsonRequest, job_path: bytes) -> None:
+        name, method, serve = job_path, b"GET", self._poll
+        if job_path.endswith(CANCEL_SUFFIX):
+            name, method, serve = job_path[: -len(CANCEL_SUFFIX)], b"POST", self._cancel
         job = name.decode("latin-1")
         if request.method != method:
-            refuse(request, 405, "method")
-        elif not users.valid_job_id(job):
-            refuse(request, 404, "no such job")
+            reject(request, 405, "method")
+        elif not users.is_valid_job_id(job):
+            reject(request, 404, "no such job")
         else:
-            self._guarded(request, lambda r: serve(r, JobId(job)))
+            self._serve_bounded(request, lambda r: serve(r, JobId(job)))
 
-    def _guarded(self, request: JsonRequest, serve: Handler) -> None:
+    def _serve_bounded(self, request: JsonRequest, handler: RequestHandler) -> None:
         """Bounds the requests under way; beyond that they are refused at once."""
-        if self._busy >= self.node.tuning.pending_requests:
-            refuse_for_now(request, "overloaded")
+        if self._requests_in_flight >= self.node.tuning.pending_requests:
+            reject_temporarily(request, "overloaded")
             return
-        self._busy += 1
+        self._requests_in_flight += 1
 
         def over(_: Any) -> None:
-            self._busy -= 1
+            self._requests_in_flight -= 1
 
         request.notifyFinish().addBoth(over)
-        serve(request)
+        handler(request)
 
-    def _health(self, request: JsonRequest) -> None:
-        healthy = self.node.healthy()
-        request.reply(200 if healthy else 503, b"{}", None if healthy else RETRY_S)
+    def _serve_health(self, request: JsonRequest) -> None:
+        healthy = self.node.is_healthy()
+        request.reply(200 if healthy else 503, b"{}", None if healthy else RETRY_AFTER_S)
 
     # -- what the leader's side asks of the known states
 
-    def final_of(self, job: JobId) -> str | None:
+    def outcome_of(self, job: JobId) -> str | None:
         """How the job ended, if this node knows."""
-        return self._finals.get(job)
+        return self._outcomes.get(job)
 
-    def final(self, job: JobId, how: str) -> None:
+    def record_outcome(self, job: JobId, outcome: str) -> None:
         """Remembers a durable end; it never changes."""
-        self._finals.keep(job, how)
+        self._outcomes.put(job, outcome)
 
-    def look_up(
+    def read_job_state(
         self,
         job: JobId,
-        found: Callable[[str], Any],
-        absent: Callable[[], Any],
-        failed: Callable[[], Any],
+        on_found: Callable[[str], Any],
+        on_absent: Callable[[], Any],
+        on_failed: Callable[[], Any],
     ) -> None:
         """A fresh read of the job's state from the state service; one of the three is called."""
-        self.states.read(
-            job, StateHandlers(lambda told: found(told.verdict), absent, lambda _: failed())
+        self.job_states.read(
+            job,
+            JobStateHandlers(lambda told: on_found(told.state), on_absent, lambda _: on_failed()),
         )
 
     # -- users
 
     def _submit(self, request: JsonRequest) -> None:
-        self._submissions.submit(request)
+        self._job_admission.submit(request)
 
     def _poll(self, request: JsonRequest, job: JobId) -> None:
         def found(told: peers.JobReply) -> None:
-            body = users.state_body(job, told.verdict, told.done, told.running, told.waiting)
+            body = users.job_state_body(
+                job, told.state, told.done_count, told.running_count, told.unmet_dependencies
+            )
             request.reply(200, body)
 
-        handlers = StateHandlers(
+        handlers = JobStateHandlers(
             found,
-            absent=lambda: refuse(request, 404, "no such job"),
-            failed=lambda pause: refuse_for_now(request, "cannot tell now", pause),
+            on_absent=lambda: reject(request, 404, "no such job"),
+            on_failed=lambda pause: reject_temporarily(request, "cannot tell now", pause),
         )
-        self.states.ask(job, handlers)
+        self.job_states.query(job, handlers)
 
     def _cancel(self, request: JsonRequest, job: JobId) -> None:
         def answered(verdict: str) -> None:
-            self._cancel_answered(request, job, verdict)
+            self._reply_to_cancel(request, job, verdict)
 
         def told(answer: peers.JobReply | None) -> None:
-            answered(peers.NOT_LEADER if answer is None else answer.verdict)
+            answered(peers.NOT_LEADER if answer is None else answer.state)
 
-        state = self._finals.get(job)
+        state = self._outcomes.get(job)
         if state is not None:
             answered(state)
-        elif self.node.leader_service.controller is not None:
+        elif self.node.leader_service.scheduler is not None:
             self.node.leader_service.user_answers.cancel(job, answered)
-        elif not self.node.relay_service.questions.cancel(job, told):
+        elif not self.node.relay_service.leader_client.cancel(job, told):
             answered(peers.NOT_LEADER)
 
-    def _cancel_answered(self, request: JsonRequest, job: JobId, verdict: str) -> None:
-        if verdict in (users.DONE, users.CANCELLED):
-            self.final(job, verdict)
-            request.reply(200, users.state_body(job, verdict))
-        elif verdict == peers.UNKNOWN:
-            refuse(request, 404, "no such job")
+    def _reply_to_cancel(self, request: JsonRequest, job: JobId, state: str) -> None:
+        if state in (users.DONE, users.CANCELLED):
+            self.record_outcome(job, state)
+            request.reply(200, users.job_state_body(job, state))
+        elif state == peers.UNKNOWN:
+            reject(request, 404, "no such job")
         else:
-            refuse_for_now(request, "no leader now", SOON_S)
+            reject_temporarily(request, "no leader now", SHORT_RETRY_AFTER_S)
 
 
-def _first_part(path: bytes) -> bytes:
+def _first_segment(path: bytes) -> bytes:
     return path[1:].partition(b"/")[0]
 
 
 def _no_such_path(request: JsonRequest) -> None:
-    refuse(request, 404, "no such path")
+    reject(request, 404, "no such path")
--- a/src/eldercart/settings/features.py
+++ b/src/eldercart/settings/features.py
@@ -11,14 +11,14 @@
 import fastjsonschema
 import orjson
 
-from eldercart.settings.platform import BadSettings, read_json
-from eldercart.wire.named_leases import DutyName
+from eldercart.settings.platform import InvalidSettings, read_json
+from eldercart.wire.named_leases import LeaseName
 
 if TYPE_CHECKING:
     from zoneinfo import ZoneInfo
 
 SCHEMA = Path(__file__).with_name("features.schema.json")
-WHAT = "features"
+FILE_KIND = "features"
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,10 +50,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DutyFeatures:
+class SingletonFeatures:
     """The duties that a node takes part in; see the schema for each."""
 
-    on: tuple[DutyName, ...]
+    on: tuple[LeaseName, ...]
     lease_s: float
     hand_over_s: float
     stay_s: float
@@ -67,12 +67,12 @@
 class Features:
     """All that is switched on."""
 
-    duties: DutyFeatures | None
+    duties: SingletonFeatures | None
 
 
 def load_features(path: str) -> Features:
     """The features in the file, with their defaults."""
-    return parse_features(read_json(path, WHAT))
+    return parse_features(read_json(path, FILE_KIND))
 
 
 def parse_features(value: Any) -> Features:
@@ -81,17 +81,17 @@
     try:
         checked = fastjsonschema.compile(schema)(value)
     except fastjsonschema.JsonSchemaValueException as err:
-        raise BadSettings(f"{WHAT}: {err.message.removeprefix('data.')}") from None
+        raise InvalidSettings(f"{FILE_KIND}: {err.message.removeprefix('data.')}") from None
     duties = checked.get("duties")
     if duties is None or not duties["on"]:
         return Features(None)
-    return Features(_duties(duties))
+    return Features(_singleton_features(duties))
 
 
-def _duties(obj: dict[str, Any]) -> DutyFeatures:
+def _singleton_features(obj: dict[str, Any]) -> SingletonFeatures:
     maintenance = obj.get("maintenance")
-    return DutyFeatures(
-        on=tuple(DutyName(name) for name in obj["on"]),
+    return SingletonFeatures(
+        on=tuple(LeaseName(name) for name in obj["on"]),
         lease_s=float(obj["lease_s"]),
         hand_over_s=float(obj["hand_over_s"]),
         stay_s=float(obj["stay_s"]),
@@ -112,8 +112,8 @@
     try:
         zone = ZoneInfo(obj["time_zone"])
     except (ZoneInfoNotFoundError, ValueError, OSError):
-        raise BadSettings(
-            f"{WHAT}: duties.maintenance.time_zone: unknown time zone {obj['time_zone']!r}"
+        raise InvalidSettings(
+            f"{FILE_KIND}: duties.maintenance.time_zone: unknown time zone {obj['time_zone']!r}"
         ) from None
     weekly = tuple(
         WeeklyWindow(
@@ -123,16 +123,16 @@
         )
         for window in obj["weekly"]
     )
-    exceptions = tuple(_exception(i, item) for i, item in enumerate(obj["exceptions"]))
+    exceptions = tuple(_date_window(i, item) for i, item in enumerate(obj["exceptions"]))
     return Maintenance(zone, weekly, exceptions)
 
 
-def _exception(number: int, obj: dict[str, Any]) -> DateWindow:
+def _date_window(number: int, obj: dict[str, Any]) -> DateWindow:
     try:
         on = date.fromisoformat(obj["date"])
     except ValueError:
-        raise BadSettings(
-            f"{WHAT}: duties.maintenance.exceptions[{number}].date: no such date {obj['date']}"
+        raise InvalidSettings(
+            f"{FILE_KIND}: duties.maintenance.exceptions[{number}].date: no such date {obj['date']}"
         ) from None
     start, end = obj.get("start"), obj.get("end")
     return DateWindow(
--- a/src/eldercart/settings/operator.py
+++ b/src/eldercart/settings/operator.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from eldercart.settings.platform import BadSettings, read_json
+from eldercart.settings.platform import InvalidSettings, read_json
 
 SCHEMA = Path(__file__).with_name("operator.schema.json")
 
@@ -47,6 +47,6 @@
         try:
             fastjsonschema.compile(schema)(values)
         except fastjsonschema.JsonSchemaValueException as err:
-            raise BadSettings(f"operator settings: {err.message}") from None
+            raise InvalidSettings(f"operator settings: {err.message}") from None
         merged.update(values)
     return Tuning(merged)
--- a/src/eldercart/settings/platform.py
+++ b/src/eldercart/settings/platform.py
@@ -10,7 +10,7 @@
 from eldercart.units import NodeId
 
 
-class BadSettings(Exception):
+class InvalidSettings(Exception):
     """One clear line naming the field."""
 
 
@@ -89,56 +89,56 @@
             elif isinstance(value, dict) and part in value:
                 value = value[part]
             else:
-                raise BadSettings(f"settings: {path}: missing")
+                raise InvalidSettings(f"settings: {path}: missing")
         return value
 
     def text(self, path: str) -> str:
         value = self.get(path)
         if not isinstance(value, str) or not value:
-            raise BadSettings(f"settings: {path}: must be a text")
+            raise InvalidSettings(f"settings: {path}: must be a text")
         return value
 
     def number(self, path: str, least: float = 0.0) -> float:
         value = self.get(path)
         if isinstance(value, bool) or not isinstance(value, int | float):
-            raise BadSettings(f"settings: {path}: must be a number")
+            raise InvalidSettings(f"settings: {path}: must be a number")
         if not math.isfinite(value) or value < least:
-            raise BadSettings(f"settings: {path}: must be at least {least:g}")
+            raise InvalidSettings(f"settings: {path}: must be at least {least:g}")
         return float(value)
 
-    def times(self, path: str) -> float:
+    def optional_factor(self, path: str) -> float:
         """A factor that may be left out."""
         parent, _, name = path.rpartition(".")
         return self.number(path, 0.01) if self.get(parent).get(name) is not None else 1.0
 
-    def lower(self, name: str, least: float, next_least: float) -> tuple[float, float]:
+    def current_and_next(self, name: str, least: float, next_least: float) -> tuple[float, float]:
         """A limit of the state service, and what it falls to: the same unless `next` says less."""
         now = self.number(f"settings.state.{name}", least)
         later = self.get("settings.state").get("next")
         if later is None:
             return now, now
         if not isinstance(later, dict):
-            raise BadSettings("settings: settings.state.next: must be an object")
+            raise InvalidSettings("settings: settings.state.next: must be an object")
         if later.get(name) is None:
             return now, now
         return now, min(now, self.number(f"settings.state.next.{name}", next_least))
 
-    def items(self, path: str) -> range:
+    def item_indexes(self, path: str) -> range:
         value = self.get(path)
         if not isinstance(value, list) or not all(isinstance(v, dict) for v in value):
-            raise BadSettings(f"settings: {path}: must be a list of objects")
+            raise InvalidSettings(f"settings: {path}: must be a list of objects")
         return range(len(value))
 
     def endpoint(self, path: str) -> Endpoint:
         host, _, port = self.text(path).rpartition(":")
         if not host or not (port.isascii() and port.isdigit()) or not 0 < int(port) < 65536:
-            raise BadSettings(f"settings: {path}: must be host:port")
+            raise InvalidSettings(f"settings: {path}: must be host:port")
         return Endpoint(host, int(port))
 
 
 def _teams(read: _Reader) -> dict[str, Team]:
     teams = {}
-    for i in read.items("settings.teams"):
+    for i in read.item_indexes("settings.teams"):
         at = f"settings.teams.{i}."
         team = Team(
             read.text(at + "name"),
@@ -154,14 +154,18 @@
 def _objectives(read: _Reader) -> dict[str, dict[str, tuple[float, ...]]]:
     """By kind and class, what users were promised; other kinds of objectives are skipped."""
     promised: dict[str, dict[str, tuple[float, ...]]] = {"wait": {}, "finished": {}, "deadline": {}}
-    for i in read.items("settings.objectives"):
+    for i in read.item_indexes("settings.objectives"):
         at = f"settings.objectives.{i}."
         kind = read.text(at + "kind")
         of_kind = promised.get(kind)
         if of_kind is None:
             continue
         klass = read.text(at + "class")
-        within = read.times(at + "times") if kind == "deadline" else read.number(at + "within_s")
+        within = (
+            read.optional_factor(at + "times")
+            if kind == "deadline"
+            else read.number(at + "within_s")
+        )
         of_kind[klass] = tuple(sorted({*of_kind.get(klass, ()), within}))
     return promised
 
@@ -173,21 +177,21 @@
             read.text(f"members.{i}.location"),
             read.endpoint(f"members.{i}.endpoint"),
         )
-        for i in read.items("members")
+        for i in read.item_indexes("members")
     )
 
 
 def parse_platform(root: Any) -> NodeSettings:
     """Checks the fields that the service uses; the first bad one is named."""
     if not isinstance(root, dict):
-        raise BadSettings("settings: must be an object")
+        raise InvalidSettings("settings: must be an object")
     read = _Reader(root)
     teams = _teams(read)
     promised = _objectives(read)
-    rps, rps_next = read.lower("rps", 1, 1)
-    write_rps, write_rps_next = read.lower("write_rps", 1, 1)
-    _, value_kb = read.lower("value_kb", 1, 0.5)
-    _, txn_ops = read.lower("txn_ops", 4, 2)  # an end takes two changes
+    rps, rps_next = read.current_and_next("rps", 1, 1)
+    write_rps, write_rps_next = read.current_and_next("write_rps", 1, 1)
+    _, value_kb = read.current_and_next("value_kb", 1, 0.5)
+    _, txn_ops = read.current_and_next("txn_ops", 4, 2)  # an end takes two changes
     return NodeSettings(
         label=NodeId(read.text("label")),
         zone=read.text("location"),
@@ -224,9 +228,9 @@
     try:
         return orjson.loads(Path(path).read_bytes())
     except OSError as err:
-        raise BadSettings(f"{what}: {path}: {err.strerror}") from None
+        raise InvalidSettings(f"{what}: {path}: {err.strerror}") from None
     except orjson.JSONDecodeError as err:
-        raise BadSettings(f"{what}: {path}: not JSON: {err}") from None
+        raise InvalidSettings(f"{what}: {path}: not JSON: {err}") from None
 
 
 def load_platform(path: str) -> NodeSettings:
--- a/src/eldercart/singleton/holder_preference.py
+++ b/src/eldercart/singleton/holder_preference.py
@@ -3,9 +3,9 @@
 from collections.abc import Collection
 from enum import Enum
 
-from eldercart.singleton.lease_directory import Snapshot
+from eldercart.singleton.lease_directory import DirectorySnapshot
 from eldercart.units import NodeId
-from eldercart.wire.named_leases import DutyName
+from eldercart.wire.named_leases import LeaseName
 
 
 class Affinity(Enum):
@@ -16,16 +16,16 @@
 
 
 AFFINITY = {
-    DutyName.RENTAL: Affinity.LEADER,
-    DutyName.RETURN: Affinity.LEADER,
-    DutyName.CLEANUP: Affinity.LEADER,
-    DutyName.CATALOG: Affinity.ANY,
+    LeaseName.SCALE_OUT: Affinity.LEADER,
+    LeaseName.SCALE_IN: Affinity.LEADER,
+    LeaseName.CLEANUP: Affinity.LEADER,
+    LeaseName.CATALOG: Affinity.ANY,
 }
 
-BALANCE = 2  # duties that a holder must have beyond another node before it gives one up
+MIN_IMBALANCE = 2  # duties that a holder must have beyond another node before it gives one up
 
 
-def load_of(node: NodeId, leader: NodeId | None, snapshot: Snapshot) -> int:
+def node_load(node: NodeId, leader: NodeId | None, snapshot: DirectorySnapshot) -> int:
     """How many duties the node holds. Leadership counts as one, or the leader would seem idle
     before it holds its own."""
     held = sum(
@@ -36,18 +36,18 @@
     return held + (1 if node == leader else 0)
 
 
-def rank(
-    node: NodeId, candidates: Collection[NodeId], leader: NodeId | None, snapshot: Snapshot
+def candidate_rank(
+    node: NodeId, candidates: Collection[NodeId], leader: NodeId | None, snapshot: DirectorySnapshot
 ) -> int:
     """How many candidates are to be preferred to the node: the least loaded, then by name."""
-    mine = (load_of(node, leader, snapshot), node)
-    return sum(1 for other in candidates if (load_of(other, leader, snapshot), other) < mine)
+    mine = (node_load(node, leader, snapshot), node)
+    return sum(1 for other in candidates if (node_load(other, leader, snapshot), other) < mine)
 
 
 def is_overloaded(
-    node: NodeId, candidates: Collection[NodeId], leader: NodeId | None, snapshot: Snapshot
+    node: NodeId, candidates: Collection[NodeId], leader: NodeId | None, snapshot: DirectorySnapshot
 ) -> bool:
     """Whether the node should give a duty up. A difference of one is none: the duty would only
     change sides."""
-    others = [load_of(c, leader, snapshot) for c in candidates if c != node]
-    return bool(others) and load_of(node, leader, snapshot) >= min(others) + BALANCE
+    others = [node_load(c, leader, snapshot) for c in candidates if c != node]
+    return bool(others) and node_load(node, leader, snapshot) >= min(others) + MIN_IMBALANCE
--- a/src/eldercart/singleton/intents.py
+++ b/src/eldercart/singleton/intents.py
@@ -15,29 +15,36 @@
 
 from pyrsistent import pmap
 
-from eldercart.election.state_machine import LEAD_KEY
-from eldercart.units import ABSENT, NEVER, Epoch, Revision, Steady, Token
-from eldercart.wire import Malformed
+from eldercart.election.state_machine import LEADER_KEY
+from eldercart.units import (
+    ABSENT_REVISION,
+    DISTANT_PAST,
+    FencingToken,
+    LeaseToken,
+    MonotonicTime,
+    Revision,
+)
+from eldercart.wire import MalformedMessage
 from eldercart.wire.named_leases import (
-    RECORD_BYTES,
-    DutyName,
+    EMPTY_RECORD_BYTES,
     Intent,
+    LeaseName,
     holder_key,
     intent_bytes,
     intents_key,
     intents_value,
     parse_intents,
 )
-from eldercart.wire.state import Item, Put, Txn
+from eldercart.wire.state import Item, Put, Transaction
 
 log = logging.getLogger("eldercart.duties")
 
 # After which finished intents are dropped although nothing new is recorded. Shorter than machines
 # usually stand idle: a successor asks anew for what is left, and must not count machines again that
 # were returned since.
-COMPACT_S = 20.0
-GATHER_S = 1.0  # between two writes for intents that are not urgent
-WRITE_PAUSE_S = 0.25  # after a write that was not carried out
+COMPACTION_DELAY_S = 20.0
+BATCH_INTERVAL_S = 1.0  # between two writes for intents that are not urgent
+WRITE_RETRY_S = 0.25  # after a write that was not carried out
 
 
 class IntentStage(Enum):
@@ -52,10 +59,10 @@
 class WriteOutcome(Enum):
     """What became of a write of the record."""
 
-    DONE = "done"
+    COMMITTED = "done"
     CONFLICT = "conflict"  # a guard did not hold
-    REFUSED = "refused"  # surely not carried out
-    UNKNOWN = "unknown"  # may have been, or may be later
+    REJECTED = "refused"  # surely not carried out
+    INDETERMINATE = "unknown"  # may have been, or may be later
 
 
 OpenIntents = Mapping[str, Intent]  # by name; persistent: it never changes
@@ -65,36 +72,36 @@
 class IntentWrite:
     """A write of the record, and the open intents that it holds."""
 
-    txn: Txn
-    token: Token
-    content: OpenIntents
+    transaction: Transaction
+    token: LeaseToken
+    intents: OpenIntents
 
 
 class IntentLog:
     """The open intents of a duty, as far as its holder knows. One write is under way at a time."""
 
-    def __init__(self, duty: DutyName, most_bytes: int) -> None:
+    def __init__(self, duty: LeaseName, most_bytes: int) -> None:
         """Nothing is known before `load`; the record grows to at most `most_bytes`."""
-        self.duty = duty
-        self.loaded = False
-        self.reread_wanted = False
-        self._most_bytes = most_bytes
-        self._version = ABSENT
+        self.lease_name = duty
+        self.is_loaded = False
+        self.needs_refresh = False
+        self._max_bytes = most_bytes
+        self._version = ABSENT_REVISION
         self._durable: Any = pmap()
         self._created: dict[str, Intent] = {}
-        self._unwanted: set[str] = set()  # of these, what is forgotten unless it is durable
+        self._abandoned: set[str] = set()  # of these, what is forgotten unless it is durable
         self._sent: set[str] = set()
         self._finished: set[str] = set()
-        self._finished_since = NEVER
-        self._write: IntentWrite | None = None
-        self._pause = NEVER
-        self._wrote_at = NEVER
-        self._urgent = False  # something waits to be recorded that must not be gathered
+        self._finished_since = DISTANT_PAST
+        self._write_in_flight: IntentWrite | None = None
+        self._retry_at = DISTANT_PAST
+        self._last_write_at = DISTANT_PAST
+        self._has_urgent = False  # something waits to be recorded that must not be gathered
 
     # -- what others may ask
 
     @property
-    def open(self) -> OpenIntents:
+    def open_intents(self) -> OpenIntents:
         """The durable intents, as a snapshot."""
         intents: OpenIntents = self._durable
         return intents
@@ -114,13 +121,13 @@
         return name in self._durable and name not in self._finished
 
     @property
-    def writing(self) -> bool:
+    def is_write_pending(self) -> bool:
         """Whether a write is under way, or its outcome is not known."""
-        return self._write is not None or self.reread_wanted
+        return self._write_in_flight is not None or self.needs_refresh
 
-    def room_for(self, intents: list[Intent]) -> int:
+    def capacity_for(self, intents: list[Intent]) -> int:
         """How many of these, from the first, the record can take beside the open ones."""
-        size = RECORD_BYTES + sum(
+        size = EMPTY_RECORD_BYTES + sum(
             intent_bytes(intent)
             for name, intent in [*self._durable.items(), *self._created.items()]
             if name not in self._finished
@@ -129,7 +136,7 @@
             if self.stage(intent.name) in (IntentStage.CREATED, IntentStage.RECORDED):
                 continue
             size += intent_bytes(intent)
-            if size > self._most_bytes:
+            if size > self._max_bytes:
                 return number
         return len(intents)
 
@@ -137,13 +144,13 @@
 
     def load(self, item: Item | None) -> list[Intent]:
         """Takes the record as it was read; returns the intents that are open."""
-        self.loaded = True
-        self.reread_wanted = False
-        self._version = ABSENT if item is None else item.version
+        self.is_loaded = True
+        self.needs_refresh = False
+        self._version = ABSENT_REVISION if item is None else item.version
         try:
-            intents = [] if item is None else parse_intents(self.duty, item.value)
-        except Malformed as err:
-            log.error("record of intents unreadable duty=%s, replaced: %s", self.duty, err)
+            intents = [] if item is None else parse_intents(self.lease_name, item.value)
+        except MalformedMessage as err:
+            log.error("record of intents unreadable duty=%s, replaced: %s", self.lease_name, err)
             intents = []
         self._durable = pmap({intent.name: intent for intent in intents})
         self._sent &= set(self._durable)
@@ -153,32 +160,34 @@
     def create(self, intent: Intent, urgent: bool = True) -> None:
         """An intent that is to be recorded; one that is not urgent may wait a little for others."""
         self._finished.discard(intent.name)
-        self._unwanted.discard(intent.name)
-        dropped = self._write is not None and intent.name not in self._write.content
-        if intent.name not in self._durable or dropped or self.reread_wanted:
+        self._abandoned.discard(intent.name)
+        dropped = (
+            self._write_in_flight is not None and intent.name not in self._write_in_flight.intents
+        )
+        if intent.name not in self._durable or dropped or self.needs_refresh:
             self._created[intent.name] = intent
-            self._urgent = self._urgent or urgent
+            self._has_urgent = self._has_urgent or urgent
 
-    def forget(self, name: str) -> None:
+    def abandon(self, name: str) -> None:
         """The intent is not wanted any more. One that turns out to be durable stays open."""
-        self._unwanted.add(name)
-        self._drop_unwanted()
+        self._abandoned.add(name)
+        self._drop_abandoned()
 
-    def _drop_unwanted(self) -> None:
-        if not self.writing:
-            for name in self._unwanted:
+    def _drop_abandoned(self) -> None:
+        if not self.is_write_pending:
+            for name in self._abandoned:
                 self._created.pop(name, None)
-            self._unwanted.clear()
+            self._abandoned.clear()
 
-    def sent(self, name: str) -> None:
+    def mark_sent(self, name: str) -> None:
         """The intent is on its way to the cloud."""
         self._sent.add(name)
 
-    def unanswered(self, name: str) -> None:
+    def mark_unanswered(self, name: str) -> None:
         """Nobody knows whether the intent was carried out: it stays open."""
         self._sent.discard(name)
 
-    def finished(self, name: str, now: Steady) -> None:
+    def mark_finished(self, name: str, now: MonotonicTime) -> None:
         """The cloud has answered the intent."""
         self._sent.discard(name)
         if name in self._durable:
@@ -188,62 +197,64 @@
 
     # -- writing
 
-    def next_write(self, token: Token, epoch: Epoch, now: Steady) -> IntentWrite | None:
+    def next_write(
+        self, token: LeaseToken, epoch: FencingToken, now: MonotonicTime
+    ) -> IntentWrite | None:
         """The next write of the record, if one is due and none is under way."""
-        if not self.loaded or self.writing or now < self._pause:
+        if not self.is_loaded or self.is_write_pending or now < self._retry_at:
             return None
-        compacts = bool(self._finished) and now - self._finished_since >= COMPACT_S
-        gathers = not self._urgent and now - self._wrote_at < GATHER_S
+        compacts = bool(self._finished) and now - self._finished_since >= COMPACTION_DELAY_S
+        gathers = not self._has_urgent and now - self._last_write_at < BATCH_INTERVAL_S
         if not compacts and (not self._created or gathers):
             return None
-        self._urgent = False
-        self._wrote_at = now
+        self._has_urgent = False
+        self._last_write_at = now
         content = self._durable.evolver()
         for name in self._finished:
             content.remove(name)
         for name, intent in self._created.items():
             content.set(name, intent)
         intents = content.persistent()
-        key = intents_key(self.duty)
-        txn = Txn(
+        key = intents_key(self.lease_name)
+        txn = Transaction(
             {
-                holder_key(self.duty): Revision(token),
-                LEAD_KEY: Revision(epoch),
+                holder_key(self.lease_name): Revision(token),
+                LEADER_KEY: Revision(epoch),
                 key: self._version,
             },
             [Put(key, intents_value(list(intents.values())))],
         )
-        self._write = IntentWrite(txn, token, intents)
-        return self._write
+        self._write_in_flight = IntentWrite(txn, token, intents)
+        return self._write_in_flight
 
-    def written(
-        self, write: IntentWrite, outcome: WriteOutcome, revision: Revision, now: Steady
+    def on_write_result(
+        self, write: IntentWrite, outcome: WriteOutcome, revision: Revision, now: MonotonicTime
     ) -> None:
         """The outcome of a write."""
-        if write is not self._write:
+        if write is not self._write_in_flight:
             return
-        self._write = None
+        self._write_in_flight = None
         match outcome:
-            case WriteOutcome.DONE:
+            case WriteOutcome.COMMITTED:
                 self._version = revision
-                self._finished -= set(self._durable) - set(write.content)
-                self._durable = write.content
-                for name in write.content:
+                self._finished -= set(self._durable) - set(write.intents)
+                self._durable = write.intents
+                for name in write.intents:
                     self._created.pop(name, None)
-            case WriteOutcome.REFUSED:
-                self._again(now)
-            case WriteOutcome.CONFLICT | WriteOutcome.UNKNOWN:
-                self._again(now)
-                self.reread_wanted = True
-        self._drop_unwanted()
-
-    def _again(self, now: Steady) -> None:
-        self._pause = Steady(now + WRITE_PAUSE_S)
-        self._urgent = True  # what was in the write has waited already
-
-    def reread(self, item: Item | None) -> None:
+            case WriteOutcome.REJECTED:
+                self._schedule_retry(now)
+            case WriteOutcome.CONFLICT | WriteOutcome.INDETERMINATE:
+                self._schedule_retry(now)
+                self.needs_refresh = True
+        self._drop_abandoned()
+
+    def _schedule_retry(self, now: MonotonicTime) -> None:
+        self._retry_at = MonotonicTime(now + WRITE_RETRY_S)
+        self._has_urgent = True  # what was in the write has waited already
+
+    def refresh(self, item: Item | None) -> None:
         """The record as a fresh read has it: an earlier write may have been applied after all."""
         self.load(item)
         for name in self._durable:
             self._created.pop(name, None)
-        self._drop_unwanted()
+        self._drop_abandoned()
--- a/src/eldercart/singleton/lease_directory.py
+++ b/src/eldercart/singleton/lease_directory.py
@@ -11,115 +11,117 @@
 
 from pyrsistent import pmap
 
-from eldercart.units import ABSENT, NO_TOKEN, Revision, Token
-from eldercart.wire import Malformed
+from eldercart.units import ABSENT_REVISION, NO_LEASE_TOKEN, LeaseToken, Revision
+from eldercart.wire import MalformedMessage
 from eldercart.wire.named_leases import (
-    HAND_OVERS,
-    HOLDERS,
-    PAUSES,
-    DutyName,
+    HAND_OVER_PREFIX,
+    HOLDER_PREFIX,
+    PAUSE_PREFIX,
     HandOverRecord,
     HolderRecord,
+    LeaseName,
     PauseRecord,
-    duty_of_key,
+    lease_of_key,
     parse_hand_over,
     parse_holder,
     parse_pause,
 )
-from eldercart.wire.state import Drop, Item
+from eldercart.wire.state import DeleteKey, Item
 
 log = logging.getLogger("eldercart.duties")
 
 
 @dataclass(frozen=True, slots=True)
-class DutyEntry:
+class LeaseEntry:
     """The keys of one duty. A version of 0 means that the key is absent; a version without a
     record, that the key can't be read."""
 
     holder: HolderRecord | None = None
-    token: Token = NO_TOKEN
+    token: LeaseToken = NO_LEASE_TOKEN
     pause: PauseRecord | None = None
-    pause_version: Revision = ABSENT
+    pause_version: Revision = ABSENT_REVISION
     hand_over: HandOverRecord | None = None
-    hand_over_version: Revision = ABSENT
+    hand_over_version: Revision = ABSENT_REVISION
 
     @property
-    def held(self) -> bool:
+    def is_held(self) -> bool:
         """Whether somebody holds the duty, be it under a record that can't be read."""
-        return self.token != NO_TOKEN
+        return self.token != NO_LEASE_TOKEN
 
     @property
-    def paused(self) -> bool:
+    def is_paused(self) -> bool:
         """Whether the duty is paused."""
-        return self.pause_version != ABSENT
+        return self.pause_version != ABSENT_REVISION
 
 
-NOTHING_KNOWN = DutyEntry()
-Record = TypeVar("Record")
-Snapshot = Mapping[DutyName, DutyEntry]  # persistent: it never changes
+EMPTY_ENTRY = LeaseEntry()
+RecordT = TypeVar("RecordT")
+DirectorySnapshot = Mapping[LeaseName, LeaseEntry]  # persistent: it never changes
 
 
-class DutyBoard:
+class LeaseDirectory:
     """Takes what reads and watches tell, in whatever order their answers come."""
 
     def __init__(self) -> None:
         """Nothing has been read yet."""
-        self.revision = ABSENT  # up to which a watch may go on
-        self._entries: Any = pmap({duty: NOTHING_KNOWN for duty in DutyName})
-        self._as_of: dict[str, Revision] = {}  # by key
+        self.revision = ABSENT_REVISION  # up to which a watch may go on
+        self._entries: Any = pmap({duty: EMPTY_ENTRY for duty in LeaseName})
+        self._revision_by_key: dict[str, Revision] = {}  # by key
 
     @property
-    def snapshot(self) -> Snapshot:
+    def snapshot(self) -> DirectorySnapshot:
         """The duties as they are known now."""
-        snapshot: Snapshot = self._entries
+        snapshot: DirectorySnapshot = self._entries
         return snapshot
 
-    def entry(self, duty: DutyName) -> DutyEntry:
+    def entry(self, duty: LeaseName) -> LeaseEntry:
         """What is known of one duty."""
         return self.snapshot[duty]
 
-    def read(self, items: Iterable[Item], revision: Revision) -> None:
+    def apply_read(self, items: Iterable[Item], revision: Revision) -> None:
         """All keys as a read found them at `revision`; those not among `items` were absent."""
         found = {item.key: item for item in items}
-        for duty in DutyName:
-            for prefix in (HOLDERS, PAUSES, HAND_OVERS):
-                self._take(prefix + duty, found.get(prefix + duty), revision)
+        for duty in LeaseName:
+            for prefix in (HOLDER_PREFIX, PAUSE_PREFIX, HAND_OVER_PREFIX):
+                self._apply(prefix + duty, found.get(prefix + duty), revision)
         self.revision = max(self.revision, revision)
 
-    def watched(self, events: Iterable[Item | Drop], revision: Revision) -> None:
+    def apply_watch_events(self, events: Iterable[Item | DeleteKey], revision: Revision) -> None:
         """Changes in their order, as of `revision`."""
         for event in events:
-            self._take(event.key, event if isinstance(event, Item) else None, revision)
+            self._apply(event.key, event if isinstance(event, Item) else None, revision)
         self.revision = max(self.revision, revision)
 
-    def wrote(self, events: Iterable[Item | Drop], revision: Revision) -> None:
+    def apply_own_writes(self, events: Iterable[Item | DeleteKey], revision: Revision) -> None:
         """Changes of this node's own, applied at `revision`; the watch has yet to tell the rest."""
         for event in events:
-            self._take(event.key, event if isinstance(event, Item) else None, revision)
+            self._apply(event.key, event if isinstance(event, Item) else None, revision)
 
-    def _take(self, key: str, item: Item | None, revision: Revision) -> None:
-        duty = duty_of_key(key)
+    def _apply(self, key: str, item: Item | None, revision: Revision) -> None:
+        duty = lease_of_key(key)
         # An answer may overtake another: what is known as of a later revision stays.
-        if duty is None or revision < self._as_of.get(key, ABSENT):
+        if duty is None or revision < self._revision_by_key.get(key, ABSENT_REVISION):
             return
-        self._as_of[key] = revision
-        version = ABSENT if item is None else item.version
+        self._revision_by_key[key] = revision
+        version = ABSENT_REVISION if item is None else item.version
         entry = self.snapshot[duty]
-        if key.startswith(HOLDERS):
-            entry = replace(entry, holder=_record(item, parse_holder), token=Token(version))
-        elif key.startswith(PAUSES):
-            entry = replace(entry, pause=_record(item, parse_pause), pause_version=version)
-        elif key.startswith(HAND_OVERS):
-            hand_over = _record(item, parse_hand_over)
+        if key.startswith(HOLDER_PREFIX):
+            entry = replace(
+                entry, holder=_parse_record(item, parse_holder), token=LeaseToken(version)
+            )
+        elif key.startswith(PAUSE_PREFIX):
+            entry = replace(entry, pause=_parse_record(item, parse_pause), pause_version=version)
+        elif key.startswith(HAND_OVER_PREFIX):
+            hand_over = _parse_record(item, parse_hand_over)
             entry = replace(entry, hand_over=hand_over, hand_over_version=version)
         self._entries = self._entries.set(duty, entry)
 
 
-def _record(item: Item | None, parse: Callable[[Any], Record]) -> Record | None:
+def _parse_record(item: Item | None, parse: Callable[[Any], RecordT]) -> RecordT | None:
     if item is None:
         return None
     try:
         return parse(item.value)
-    except Malformed as err:
+    except MalformedMessage as err:
         log.error("record of a duty unreadable key=%s: %s", item.key, err)
         return None
--- a/src/eldercart/singleton/maintenance_calendar.py
+++ b/src/eldercart/singleton/maintenance_calendar.py
@@ -13,11 +13,11 @@
 from dateutil.tz import resolve_imaginary
 
 from eldercart.settings.features import Maintenance, WeeklyWindow
-from eldercart.singleton.maintenance_window import Window
+from eldercart.singleton.maintenance_window import MaintenanceWindow
 from eldercart.units import WallTime
 
 ONE_DAY = timedelta(days=1)
-NONE_KEPT_S = 3600.0  # for which it counts that there is no window within a year
+NO_WINDOW_CACHE_S = 3600.0  # for which it counts that there is no window within a year
 LOOK_AHEAD_DAYS = 400  # in which the next window is looked for: more than a year of exceptions
 
 
@@ -29,45 +29,45 @@
         self._zone = maintenance.time_zone
         self._weekly = maintenance.weekly
         self._exceptions = {item.date: item for item in maintenance.exceptions}
-        self._known: Window | None = None
-        self._asked: WallTime | None = None  # when that was
+        self._cached_window: MaintenanceWindow | None = None
+        self._cached_at: WallTime | None = None  # when that was
 
     def is_open(self, at: WallTime) -> bool:
         """Whether work may be done at that time."""
         window = self.next_window(at)
-        return window is not None and window.opens <= at
+        return window is not None and window.opens_at <= at
 
-    def next_window(self, at: WallTime) -> Window | None:
+    def next_window(self, at: WallTime) -> MaintenanceWindow | None:
         """The window that is open at that time, or else the next one; None: there is none within
         a year."""
-        if not self._is_known(at):
-            self._known = self._find(at)
-            self._asked = at
-        return self._known
+        if not self._is_cache_valid(at):
+            self._cached_window = self._find_window(at)
+            self._cached_at = at
+        return self._cached_window
 
-    def _is_known(self, at: WallTime) -> bool:
-        if self._asked is None or at < self._asked:
+    def _is_cache_valid(self, at: WallTime) -> bool:
+        if self._cached_at is None or at < self._cached_at:
             return False  # a clock that was put back makes an earlier window the next one
-        if self._known is None:
-            return at - self._asked < NONE_KEPT_S
-        return at < self._known.closes
+        if self._cached_window is None:
+            return at - self._cached_at < NO_WINDOW_CACHE_S
+        return at < self._cached_window.closes_at
 
-    def _find(self, at: WallTime) -> Window | None:
+    def _find_window(self, at: WallTime) -> MaintenanceWindow | None:
         today = datetime.fromtimestamp(at, self._zone).date()
-        for window in self._windows(today - ONE_DAY):  # yesterday's may end today
-            if at < window.closes:
+        for window in self._windows_from(today - ONE_DAY):  # yesterday's may end today
+            if at < window.closes_at:
                 return window
         return None
 
-    def _windows(self, first: date) -> Iterator[Window]:
+    def _windows_from(self, first: date) -> Iterator[MaintenanceWindow]:
         """All windows that open on that day or later, by day and then by their opening."""
-        rules = [self._starts(window, first) for window in self._weekly]
+        rules = [self._opening_days(window, first) for window in self._weekly]
         for number in range(LOOK_AHEAD_DAYS):
             day = first + number * ONE_DAY
             exception = self._exceptions.get(day)
             if exception is not None:
                 if exception.start is not None and exception.end is not None:
-                    yield self._window(day, exception.start, exception.end)
+                    yield self._window_on(day, exception.start, exception.end)
                 continue
             spans = [
                 (window.start, window.end)
@@ -75,11 +75,11 @@
                 if day in starts
             ]
             yield from sorted(
-                (self._window(day, start, end) for start, end in spans),
-                key=lambda window: window.opens,
+                (self._window_on(day, start, end) for start, end in spans),
+                key=lambda window: window.opens_at,
             )
 
-    def _starts(self, window: WeeklyWindow, first: date) -> set[date]:
+    def _opening_days(self, window: WeeklyWindow, first: date) -> set[date]:
         """The days on which the weekly window opens."""
         rule = rrule(
             WEEKLY,
@@ -89,11 +89,13 @@
         )
         return {start.date() for start in rule}
 
-    def _window(self, day: date, start: time, end: time) -> Window:
+    def _window_on(self, day: date, start: time, end: time) -> MaintenanceWindow:
         last = day if end > start else day + ONE_DAY
-        return Window(self._instant(day, start, fold=0), self._instant(last, end, fold=1))
+        return MaintenanceWindow(
+            self._wall_time_of(day, start, fold=0), self._wall_time_of(last, end, fold=1)
+        )
 
-    def _instant(self, day: date, at: time, fold: int) -> WallTime:
+    def _wall_time_of(self, day: date, at: time, fold: int) -> WallTime:
         """When the local clock shows that time; `fold` 1: for the last time."""
         local = datetime.combine(day, at, self._zone).replace(fold=fold)
         return WallTime(resolve_imaginary(local).astimezone(UTC).timestamp())
--- a/src/eldercart/singleton/maintenance_window.py
+++ b/src/eldercart/singleton/maintenance_window.py
@@ -6,8 +6,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Window:
+class MaintenanceWindow:
     """One window, from `opens` until before `closes`."""
 
-    opens: WallTime
-    closes: WallTime
+    opens_at: WallTime
+    closes_at: WallTime
--- a/src/eldercart/units.py
+++ b/src/eldercart/units.py
@@ -12,37 +12,37 @@
 LeaseId = NewType("LeaseId", int)
 IncarnationId = NewType("IncarnationId", str)  # one start of one process
 
-Epoch = NewType("Epoch", int)  # the fencing token that workers compare
+FencingToken = NewType("FencingToken", int)  # the fencing token that workers compare
 Revision = NewType("Revision", int)  # a key's version in the state service; 0: absent
-Token = NewType("Token", int)  # of a duty's holder: the version of its key
+LeaseToken = NewType("LeaseToken", int)  # of a duty's holder: the version of its key
 Attempt = NewType("Attempt", int)
-Session = NewType("Session", int)  # a worker's lease session
+AgentEpoch = NewType("AgentEpoch", int)  # a worker's lease session
 
-Steady = NewType("Steady", float)  # seconds of this process's steady clock
+MonotonicTime = NewType("MonotonicTime", float)  # seconds of this process's steady clock
 WallTime = NewType("WallTime", float)  # seconds of the time of day
 
-ONLY_INCARNATION = IncarnationId("0")  # for what is never started twice, as in tests
-ABSENT = Revision(0)
-NO_EPOCH = Epoch(0)
-NO_TOKEN = Token(0)
+DEFAULT_INCARNATION = IncarnationId("0")  # for what is never started twice, as in tests
+ABSENT_REVISION = Revision(0)
+NO_FENCING_TOKEN = FencingToken(0)
+NO_LEASE_TOKEN = LeaseToken(0)
 NO_ATTEMPT = Attempt(0)
-NO_SESSION = Session(0)
-CLOCK_ZERO = Steady(0)
-FOREVER = Steady(float("inf"))
-NEVER = Steady(-1e9)  # longer ago than any pause or lease: "has not happened yet"
+NO_AGENT_EPOCH = AgentEpoch(0)
+MONOTONIC_ZERO = MonotonicTime(0)
+DISTANT_FUTURE = MonotonicTime(float("inf"))
+DISTANT_PAST = MonotonicTime(-1e9)  # longer ago than any pause or lease: "has not happened yet"
 
 
-class ReportOrder(NamedTuple):
+class HeartbeatSequence(NamedTuple):
     """Which of two messages of a worker is the newer one."""
 
-    session: Session
-    sequence: int
+    agent_epoch: AgentEpoch
+    number: int
 
 
 # Reports that a relay has answered by itself: for each machine the last one.
-HeardReports = tuple[tuple[MachineId, ReportOrder], ...]
+AcknowledgedHeartbeats = tuple[tuple[MachineId, HeartbeatSequence], ...]
 
-NO_REPORT = ReportOrder(Session(0), -1)
+NO_HEARTBEAT = HeartbeatSequence(AgentEpoch(0), -1)
 
 
 def task_key(job: JobId, index: int) -> TaskKey:
--- a/src/eldercart/wire/__init__.py
+++ b/src/eldercart/wire/__init__.py
@@ -1,5 +1,5 @@
 """The wire formats: names and validation. Nothing here does I/O, so clients can use it too."""
 
-from eldercart.wire.checks import Malformed
+from eldercart.wire.checks import MalformedMessage
 
-__all__ = ["Malformed"]
+__all__ = ["MalformedMessage"]
--- a/src/eldercart/wire/cloud.py
+++ b/src/eldercart/wire/cloud.py
@@ -7,20 +7,20 @@
 
 from eldercart.units import MachineId
 from eldercart.wire.checks import (
-    Malformed,
-    amount,
-    flag,
-    load_answer,
-    objects,
-    optional,
-    text,
-    texts,
+    MalformedMessage,
+    load_response,
+    optional_number,
+    require_boolean,
+    require_number,
+    require_objects,
+    require_text,
+    require_texts,
 )
 
-MAX_RENT = 50
-MAX_DELETE = 100
-LIST_PAGE = 500
-STARTING, UP, FAILED = "starting", "running", "failed"
+MAX_CREATED_MACHINES = 50
+MAX_DELETED_MACHINES = 100
+LIST_PAGE_MACHINES = 500
+STARTING, RUNNING, FAILED = "starting", "running", "failed"
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,24 +55,24 @@
 def parse_catalog(obj: dict[str, Any]) -> dict[str, MachineType]:
     """The machine types by name, of the cloud's catalogue or of the stored one."""
     types = {}
-    for item in objects(obj, "breeds"):
+    for item in require_objects(obj, "breeds"):
         kind = MachineType(
-            name=text(item, "sku"),
-            cpus=amount(item, "cpus"),
-            gpus=optional(item, "accelerators", 0.0),
-            memory_gb=amount(item, "memGb"),
-            cache_gb=optional(item, "localGb", 0.0),
-            fetch_gb_per_s=amount(item, "pullGbPerS")
+            name=require_text(item, "sku"),
+            cpus=require_number(item, "cpus"),
+            gpus=optional_number(item, "accelerators", 0.0),
+            memory_gb=require_number(item, "memGb"),
+            cache_gb=optional_number(item, "localGb", 0.0),
+            fetch_gb_per_s=require_number(item, "pullGbPerS")
             if item.get("pullGbPerS") is not None
             else 1.0,
-            price=amount(item, "rate"),
-            spot_price=optional(item, "lowPrice", 0.0),
-            boot_s=optional(item, "readyS", 60.0),
-            zones=texts(item, "yards"),
+            price=require_number(item, "rate"),
+            spot_price=optional_number(item, "lowPrice", 0.0),
+            boot_s=optional_number(item, "readyS", 60.0),
+            zones=require_texts(item, "yards"),
         )
         types[kind.name] = kind
     if not types:
-        raise Malformed("breeds")
+        raise MalformedMessage("breeds")
     return types
 
 
@@ -80,20 +80,20 @@
     """What the state service keeps of the catalogue. If that were larger than `most_bytes`, it is
     without the fields that only a leader uses, who soon has them from the cloud itself: every
     reader takes defaults for them, and what a submission is judged by stays."""
-    breeds = [_breed(t) for t in types.values()]
+    breeds = [_machine_type_object(t) for t in types.values()]
     if most_bytes is not None and len(orjson.dumps({"breeds": breeds})) > most_bytes:
         for breed in breeds:
-            for field in _LEADERS_FIELDS:
+            for field in _LEADER_ONLY_FIELDS:
                 del breed[field]
             if not breed["accelerators"]:
                 del breed["accelerators"]
     return {"breeds": breeds}
 
 
-_LEADERS_FIELDS = ("localGb", "pullGbPerS", "readyS")
+_LEADER_ONLY_FIELDS = ("localGb", "pullGbPerS", "readyS")
 
 
-def _breed(t: MachineType) -> dict[str, Any]:
+def _machine_type_object(t: MachineType) -> dict[str, Any]:
     return {
         "sku": t.name,
         "cpus": t.cpus,
@@ -108,48 +108,48 @@
     }
 
 
-def rent_body(request: str, type_: str, zone: str, spot: bool, number: int) -> bytes:
+def create_machines_body(request: str, type_: str, zone: str, spot: bool, number: int) -> bytes:
     """Asks for machines. `request` names the rental: repeated under it, the call rents no more."""
     body = {"hire": request, "breed": type_, "yard": zone, "loaners": spot, "number": number}
     return orjson.dumps(body)
 
 
-def parse_rented(body: bytes) -> list[MachineId]:
+def parse_created_machines(body: bytes) -> list[MachineId]:
     """The machines of a rental."""
-    return [MachineId(m) for m in texts(load_answer(body), "wagons")]
+    return [MachineId(m) for m in require_texts(load_response(body), "wagons")]
 
 
-def delete_body(machines: list[MachineId]) -> bytes:
+def delete_machines_body(machines: list[MachineId]) -> bytes:
     """Asks for the deletion of machines."""
     return orjson.dumps({"wagons": machines})
 
 
-def list_path(after: str | None) -> str:
+def machines_path(after: str | None) -> str:
     """One page of the list of machines, after that one or from the beginning."""
-    return f"/machines?most={LIST_PAGE}" + (f"&from={after}" if after else "")
+    return f"/machines?most={LIST_PAGE_MACHINES}" + (f"&from={after}" if after else "")
 
 
 class MachinePage(NamedTuple):
     """One page of the cloud's list."""
 
     machines: list[ListedMachine]
-    more: bool  # whether another page follows
+    has_more: bool  # whether another page follows
 
 
-def parse_list(body: bytes) -> MachinePage:
+def parse_machine_page(body: bytes) -> MachinePage:
     """One page of the list of machines."""
-    obj = load_answer(body)
+    obj = load_response(body)
     machines = []
-    for item in objects(obj, "wagons"):
+    for item in require_objects(obj, "wagons"):
         machines.append(
             ListedMachine(
-                id=MachineId(text(item, "nameId")),
+                id=MachineId(require_text(item, "nameId")),
                 address=item["address"] if isinstance(item.get("address"), str) else "",
-                type=text(item, "breed"),
-                zone=text(item, "yard"),
-                spot=flag(item, "loaners"),
-                state=text(item, "standing"),
-                age_s=amount(item, "ageS"),
+                type=require_text(item, "breed"),
+                zone=require_text(item, "yard"),
+                spot=require_boolean(item, "loaners"),
+                state=require_text(item, "standing"),
+                age_s=require_number(item, "ageS"),
             )
         )
     return MachinePage(machines, obj.get("more") is True)
--- a/src/eldercart/wire/named_leases.py
+++ b/src/eldercart/wire/named_leases.py
@@ -11,52 +11,60 @@
 import orjson
 
 from eldercart.units import IncarnationId, MachineId, NodeId, WallTime
-from eldercart.wire.checks import Malformed, amount, count, flag, load_object, objects, text
+from eldercart.wire.checks import (
+    MalformedMessage,
+    load_object,
+    require_boolean,
+    require_integer,
+    require_number,
+    require_objects,
+    require_text,
+)
 from eldercart.wire.state import Item
 
-DUTIES = "duty/"  # the prefix of all keys but the intents
-HOLDERS = DUTIES + "holder/"
-PAUSES = DUTIES + "pause/"
-HAND_OVERS = DUTIES + "hand-over/"
-INTENTS = "intent/"
+LEASE_PREFIX = "duty/"  # the prefix of all keys but the intents
+HOLDER_PREFIX = LEASE_PREFIX + "holder/"
+PAUSE_PREFIX = LEASE_PREFIX + "pause/"
+HAND_OVER_PREFIX = LEASE_PREFIX + "hand-over/"
+INTENT_PREFIX = "intent/"
 
-ANNOUNCEMENT = "duty."  # with a duty's name: the sender takes part in that duty
+FEATURE_PREFIX = "duty."  # with a duty's name: the sender takes part in that duty
 
-MAX_REASON = 200  # characters of the reason of a pause
+MAX_REASON_LENGTH = 200  # characters of the reason of a pause
 
 
-class DutyName(StrEnum):
+class LeaseName(StrEnum):
     """The duties there are."""
 
-    RENTAL = "rental"  # rents machines
-    RETURN = "return"  # returns machines
+    SCALE_OUT = "rental"  # rents machines
+    SCALE_IN = "return"  # returns machines
     CLEANUP = "cleanup"  # deletes what is left of ended jobs
     CATALOG = "catalog"  # keeps the stored machine types up to date
 
 
-def holder_key(duty: DutyName) -> str:
+def holder_key(duty: LeaseName) -> str:
     """The key that its holder has created on its lease."""
-    return HOLDERS + duty
+    return HOLDER_PREFIX + duty
 
 
-def pause_key(duty: DutyName) -> str:
+def pause_key(duty: LeaseName) -> str:
     """The key that is there while the duty is paused."""
-    return PAUSES + duty
+    return PAUSE_PREFIX + duty
 
 
-def hand_over_key(duty: DutyName) -> str:
+def hand_over_key(duty: LeaseName) -> str:
     """The key that is there while the duty is to be handed over."""
-    return HAND_OVERS + duty
+    return HAND_OVER_PREFIX + duty
 
 
-def intents_key(duty: DutyName) -> str:
+def intents_key(duty: LeaseName) -> str:
     """The record of the duty's open intents."""
-    return INTENTS + duty
+    return INTENT_PREFIX + duty
 
 
-def announcement(duty: DutyName) -> str:
+def feature_name(duty: LeaseName) -> str:
     """What a node's greetings say when it takes part in the duty."""
-    return ANNOUNCEMENT + duty
+    return FEATURE_PREFIX + duty
 
 
 # -- stored records
@@ -68,14 +76,14 @@
 
     node: NodeId
     incarnation: IncarnationId
-    since: WallTime  # by the holder's clock; shown, never compared
+    held_since: WallTime  # by the holder's clock; shown, never compared
 
 
 @dataclass(frozen=True, slots=True)
 class PauseRecord:
     """A duty that an operator has paused."""
 
-    at: WallTime
+    paused_at: WallTime
     reason: str
 
 
@@ -83,80 +91,84 @@
 class HandOverRecord:
     """A duty that an operator hands over."""
 
-    to: NodeId
-    at: WallTime
+    receiver: NodeId
+    requested_at: WallTime
 
 
 @dataclass(frozen=True, slots=True)
-class RentalIntent:
+class ScaleOutIntent:
     """A rental that may be asked for, any number of times, under its name."""
 
     name: str  # of the request to the cloud
-    at: WallTime
-    type: str
+    created_at: WallTime
+    machine_type: str
     zone: str
     spot: bool
-    number: int
+    machine_count: int
 
 
 @dataclass(frozen=True, slots=True)
-class ReturnIntent:
+class ScaleInIntent:
     """A machine that may be deleted, any number of times."""
 
     name: MachineId
-    at: WallTime
+    created_at: WallTime
 
 
-Intent = RentalIntent | ReturnIntent
+Intent = ScaleOutIntent | ScaleInIntent
 
 
 def holder_value(record: HolderRecord) -> dict[str, Any]:
     """The value of a holder key."""
-    return {"node": record.node, "life": record.incarnation, "t": record.since}
+    return {"node": record.node, "life": record.incarnation, "t": record.held_since}
 
 
 def parse_holder(value: Any) -> HolderRecord:
     """A holder key as it was read."""
-    obj = _object(value)
+    obj = _require_object(value)
     return HolderRecord(
-        NodeId(text(obj, "node")), IncarnationId(text(obj, "life")), WallTime(amount(obj, "t"))
+        NodeId(require_text(obj, "node")),
+        IncarnationId(require_text(obj, "life")),
+        WallTime(require_number(obj, "t")),
     )
 
 
 def pause_value(record: PauseRecord) -> dict[str, Any]:
     """The value of a pause key."""
-    return {"t": record.at, "why": record.reason}
+    return {"t": record.paused_at, "why": record.reason}
 
 
 def parse_pause(value: Any) -> PauseRecord:
     """A pause key as it was read."""
-    obj = _object(value)
+    obj = _require_object(value)
     reason = obj.get("why")
-    return PauseRecord(WallTime(amount(obj, "t")), reason if isinstance(reason, str) else "")
+    return PauseRecord(
+        WallTime(require_number(obj, "t")), reason if isinstance(reason, str) else ""
+    )
 
 
 def hand_over_value(record: HandOverRecord) -> dict[str, Any]:
     """The value of a hand-over key."""
-    return {"to": record.to, "t": record.at}
+    return {"to": record.receiver, "t": record.requested_at}
 
 
 def parse_hand_over(value: Any) -> HandOverRecord:
     """A hand-over key as it was read."""
-    obj = _object(value)
-    return HandOverRecord(NodeId(text(obj, "to")), WallTime(amount(obj, "t")))
+    obj = _require_object(value)
+    return HandOverRecord(NodeId(require_text(obj, "to")), WallTime(require_number(obj, "t")))
 
 
 def intent_value(intent: Intent) -> dict[str, Any]:
     """One intent as it stands in its duty's record."""
-    if isinstance(intent, ReturnIntent):
-        return {"n": intent.name, "t": intent.at}
+    if isinstance(intent, ScaleInIntent):
+        return {"n": intent.name, "t": intent.created_at}
     return {
         "n": intent.name,
-        "t": intent.at,
-        "k": intent.type,
+        "t": intent.created_at,
+        "k": intent.machine_type,
         "z": intent.zone,
         "s": intent.spot,
-        "c": intent.number,
+        "c": intent.machine_count,
     }
 
 
@@ -165,7 +177,7 @@
     return len(orjson.dumps(intent_value(intent))) + 1
 
 
-RECORD_BYTES = 16  # of a record without intents, and more than it takes
+EMPTY_RECORD_BYTES = 16  # of a record without intents, and more than it takes
 
 
 def intents_value(intents: list[Intent]) -> dict[str, Any]:
@@ -173,48 +185,48 @@
     return {"i": [intent_value(intent) for intent in intents]}
 
 
-def parse_intents(duty: DutyName, value: Any) -> list[Intent]:
+def parse_intents(duty: LeaseName, value: Any) -> list[Intent]:
     """The open intents of a duty as they were read."""
-    parse = _parse_rental if duty is DutyName.RENTAL else _parse_return
-    return [parse(obj) for obj in objects(_object(value), "i")]
-
-
-def _parse_rental(obj: dict[str, Any]) -> Intent:
-    return RentalIntent(
-        text(obj, "n"),
-        WallTime(amount(obj, "t")),
-        text(obj, "k"),
-        text(obj, "z"),
-        flag(obj, "s"),
-        count(obj, "c", 1),
+    parse = _parse_scale_out if duty is LeaseName.SCALE_OUT else _parse_scale_in
+    return [parse(obj) for obj in require_objects(_require_object(value), "i")]
+
+
+def _parse_scale_out(obj: dict[str, Any]) -> Intent:
+    return ScaleOutIntent(
+        require_text(obj, "n"),
+        WallTime(require_number(obj, "t")),
+        require_text(obj, "k"),
+        require_text(obj, "z"),
+        require_boolean(obj, "s"),
+        require_integer(obj, "c", 1),
     )
 
 
-def _parse_return(obj: dict[str, Any]) -> Intent:
-    return ReturnIntent(MachineId(text(obj, "n")), WallTime(amount(obj, "t")))
+def _parse_scale_in(obj: dict[str, Any]) -> Intent:
+    return ScaleInIntent(MachineId(require_text(obj, "n")), WallTime(require_number(obj, "t")))
 
 
-def _object(value: Any) -> dict[str, Any]:
+def _require_object(value: Any) -> dict[str, Any]:
     if not isinstance(value, dict):
-        raise Malformed("not an object")
+        raise MalformedMessage("not an object")
     return value
 
 
-def duty_of_key(key: str) -> DutyName | None:
+def lease_of_key(key: str) -> LeaseName | None:
     """The duty that a stored key is about; None for keys of a later version."""
     name = key.rpartition("/")[2]
-    return DutyName(name) if name in _NAMES else None
+    return LeaseName(name) if name in _LEASE_NAMES else None
 
 
-_NAMES = frozenset(duty.value for duty in DutyName)
+_LEASE_NAMES = frozenset(duty.value for duty in LeaseName)
 
 
-def parse_duty(name: str) -> DutyName | None:
+def parse_lease_name(name: str) -> LeaseName | None:
     """A duty by the name that an operator gives."""
-    return DutyName(name) if name in _NAMES else None
+    return LeaseName(name) if name in _LEASE_NAMES else None
 
 
-def intents_of(items: list[Item], duty: DutyName) -> Item | None:
+def find_intents_item(items: list[Item], duty: LeaseName) -> Item | None:
     """The duty's record among those that were read."""
     return next((item for item in items if item.key == intents_key(duty)), None)
 
@@ -224,7 +236,7 @@
 
 def parse_hand_over_request(body: bytes) -> NodeId:
     """The node that is to hold the duty."""
-    return NodeId(text(load_object(body), "to"))
+    return NodeId(require_text(load_object(body), "to"))
 
 
 def parse_pause_request(body: bytes) -> str:
@@ -232,16 +244,16 @@
     reason = load_object(body).get("reason")
     if reason is None:
         return ""
-    if not isinstance(reason, str) or len(reason) > MAX_REASON:
-        raise Malformed("reason")
+    if not isinstance(reason, str) or len(reason) > MAX_REASON_LENGTH:
+        raise MalformedMessage("reason")
     return reason
 
 
-def hand_over_request(to: str) -> bytes:
+def encode_hand_over_request(to: str) -> bytes:
     """Asks for a hand-over."""
     return orjson.dumps({"to": to})
 
 
-def pause_request(reason: str) -> bytes:
+def encode_pause_request(reason: str) -> bytes:
     """Asks for a pause."""
     return orjson.dumps({"reason": reason})
--- a/src/eldercart/wire/state.py
+++ b/src/eldercart/wire/state.py
@@ -7,10 +7,17 @@
 import orjson
 
 from eldercart.units import LeaseId, Revision
-from eldercart.wire.checks import Malformed, count, load_answer, objects, text, texts
+from eldercart.wire.checks import (
+    MalformedMessage,
+    load_response,
+    require_integer,
+    require_objects,
+    require_text,
+    require_texts,
+)
 
-PAGE = 1000  # keys of one answer to a range
-TXN_BYTES = 56 * 1024  # of values; the limit is 64 KiB, names and guards take the rest
+RANGE_PAGE_KEYS = 1000  # keys of one answer to a range
+MAX_TRANSACTION_BYTES = 56 * 1024  # of values; the limit is 64 KiB, names and guards take the rest
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,24 +30,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Drop:
+class DeleteKey:
     """A change, made or seen, that deletes a key."""
 
     key: str
 
 
 @dataclass(slots=True)
-class Txn:
+class Transaction:
     """An atomic transaction: the writes are applied if all guards hold, that is, if each key has
     the given version."""
 
-    guards: dict[str, Revision] = field(default_factory=dict)
-    writes: list[Put | Drop] = field(default_factory=list)
+    conditions: dict[str, Revision] = field(default_factory=dict)
+    operations: list[Put | DeleteKey] = field(default_factory=list)
 
     def body(self) -> bytes:
         """The request's body."""
         writes: list[dict[str, Any]] = []
-        for write in self.writes:
+        for write in self.operations:
             if isinstance(write, Put):
                 item: dict[str, Any] = {"put": write.key, "v": write.value}
                 if write.lease is not None:
@@ -48,7 +55,7 @@
                 writes.append(item)
             else:
                 writes.append({"delete": write.key})
-        guards = [{"path": k, "stamp": v} for k, v in self.guards.items()]
+        guards = [{"path": k, "stamp": v} for k, v in self.conditions.items()]
         return orjson.dumps({"guards": guards, "writes": writes})
 
 
@@ -69,7 +76,7 @@
 
 def range_path(prefix: str, after: str | None) -> str:
     """Where a page of the keys with a prefix is read, those after the given key."""
-    path = f"/keys?prefix={quote(prefix, safe='')}&most={PAGE}"
+    path = f"/keys?prefix={quote(prefix, safe='')}&most={RANGE_PAGE_KEYS}"
     return path + (f"&from={quote(after, safe='')}" if after else "")
 
 
@@ -80,52 +87,56 @@
 
 def parse_item(body: bytes) -> Item:
     """The answer to the read of one key."""
-    obj = load_answer(body)
+    obj = load_response(body)
     lease = obj.get("tether")
     return Item(
-        text(obj, "path"),
+        require_text(obj, "path"),
         obj.get("v"),
-        Revision(count(obj, "stamp", 1)),
+        Revision(require_integer(obj, "stamp", 1)),
         LeaseId(lease) if isinstance(lease, int) and not isinstance(lease, bool) else None,
     )
 
 
 def parse_range(body: bytes) -> tuple[list[Item], bool, Revision]:
     """A page of keys, whether more follow, and the revision at which it was read."""
-    obj = load_answer(body)
+    obj = load_response(body)
     items = [
-        Item(text(i, "path"), i.get("v"), Revision(count(i, "stamp", 1)))
-        for i in objects(obj, "pairs")
+        Item(require_text(i, "path"), i.get("v"), Revision(require_integer(i, "stamp", 1)))
+        for i in require_objects(obj, "pairs")
     ]
-    return items, obj.get("more") is True, Revision(count(obj, "ledgerRev"))
+    return items, obj.get("more") is True, Revision(require_integer(obj, "ledgerRev"))
 
 
 def parse_revision(body: bytes) -> Revision:
     """The revision of a transaction that was applied."""
-    return Revision(count(load_answer(body), "ledgerRev"))
+    return Revision(require_integer(load_response(body), "ledgerRev"))
 
 
-def parse_failed(body: bytes) -> tuple[str, ...]:
+def parse_failed_conditions(body: bytes) -> tuple[str, ...]:
     """The keys whose guards did not hold."""
-    return texts(load_answer(body), "failed")
+    return require_texts(load_response(body), "failed")
 
 
 def parse_lease(body: bytes) -> LeaseId:
     """The lease that was opened."""
-    return LeaseId(count(load_answer(body), "tether"))
+    return LeaseId(require_integer(load_response(body), "tether"))
 
 
-def parse_watch(body: bytes) -> tuple[Revision, list[Item | Drop]]:
+def parse_watch(body: bytes) -> tuple[Revision, list[Item | DeleteKey]]:
     """The changes in their order, and the revision from which to go on."""
-    obj = load_answer(body)
-    events: list[Item | Drop] = []
-    for event in objects(obj, "log"):
+    obj = load_response(body)
+    events: list[Item | DeleteKey] = []
+    for event in require_objects(obj, "log"):
         if "put" in event:
             events.append(
-                Item(text(event, "put"), event.get("v"), Revision(count(event, "stamp", 1)))
+                Item(
+                    require_text(event, "put"),
+                    event.get("v"),
+                    Revision(require_integer(event, "stamp", 1)),
+                )
             )
         elif "delete" in event:
-            events.append(Drop(text(event, "delete")))
+            events.append(DeleteKey(require_text(event, "delete")))
         else:
-            raise Malformed("log")
-    return Revision(count(obj, "ledgerRev")), events
+            raise MalformedMessage("log")
+    return Revision(require_integer(obj, "ledgerRev")), events
--- a/src/eldercart/wire/users.py
+++ b/src/eldercart/wire/users.py
@@ -7,14 +7,21 @@
 import orjson
 
 from eldercart.units import JobId
-from eldercart.wire.checks import Malformed, amount, count, flag, text, texts
+from eldercart.wire.checks import (
+    MalformedMessage,
+    require_boolean,
+    require_integer,
+    require_number,
+    require_text,
+    require_texts,
+)
 
 MAX_TASKS = 100_000
-MAX_PARTS = 100_000  # of a list of dependencies; a submission's 64 KiB fill far fewer
-MAX_TOLD = 20  # jobs that an answer names as not done yet
+MAX_LIST_PARTS = 100_000  # of a list of dependencies; a submission's 64 KiB fill far fewer
+MAX_LISTED_DEPENDENCIES = 20  # jobs that an answer names as not done yet
 SHAPES = ("sweep",)
 PRIORITIES = {"prod": 3, "urgent": 2, "standard": 1, "idle": 0}
-JOB_ID = re.compile(r"wk-[A-Za-z0-9_.:-]{1,80}\Z")
+JOB_ID_PATTERN = re.compile(r"wk-[A-Za-z0-9_.:-]{1,80}\Z")
 
 PENDING, RUNNING, DONE, CANCELLED = "pending", "running", "done", "aborted"
 
@@ -24,192 +31,197 @@
     """A job as its user submitted it."""
 
     id: JobId
-    klass: str
+    job_class: str
     team: str
     priority: int
-    tasks: int
+    task_count: int
     cpus: float
     gpus: float
     memory_gb: float
     image: str
     image_gb: float
-    types: tuple[str, ...] | None
+    machine_types: tuple[str, ...] | None
     zone: str | None
-    together: bool
+    single_zone: bool
     spread: bool
-    spot: bool
-    estimate_s: float
-    checkpoint_s: float
-    save_s: float
+    allows_spot: bool
+    estimated_run_time_s: float
+    checkpoint_interval_s: float
+    checkpoint_save_s: float
     deadline_s: float | None
     dependencies: tuple[JobId, ...] = ()  # jobs that must be done before a task of it starts
 
 
 @dataclass(frozen=True, slots=True)
-class ListReference:
+class DependencyListReference:
     """Where the dependencies are that are too many for their job's record."""
 
     nonce: str  # of the one acceptance that wrote them
-    parts: int
+    part_count: int
 
 
-def valid_job_id(value: str) -> bool:
+def is_valid_job_id(value: str) -> bool:
     """Whether a text has the form of a job's id."""
-    return JOB_ID.match(value) is not None
+    return JOB_ID_PATTERN.match(value) is not None
 
 
-def job_id_of(obj: dict[str, Any]) -> JobId:
+def parse_job_id(message: dict[str, Any]) -> JobId:
     """The id in a submission of which nothing else need be right."""
-    value = obj.get("nameId")
-    if not isinstance(value, str) or not valid_job_id(value):
-        raise Malformed("nameId")
+    value = message.get("nameId")
+    if not isinstance(value, str) or not is_valid_job_id(value):
+        raise MalformedMessage("nameId")
     return JobId(value)
 
 
-def _dependencies_of(obj: dict[str, Any]) -> tuple[JobId, ...]:
+def _parse_dependencies(message: dict[str, Any]) -> tuple[JobId, ...]:
     """Each once, in the order in which they are named."""
-    value = obj.get("awaits")
+    value = message.get("awaits")
     if value is None:
         return ()
-    if not isinstance(value, list) or not _job_ids(value):
-        raise Malformed("awaits")
+    if not isinstance(value, list) or not _are_job_ids(value):
+        raise MalformedMessage("awaits")
     return tuple(dict.fromkeys(JobId(job) for job in value))
 
 
-def _job_ids(value: list[Any]) -> bool:
-    return all(isinstance(job, str) and valid_job_id(job) for job in value)
+def _are_job_ids(values: list[Any]) -> bool:
+    return all(isinstance(job, str) and is_valid_job_id(job) for job in values)
 
 
-def _priority_of(obj: dict[str, Any]) -> int:
-    urgency = obj.get("urgency")
+def _parse_priority(message: dict[str, Any]) -> int:
+    urgency = message.get("urgency")
     if not isinstance(urgency, str) or urgency not in PRIORITIES:
-        raise Malformed("urgency")
+        raise MalformedMessage("urgency")
     return PRIORITIES[urgency]
 
 
-def parse_submission(obj: dict[str, Any]) -> JobSpec:
+def parse_submission(message: dict[str, Any]) -> JobSpec:
     """Checks every field; the first bad one is named. Unknown fields are skipped."""
-    job = job_id_of(obj)
-    if obj.get("shape") not in SHAPES:
-        raise Malformed("shape")
-    cpus = amount(obj, "cpus")
-    gpus = amount(obj, "accelerators")
+    job = parse_job_id(message)
+    if message.get("shape") not in SHAPES:
+        raise MalformedMessage("shape")
+    cpus = require_number(message, "cpus")
+    gpus = require_number(message, "accelerators")
     if cpus <= 0 and gpus <= 0:
-        raise Malformed("cpus")
+        raise MalformedMessage("cpus")
     return JobSpec(
         id=job,
-        klass=text(obj, "lot"),
-        team=text(obj, "crew"),
-        priority=_priority_of(obj),
-        tasks=count(obj, "parcels", 1, MAX_TASKS),
+        job_class=require_text(message, "lot"),
+        team=require_text(message, "crew"),
+        priority=_parse_priority(message),
+        task_count=require_integer(message, "parcels", 1, MAX_TASKS),
         cpus=cpus,
         gpus=gpus,
-        memory_gb=amount(obj, "memGb"),
-        image=text(obj, "kit"),
-        image_gb=amount(obj, "imageGb"),
-        types=None if obj.get("breeds") is None else texts(obj, "breeds"),
-        zone=None if obj.get("yard") is None else text(obj, "yard"),
-        together=flag(obj, "together"),
-        spread=flag(obj, "spread"),
-        spot=flag(obj, "loaners"),
-        estimate_s=amount(obj, "haulS"),
-        checkpoint_s=amount(obj, "waypointS"),
-        save_s=amount(obj, "stowS"),
-        deadline_s=None if obj.get("dueS") is None else amount(obj, "dueS"),
-        dependencies=_dependencies_of(obj),
+        memory_gb=require_number(message, "memGb"),
+        image=require_text(message, "kit"),
+        image_gb=require_number(message, "imageGb"),
+        machine_types=None if message.get("breeds") is None else require_texts(message, "breeds"),
+        zone=None if message.get("yard") is None else require_text(message, "yard"),
+        single_zone=require_boolean(message, "together"),
+        spread=require_boolean(message, "spread"),
+        allows_spot=require_boolean(message, "loaners"),
+        estimated_run_time_s=require_number(message, "haulS"),
+        checkpoint_interval_s=require_number(message, "waypointS"),
+        checkpoint_save_s=require_number(message, "stowS"),
+        deadline_s=None if message.get("dueS") is None else require_number(message, "dueS"),
+        dependencies=_parse_dependencies(message),
     )
 
 
-_STORED = (
-    "klass",
+_STORED_FIELDS = (
+    "job_class",
     "team",
     "priority",
-    "tasks",
+    "task_count",
     "cpus",
     "gpus",
     "memory_gb",
     "image",
     "image_gb",
-    "types",
+    "machine_types",
     "zone",
-    "together",
+    "single_zone",
     "spread",
-    "spot",
-    "estimate_s",
-    "checkpoint_s",
-    "save_s",
+    "allows_spot",
+    "estimated_run_time_s",
+    "checkpoint_interval_s",
+    "checkpoint_save_s",
     "deadline_s",
 )
 
 
-def spec_to_record(spec: JobSpec, elsewhere: ListReference | None = None) -> list[Any]:
+def spec_to_record(
+    spec: JobSpec, list_reference: DependencyListReference | None = None
+) -> list[Any]:
     """A job without dependencies is written as ever: the version before this field reads it.
 
     With them, one more element follows: their list, or where it is. That version calls such a
     record unreadable: it knows the job, calls it pending and starts nothing of it, which is what
     it should do, since it could not tell when the job may start.
     """
-    record = [getattr(spec, field) for field in _STORED]
-    if elsewhere is not None:
-        record.append({"set": elsewhere.nonce, "parts": elsewhere.parts})
+    record = [getattr(spec, field) for field in _STORED_FIELDS]
+    if list_reference is not None:
+        record.append({"set": list_reference.nonce, "parts": list_reference.part_count})
     elif spec.dependencies:
         record.append(list(spec.dependencies))
     return record
 
 
-def reference_in(record: Any) -> ListReference | None:
+def parse_list_reference(record: Any) -> DependencyListReference | None:
     """Where the dependencies must be read before the record can be; None: they are in it."""
-    if not isinstance(record, list) or len(record) != len(_STORED) + 1:
+    if not isinstance(record, list) or len(record) != len(_STORED_FIELDS) + 1:
         return None
     last = record[-1]
     if not isinstance(last, dict):
         return None
-    nonce = text(last, "set")
+    nonce = require_text(last, "set")
     if "/" in nonce:
-        raise Malformed("set")
-    return ListReference(nonce, count(last, "parts", 1, MAX_PARTS))
+        raise MalformedMessage("set")
+    return DependencyListReference(nonce, require_integer(last, "parts", 1, MAX_LIST_PARTS))
 
 
-def with_dependencies(record: list[Any], dependencies: tuple[JobId, ...]) -> list[Any]:
+def record_with_dependencies(record: list[Any], dependencies: tuple[JobId, ...]) -> list[Any]:
     """The record as if its list had been in it."""
-    return [*record[: len(_STORED)], list(dependencies)]
+    return [*record[: len(_STORED_FIELDS)], list(dependencies)]
 
 
 def dependencies_from_record(record: Any) -> tuple[JobId, ...]:
     """Malformed if they are elsewhere: a list that was not read is never taken for none."""
-    if not isinstance(record, list) or not len(_STORED) <= len(record) <= len(_STORED) + 1:
-        raise Malformed("job record")
-    if len(record) == len(_STORED):
+    if (
+        not isinstance(record, list)
+        or not len(_STORED_FIELDS) <= len(record) <= len(_STORED_FIELDS) + 1
+    ):
+        raise MalformedMessage("job record")
+    if len(record) == len(_STORED_FIELDS):
         return ()
     last = record[-1]
-    if not isinstance(last, list) or not last or not _job_ids(last):
-        raise Malformed("dependencies")
+    if not isinstance(last, list) or not last or not _are_job_ids(last):
+        raise MalformedMessage("dependencies")
     return tuple(JobId(job) for job in last)
 
 
 def spec_from_record(job: JobId, record: Any) -> JobSpec:
     """The job of a stored record that holds its whole list of dependencies."""
     dependencies = dependencies_from_record(record)
-    values = dict(zip(_STORED, record[: len(_STORED)], strict=True))
-    if values["types"] is not None:
-        values["types"] = tuple(values["types"])
+    values = dict(zip(_STORED_FIELDS, record[: len(_STORED_FIELDS)], strict=True))
+    if values["machine_types"] is not None:
+        values["machine_types"] = tuple(values["machine_types"])
     return JobSpec(id=job, **values, dependencies=dependencies)
 
 
-def state_body(
+def job_state_body(
     job: JobId,
     state: str,
-    done: int | None = None,
-    running: int | None = None,
-    waiting: tuple[str, ...] = (),
+    done_count: int | None = None,
+    running_count: int | None = None,
+    unmet_dependencies: tuple[str, ...] = (),
 ) -> bytes:
     """A job's state. `waiting`: some of the jobs that it awaits and that are not done."""
     body: dict[str, Any] = {"nameId": job, "standing": state}
-    if done is not None:
-        body["done"] = done
-        body["running"] = running or 0
-    if waiting:
-        body["awaits"] = waiting[:MAX_TOLD]
+    if done_count is not None:
+        body["done"] = done_count
+        body["running"] = running_count or 0
+    if unmet_dependencies:
+        body["awaits"] = unmet_dependencies[:MAX_LISTED_DEPENDENCIES]
     return orjson.dumps(body)
 
 
--- a/src/eldercart/wire/workers.py
+++ b/src/eldercart/wire/workers.py
@@ -7,8 +7,23 @@
 
 import orjson
 
-from eldercart.units import Attempt, Epoch, MachineId, NodeId, ReportOrder, Session, TaskKey
-from eldercart.wire.checks import MAX_COUNT, Malformed, amount, count, flag, text
+from eldercart.units import (
+    AgentEpoch,
+    Attempt,
+    FencingToken,
+    HeartbeatSequence,
+    MachineId,
+    NodeId,
+    TaskKey,
+)
+from eldercart.wire.checks import (
+    MAX_COUNT,
+    MalformedMessage,
+    require_boolean,
+    require_integer,
+    require_number,
+    require_text,
+)
 
 
 class TaskState(StrEnum):
@@ -24,9 +39,9 @@
     """Why a task has exited, or was not started."""
 
     DONE = "done"
-    STOPPED = "stopped"
+    KILLED = "stopped"
     ERROR = "error"
-    NO_ROOM = "full"
+    NO_CAPACITY = "full"
     BUSY = "busy"
     UNKNOWN_TASK = "no_such"
 
@@ -34,17 +49,17 @@
 _EXITED = TaskState.EXITED  # looked up once
 
 
-class TaskReport(NamedTuple):
+class TaskStatus(NamedTuple):
     """One task as a worker lists it."""
 
     key: TaskKey
     attempt: Attempt
     state: str  # one of `TaskState`, or one that this version does not know
-    why: str | None  # of an exited task: one of `ExitCause`, or an unknown one
+    exit_cause: str | None  # of an exited task: one of `ExitCause`, or an unknown one
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class Heartbeat:
     """A worker's periodic report: its machine, and all tasks that it holds."""
 
     machine: MachineId
@@ -52,10 +67,12 @@
     type: str
     zone: str
     spot: bool
-    order: ReportOrder
-    epoch: Epoch  # the highest the worker has seen
-    notice_s: float | None  # seconds until the cloud takes the machine back, if it has said so
-    tasks: tuple[TaskReport, ...]
+    sequence: HeartbeatSequence
+    token: FencingToken  # the highest the worker has seen
+    preemption_notice_s: (
+        float | None
+    )  # seconds until the cloud takes the machine back, if it has said so
+    tasks: tuple[TaskStatus, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,56 +103,58 @@
 Command = Launch | Kill | Clear
 
 
-class ReportHead(NamedTuple):
+class HeartbeatHeader(NamedTuple):
     """What a relay must know of a report to answer it or pass it on."""
 
     machine: MachineId
-    order: ReportOrder
-    epoch: Epoch  # the highest the worker has seen
-    notice: bool  # whether the cloud has told that it takes the machine back
+    sequence: HeartbeatSequence
+    token: FencingToken  # the highest the worker has seen
+    has_preemption_notice: bool  # whether the cloud has told that it takes the machine back
     tasks: Any  # the list as it came, only compared
 
 
-def parse_head(obj: dict[str, Any]) -> ReportHead:
+def parse_heartbeat_header(obj: dict[str, Any]) -> HeartbeatHeader:
     """Called for each report; the tasks are not checked."""
-    return ReportHead(
-        MachineId(text(obj, "wagon")),
-        ReportOrder(Session(count(obj, "stint")), count(obj, "tally")),
-        Epoch(count(obj, "whip")),
+    return HeartbeatHeader(
+        MachineId(require_text(obj, "wagon")),
+        HeartbeatSequence(AgentEpoch(require_integer(obj, "stint")), require_integer(obj, "tally")),
+        FencingToken(require_integer(obj, "whip")),
         obj.get("recallS") is not None,
         obj.get("parcels"),
     )
 
 
-def parse_report(obj: dict[str, Any]) -> Report:
+def parse_heartbeat(obj: dict[str, Any]) -> Heartbeat:
     """Called hundreds of times a second, so the tasks are checked in place."""
-    tasks: list[TaskReport] = []
+    tasks: list[TaskStatus] = []
     parcels = obj.get("parcels")
     if parcels is not None and not isinstance(parcels, list):
-        raise Malformed("parcels")
+        raise MalformedMessage("parcels")
     for item in parcels or ():
         if not isinstance(item, dict):
-            raise Malformed("parcels")
+            raise MalformedMessage("parcels")
         key, attempt, state = item.get("parcel"), item.get("try"), item.get("standing")
         if not isinstance(key, str) or not key:
-            raise Malformed("parcel")
+            raise MalformedMessage("parcel")
         if type(attempt) is not int or not 0 <= attempt < MAX_COUNT:
-            raise Malformed("try")
+            raise MalformedMessage("try")
         if not isinstance(state, str):
-            raise Malformed("standing")
+            raise MalformedMessage("standing")
         why = item.get("cause") if state == _EXITED else None
         tasks.append(
-            TaskReport(TaskKey(key), Attempt(attempt), state, why if isinstance(why, str) else None)
+            TaskStatus(TaskKey(key), Attempt(attempt), state, why if isinstance(why, str) else None)
         )
-    return Report(
-        machine=MachineId(text(obj, "wagon")),
-        address=text(obj, "address"),
-        type=text(obj, "breed"),
-        zone=text(obj, "yard"),
-        spot=flag(obj, "loaners"),
-        order=ReportOrder(Session(count(obj, "stint")), count(obj, "tally")),
-        epoch=Epoch(count(obj, "whip")),
-        notice_s=None if obj.get("recallS") is None else amount(obj, "recallS"),
+    return Heartbeat(
+        machine=MachineId(require_text(obj, "wagon")),
+        address=require_text(obj, "address"),
+        type=require_text(obj, "breed"),
+        zone=require_text(obj, "yard"),
+        spot=require_boolean(obj, "loaners"),
+        sequence=HeartbeatSequence(
+            AgentEpoch(require_integer(obj, "stint")), require_integer(obj, "tally")
+        ),
+        token=FencingToken(require_integer(obj, "whip")),
+        preemption_notice_s=None if obj.get("recallS") is None else require_number(obj, "recallS"),
         tasks=tuple(tasks),
     )
 
@@ -160,17 +179,19 @@
     return [command_object(c) for c in commands[:MAX_COMMANDS]]
 
 
-def calls_body(epoch: Epoch, calls: list[dict[str, Any]]) -> bytes:
+def heartbeat_response_body(epoch: FencingToken, calls: list[dict[str, Any]]) -> bytes:
     """The response to a report; `calls` as of `command_objects`."""
     return orjson.dumps({"whip": epoch, "calls": calls})
 
 
-def commands_body(epoch: Epoch, commands: list[Command]) -> bytes:
+def commands_response_body(epoch: FencingToken, commands: list[Command]) -> bytes:
     """The response to a report with these commands."""
-    return calls_body(epoch, command_objects(commands))
+    return heartbeat_response_body(epoch, command_objects(commands))
 
 
-def order_body(epoch: Epoch, session: Session, commands: Iterable[Command]) -> bytes:
+def direct_commands_body(
+    epoch: FencingToken, session: AgentEpoch, commands: Iterable[Command]
+) -> bytes:
     """A direct command."""
     calls = [command_object(c) for c in commands]
     return orjson.dumps({"whip": epoch, "stint": session, "calls": calls})
