--- a/src/eldercart/server/controller_node.py
+++ b/src/eldercart/server/controller_node.py
@@ -84,7 +84,7 @@
             settings.label, tuning.hold_s, tuning.drift_margin, self.incarnation
         )
         self.machine_types: dict[str, MachineType] = {}
-        self.user_service = UserService(self)
+        self.user_service: UserService = UserService(self)
         self.leader_service = LeaderService(self)
         self.relay_service = RelayService(self)
         self.election_service = ElectionService(self)
--- a/src/eldercart/server/users/acceptance_check.py
+++ b/src/eldercart/server/users/acceptance_check.py
@@ -1,25 +1,25 @@
-"""The look at whether all jobs that a submission names were accepted."""
+"""The check that all jobs which a submission depends on were accepted."""
 
 from collections.abc import Callable, Iterable
-from enum import Enum
+from enum import Enum, auto
 from functools import partial
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from eldercart.jobs.registry import END_PREFIX, JOB_PREFIX
 from eldercart.server.store.client import RESERVE_ADMISSION
+from eldercart.server.users.lookup_context import LookupContext
 from eldercart.units import ABSENT_REVISION, JobId, Revision
 from eldercart.wire import peers
 from eldercart.wire.state import Transaction
 
-if TYPE_CHECKING:
-    from eldercart.server.controller_node import ControllerNode
-    from eldercart.server.users.dependencies import DependencyResolver
-
 MAX_REQUESTS_IN_FLIGHT = 4  # of one check
-# Requests of guards, beyond which ends are read by their prefix.
+# Transactions of conditions only, beyond which outcomes are read by their key prefix.
 MAX_CONDITION_REQUESTS = 2
 MAX_CONDITION_BYTES = 48 * 1024  # of a transaction's 64 KiB
-CONDITION_OVERHEAD_BYTES = 30  # bytes that a guard takes beside its key
+CONDITION_OVERHEAD_BYTES = 30  # that a condition takes beside its key
+KEYS_PER_JOB = 2  # its record and its outcome
+# The state service allows this many conditions for each operation that a transaction may have.
+CONDITIONS_PER_OPERATION = 4
 # Users wait 5 s for an acceptance, and the last request of a check may take 2 s itself.
 READ_TIMEOUT_S = 1.5
 
@@ -27,55 +27,70 @@
 class AcceptanceResult(Enum):
     """What a check found."""
 
-    ALL_ACCEPTED = "all"  # every job was accepted
-    NOT_ALL_ACCEPTED = "not all"  # one was not, as of a fresh read
-    INDETERMINATE = "untold"  # no tokens, no answer, no time
+    ALL_ACCEPTED = auto()
+    NOT_ALL_ACCEPTED = auto()  # at least one was not, as of a fresh read
+    INDETERMINATE = auto()  # no tokens, no answer or no time
+
+
+class AcceptanceKnowledge(Protocol):
+    """What is known of accepted jobs, and where a check records what it finds."""
+
+    def is_accepted(self, job: JobId, /) -> bool:
+        """Whether the job is known to have been accepted."""
+
+    def record_accepted(self, job: JobId, /) -> None:
+        """Remember that the job was accepted."""
+
+    def read_outcomes(
+        self, jobs: Iterable[JobId], on_result: Callable[[dict[JobId, str] | None], None], /
+    ) -> None:
+        """Read how those of the jobs that have ended did so; None if the read failed."""
 
 
 class AcceptanceCheck:
-    """One look at whether all of some jobs were accepted.
+    """One check of whether all of some jobs were accepted.
 
-    What is known here comes first, then what the leader knows, then the state service. That a
-    job was never accepted is told only by a transaction whose guards on its keys all held.
+    It asks what is known at this node first, then the leader, then the state service. That a job
+    was never accepted is concluded only from a transaction whose conditions on the absence of its
+    keys all held.
     """
 
     def __init__(
         self,
-        node: "ControllerNode",
-        dependency_resolver: "DependencyResolver",
+        context: LookupContext,
+        knowledge: AcceptanceKnowledge,
         jobs: Iterable[JobId],
         on_result: Callable[[AcceptanceResult], None],
     ) -> None:
-        """`done` is called once, perhaps before `begin` returns."""
-        self._node = node
-        self._dependency_resolver = dependency_resolver
+        """`on_result` is called once, perhaps before `begin` returns."""
+        self._context = context
+        self._knowledge = knowledge
         self._remaining = self._not_known_accepted(jobs)
         self._on_result: Callable[[AcceptanceResult], None] | None = on_result
-        self._deadline_at = node.clock() + READ_TIMEOUT_S
-        self._requests_in_flight = 0  # requests under way
+        self._deadline_at = context.clock() + READ_TIMEOUT_S
+        self._requests_in_flight = 0
         self._has_failed = False
 
     def begin(self) -> None:
-        """Asks the leader, who knows nearly all that still runs and takes no token."""
-        if not self._remaining or self._node.leader_service.scheduler is not None:
+        """Ask the leader, which knows nearly all unfinished jobs and takes no token."""
+        if not self._remaining or self._context.leader.scheduler is not None:
             self._read_outcomes()
             return
-        asked, self._requests_in_flight = self._remaining, 1
-        for job in asked:
+        # One more than the polls, so that replies can't finish the step before all are sent.
+        self._requests_in_flight = 1
+        for job in self._remaining:
             self._requests_in_flight += 1
-            if not self._node.relay_service.leader_client.poll(
-                job, partial(self._on_leader_reply, job)
-            ):
+            if not self._context.leader_client.poll(job, partial(self._on_leader_reply, job)):
                 self._requests_in_flight -= 1
                 break
         self._on_poll_finished()
 
     def _not_known_accepted(self, jobs: Iterable[JobId]) -> list[JobId]:
-        return [job for job in jobs if not self._dependency_resolver.is_accepted(job)]
+        return [job for job in jobs if not self._knowledge.is_accepted(job)]
 
     def _on_leader_reply(self, job: JobId, reply: peers.JobReply | None) -> None:
         if reply is not None and reply.state not in (peers.UNKNOWN, peers.NOT_LEADER):
-            self._dependency_resolver.record_accepted(job)
+            self._knowledge.record_accepted(job)
         self._on_poll_finished()
 
     def _on_poll_finished(self) -> None:
@@ -85,14 +100,17 @@
             self._read_outcomes()
 
     def _read_outcomes(self) -> None:
-        """Of many that neither this node nor the leader knows most are over."""
-        store = self._node.store
+        """Read outcomes by prefix if many jobs remain.
+
+        Most jobs that neither this node nor the leader knows have ended.
+        """
+        requests = self._context.store.requests
         if len(self._remaining) <= MAX_CONDITION_REQUESTS * self._jobs_per_request():
             self._send_condition_checks()
-        elif store.requests.available(self._node.clock(), RESERVE_ADMISSION) < 1:
+        elif requests.available(self._context.clock(), RESERVE_ADMISSION) < 1:
             self._finish(AcceptanceResult.INDETERMINATE)
         else:
-            self._dependency_resolver.read_outcomes(self._remaining, self._on_outcomes)
+            self._knowledge.read_outcomes(self._remaining, self._on_outcomes)
 
     def _on_outcomes(self, outcomes: dict[JobId, str] | None) -> None:
         if outcomes is None:
@@ -102,28 +120,31 @@
             self._send_condition_checks()
 
     def _send_condition_checks(self) -> None:
-        """Sends what tokens and time allow; the rest follows as answers come."""
+        """Send what tokens and time allow; the rest follows as answers come."""
         while self._may_send():
             if not self._take_token():
                 self._has_failed = not self._requests_in_flight
                 break
-            batch = self._next_batch()
-            self._requests_in_flight += 1
-            # One atomic read of both keys of each: at a job's end the one goes as the other comes.
-            guards = {
-                prefix + job: ABSENT_REVISION
-                for job in batch
-                for prefix in (JOB_PREFIX, END_PREFIX)
-            }
-            self._node.store.commit(
-                Transaction(guards), partial(self._on_conditions_checked, batch)
-            )
-        if self._requests_in_flight == 0 and (self._has_failed or not self._remaining):
-            self._finish(
-                AcceptanceResult.INDETERMINATE
-                if self._has_failed
-                else AcceptanceResult.ALL_ACCEPTED
-            )
+            self._send_condition_check(self._next_batch())
+        if self._requests_in_flight > 0:
+            return
+        if self._has_failed:
+            self._finish(AcceptanceResult.INDETERMINATE)
+        elif not self._remaining:
+            self._finish(AcceptanceResult.ALL_ACCEPTED)
+
+    def _send_condition_check(self, batch: list[JobId]) -> None:
+        """Read atomically whether each job has a record or an outcome.
+
+        When a job ends, the one key goes as the other comes: only both together tell.
+        """
+        self._requests_in_flight += 1
+        conditions = {
+            prefix + job: ABSENT_REVISION for job in batch for prefix in (JOB_PREFIX, END_PREFIX)
+        }
+        self._context.store.commit(
+            Transaction(conditions), partial(self._on_conditions_checked, batch)
+        )
 
     def _may_send(self) -> bool:
         return (
@@ -134,45 +155,51 @@
         )
 
     def _take_token(self) -> bool:
-        now = self._node.clock()
-        return now <= self._deadline_at and self._node.store.requests.try_take(
+        now = self._context.clock()
+        return now <= self._deadline_at and self._context.store.requests.try_take(
             now, 1, RESERVE_ADMISSION
         )
 
     def _jobs_per_request(self) -> int:
-        """Four guards are allowed for each change, and a job takes two."""
-        return 2 * self._node.settings.txn_ops
+        return CONDITIONS_PER_OPERATION // KEYS_PER_JOB * self._context.settings.txn_ops
 
     def _next_batch(self) -> list[JobId]:
+        """Take as many remaining jobs as the conditions of one transaction can hold."""
         batch: list[JobId] = []
         size = 0
         while self._remaining and len(batch) < self._jobs_per_request():
-            size += 2 * (len(self._remaining[-1]) + CONDITION_OVERHEAD_BYTES)
+            size += KEYS_PER_JOB * (len(self._remaining[-1]) + CONDITION_OVERHEAD_BYTES)
             if size > MAX_CONDITION_BYTES:
                 break
             batch.append(self._remaining.pop())
         return batch
 
     def _on_conditions_checked(
-        self, batch: list[JobId], status: int | None, _: Revision, failed: tuple[str, ...]
+        self,
+        batch: list[JobId],
+        status: int | None,
+        _: Revision,
+        failed_conditions: tuple[str, ...],
     ) -> None:
         self._requests_in_flight -= 1
         if status == 200:
-            # All guards held: none of them was ever accepted.
+            # All conditions held: none of these jobs was ever accepted.
             self._finish(AcceptanceResult.NOT_ALL_ACCEPTED)
             return
-        there = set(failed) if status == 409 else set()
-        rest = [
-            job for job in batch if JOB_PREFIX + job not in there and END_PREFIX + job not in there
+        present = set(failed_conditions) if status == 409 else set()
+        missing = [
+            job
+            for job in batch
+            if JOB_PREFIX + job not in present and END_PREFIX + job not in present
         ]
-        for job in set(batch).difference(rest):
-            self._dependency_resolver.record_accepted(job)
-        # That these are missing only a transaction tells whose guards all hold.
-        self._remaining += rest
-        self._has_failed = self._has_failed or len(rest) == len(batch)
+        for job in set(batch).difference(missing):
+            self._knowledge.record_accepted(job)
+        # That these are missing is known only from a transaction whose conditions all hold.
+        self._remaining += missing
+        self._has_failed = self._has_failed or len(missing) == len(batch)
         self._send_condition_checks()
 
     def _finish(self, result: AcceptanceResult) -> None:
-        done, self._on_result = self._on_result, None
-        if done is not None:
-            done(result)
+        on_result, self._on_result = self._on_result, None
+        if on_result is not None:
+            on_result(result)
--- a/src/eldercart/server/users/ancestor_search.py
+++ b/src/eldercart/server/users/ancestor_search.py
@@ -1,28 +1,28 @@
-"""The search for a cancelled job among all that a job needs, directly or through others."""
+"""The search for a cancelled job among all that a job depends on, directly or through others."""
 
-from collections.abc import Callable
-from enum import Enum
+from collections.abc import Callable, Iterable
+from enum import Enum, auto
 from functools import partial
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from eldercart.jobs.registry import END_PREFIX, JOB_PREFIX, decode_end_record
 from eldercart.server.store.client import RESERVE_POLLS
 from eldercart.server.store.key_ranges import common_key_prefix
+from eldercart.server.users.lookup_context import LookupContext
+from eldercart.server.users.recent_cache import JobOutcomeCache
 from eldercart.units import ABSENT_REVISION, JobId, Revision
 from eldercart.wire import users
 from eldercart.wire.state import Item, Transaction
 
-if TYPE_CHECKING:
-    from eldercart.server.controller_node import ControllerNode
-    from eldercart.server.users.dependencies import DependencyResolver
-
-# Requests of guards, beyond which ends are read by their prefix.
+# Transactions of conditions only, beyond which outcomes are read by their key prefix.
 MAX_CONDITION_REQUESTS = 2
-MAX_POINT_READS = 8  # records read by themselves; more are read by their prefix
-FULL_SCAN_DEPTH = (
-    4  # jobs in a row, after which all open ones are read: a request for each takes too long
-)
-MAX_CONDITION_BYTES, CONDITION_BYTES = 48 * 1024, 120  # of a transaction, and of one guard
+MAX_POINT_READS = 8  # records read one by one; more are read by their key prefix
+# Rounds of job records, after which the records of all unfinished jobs are read: a long chain
+# would take a request for each of its jobs.
+FULL_SCAN_DEPTH = 4
+MAX_CONDITION_BYTES, CONDITION_BYTES = 48 * 1024, 120  # of a transaction, and of one condition
+# The state service allows this many conditions for each operation that a transaction may have.
+CONDITIONS_PER_OPERATION = 4
 # Users wait 2 s for a poll.
 SEARCH_TIMEOUT_S = 1.2
 
@@ -30,38 +30,66 @@
 class AncestorSearchResult(Enum):
     """What a search found."""
 
-    CANCELLED = "cancelled"  # one of them has a durable cancellation
-    NOT_CANCELLED = "not cancelled"
-    INDETERMINATE = "untold"  # no tokens, no answer, no time
+    CANCELLED = auto()  # at least one ancestor has a durable cancellation
+    NOT_CANCELLED = auto()
+    INDETERMINATE = auto()  # no tokens, no answer or no time
+
+
+class DependencyKnowledge(Protocol):
+    """What is known of jobs and their dependencies, and where a search records what it finds."""
+
+    @property
+    def outcomes(self) -> JobOutcomeCache:
+        """The known outcomes of jobs."""
+
+    def dependencies_of(self, job: JobId, /) -> tuple[JobId, ...] | None:
+        """Return the jobs that the job depends on; None if they are not known."""
+
+    def record_dependencies_from(self, job: JobId, record: Item, /) -> tuple[JobId, ...] | None:
+        """Remember the dependencies in a job's record; None if it does not hold them."""
+
+    def read_dependencies(
+        self, record: Item, on_result: Callable[[tuple[JobId, ...] | None], None], /
+    ) -> None:
+        """Find out the dependencies of the job with this record; None if that failed."""
+
+    def read_outcomes(
+        self, jobs: Iterable[JobId], on_result: Callable[[dict[JobId, str] | None], None], /
+    ) -> None:
+        """Read how those of the jobs that have ended did so; None if the read failed."""
 
 
 class AncestorSearch:
-    """One search upward for a cancelled job, by turns of reads side by side."""
+    """One breadth-first search up the dependency graph for a cancelled job.
+
+    It runs in rounds of concurrent reads: each round ends before the next one begins, however long
+    the chains of jobs are.
+    """
 
     def __init__(
         self,
-        node: "ControllerNode",
-        dependency_resolver: "DependencyResolver",
+        context: LookupContext,
+        knowledge: DependencyKnowledge,
         jobs: tuple[JobId, ...],
         on_result: Callable[[AncestorSearchResult], None],
     ) -> None:
-        """Begins at `jobs`, which count as ancestors themselves."""
-        self._node = node
-        self._dependency_resolver = dependency_resolver
+        """Start at `jobs`, which count as ancestors themselves."""
+        self._context = context
+        self._knowledge = knowledge
         self._on_result = on_result
-        self._deadline_at = node.clock() + SEARCH_TIMEOUT_S
+        self._deadline_at = context.clock() + SEARCH_TIMEOUT_S
         self._visited: set[JobId] = set()
         self._frontier = list(jobs)
-        self._unchecked: list[JobId] = []  # whether they have ended is not known
-        self._ended: list[JobId] = []  # how is not known
-        self._unread_unfinished: list[JobId] = []  # open, and whom they await is not known
-        self._requests_in_flight = 0  # requests under way
+        self._unchecked: list[JobId] = []  # not known whether they have ended
+        self._ended: list[JobId] = []  # ended, outcome not known
+        self._unread_unfinished: list[JobId] = []  # not ended, dependencies not known
+        self._requests_in_flight = 0
         self._record_read_rounds = 0  # in which job records were read
         self._has_failed = False
         self._found_cancelled = False
 
     def run_round(self) -> None:
-        """The next turn. Each ends before the next begins, however deep the jobs lie."""
+        """Report the result if it is known, else start the reads of the next round."""
         self._expand()
         if self._found_cancelled:
             self._on_result(AncestorSearchResult.CANCELLED)
@@ -77,30 +105,33 @@
             self._on_result(AncestorSearchResult.NOT_CANCELLED)
 
     def _expand(self) -> None:
-        """What is known here. A job that is done ends the way: all before it are done."""
+        """Follow the dependencies that are known here.
+
+        A job that is done ends its branch: all of its ancestors are done.
+        """
         while self._frontier:
             job = self._frontier.pop()
             if job in self._visited:
                 continue
             self._visited.add(job)
-            state = self._dependency_resolver.outcomes.get(job)
-            if state is None:
+            outcome = self._knowledge.outcomes.get(job)
+            if outcome is None:
                 self._unchecked.append(job)
-                self._frontier += self._dependency_resolver.dependencies_of(job) or ()
-            elif state == users.CANCELLED:
+                self._frontier += self._knowledge.dependencies_of(job) or ()
+            elif outcome == users.CANCELLED:
                 self._found_cancelled = True
 
-    # -- requests under way
+    # -- requests in flight
 
     def _reserve(self, max_requests: int) -> int:
-        """How many requests may go out now; without any the search is over."""
-        now = self._node.clock()
-        allowed = self._node.store.requests.available(now, RESERVE_POLLS)
-        number = 0 if now > self._deadline_at else max(0, min(max_requests, allowed))
-        self._requests_in_flight = number
-        if number == 0:
+        """Return how many requests may be sent now; if none, the search is over."""
+        now = self._context.clock()
+        available = self._context.store.requests.available(now, RESERVE_POLLS)
+        reserved = 0 if now > self._deadline_at else max(0, min(max_requests, available))
+        self._requests_in_flight = reserved
+        if reserved == 0:
             self._on_result(AncestorSearchResult.INDETERMINATE)
-        return number
+        return reserved
 
     def _on_request_finished(self) -> None:
         self._requests_in_flight -= 1
@@ -111,26 +142,31 @@
         self._has_failed = True
         self._on_request_finished()
 
-    # -- which of them have ended
+    # -- which jobs have ended
 
     def _check_finished(self) -> None:
-        most = max(1, min(4 * self._node.settings.txn_ops, MAX_CONDITION_BYTES // CONDITION_BYTES))
-        wanted = -(-len(self._unchecked) // most)
-        if wanted > MAX_CONDITION_REQUESTS:
+        jobs_per_request = self._jobs_per_request()
+        request_count = -(-len(self._unchecked) // jobs_per_request)
+        if request_count > MAX_CONDITION_REQUESTS:
             self._check_finished_by_prefix()
             return
-        for _ in range(self._reserve(wanted)):
-            batch, self._unchecked = self._unchecked[:most], self._unchecked[most:]
-            guards = {END_PREFIX + job: ABSENT_REVISION for job in batch}
-            self._node.store.requests.force_take(self._node.clock())
-            self._node.store.commit(
-                Transaction(guards), partial(self._on_conditions_checked, batch)
+        for _ in range(self._reserve(request_count)):
+            batch = self._unchecked[:jobs_per_request]
+            self._unchecked = self._unchecked[jobs_per_request:]
+            conditions = {END_PREFIX + job: ABSENT_REVISION for job in batch}
+            self._context.store.requests.force_take(self._context.clock())
+            self._context.store.commit(
+                Transaction(conditions), partial(self._on_conditions_checked, batch)
             )
 
+    def _jobs_per_request(self) -> int:
+        max_conditions = CONDITIONS_PER_OPERATION * self._context.settings.txn_ops
+        return max(1, min(max_conditions, MAX_CONDITION_BYTES // CONDITION_BYTES))
+
     def _check_finished_by_prefix(self) -> None:
         if self._reserve(1) > 0:
             batch, self._unchecked = self._unchecked, []
-            self._dependency_resolver.read_outcomes(batch, partial(self._on_outcomes, batch))
+            self._knowledge.read_outcomes(batch, partial(self._on_outcomes, batch))
 
     def _on_outcomes(self, batch: list[JobId], outcomes: dict[JobId, str] | None) -> None:
         if outcomes is None:
@@ -144,27 +180,32 @@
         self._on_request_finished()
 
     def _on_conditions_checked(
-        self, batch: list[JobId], status: int | None, _: Revision, failed: tuple[str, ...]
+        self,
+        batch: list[JobId],
+        status: int | None,
+        _: Revision,
+        failed_conditions: tuple[str, ...],
     ) -> None:
         if status not in (200, 409):
             self._on_request_failed()
             return
-        there = set(failed)
+        present = set(failed_conditions)
         for job in batch:
-            if END_PREFIX + job in there:
+            if END_PREFIX + job in present:
                 self._ended.append(job)
             else:
                 self._add_unfinished(job)
         self._on_request_finished()
 
     def _add_unfinished(self, job: JobId) -> None:
-        names = self._dependency_resolver.dependencies_of(job)
-        if names is None:
+        dependencies = self._knowledge.dependencies_of(job)
+        if dependencies is None:
             self._unread_unfinished.append(job)
         else:
-            self._frontier += names  # known by now, if it was not when the search came here
+            # They may have become known since `_expand` reached the job.
+            self._frontier += dependencies
 
-    # -- how they ended
+    # -- outcomes of ended jobs
 
     def _read_outcome_records(self) -> None:
         jobs = self._ended
@@ -177,20 +218,21 @@
 
     def _on_outcome_record(self, job: JobId, item: Item | None) -> None:
         if item is None:
-            self._on_request_failed()  # ends never go: this read is older than the one before
+            # Outcomes are never deleted: this read is older than the one before.
+            self._on_request_failed()
             return
-        state = decode_end_record(item.value)
-        self._dependency_resolver.outcomes.put(job, state)
-        self._found_cancelled = self._found_cancelled or state == users.CANCELLED
+        outcome = decode_end_record(item.value)
+        self._knowledge.outcomes.put(job, outcome)
+        self._found_cancelled = self._found_cancelled or outcome == users.CANCELLED
         self._on_request_finished()
 
-    # -- whom they await
+    # -- dependencies of unfinished jobs
 
     def _read_job_records(self) -> None:
         jobs = self._unread_unfinished
-        deep = self._record_read_rounds >= FULL_SCAN_DEPTH
+        is_deep = self._record_read_rounds >= FULL_SCAN_DEPTH
         self._record_read_rounds += 1
-        if deep:
+        if is_deep:
             self._read_range(jobs, JOB_PREFIX, JOB_PREFIX, self._on_job_record)
         elif len(jobs) > MAX_POINT_READS:
             self._read_range(
@@ -201,10 +243,11 @@
 
     def _on_job_record(self, job: JobId, item: Item | None) -> None:
         if item is None:
-            self._ended.append(job)  # its record went with its end, or after it
+            # Its record was deleted together with the write of its outcome, or after it.
+            self._ended.append(job)
             self._on_request_finished()
         else:
-            self._dependency_resolver.read_dependencies(item, self._on_dependencies)
+            self._knowledge.read_dependencies(item, self._on_dependencies)
 
     def _on_dependencies(self, dependencies: tuple[JobId, ...] | None) -> None:
         if dependencies is None:
@@ -213,23 +256,23 @@
             self._frontier += dependencies
             self._on_request_finished()
 
-    # -- records, one by one or by their prefix
+    # -- reads of records, one by one or by their key prefix
 
     def _read_each(
         self, jobs: list[JobId], prefix: str, on_record: Callable[[JobId, Item | None], None]
     ) -> None:
         for _ in range(self._reserve(len(jobs))):
             job = jobs.pop()
-            self._node.store.get(prefix + job, partial(self._on_record_read, job, on_record))
+            self._context.store.get(prefix + job, partial(self._on_record_read, job, on_record))
 
     def _on_record_read(
         self,
         job: JobId,
         on_record: Callable[[JobId, Item | None], None],
-        ok: bool,
+        succeeded: bool,
         item: Item | None,
     ) -> None:
-        if ok:
+        if succeeded:
             on_record(job, item)
         else:
             self._on_request_failed()
@@ -238,14 +281,14 @@
         self,
         jobs: list[JobId],
         prefix: str,
-        common_key: str,
+        key_prefix: str,
         on_record: Callable[[JobId, Item | None], None],
     ) -> None:
         if self._reserve(1) > 0:
             wanted = set(jobs)
             jobs.clear()
-            self._node.store.range(
-                common_key, partial(self._on_range_read, wanted, prefix, on_record)
+            self._context.store.range(
+                key_prefix, partial(self._on_range_read, wanted, prefix, on_record)
             )
 
     def _on_range_read(
@@ -261,9 +304,9 @@
             return
         found = {JobId(item.key[len(prefix) :]): item for item in items}
         if prefix == JOB_PREFIX:
-            # The others are read as well: they may come next, as those before these.
+            # Records that were not asked for are of use too: they may be ancestors of these.
             for job, item in found.items():
-                self._dependency_resolver.record_dependencies_from(job, item)
+                self._knowledge.record_dependencies_from(job, item)
         self._requests_in_flight += len(wanted)
         for job in wanted:
             on_record(job, found.get(job))
--- a/src/eldercart/server/users/dependency_list.py
+++ b/src/eldercart/server/users/dependency_list.py
@@ -2,87 +2,108 @@
 
 import secrets
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
 from eldercart.jobs.registry import dependency_list_prefix
 from eldercart.server.store.client import RESERVE_ADMISSION
+from eldercart.server.users.lookup_context import LookupContext
 from eldercart.units import ABSENT_REVISION, JobId, MonotonicTime, Revision
 from eldercart.wire.state import MAX_TRANSACTION_BYTES, Put, Transaction
 from eldercart.wire.users import DependencyListReference, JobSpec
 
-if TYPE_CHECKING:
-    from eldercart.server.controller_node import ControllerNode
-
-WRITE_OVERHEAD_BYTES = 60  # bytes that a guard and a put take beside key and names
+WRITE_OVERHEAD_BYTES = 60  # that a condition and a put take beside the key and the job ids
+JOB_ID_OVERHEAD_BYTES = 3  # quotes and comma
+KEYS_PER_WRITE = 3  # bound on how often a written key stands in a transaction
 NONCE_BYTES = 6
 
 
 class DependencyListWriter:
-    """One list of dependencies on its way to the store, under keys of its own.
+    """Writes one list of dependencies to the state service, under keys of its own.
 
-    It is written before the job's record, which then names it.
+    The list is written before the job's record, which then refers to it. A writer that was
+    stopped by a lack of tokens or time goes on with the next call of `write`.
     """
 
-    def __init__(self, node: "ControllerNode", spec: JobSpec, parts: list[list[JobId]]) -> None:
-        """`parts` are the list, cut to the store's limit for a value."""
+    def __init__(self, context: LookupContext, spec: JobSpec, parts: list[list[JobId]]) -> None:
+        """`parts` is the list, split so that each part fits into a stored value."""
         self.dependencies = spec.dependencies
         self.is_in_flight = False
-        self._node = node
+        self._context = context
         self._reference = DependencyListReference(secrets.token_hex(NONCE_BYTES), len(parts))
         prefix = dependency_list_prefix(spec.id, self._reference)
-        self._unwritten_parts = {f"{prefix}{i}": part for i, part in enumerate(parts)}
+        self._unwritten_parts = {f"{prefix}{index}": part for index, part in enumerate(parts)}
 
     def write(
         self,
         deadline_at: MonotonicTime,
         on_result: Callable[[DependencyListReference | None], None],
     ) -> None:
-        """Writes what is not durable yet, a transaction after the other. `done(None)` if tokens
-        or time run out, or an answer fails: a later call goes on."""
+        """Write the parts that are not durable yet, one transaction after the other.
+
+        `on_result` gets the reference to the list once all of it is durable, and None if the
+        tokens or the time run out or a transaction fails: a later call goes on from there.
+        """
         if not self._unwritten_parts:
             on_result(self._reference)
             return
-        store = self._node.store
-        now = self._node.clock()
+        store = self._context.store
+        now = self._context.clock()
         # One change is left to the job's record.
-        most = min(self._node.settings.txn_ops, store.writes.available(now, RESERVE_ADMISSION) - 1)
-        if now > deadline_at or most < 1 or not store.requests.try_take(now, 1, RESERVE_ADMISSION):
+        max_operations = min(
+            self._context.settings.txn_ops, store.writes.available(now, RESERVE_ADMISSION) - 1
+        )
+        if (
+            now > deadline_at
+            or max_operations < 1
+            or not store.requests.try_take(now, 1, RESERVE_ADMISSION)
+        ):
             on_result(None)
             return
-        txn = self._next_transaction(most)
-        store.writes.force_take(now, len(txn.operations))
+        transaction = self._next_transaction(max_operations)
+        store.writes.force_take(now, len(transaction.operations))
         self.is_in_flight = True
 
-        def got(status: int | None, _: Revision, failed: tuple[str, ...]) -> None:
+        def on_transaction_result(
+            status: int | None, _: Revision, failed_conditions: tuple[str, ...]
+        ) -> None:
             self.is_in_flight = False
-            if self._remove_written(txn, status, failed):
+            if self._remove_written(transaction, status, failed_conditions):
                 self.write(deadline_at, on_result)
             else:
                 on_result(None)
 
-        store.commit(txn, got)
+        store.commit(transaction, on_transaction_result)
 
     def _next_transaction(self, max_operations: int) -> Transaction:
-        txn = Transaction()
+        """Return a transaction with as many unwritten parts as its limits allow."""
+        transaction = Transaction()
         size = 0
         for key, part in self._unwritten_parts.items():
-            size += 3 * len(key) + sum(len(job) + 3 for job in part) + WRITE_OVERHEAD_BYTES
-            if len(txn.operations) >= max_operations or (
-                txn.operations and size > MAX_TRANSACTION_BYTES
-            ):
+            size += (
+                KEYS_PER_WRITE * len(key)
+                + sum(len(job) + JOB_ID_OVERHEAD_BYTES for job in part)
+                + WRITE_OVERHEAD_BYTES
+            )
+            if len(transaction.operations) >= max_operations:
                 break
-            txn.conditions[key] = ABSENT_REVISION
-            txn.operations.append(Put(key, part))
-        return txn
+            if transaction.operations and size > MAX_TRANSACTION_BYTES:
+                break
+            transaction.conditions[key] = ABSENT_REVISION
+            transaction.operations.append(Put(key, part))
+        return transaction
 
     def _remove_written(
-        self, transaction: Transaction, status: int | None, failed: tuple[str, ...]
+        self, transaction: Transaction, status: int | None, failed_conditions: tuple[str, ...]
     ) -> bool:
-        """Whether something is durable now. Nobody else writes these keys: what is there is from
-        an earlier try, and the same."""
-        written = (
-            tuple(transaction.conditions) if status == 200 else failed if status == 409 else ()
-        )
+        """Drop the parts that are durable now; return whether there are any.
+
+        Nobody else writes these keys: a part that is there already is from an earlier try, and
+        the same.
+        """
+        written: tuple[str, ...] = ()
+        if status == 200:
+            written = tuple(transaction.conditions)
+        elif status == 409:
+            written = failed_conditions
         for key in written:
             self._unwritten_parts.pop(key, None)
         return bool(written)
--- a/src/eldercart/server/users/job_admission.py
+++ b/src/eldercart/server/users/job_admission.py
@@ -1,10 +1,14 @@
-"""The acceptance of jobs that users submit."""
+"""The admission of jobs that users submit.
+
+A submission is answered with 201 once its job is durable. Submissions are idempotent: a job that
+is known already gets 200 and its state, whatever the repeated submission says.
+"""
 
 import logging
 import time
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
 from eldercart.jobs.registry import END_PREFIX, JOB_PREFIX, encode_job_record, max_tasks_per_chunk
 from eldercart.scheduling import feasibility
@@ -18,104 +22,144 @@
 from eldercart.server.store.client import RESERVE_ADMISSION
 from eldercart.server.users.acceptance_check import AcceptanceResult
 from eldercart.server.users.dependencies import DependencyResolver
-from eldercart.server.users.job_states import JobStateHandlers, JobStateReader
+from eldercart.server.users.job_states import (
+    JobNotFound,
+    JobStateFound,
+    JobStateReader,
+    JobStateResult,
+    JobStateUnavailable,
+)
+from eldercart.server.users.lookup_context import LookupContext
 from eldercart.server.users.recent_cache import JobOutcomeCache
 from eldercart.units import ABSENT_REVISION, JobId, MonotonicTime, Revision, WallTime
 from eldercart.wire import MalformedMessage, users
 from eldercart.wire.checks import load_object
+from eldercart.wire.cloud import MachineType
 from eldercart.wire.state import Put, Transaction
 from eldercart.wire.users import DependencyListReference, JobSpec
 
-if TYPE_CHECKING:
-    from eldercart.server.controller_node import ControllerNode
-
 log = logging.getLogger("eldercart.node")
 
 # Users wait 5 s for an acceptance, and a request of the state service may take 2 s itself.
 WRITE_TIMEOUT_S = 2.5
 
 
+class AdmissionLimits(Protocol):
+    """What of the node's present condition decides whether it can admit a job."""
+
+    @property
+    def machine_types(self) -> dict[str, MachineType]:
+        """The known machine types; empty until the node has read them."""
+
+    @property
+    def loop_lag_s(self) -> float:
+        """By how much the event loop is behind."""
+
+
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """What a submission gets if its job is not known already."""
+    """What a submission is answered with unless its job is known already."""
 
     status: int
     message: str
 
 
+RETRY_SUBMISSION = Rejection(503, "try again")
+
+
 class JobAdmission:
-    """Judges submissions, checks what they await and stores their jobs."""
+    """Validates submissions, checks their dependencies and stores their jobs."""
 
     def __init__(
         self,
-        node: "ControllerNode",
-        outcomes: JobOutcomeCache,
-        dependency_resolver: DependencyResolver,
+        context: LookupContext,
+        limits: AdmissionLimits,
+        max_loop_lag_s: float,
         job_states: JobStateReader,
     ) -> None:
-        """The parts are those of the front, which answers polls by them as well."""
-        self.node = node
-        self.outcomes = outcomes
-        self.dependency_resolver = dependency_resolver
+        """The caches are those of `job_states`, which answers polls from them as well."""
+        self.context = context
         self.job_states = job_states
+        self._limits = limits
+        self._max_loop_lag_s = max_loop_lag_s
+
+    @property
+    def outcomes(self) -> JobOutcomeCache:
+        """The known outcomes of jobs."""
+        return self.job_states.outcomes
+
+    @property
+    def dependency_resolver(self) -> DependencyResolver:
+        """What is known of accepted jobs and their dependencies."""
+        return self.job_states.dependency_resolver
 
     def submit(self, request: JsonRequest) -> None:
-        """Answers 201 once the job is durable. A job that is known gets 200 and its state,
-        whatever is wrong with its repeat."""
+        """Answer 201 once the job is durable, or 200 and its state if it is known already."""
         try:
-            obj = load_object(request.body())
-            job = users.parse_job_id(obj)
-        except MalformedMessage as err:
-            reject(request, 400, f"malformed: {err}")
+            message = load_object(request.body())
+            job = users.parse_job_id(message)
+        except MalformedMessage as error:
+            reject(request, 400, f"malformed: {error}")
             return
-        state = self.outcomes.get(job)
-        if state is not None:
-            request.reply(200, users.job_state_body(job, state))
+        outcome = self.outcomes.get(job)
+        if outcome is not None:
+            request.reply(200, users.job_state_body(job, outcome))
             return
-        judged = self._validate(obj)
-        if isinstance(judged, Rejection):
-            self.reject_unless_known(request, job, judged)
-        elif judged.dependencies:
-            _DependentSubmission(self, request, judged).begin()
+        validated = self._validate(message)
+        if isinstance(validated, Rejection):
+            self.reject_unless_known(request, job, validated)
+        elif validated.dependencies:
+            _DependentSubmission(self, request, validated).begin()
         else:
-            self.store_job(request, judged)
+            self.store_job(request, validated)
 
     def _validate(self, message: dict[str, Any]) -> JobSpec | Rejection:
-        """What can be said of the submission by itself."""
+        """Return the job's specification, or why it is rejected regardless of other jobs."""
         try:
             spec = users.parse_submission(message)
-        except MalformedMessage as err:
-            return Rejection(400, f"malformed: {err}")
-        node = self.node
-        if spec.team not in node.settings.teams:
+        except MalformedMessage as error:
+            return Rejection(400, f"malformed: {error}")
+        teams = self.context.settings.teams
+        machine_types = self._limits.machine_types
+        if spec.team not in teams:
             return Rejection(422, "unknown team")
-        if not node.machine_types:
+        if not machine_types:
             # A node that has just started; a job accepted by another one is known all the same.
-            log.info("submission refused: machine types unknown")
+            log.info("submission rejected: machine types unknown")
             return Rejection(503, "machine types unknown")
-        why = feasibility.rejection_reason(spec, node.machine_types, node.settings.teams)
-        if why is not None:
-            return Rejection(422, why)
+        reason = feasibility.rejection_reason(spec, machine_types, teams)
+        if reason is not None:
+            return Rejection(422, reason)
         if spec.id in spec.dependencies:
             return Rejection(422, "awaits itself")
         return spec
 
     def reject_unless_known(self, request: JsonRequest, job: JobId, rejection: Rejection) -> None:
-        """A known job is never refused; a 503 asks the others to come back."""
-        pause = RETRY_AFTER_S if rejection.status == 503 else None
+        """Answer with the job's state if it is known, else with the rejection."""
+        retry_after_s = RETRY_AFTER_S if rejection.status == 503 else None
         body = users.error_body(rejection.message)
-        self.reply_if_known(request, job, lambda: request.reply(rejection.status, body, pause))
+        self.reply_if_known(
+            request, job, lambda: request.reply(rejection.status, body, retry_after_s)
+        )
 
     def reply_if_known(
-        self, request: JsonRequest, job: JobId, otherwise: Callable[[], Any]
+        self, request: JsonRequest, job: JobId, otherwise: Callable[[], None]
     ) -> None:
-        """A repeat of an accepted job gets its state, whatever the body says now."""
-        handlers = JobStateHandlers(
-            on_found=lambda told: request.reply(200, users.job_state_body(job, told.state)),
-            on_absent=otherwise,
-            on_failed=lambda pause: reject_temporarily(request, "cannot tell", pause),
-        )
-        self.job_states.query(job, handlers)
+        """Answer with the job's state if it was accepted, else call `otherwise`.
+
+        What the repeated submission says now does not count.
+        """
+
+        def on_result(result: JobStateResult) -> None:
+            match result:
+                case JobStateFound(reply):
+                    request.reply(200, users.job_state_body(job, reply.state))
+                case JobNotFound():
+                    otherwise()
+                case JobStateUnavailable(retry_after_s):
+                    reject_temporarily(request, "cannot tell", retry_after_s)
+
+        self.job_states.query(job, on_result)
 
     def store_job(
         self,
@@ -123,12 +167,11 @@
         spec: JobSpec,
         list_reference: DependencyListReference | None = None,
     ) -> None:
-        """Writes the job's record if this node can do so now."""
-        node = self.node
-        now = node.clock()
-        store = node.store
-        if node.loop_lag_s > node.tuning.lag_s:
-            # Answers that keep leases alive come first; what can't be taken is said at once.
+        """Write the job's record if this node can do so now."""
+        now = self.context.clock()
+        store = self.context.store
+        if self._limits.loop_lag_s > self._max_loop_lag_s:
+            # Heartbeats that keep leases alive come first; what can't be taken is said at once.
             reject_temporarily(request, "overloaded")
             return
         if store.writes.available(now, RESERVE_ADMISSION) < 1 or not store.requests.try_take(
@@ -143,26 +186,25 @@
 
 
 class _DependentSubmission:
-    """A submission of a job that awaits others, until its record can be written.
+    """A submission of a job with dependencies, until its record can be written.
 
-    All that it awaits must have been accepted. What is found out is kept, so that the next try is
-    short if this one can't be finished in the time that its user waits.
+    All jobs that it depends on must have been accepted. What is found out is cached, so that the
+    next try is short if this one can't be finished in the time that its user waits.
     """
 
     def __init__(self, job_admission: JobAdmission, request: JsonRequest, spec: JobSpec) -> None:
         self._job_admission = job_admission
-        self._node = job_admission.node
+        self._context = job_admission.context
         self._dependency_resolver = job_admission.dependency_resolver
         self._request = request
         self._spec = spec
-        self._deadline_at = MonotonicTime(self._node.clock() + WRITE_TIMEOUT_S)
+        self._deadline_at = MonotonicTime(self._context.clock() + WRITE_TIMEOUT_S)
 
     def begin(self) -> None:
-        """A job that is known is not checked again."""
+        """Check the dependencies, unless the job itself is known as accepted."""
         if self._dependency_resolver.is_accepted(self._spec.id):
-            # Its record is there, or its end: if not found, the read was older than the record.
-            again = Rejection(503, "try again")
-            self._job_admission.reject_unless_known(self._request, self._spec.id, again)
+            # It has a record or an outcome: if neither is found, the read was older than both.
+            self._job_admission.reject_unless_known(self._request, self._spec.id, RETRY_SUBMISSION)
         else:
             self._dependency_resolver.check_accepted(
                 self._spec.dependencies, self._on_acceptance_checked
@@ -170,20 +212,20 @@
 
     def _on_acceptance_checked(self, result: AcceptanceResult) -> None:
         if result is AcceptanceResult.NOT_ALL_ACCEPTED:
-            refusal = Rejection(422, "awaits a job that was never accepted")
-            self._job_admission.reject_unless_known(self._request, self._spec.id, refusal)
+            rejection = Rejection(422, "awaits a job that was never accepted")
+            self._job_admission.reject_unless_known(self._request, self._spec.id, rejection)
         elif result is AcceptanceResult.INDETERMINATE or self._is_past_deadline():
             self._reject_indeterminate()
         elif self._dependency_resolver.fits_in_record(self._spec):
             self._job_admission.store_job(self._request, self._spec)
         else:
-            # A repeat must not write the list once more.
+            # A repeated submission must not write the list once more.
             self._job_admission.reply_if_known(self._request, self._spec.id, self._write_list)
 
     def _reject_indeterminate(self) -> None:
-        """Without tokens here, its next try may find another node that has some."""
-        requests = self._node.store.requests
-        close = requests.available(self._node.clock(), RESERVE_ADMISSION) < 1
+        """Ask for a retry: without tokens here, through another node if possible."""
+        requests = self._context.store.requests
+        close = requests.available(self._context.clock(), RESERVE_ADMISSION) < 1
         reject_temporarily(self._request, "cannot tell about the jobs that it awaits", close=close)
 
     def _write_list(self) -> None:
@@ -197,11 +239,11 @@
             self._job_admission.store_job(self._request, self._spec, list_reference)
 
     def _is_past_deadline(self) -> bool:
-        return self._node.clock() > self._deadline_at
+        return self._context.clock() > self._deadline_at
 
 
 class _RecordWrite:
-    """The transaction that makes a job accepted, and what its answer means."""
+    """The transaction that makes a job accepted, and the answer that follows from its result."""
 
     def __init__(
         self,
@@ -211,33 +253,39 @@
         list_reference: DependencyListReference | None,
     ) -> None:
         self._job_admission = job_admission
-        self._node = job_admission.node
+        self._context = job_admission.context
         self._dependency_resolver = job_admission.dependency_resolver
         self._request = request
         self._spec = spec
         self._job = spec.id
-        self._chunk_size = max_tasks_per_chunk(self._node.settings.value_bytes)
+        self._tasks_per_chunk = max_tasks_per_chunk(self._context.settings.value_bytes)
         self._accepted_at = WallTime(time.time())
         self._list_reference = list_reference
-        self._record = encode_job_record(spec, self._chunk_size, self._accepted_at, list_reference)
+        self._record = encode_job_record(
+            spec, self._tasks_per_chunk, self._accepted_at, list_reference
+        )
 
     def begin(self) -> None:
-        """Writes the record, unless the job is there or has ended."""
-        guards = {JOB_PREFIX + self._job: ABSENT_REVISION, END_PREFIX + self._job: ABSENT_REVISION}
-        txn = Transaction(guards, [Put(JOB_PREFIX + self._job, self._record)])
-        self._node.store.commit(txn, self._on_transaction_result)
+        """Write the record, on condition that the job has neither a record nor an outcome."""
+        conditions = {
+            JOB_PREFIX + self._job: ABSENT_REVISION,
+            END_PREFIX + self._job: ABSENT_REVISION,
+        }
+        transaction = Transaction(conditions, [Put(JOB_PREFIX + self._job, self._record)])
+        self._context.store.commit(transaction, self._on_transaction_result)
 
     def _on_transaction_result(
-        self, status: int | None, _: Revision, failed: tuple[str, ...]
+        self, status: int | None, _: Revision, failed_conditions: tuple[str, ...]
     ) -> None:
         if status in (200, 409):
             self._dependency_resolver.forget_list(self._job)
         if status == 200:
             self._on_accepted()
         elif status == 409:
-            self._on_already_known(has_ended=END_PREFIX + self._job in failed)
+            self._on_already_known(has_ended=END_PREFIX + self._job in failed_conditions)
         elif status is None:
-            self._reply_with_stored_state(status_if_found=201)  # it may have been executed
+            # The transaction may have been committed.
+            self._reply_with_stored_state(status_if_found=201)
         else:
             log.info("submission not stored status=%s", status)
             reject_temporarily(self._request, "cannot store it now")
@@ -246,36 +294,42 @@
         self._dependency_resolver.record_accepted(self._job)
         self._dependency_resolver.record_dependencies(self._job, self._spec.dependencies)
         self._request.reply(201, users.job_state_body(self._job, users.PENDING))
-        controller = self._node.leader_service.scheduler
-        if controller is not None:
-            now = self._node.clock()
-            controller.add_job(
-                self._spec, self._chunk_size, self._accepted_at, now, self._list_reference
+        leader = self._context.leader
+        if leader.scheduler is not None:
+            leader.scheduler.add_job(
+                self._spec,
+                self._tasks_per_chunk,
+                self._accepted_at,
+                self._context.clock(),
+                self._list_reference,
             )
-            self._node.leader_service.process_events_soon()
+            leader.process_events_soon()
 
-    def _on_already_known(self, has_ended: bool) -> None:
+    def _on_already_known(self, *, has_ended: bool) -> None:
         if has_ended:
             self._reply_with_stored_state(status_if_found=200)
         elif self._dependency_resolver.dependencies_of(self._job) == ():
             # The job is there and had not ended, as of this very transaction. It may have since,
-            # and this node have told so. It awaits none, so it can't have been told as cancelled
-            # with another job before its own end.
+            # and this node have told so. It has no dependencies, so it can't have been reported
+            # as cancelled with another job before its own outcome.
             self._dependency_resolver.record_accepted(self._job)
             state = self._job_admission.outcomes.get(self._job) or users.PENDING
             self._request.reply(200, users.job_state_body(self._job, state))
         else:
-            # What is stored counts: a repeat need not name what the submission named.
-            again = Rejection(503, "try again")
-            self._job_admission.reject_unless_known(self._request, self._job, again)
+            # The stored dependencies count, which the repeated submission need not name.
+            self._job_admission.reject_unless_known(self._request, self._job, RETRY_SUBMISSION)
 
     def _reply_with_stored_state(self, status_if_found: int) -> None:
-        request, job = self._request, self._job
-        handlers = JobStateHandlers(
-            on_found=lambda told: request.reply(
-                status_if_found, users.job_state_body(job, told.state)
-            ),
-            on_absent=lambda: reject_temporarily(request, "try again", SHORT_RETRY_AFTER_S),
-            on_failed=lambda pause: reject_temporarily(request, "cannot tell", pause),
+        self._job_admission.job_states.read(
+            self._job, lambda result: self._on_stored_state(status_if_found, result)
         )
-        self._job_admission.job_states.read(job, handlers)
+
+    def _on_stored_state(self, status_if_found: int, result: JobStateResult) -> None:
+        match result:
+            case JobStateFound(reply):
+                body = users.job_state_body(self._job, reply.state)
+                self._request.reply(status_if_found, body)
+            case JobNotFound():
+                reject_temporarily(self._request, "try again", SHORT_RETRY_AFTER_S)
+            case JobStateUnavailable(retry_after_s):
+                reject_temporarily(self._request, "cannot tell", retry_after_s)
--- a/src/eldercart/server/users/job_states.py
+++ b/src/eldercart/server/users/job_states.py
@@ -1,32 +1,44 @@
-"""The state of a job: from what is known at this node, from the leader, or by a fresh read."""
+"""The state of a job: from this node's caches, from the leader, or by a fresh read."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from functools import partial
 
 from eldercart.jobs.registry import END_PREFIX, JOB_PREFIX, decode_end_record
 from eldercart.server.http.replies import RETRY_AFTER_S, SHORT_RETRY_AFTER_S
 from eldercart.server.store.client import RESERVE_POLLS
 from eldercart.server.users.ancestor_search import AncestorSearchResult
 from eldercart.server.users.dependencies import DependencyResolver
+from eldercart.server.users.lookup_context import LookupContext
 from eldercart.server.users.recent_cache import JobOutcomeCache
 from eldercart.units import JobId
 from eldercart.wire import peers, users
 from eldercart.wire.state import Item
 
-if TYPE_CHECKING:
-    from eldercart.server.controller_node import ControllerNode
+STATE_READ_REQUESTS = 2  # that a fresh read takes: the job's record and its outcome
 
-STATE_READ_REQUESTS = 2  # a fresh read takes two requests
+
+@dataclass(frozen=True, slots=True)
+class JobStateFound:
+    """The job was accepted; its state is in the reply."""
+
+    reply: peers.JobReply
+
+
+@dataclass(frozen=True, slots=True)
+class JobNotFound:
+    """The job was never accepted, as of a fresh read."""
 
 
 @dataclass(frozen=True, slots=True)
-class JobStateHandlers:
-    """What follows from the answer; one of them is called, once."""
+class JobStateUnavailable:
+    """The state can't be told now."""
+
+    retry_after_s: int
+
 
-    on_found: Callable[[peers.JobReply], Any]
-    on_absent: Callable[[], Any]  # never accepted, as of a fresh read
-    on_failed: Callable[[int], Any]  # nobody can tell now; seconds after which to ask again
+JobStateResult = JobStateFound | JobNotFound | JobStateUnavailable
+JobStateCallback = Callable[[JobStateResult], None]
 
 
 class JobStateReader:
@@ -34,103 +46,107 @@
 
     def __init__(
         self,
-        node: "ControllerNode",
+        context: LookupContext,
         outcomes: JobOutcomeCache,
         dependency_resolver: DependencyResolver,
     ) -> None:
-        """Ends and acceptances that are found are added to `finals` and `dependencies`."""
-        self.node = node
+        """Outcomes and acceptances that are found are added to the two caches."""
+        self.context = context
         self.outcomes = outcomes
         self.dependency_resolver = dependency_resolver
 
-    def query(self, job: JobId, handlers: JobStateHandlers) -> None:
-        """As the leader tells, which takes no token; what it does not know is read."""
-        state = self.outcomes.get(job)
-        if state is not None:
-            handlers.on_found(_state_reply(state))
-        elif self.node.leader_service.scheduler is not None:
-            self._on_leader_reply(
-                job, handlers, self.node.leader_service.user_answers.job_reply(0, job)
-            )
-        elif not self.node.relay_service.leader_client.poll(
-            job, lambda told: self._on_leader_reply(job, handlers, told)
+    def query(self, job: JobId, on_result: JobStateCallback) -> None:
+        """Ask the leader, which takes no token; what it does not know is read afresh.
+
+        `on_result` is called once, perhaps before this returns.
+        """
+        leader = self.context.leader
+        outcome = self.outcomes.get(job)
+        if outcome is not None:
+            on_result(JobStateFound(_reply_without_counts(outcome)))
+        elif leader.scheduler is not None:
+            self._on_leader_reply(job, on_result, leader.user_answers.job_reply(0, job))
+        elif not self.context.leader_client.poll(
+            job, partial(self._on_leader_reply, job, on_result)
         ):
-            self.read(job, handlers)
+            self.read(job, on_result)
 
     def _on_leader_reply(
-        self, job: JobId, handlers: JobStateHandlers, reply: peers.JobReply | None
+        self, job: JobId, on_result: JobStateCallback, reply: peers.JobReply | None
     ) -> None:
         if reply is None or reply.state in (peers.NOT_LEADER, peers.UNKNOWN):
-            self.read(job, handlers)
+            self.read(job, on_result)
         elif reply.state == peers.UNDECIDED:
-            handlers.on_failed(SHORT_RETRY_AFTER_S)  # its end is being written
+            # Its outcome is being written.
+            on_result(JobStateUnavailable(SHORT_RETRY_AFTER_S))
         else:
             self.dependency_resolver.record_accepted(job)
             if reply.state in (users.DONE, users.CANCELLED):
                 self.outcomes.put(job, reply.state)
-            handlers.on_found(reply)
+            on_result(JobStateFound(reply))
 
-    def read(self, job: JobId, handlers: JobStateHandlers) -> None:
-        """A fresh read of the state service."""
-        _JobStateRead(self, job, handlers).begin()
+    def read(self, job: JobId, on_result: JobStateCallback) -> None:
+        """Read the state afresh from the state service."""
+        _JobStateRead(self, job, on_result).begin()
 
 
 class _JobStateRead:
-    """One fresh read: first the job's record, then its end, since at the end the record goes and
-    the end appears in one transaction.
-
-    A job without an end may have been told as cancelled all the same: the leader tells it of all
-    that await a job as soon as that job's own end is durable. So those before it are looked at.
-    Their ends may be read after its own: each of these reads begins after the question came, so
-    an end that was durable when anybody was told is seen. And when a cancelled one is found, this
-    job can't be done, now or later: a job is done only after all before it are, and an end never
-    changes.
+    """One fresh read: first the job's record, then its outcome.
+
+    This order misses neither: when a job ends, one transaction deletes the record and writes the
+    outcome.
+
+    A job without an outcome may have been reported as cancelled all the same: the leader reports
+    that of all jobs downstream of a cancelled one as soon as the cancelled job's own outcome is
+    durable. So the ancestors are searched. Their outcomes may be read after this job's: each of
+    these reads begins after the question came, so an outcome that was durable when anybody was
+    told is seen. And when a cancelled ancestor is found, this job can't be done, now or later: a
+    job is done only after all of its ancestors are, and an outcome never changes.
     """
 
-    def __init__(self, job_states: JobStateReader, job: JobId, handlers: JobStateHandlers) -> None:
-        self._job_states = job_states
-        self._node = job_states.node
+    def __init__(self, job_states: JobStateReader, job: JobId, on_result: JobStateCallback) -> None:
+        self._outcomes = job_states.outcomes
+        self._dependency_resolver = job_states.dependency_resolver
+        self._context = job_states.context
         self._job = job
-        self._handlers = handlers
+        self._on_result = on_result
         self._record: Item | None = None
 
     def begin(self) -> None:
-        """Without tokens it fails at once."""
-        store = self._node.store
-        if store.requests.available(self._node.clock(), RESERVE_POLLS) < STATE_READ_REQUESTS:
+        """Start the read; without tokens it fails at once."""
+        store = self._context.store
+        if store.requests.available(self._context.clock(), RESERVE_POLLS) < STATE_READ_REQUESTS:
             self._fail()
         else:
             store.get(JOB_PREFIX + self._job, self._on_record)
 
-    def _on_record(self, ok: bool, record: Item | None) -> None:
-        if not ok:
+    def _on_record(self, succeeded: bool, record: Item | None) -> None:
+        if not succeeded:
             self._fail()
             return
         self._record = record
         if record is not None:
-            self._job_states.dependency_resolver.record_accepted(self._job)
-            self._node.leader_service.job_record_watch.add_record(record)
-        self._node.store.get(END_PREFIX + self._job, self._on_outcome)
+            self._dependency_resolver.record_accepted(self._job)
+            self._context.leader.job_record_watch.add_record(record)
+        self._context.store.get(END_PREFIX + self._job, self._on_outcome)
 
-    def _on_outcome(self, ok: bool, outcome_record: Item | None) -> None:
-        if not ok:
+    def _on_outcome(self, succeeded: bool, outcome_record: Item | None) -> None:
+        if not succeeded:
             self._fail()
         elif outcome_record is not None:
-            state = decode_end_record(outcome_record.value)
-            self._job_states.outcomes.put(self._job, state)
-            self._finish(state)
+            outcome = decode_end_record(outcome_record.value)
+            self._outcomes.put(self._job, outcome)
+            self._finish(outcome)
         elif self._record is not None:
-            self._job_states.dependency_resolver.read_dependencies(
-                self._record, self._on_dependencies
-            )
+            self._dependency_resolver.read_dependencies(self._record, self._on_dependencies)
         else:
-            self._handlers.on_absent()
+            self._on_result(JobNotFound())
 
     def _on_dependencies(self, dependencies: tuple[JobId, ...] | None) -> None:
         if dependencies is None:
             self._fail()
         elif dependencies:
-            self._job_states.dependency_resolver.search_ancestors(dependencies, self._on_ancestors)
+            self._dependency_resolver.search_ancestors(dependencies, self._on_ancestors)
         else:
             self._finish(users.PENDING)
 
@@ -144,11 +160,11 @@
                 self._finish(users.PENDING)
 
     def _finish(self, state: str) -> None:
-        self._handlers.on_found(_state_reply(state))
+        self._on_result(JobStateFound(_reply_without_counts(state)))
 
     def _fail(self) -> None:
-        self._handlers.on_failed(RETRY_AFTER_S)
+        self._on_result(JobStateUnavailable(RETRY_AFTER_S))
 
 
-def _state_reply(state: str) -> peers.JobReply:
-    return peers.JobReply(0, state, 0, 0)
+def _reply_without_counts(state: str) -> peers.JobReply:
+    return peers.JobReply(request_id=0, state=state, done_count=0, running_count=0)
--- a/src/eldercart/server/users/recent_cache.py
+++ b/src/eldercart/server/users/recent_cache.py
@@ -1,4 +1,4 @@
-"""Bounded memories of facts that never change."""
+"""Bounded caches of facts that never change once they are true."""
 
 from collections import OrderedDict
 from typing import Generic, TypeVar
@@ -9,16 +9,16 @@
 
 
 class RecentCache(Generic[Value]):
-    """The facts used last, one for each job, up to a total weight."""
+    """A least-recently-used cache with one value for each job, bounded by total weight."""
 
     def __init__(self, max_weight: int) -> None:
-        """`most` is the total weight to keep."""
+        """Start empty. `max_weight` bounds the sum of the weights of all values."""
         self._max_weight = max_weight
         self._weight = 0
         self._entries: OrderedDict[JobId, tuple[Value, int]] = OrderedDict()
 
     def get(self, job: JobId) -> Value | None:
-        """The fact about the job, which thereby counts as used."""
+        """Return the job's value, which thereby counts as used; None if it is not cached."""
         entry = self._entries.get(job)
         if entry is None:
             return None
@@ -26,31 +26,34 @@
         return entry[0]
 
     def put(self, job: JobId, value: Value, weight: int = 1) -> None:
-        """Remembers the fact and drops those unused for longest, but never this one."""
+        """Add the value and evict the least recently used ones, but never this one."""
         previous = self._entries.pop(job, None)
         if previous is not None:
             self._weight -= previous[1]
         self._entries[job] = (value, weight)
         self._weight += weight
         while self._weight > self._max_weight and len(self._entries) > 1:
-            _, (_, dropped) = self._entries.popitem(last=False)
-            self._weight -= dropped
+            _, (_, evicted_weight) = self._entries.popitem(last=False)
+            self._weight -= evicted_weight
 
 
 class JobOutcomeCache:
-    """How jobs ended, as far as this node has heard. An end never changes."""
+    """The durable outcomes of jobs that this node has learned, the oldest evicted first.
+
+    The outcome of a job never changes, so an entry is never out of date.
+    """
 
     def __init__(self, max_entries: int) -> None:
-        """`most` is the number of jobs to remember."""
+        """Start empty. `max_entries` is the number of jobs to remember."""
         self._max_entries = max_entries
         self._outcomes: OrderedDict[JobId, str] = OrderedDict()
 
     def get(self, job: JobId) -> str | None:
-        """The job's final state; None if it is not known here."""
+        """Return the job's outcome; None if it is not known here."""
         return self._outcomes.get(job)
 
     def put(self, job: JobId, outcome: str) -> None:
-        """Remembers a durable end and drops the oldest beyond the bound."""
+        """Add a durable outcome and evict the oldest ones beyond the bound."""
         self._outcomes[job] = outcome
         while len(self._outcomes) > self._max_entries:
             self._outcomes.popitem(last=False)
--- a/src/eldercart/server/users/user_service.py
+++ b/src/eldercart/server/users/user_service.py
@@ -1,7 +1,7 @@
-"""What users and the load balancer ask of this node."""
+"""The HTTP requests of users, workers and the load balancer at this node."""
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
 from eldercart.server.http.replies import (
     RETRY_AFTER_S,
@@ -10,156 +10,221 @@
     reject_temporarily,
 )
 from eldercart.server.http.server import JsonRequest
+from eldercart.server.store.client import StoreClient
 from eldercart.server.users.dependencies import DependencyResolver
-from eldercart.server.users.job_admission import JobAdmission
-from eldercart.server.users.job_states import JobStateHandlers, JobStateReader
+from eldercart.server.users.job_admission import AdmissionLimits, JobAdmission
+from eldercart.server.users.job_states import (
+    JobNotFound,
+    JobStateFound,
+    JobStateReader,
+    JobStateResult,
+    JobStateUnavailable,
+)
+from eldercart.server.users.lookup_context import LeaderAccess, LookupContext
 from eldercart.server.users.recent_cache import JobOutcomeCache
-from eldercart.units import JobId
+from eldercart.settings import NodeSettings, Tuning
+from eldercart.units import JobId, MonotonicTime
 from eldercart.wire import peers, users
 
-if TYPE_CHECKING:
-    from eldercart.server.controller_node import ControllerNode
-
 RequestHandler = Callable[[JsonRequest], None]
 
 JOB_PATH, CANCEL_SUFFIX = b"/work/", b"/cancel"
 
 
+class Shutdown(Protocol):
+    """The end of the process on request."""
+
+    @property
+    def has_begun(self) -> bool:
+        """Whether requests are refused from now on."""
+
+    def refuse(self, request: JsonRequest, /) -> None:
+        """Answer a request that came after the shutdown has begun."""
+
+
+class UserServiceHost(AdmissionLimits, LeaderAccess, Protocol):
+    """What the user service needs of the process."""
+
+    @property
+    def settings(self) -> NodeSettings:
+        """The node's settings."""
+
+    @property
+    def tuning(self) -> Tuning:
+        """The node's tuning values."""
+
+    @property
+    def clock(self) -> Callable[[], MonotonicTime]:
+        """The process's monotonic clock."""
+
+    @property
+    def store(self) -> StoreClient:
+        """The client of the state service."""
+
+    @property
+    def graceful_shutdown(self) -> Shutdown:
+        """The end of the process on request."""
+
+    def is_healthy(self) -> bool:
+        """Whether users and workers should come to this node."""
+
+    def status_page(self) -> bytes:
+        """The page for operators, as JSON."""
+
+
 class UserService:
-    """Routes requests and bounds those under way; answers polls and cancellations."""
-
-    def __init__(self, node: "ControllerNode") -> None:
-        """Owns the parts that know the states of jobs."""
-        self.node = node
-        self._outcomes = JobOutcomeCache(node.tuning.final_cache)
-        self.dependency_resolver = DependencyResolver(node, self._outcomes)
-        self.job_states = JobStateReader(node, self._outcomes, self.dependency_resolver)
-        self._job_admission = JobAdmission(
-            node, self._outcomes, self.dependency_resolver, self.job_states
+    """Routes HTTP requests and bounds those in flight; answers polls and cancellations."""
+
+    def __init__(self, host: UserServiceHost) -> None:
+        """Create the parts that admit jobs and look them up."""
+        self._host = host
+        self._context = LookupContext(host.settings, host.clock, host.store, host)
+        max_cached_jobs = host.tuning.final_cache
+        self._outcomes = JobOutcomeCache(max_cached_jobs)
+        self.dependency_resolver = DependencyResolver(
+            self._context, self._outcomes, max_cached_jobs
         )
+        self.job_states = JobStateReader(self._context, self._outcomes, self.dependency_resolver)
+        self._job_admission = JobAdmission(self._context, host, host.tuning.lag_s, self.job_states)
         self._requests_in_flight = 0
-        self._prefix_routes: dict[bytes, RequestHandler] = {}  # by the first part of the path
+        self._prefix_routes: dict[bytes, RequestHandler] = {}  # by the first segment of the path
         self._routes: dict[bytes, tuple[bytes, RequestHandler]] = {
-            b"/v1/report": (
-                b"POST",
-                lambda request: node.relay_service.heartbeat_forwarding.handle_heartbeat(request),
-            ),
+            b"/v1/report": (b"POST", self._serve_worker_heartbeat),
             b"/healthz": (b"GET", self._serve_health),
-            b"/status": (b"GET", lambda request: request.reply(200, node.status_page())),
-            b"/work": (b"POST", lambda request: self._serve_bounded(request, self._submit)),
+            b"/status": (b"GET", self._serve_status),
+            b"/work": (b"POST", self._serve_submission),
         }
 
     # -- routing
 
     def route(self, request: JsonRequest) -> None:
-        """Hands the request to what serves its path and method."""
+        """Hand the request to the handler for its path and method."""
         route = self._routes.get(request.path)
-        if self.node.graceful_shutdown.has_begun:
-            self.node.graceful_shutdown.refuse(request)
+        if self._host.graceful_shutdown.has_begun:
+            self._host.graceful_shutdown.refuse(request)
         elif route is not None:
-            method, serve = route
+            method, handler = route
             if request.method == method:
-                serve(request)
+                handler(request)
             else:
                 reject(request, 405, "method")
         elif request.path.startswith(JOB_PATH):
             self._route_job(request, request.path[len(JOB_PATH) :])
         else:
             self._serve_bounded(
-                request, self._prefix_routes.get(_first_segment(request.path), _no_such_path)
+                request, self._prefix_routes.get(_first_segment(request.path), _reject_unknown_path)
             )
 
     def add_prefix_route(self, first_segment: bytes, handler: RequestHandler) -> None:
-        """Hands all requests to `serve` whose path begins with that part."""
+        """Hand all requests to `handler` whose path begins with that segment."""
         self._prefix_routes[first_segment] = handler
 
     def _route_job(self, request: JsonRequest, job_path: bytes) -> None:
-        name, method, serve = job_path, b"GET", self._poll
+        """Route a request whose path names a job. `job_path` is what follows `JOB_PATH`."""
+        name, method, handler = job_path, b"GET", self._poll
         if job_path.endswith(CANCEL_SUFFIX):
-            name, method, serve = job_path[: -len(CANCEL_SUFFIX)], b"POST", self._cancel
+            name, method, handler = job_path[: -len(CANCEL_SUFFIX)], b"POST", self._cancel
         job = name.decode("latin-1")
         if request.method != method:
             reject(request, 405, "method")
         elif not users.is_valid_job_id(job):
             reject(request, 404, "no such job")
         else:
-            self._serve_bounded(request, lambda r: serve(r, JobId(job)))
+            self._serve_bounded(request, lambda request: handler(request, JobId(job)))
 
     def _serve_bounded(self, request: JsonRequest, handler: RequestHandler) -> None:
-        """Bounds the requests under way; beyond that they are refused at once."""
-        if self._requests_in_flight >= self.node.tuning.pending_requests:
+        """Serve the request, or reject it at once if too many are in flight."""
+        if self._requests_in_flight >= self._host.tuning.pending_requests:
             reject_temporarily(request, "overloaded")
             return
         self._requests_in_flight += 1
 
-        def over(_: Any) -> None:
+        def on_finished(_: Any) -> None:
             self._requests_in_flight -= 1
 
-        request.notifyFinish().addBoth(over)
+        request.notifyFinish().addBoth(on_finished)
         handler(request)
 
+    def _serve_worker_heartbeat(self, request: JsonRequest) -> None:
+        self._host.relay_service.heartbeat_forwarding.handle_heartbeat(request)
+
     def _serve_health(self, request: JsonRequest) -> None:
-        healthy = self.node.is_healthy()
-        request.reply(200 if healthy else 503, b"{}", None if healthy else RETRY_AFTER_S)
+        if self._host.is_healthy():
+            request.reply(200, b"{}", None)
+        else:
+            request.reply(503, b"{}", RETRY_AFTER_S)
 
-    # -- what the leader's side asks of the known states
+    def _serve_status(self, request: JsonRequest) -> None:
+        request.reply(200, self._host.status_page())
+
+    def _serve_submission(self, request: JsonRequest) -> None:
+        self._serve_bounded(request, self._submit)
+
+    # -- job states for the leader's side
 
     def outcome_of(self, job: JobId) -> str | None:
-        """How the job ended, if this node knows."""
+        """Return the job's durable outcome, if this node knows it."""
         return self._outcomes.get(job)
 
     def record_outcome(self, job: JobId, outcome: str) -> None:
-        """Remembers a durable end; it never changes."""
+        """Remember a durable outcome; it never changes."""
         self._outcomes.put(job, outcome)
 
     def read_job_state(
         self,
         job: JobId,
-        on_found: Callable[[str], Any],
-        on_absent: Callable[[], Any],
-        on_failed: Callable[[], Any],
+        on_found: Callable[[str], None],
+        on_absent: Callable[[], None],
+        on_failed: Callable[[], None],
     ) -> None:
-        """A fresh read of the job's state from the state service; one of the three is called."""
-        self.job_states.read(
-            job,
-            JobStateHandlers(lambda told: on_found(told.state), on_absent, lambda _: on_failed()),
-        )
+        """Read the job's state afresh from the state service; calls one of the three."""
 
-    # -- users
+        def on_result(result: JobStateResult) -> None:
+            match result:
+                case JobStateFound(reply):
+                    on_found(reply.state)
+                case JobNotFound():
+                    on_absent()
+                case JobStateUnavailable():
+                    on_failed()
+
+        self.job_states.read(job, on_result)
+
+    # -- requests about jobs
 
     def _submit(self, request: JsonRequest) -> None:
         self._job_admission.submit(request)
 
     def _poll(self, request: JsonRequest, job: JobId) -> None:
-        def found(told: peers.JobReply) -> None:
-            body = users.job_state_body(
-                job, told.state, told.done_count, told.running_count, told.unmet_dependencies
-            )
-            request.reply(200, body)
+        def on_result(result: JobStateResult) -> None:
+            match result:
+                case JobStateFound(reply):
+                    request.reply(200, _job_reply_body(job, reply))
+                case JobNotFound():
+                    reject(request, 404, "no such job")
+                case JobStateUnavailable(retry_after_s):
+                    reject_temporarily(request, "cannot tell now", retry_after_s)
 
-        handlers = JobStateHandlers(
-            found,
-            on_absent=lambda: reject(request, 404, "no such job"),
-            on_failed=lambda pause: reject_temporarily(request, "cannot tell now", pause),
-        )
-        self.job_states.query(job, handlers)
+        self.job_states.query(job, on_result)
 
     def _cancel(self, request: JsonRequest, job: JobId) -> None:
-        def answered(verdict: str) -> None:
-            self._reply_to_cancel(request, job, verdict)
+        def on_state(state: str) -> None:
+            self._reply_to_cancel(request, job, state)
 
-        def told(answer: peers.JobReply | None) -> None:
-            answered(peers.NOT_LEADER if answer is None else answer.state)
+        def on_leader_reply(reply: peers.JobReply | None) -> None:
+            on_state(peers.NOT_LEADER if reply is None else reply.state)
 
-        state = self._outcomes.get(job)
-        if state is not None:
-            answered(state)
-        elif self.node.leader_service.scheduler is not None:
-            self.node.leader_service.user_answers.cancel(job, answered)
-        elif not self.node.relay_service.leader_client.cancel(job, told):
-            answered(peers.NOT_LEADER)
+        outcome = self._outcomes.get(job)
+        leader = self._context.leader
+        if outcome is not None:
+            on_state(outcome)
+        elif leader.scheduler is not None:
+            leader.user_answers.cancel(job, on_state)
+        elif not self._context.leader_client.cancel(job, on_leader_reply):
+            on_state(peers.NOT_LEADER)
 
     def _reply_to_cancel(self, request: JsonRequest, job: JobId, state: str) -> None:
+        """Answer a cancellation. `state` is the job's outcome, or why there is none yet."""
         if state in (users.DONE, users.CANCELLED):
             self.record_outcome(job, state)
             request.reply(200, users.job_state_body(job, state))
@@ -169,9 +234,15 @@
             reject_temporarily(request, "no leader now", SHORT_RETRY_AFTER_S)
 
 
+def _job_reply_body(job: JobId, reply: peers.JobReply) -> bytes:
+    return users.job_state_body(
+        job, reply.state, reply.done_count, reply.running_count, reply.unmet_dependencies
+    )
+
+
 def _first_segment(path: bytes) -> bytes:
     return path[1:].partition(b"/")[0]
 
 
-def _no_such_path(request: JsonRequest) -> None:
+def _reject_unknown_path(request: JsonRequest) -> None:
     reject(request, 404, "no such path")
