--- a/src/eldercart/cli/__init__.py
+++ b/src/eldercart/cli/__init__.py
@@ -18,7 +18,7 @@
 
 
 def set_up_logging() -> None:
-    """To standard error, at the level that LOG_LEVEL names."""
+    """Log to standard error, at the level that LOG_LEVEL names."""
     level = LOG_LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO)
     logging.basicConfig(
         stream=sys.stderr, level=level, format="%(levelname).1s %(name)s: %(message)s"
@@ -47,10 +47,10 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """All commands with their options."""
-    whole = argparse.ArgumentParser(prog="eldercart", description="A cluster scheduler.")
-    whole.add_argument("--version", action="version", version=__version__)
-    commands = whole.add_subparsers(dest="command", required=True)
+    """Return the parser of all commands with their options."""
+    parser = argparse.ArgumentParser(prog="eldercart", description="A cluster scheduler.")
+    parser.add_argument("--version", action="version", version=__version__)
+    commands = parser.add_subparsers(dest="command", required=True)
     _add_settings_options(commands.add_parser("serve", help="run a controller node"))
     _add_settings_options(
         commands.add_parser("check-settings", help="check both settings files and stop")
@@ -72,7 +72,7 @@
     _add_duties_commands(
         commands.add_parser("duties", help="who holds which duty, and commands on that")
     )
-    return whole
+    return parser
 
 
 def _add_duties_commands(duties: argparse.ArgumentParser) -> None:
@@ -94,7 +94,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Runs one command; returns its exit status."""
+    """Run one command and return its exit status."""
     args = build_parser().parse_args(argv)
     set_up_logging()
     if args.command in ("serve", "check-settings"):
@@ -109,7 +109,7 @@
 
 
 def _run_node(args: argparse.Namespace) -> int:
-    """Wrong settings end it with one line and status 2."""
+    """Run `serve` or `check-settings`; invalid settings end in one line and EXIT_USAGE."""
     try:
         settings = load_platform(args.config)
         tuning = load_tuning(args.settings)
--- a/src/eldercart/cli/client.py
+++ b/src/eldercart/cli/client.py
@@ -1,4 +1,4 @@
-"""`submit`, `status` and `cancel`: the user's side, retrying as the protocol says."""
+"""The commands `submit`, `status` and `cancel`, with retries as the protocol says."""
 
 import argparse
 import contextlib
@@ -48,14 +48,14 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Carries out the command; returns the exit status."""
+    """Run the command and return the exit status."""
     try:
-        call = _submit_request(args) if args.command == "submit" else _job_request(args)
+        request = _submit_request(args) if args.command == "submit" else _job_request(args)
     except UsageError as err:
         print(f"eldercart: {err}", file=sys.stderr)
         return EXIT_USAGE
-    reply = send_with_retries(args.server, call, args.timeout)
-    return _print_result(args.json, call.job, reply)
+    response = send_with_retries(args.server, request, args.timeout)
+    return _print_result(request.job, response, as_json=args.json)
 
 
 def _submit_request(args: argparse.Namespace) -> Request:
@@ -85,23 +85,25 @@
     return Request(job, "GET", f"/work/{job}", None)
 
 
-def send_with_retries(server: str, call: Request, limit_s: float) -> Response:
-    """Tries until an answer is final or the time is over."""
-    end = time.monotonic() + limit_s
+def send_with_retries(server: str, request: Request, time_limit_s: float) -> Response:
+    """Send until a response is final or the time is over; return the last response."""
+    deadline_at = time.monotonic() + time_limit_s
     while True:
-        reply = _send(server, call)
-        pause = max(MIN_RETRY_PAUSE_S, min(MAX_RETRY_PAUSE_S, reply.retry_after_s))
-        if reply.status in ACCEPTED_STATUSES + REJECTED_STATUSES or time.monotonic() + pause > end:
-            return reply
-        time.sleep(pause)
+        response = _send(server, request)
+        if response.status in ACCEPTED_STATUSES + REJECTED_STATUSES:
+            return response
+        pause_s = max(MIN_RETRY_PAUSE_S, min(MAX_RETRY_PAUSE_S, response.retry_after_s))
+        if time.monotonic() + pause_s > deadline_at:
+            return response
+        time.sleep(pause_s)
 
 
-def _send(server: str, call: Request) -> Response:
+def _send(server: str, request: Request) -> Response:
     headers = {"Content-Type": "application/json"}
     try:
         connection = http.client.HTTPConnection(server, timeout=ATTEMPT_TIMEOUT_S)
         with contextlib.closing(connection):
-            connection.request(call.method, call.path, call.body, headers)
+            connection.request(request.method, request.path, request.body, headers)
             response = connection.getresponse()
             body = response.read()
             return Response(response.status, body, _retry_after(response))
@@ -111,7 +113,7 @@
 
 
 def _retry_after(response: http.client.HTTPResponse) -> float:
-    """In seconds; a date, which no node sends, counts as none."""
+    """Return the header in seconds; a date, which no node sends, counts as 0."""
     try:
         return float(response.headers.get("Retry-After") or 0)
     except ValueError:
@@ -127,30 +129,30 @@
 
 
 def _waiting_reason(answer: dict[str, Any]) -> str:
-    """Why it waits, if the answer tells: jobs, or a text."""
+    """Return why the job waits, if the answer says so: jobs, or a text."""
     for field in ("awaits", "waiting"):
-        why = answer.get(field)
-        if isinstance(why, list) and why:
-            return ", waits for " + " ".join(str(job) for job in why)
-        if isinstance(why, str) and why:
-            return f", waits: {why}"
+        reason = answer.get(field)
+        if isinstance(reason, list) and reason:
+            return ", waits for " + " ".join(str(job) for job in reason)
+        if isinstance(reason, str) and reason:
+            return f", waits: {reason}"
     return ""
 
 
-def _print_result(as_json: bool, job: str, reply: Response) -> int:
+def _print_result(job: str, response: Response, *, as_json: bool) -> int:
     answer: dict[str, Any] = {}
     with contextlib.suppress(MalformedMessage):
-        answer = load_response(reply.body) if reply.body else {}
+        answer = load_response(response.body) if response.body else {}
     if as_json:
-        print(orjson.dumps({"status": reply.status, **answer}).decode())
-    elif reply.status in ACCEPTED_STATUSES:
+        print(orjson.dumps({"status": response.status, **answer}).decode())
+    elif response.status in ACCEPTED_STATUSES:
         print(_summary(job, answer))
     else:
         error = answer.get("error") or "no answer"
-        print(f"{job}: {error} ({reply.status})", file=sys.stderr)
-    if reply.status in ACCEPTED_STATUSES:
+        print(f"{job}: {error} ({response.status})", file=sys.stderr)
+    if response.status in ACCEPTED_STATUSES:
         return EXIT_OK
-    return EXIT_REJECTED if reply.status in REJECTED_STATUSES else EXIT_UNREACHABLE
+    return EXIT_REJECTED if response.status in REJECTED_STATUSES else EXIT_UNREACHABLE
 
 
 def _summary(job: str, answer: dict[str, Any]) -> str:
--- a/src/eldercart/cli/serve.py
+++ b/src/eldercart/cli/serve.py
@@ -14,7 +14,7 @@
 
 
 def serve(settings: NodeSettings, tuning: Tuning, features: "Features | None" = None) -> int:
-    """Runs the node; returns the exit status when the loop ends."""
+    """Run the node and return the exit status when the event loop ends."""
     reactor: Any = _reactor
     PythonLoggingObserver("twisted").start()
     node = ControllerNode(settings, tuning, features)
--- a/src/eldercart/server/coalescing.py
+++ b/src/eldercart/server/coalescing.py
@@ -1,4 +1,4 @@
-"""Calls that are coalesced: many requests within a short time lead to one call."""
+"""Coalesced calls: many requests within a short time lead to one call."""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,16 +9,16 @@
 
 
 class CoalescedCall:
-    """Calls `what` once, `delay_s` after it was first asked for since the last call."""
+    """Calls a function once, `delay_s` after the first request since the last call."""
 
-    def __init__(self, delay_s: float, what: Callable[[], None]) -> None:
-        """`what` does the work that is asked for."""
+    def __init__(self, delay_s: float, function: Callable[[], None]) -> None:
+        """Nothing is scheduled."""
         self._delay_s = delay_s
-        self._function = what
+        self._function = function
         self._is_scheduled = False
 
     def __call__(self) -> None:
-        """Asks for the call; without effect while one is scheduled."""
+        """Request the call; without effect while one is scheduled."""
         if not self._is_scheduled:
             self._is_scheduled = True
             reactor.callLater(self._delay_s, self._run)
--- a/src/eldercart/server/http/replies.py
+++ b/src/eldercart/server/http/replies.py
@@ -1,4 +1,4 @@
-"""Refusals to users that all handlers of the front share."""
+"""Rejections of users' requests, shared by all handlers."""
 
 from eldercart.server.http.server import JsonRequest
 from eldercart.wire import users
@@ -8,12 +8,16 @@
 
 
 def reject(request: JsonRequest, status: int, message: str) -> None:
-    """Answers for good: the same request would get the same answer again."""
+    """Reject the request for good: the same request would get the same response again."""
     request.reply(status, users.error_body(message))
 
 
 def reject_temporarily(
-    request: JsonRequest, message: str, retry_after: int = RETRY_AFTER_S, close: bool = False
+    request: JsonRequest, message: str, retry_after_s: int = RETRY_AFTER_S, *, close: bool = False
 ) -> None:
-    """Answers 503. `close` sends the user through the load balancer, to another node perhaps."""
-    request.reply(503, users.error_body(message), retry_after, close)
+    """Answer 503 with a time to retry after, in seconds.
+
+    `close` closes the connection, so that the retry passes the load balancer and may reach another
+    node.
+    """
+    request.reply(503, users.error_body(message), retry_after_s, close)
--- a/src/eldercart/server/http/server.py
+++ b/src/eldercart/server/http/server.py
@@ -1,4 +1,4 @@
-"""The HTTP side shared by the front and the mesh: bounded bodies, JSON, no holding of requests."""
+"""The HTTP server: JSON requests with bounded bodies on a bounded number of connections."""
 
 import logging
 from collections.abc import Callable
@@ -25,35 +25,37 @@
 
 @cache
 def status_line(status: int) -> bytes:
-    """The first line of an answer."""
+    """Return the first line of a response."""
     return b"HTTP/1.1 %d %b\r\n" % (status, RESPONSES.get(status, b"Unknown"))
 
 
 class JsonRequest(http.Request):
-    """One request. `reply` may be called later; a peer that has left is not answered."""
+    """One request; `reply` may be called later, and does nothing for a client that has left."""
 
     is_disconnected = False
     is_too_long = False
 
     def gotLength(self, length: int | None) -> None:
-        """Prepares for a body of this length, or of an unknown one."""
+        """Prepare for a body of this length; None means that it is not known."""
         # Never a temporary file: /tmp counts as memory.
         self.content = BytesIO()
         self.is_too_long = length is not None and length > MAX_BODY_BYTES
 
     def parseCookies(self) -> None:
-        """Nothing here reads cookies."""
+        """Skip the cookies, which no handler reads."""
 
     def handleContentChunk(self, data: bytes) -> None:
-        """Keeps the next part of the body; beyond the bound nothing more is kept."""
+        """Add a part to the body, unless it gets too long."""
         if self.is_too_long or self.content.tell() + len(data) > MAX_BODY_BYTES:
             self.is_too_long = True
             return
         self.content.write(data)
 
     def requestReceived(self, command: bytes, path: bytes, version: bytes) -> None:
-        """Without the form fields that the base class looks for: to parse the content type alone
-        took as long as all the rest, hundreds of times a second."""
+        """Process the whole request without the form fields that the base class looks for.
+
+        To parse the content type alone took as long as all the rest, hundreds of times a second.
+        """
         self.content.seek(0)
         self.method, self.uri, self.clientproto = command, path, version
         self.path = path.partition(b"?")[0]
@@ -61,7 +63,7 @@
         self.process()
 
     def process(self) -> None:
-        """Hands the whole request to the factory's route."""
+        """Hand the whole request to the factory's route."""
         self.channel.factory.pending_requests.add(self)
         if self.is_too_long:
             self.reply(400, error_body("body over 64 KiB"))
@@ -75,20 +77,20 @@
                 self.reply(503, error_body("internal"), retry_after_s=1)
 
     def connectionLost(self, reason: Any) -> None:
-        """The peer has left: nothing is sent any more."""
+        """The client has left: nothing is sent any more."""
         self.is_disconnected = True
         self.channel.factory.pending_requests.discard(self)
         super().connectionLost(reason)
 
     def body(self) -> bytes:
-        """The body as received."""
+        """Return the body as received."""
         value: bytes = self.content.getvalue()
         return value
 
     def reply(
         self, status: int, body: bytes, retry_after_s: int | None = None, close: bool = False
     ) -> None:
-        """Answers, once; `close` ends the connection afterwards."""
+        """Send the response, once; `close` closes the connection afterwards."""
         if self.is_disconnected or self.finished:
             return
         self.channel.factory.pending_requests.discard(self)
@@ -116,7 +118,7 @@
     _idle_timer: Any = None
 
     def connectionMade(self) -> None:
-        """Counts the connection."""
+        """Count the connection and start its idle timer."""
         self.factory.open_connections += 1
         # Small answers on kept connections: do not wait to fill a packet.
         self.transport.setTcpNoDelay(True)
@@ -126,28 +128,28 @@
         self._idle_timer = self.callLater(IDLE_TIMEOUT_S, self.timeoutConnection)
 
     def dataReceived(self, data: bytes) -> None:
-        """Puts off the end of the connection, and reads on."""
+        """Reset the idle timer and parse the data."""
         if self._idle_timer is not None and self._idle_timer.active():
             self._idle_timer.reset(IDLE_TIMEOUT_S)
         super().dataReceived(data)
 
     def getPeer(self) -> Any:
-        """The other end's address."""
+        """Return the client's address."""
         return self._addresses[0]
 
     def getHost(self) -> Any:
-        """This end's address."""
+        """Return this node's address."""
         return self._addresses[1]
 
     def headerReceived(self, line: bytes) -> bool:
-        """Keeps a header, unless nothing reads it."""
+        """Keep a header, unless no handler reads it."""
         if line.partition(b":")[0].lower() in IGNORED_HEADERS:
             return True
-        kept: bool = super().headerReceived(line)
-        return kept
+        is_accepted: bool = super().headerReceived(line)
+        return is_accepted
 
     def connectionLost(self, reason: Any) -> None:
-        """Counts it no longer."""
+        """Stop counting the connection and cancel its idle timer."""
         self.factory.open_connections -= 1
         if self._idle_timer is not None and self._idle_timer.active():
             self._idle_timer.cancel()
@@ -155,29 +157,32 @@
 
 
 class JsonFactory(http.HTTPFactory):
-    """Routes requests; closes connections beyond its bound at once, so that a crowd of idle or
-    hung peers leaves sockets for the calls that keep the service going."""
+    """Routes requests and bounds the number of connections.
+
+    A connection beyond the bound is closed at once, so that a crowd of idle or hung clients leaves
+    sockets for the calls that keep the service going.
+    """
 
-    def __init__(self, route: Callable[[JsonRequest], None], most: int) -> None:
-        """Accepts at most `most` connections at a time."""
+    def __init__(self, route: Callable[[JsonRequest], None], max_connections: int) -> None:
+        """`route` is called with each whole request."""
         super().__init__(reactor=reactor)
         self.route = route
-        self.max_connections = most
+        self.max_connections = max_connections
         self.open_connections = 0
         self.pending_requests: set[JsonRequest] = set()
         self.is_closing = False  # each connection is closed with its next answer
 
     def log(self, request: Any) -> None:
-        """No access log."""
+        """Write no access log."""
 
     def startFactory(self) -> None:
-        """Without the clock that the access log would need."""
+        """Start nothing: the base class starts a clock for the access log."""
 
     def stopFactory(self) -> None:
-        """Nothing was started."""
+        """Stop nothing, as nothing was started."""
 
     def buildProtocol(self, addr: Any) -> Any:
-        """The channel for a new connection; None closes it at once."""
+        """Return the channel for a new connection, or None to close it at once."""
         if self.open_connections >= self.max_connections:
             return None
         channel = JsonChannel()
@@ -196,7 +201,7 @@
         self._port: Any = None  # while it is open
 
     def listen(self) -> None:
-        """Accepts connections at the endpoint."""
+        """Accept connections at the endpoint."""
         # All workers may come at once, when theirs is the only node left: a full queue costs each
         # of them a time-out, and several of those its lease.
         self._port = reactor.listenTCP(
@@ -208,7 +213,7 @@
         self._port.transport = ImmediateWriteServer
 
     def stop_accepting(self) -> None:
-        """Closes the port, and each connection with its next answer: clients go elsewhere."""
+        """Close the port, and each connection with its next response."""
         self._factory.is_closing = True
         if self._port is not None:
             self._port.stopListening()
--- a/src/eldercart/settings/features.py
+++ b/src/eldercart/settings/features.py
@@ -1,4 +1,4 @@
-"""The features that are switched on: JSON beside a schema that holds units and defaults.
+"""The features that are switched on, a JSON file described by a schema with units and defaults.
 
 Imported only by a node that is given such a file.
 """
@@ -71,12 +71,15 @@
 
 
 def load_features(path: str) -> Features:
-    """The features in the file, with their defaults."""
+    """Load the features from the file, with their defaults."""
     return parse_features(read_json(path, FILE_KIND))
 
 
 def parse_features(value: Any) -> Features:
-    """Checks everything; the first bad place is named."""
+    """Check and return the features.
+
+    Raises InvalidSettings, which names the first bad place.
+    """
     schema = orjson.loads(SCHEMA.read_bytes())
     try:
         checked = fastjsonschema.compile(schema)(value)
@@ -88,16 +91,16 @@
     return Features(_singleton_features(duties))
 
 
-def _singleton_features(obj: dict[str, Any]) -> SingletonFeatures:
-    maintenance = obj.get("maintenance")
+def _singleton_features(values: dict[str, Any]) -> SingletonFeatures:
+    maintenance = values.get("maintenance")
     return SingletonFeatures(
-        on=tuple(LeaseName(name) for name in obj["on"]),
-        lease_s=float(obj["lease_s"]),
-        hand_over_s=float(obj["hand_over_s"]),
-        stay_s=float(obj["stay_s"]),
-        slow_lag_s=float(obj["slow_lag_s"]),
-        refresh_s=float(obj["refresh_s"]),
-        cleanup_backlog=int(obj["cleanup_backlog"]),
+        on=tuple(LeaseName(name) for name in values["on"]),
+        lease_s=float(values["lease_s"]),
+        hand_over_s=float(values["hand_over_s"]),
+        stay_s=float(values["stay_s"]),
+        slow_lag_s=float(values["slow_lag_s"]),
+        refresh_s=float(values["refresh_s"]),
+        cleanup_backlog=int(values["cleanup_backlog"]),
         maintenance=None if maintenance is None else _maintenance(maintenance),
     )
 
@@ -105,15 +108,15 @@
 DAYS = ("mo", "tu", "we", "th", "fr", "sa", "su")
 
 
-def _maintenance(obj: dict[str, Any]) -> Maintenance:
+def _maintenance(values: dict[str, Any]) -> Maintenance:
     # Imported only where there are windows: a small part of a core starts faster without.
     from zoneinfo import ZoneInfo, ZoneInfoNotFoundError
 
     try:
-        zone = ZoneInfo(obj["time_zone"])
+        zone = ZoneInfo(values["time_zone"])
     except (ZoneInfoNotFoundError, ValueError, OSError):
         raise InvalidSettings(
-            f"{FILE_KIND}: duties.maintenance.time_zone: unknown time zone {obj['time_zone']!r}"
+            f"{FILE_KIND}: duties.maintenance.time_zone: unknown time zone {values['time_zone']!r}"
         ) from None
     weekly = tuple(
         WeeklyWindow(
@@ -121,22 +124,23 @@
             time.fromisoformat(window["start"]),
             time.fromisoformat(window["end"]),
         )
-        for window in obj["weekly"]
+        for window in values["weekly"]
     )
-    exceptions = tuple(_date_window(i, item) for i, item in enumerate(obj["exceptions"]))
+    exceptions = tuple(_date_window(index, item) for index, item in enumerate(values["exceptions"]))
     return Maintenance(zone, weekly, exceptions)
 
 
-def _date_window(number: int, obj: dict[str, Any]) -> DateWindow:
+def _date_window(index: int, exception: dict[str, Any]) -> DateWindow:
     try:
-        on = date.fromisoformat(obj["date"])
+        day = date.fromisoformat(exception["date"])
     except ValueError:
         raise InvalidSettings(
-            f"{FILE_KIND}: duties.maintenance.exceptions[{number}].date: no such date {obj['date']}"
+            f"{FILE_KIND}: duties.maintenance.exceptions[{index}].date: "
+            f"no such date {exception['date']}"
         ) from None
-    start, end = obj.get("start"), obj.get("end")
+    start, end = exception.get("start"), exception.get("end")
     return DateWindow(
-        on,
+        day,
         None if start is None else time.fromisoformat(start),
         None if end is None else time.fromisoformat(end),
     )
--- a/src/eldercart/settings/operator.py
+++ b/src/eldercart/settings/operator.py
@@ -1,4 +1,4 @@
-"""The operators' own settings: JSON beside a schema that holds units and defaults.
+"""The operators' own settings, a JSON file described by a schema with units and defaults.
 
 The schema `operator.schema.json` is the one place where a default is written.
 """
@@ -14,14 +14,14 @@
 
 
 class Tuning:
-    """The settings as attributes; see the schema for unit and meaning of each."""
+    """The settings as attributes; the schema has the unit and meaning of each."""
 
     def __init__(self, values: dict[str, Any]) -> None:
         """`values` holds every setting of the schema."""
         self._values = values
 
     def __getattr__(self, name: str) -> Any:
-        """The setting of that name."""
+        """Return the setting of that name."""
         try:
             return self._values[name]
         except KeyError:
@@ -29,13 +29,16 @@
 
 
 def load_schema() -> dict[str, Any]:
-    """The JSON schema with unit, bounds and default of each setting."""
+    """Return the JSON schema with unit, bounds and default of each setting."""
     schema: dict[str, Any] = orjson.loads(SCHEMA.read_bytes())
     return schema
 
 
 def load_tuning(path: str | None = None, values: dict[str, Any] | None = None) -> Tuning:
-    """Defaults, overlaid with the operators' file if one is named."""
+    """Return the defaults, overlaid with the operators' file or with `values`.
+
+    Raises InvalidSettings if the file cannot be read or breaks the schema.
+    """
     schema = load_schema()
     merged = {name: entry["default"] for name, entry in schema["properties"].items()}
     if path is not None:
--- a/src/eldercart/settings/platform.py
+++ b/src/eldercart/settings/platform.py
@@ -55,7 +55,7 @@
     state: Endpoint
     nodes: int
     teams: dict[str, Team]
-    waits: dict[str, tuple[float, ...]]  # class -> the longest waits that its users were promised, in seconds
+    waits: dict[str, tuple[float, ...]]  # class -> the waits its users were promised, in seconds
     finishes: dict[str, tuple[float, ...]]  # class -> within what its jobs should be done
     deadlines: dict[str, tuple[float, ...]]  # class -> times its deadline by which they should
     report_s: float
