--- a/src/eldercart/jobs/__init__.py
+++ b/src/eldercart/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs: their registry, tasks and placements, and the dependencies between them."""
+"""The jobs of the cluster: their registry, tasks, placements and dependencies."""
--- a/src/eldercart/jobs/dependency_graph.py
+++ b/src/eldercart/jobs/dependency_graph.py
@@ -1,12 +1,14 @@
-"""Which jobs wait for which, whether one is ready, and what a cancellation means downstream.
+"""The dependency graph: readiness of jobs, cancellation downstream, and inherited priorities.
 
-The graph is derived from the store alone: the jobs' records name what they await, and only the
-durable `end` of each tells its outcome, never a count of tasks in memory. So a new leader comes to
-the same result, and a durable cancellation *is* that of every job downstream, also of one that is
-submitted later; the ends that are written for those follow whenever there is room.
+The graph is derived from the state store alone. A job's record names its dependencies, and only a
+dependency's durable end record determines its outcome, never a count of tasks in memory. A new
+leader therefore derives the same graph. A durable cancellation cancels every job downstream at
+once, including jobs that are submitted later; their own end records are written later, as
+transactions have room.
 
-Nothing here recurses over the depth of a chain or visits all jobs when one ends: an end costs
-what the jobs next to it cost, and a cancellation what lies below it.
+Nothing here recurses over the depth of a chain or visits all jobs when one ends. The cost of an end
+is proportional to the direct neighbors of the job, and that of a cancellation to the jobs
+downstream.
 """
 
 from collections.abc import Callable, Iterable
@@ -17,29 +19,30 @@
 from eldercart.units import DISTANT_FUTURE, JobId, MonotonicTime
 from eldercart.wire.users import CANCELLED
 
-RETRY_INITIAL_S, RETRY_MAX_S = 0.5, 5.0  # before an end that was not found is looked up again
+# Delays before an end record that was not found is looked up again.
+RETRY_INITIAL_S, RETRY_MAX_S = 0.5, 5.0
 
 
 @dataclass(slots=True)
 class DependencyEffect:
-    """What an end, or a new job, brings about."""
+    """The jobs whose readiness or state changes when a job is added, starts or ends."""
 
-    ready: list[Job] = field(default_factory=list)  # may start from now on
-    # An upstream job is durably cancelled, and these with it.
+    ready: list[Job] = field(default_factory=list)  # jobs that may start now
+    # Jobs that are cancelled because an upstream job is durably cancelled.
     upstream_cancelled: list[Job] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class _EndLookup:
-    """An end that must be read from the store."""
+    """The schedule for reading an end record from the state store."""
 
     due_at: MonotonicTime
     retry_s: float = RETRY_INITIAL_S
 
 
 class DependencyGraph:
-    """The edges between jobs; and each job's priority and deadline as those downstream need
-    them."""
+    """Owns the edges between jobs, and the priorities and deadlines that jobs inherit from those
+    downstream."""
 
     def __init__(
         self,
@@ -47,14 +50,17 @@
         remaining_s: Callable[[Job], float],
         own_deadline: Callable[[Job], MonotonicTime],
     ) -> None:
-        """`remaining_s`: how long a job is estimated to take once it is ready; `own_deadline`: by
-        when it should be done for its own user."""
+        """Create an empty graph over the jobs of the registry.
+
+        `remaining_s` returns how long a job is estimated to take once it is ready. `own_deadline`
+        returns when the job should be done according to its own submission.
+        """
         self._jobs = jobs
         self._remaining_s = remaining_s
         self._own_deadline = own_deadline
-        # Job -> those that wait for its end. Only ends that are outstanding have an entry.
+        # The jobs that wait for the end of a job, by its id. Jobs that have ended have no entry.
         self._dependents: dict[JobId, dict[JobId, Job]] = {}
-        # Awaited, but not in the job registry: ended, most likely.
+        # Dependencies that are not in the job registry; most of them have ended.
         self._end_lookups: dict[JobId, _EndLookup] = {}
 
     def dependents(self, job_id: JobId) -> Iterable[Job]:
@@ -64,7 +70,7 @@
     # -- events
 
     def add(self, job: Job, now: MonotonicTime) -> DependencyEffect:
-        """Add a job that has come into the job registry."""
+        """Add a job that was just added to the job registry."""
         self._end_lookups.pop(job.id, None)
         effect = DependencyEffect()
         if job.is_ready:
@@ -81,15 +87,18 @@
             if upstream is None:
                 self._end_lookups[upstream_id] = _EndLookup(now)
         self._mark_ready_if_unblocked(job, now, effect)
-        for dependent in self.dependents(job.id):  # which came before it, as in a failover
+        # A new leader may load dependents before their dependency.
+        for dependent in self.dependents(job.id):
             job.priority = max(job.priority, dependent.priority)
             job.deadline_at = min(job.deadline_at, self._deadline_for_dependency(dependent))
         self._raise_upstream(job)
         return effect
 
     def on_job_started(self, job: Job, now: MonotonicTime) -> DependencyEffect:
-        """Apply that a placement of the job is recorded: it was ready when that was written, and
-        remains so."""
+        """Mark a job as ready because it has a stored placement.
+
+        Only a ready job is placed, and a ready job remains ready.
+        """
         effect = DependencyEffect()
         for upstream_id in list(job.unmet_dependencies):
             self._remove_edge(upstream_id, job)
@@ -97,7 +106,7 @@
         return effect
 
     def on_job_ended(self, job_id: JobId, outcome: str, now: MonotonicTime) -> DependencyEffect:
-        """Apply the durable end of a job, in the job registry or not."""
+        """Apply the durable end of a job, which need not be in the job registry."""
         effect = DependencyEffect()
         self._end_lookups.pop(job_id, None)
         dependents = self._dependents.pop(job_id, {})
@@ -113,11 +122,12 @@
         return effect
 
     def may_be_cancelled_upstream(self, job: Job) -> bool:
-        """Return whether an upstream job may have been cancelled durably without this leader
-        knowing: its end is not read yet, or was sent and not answered.
+        """Return whether an upstream job may be durably cancelled without this leader knowing.
 
-        Another node, or the leader before, may have told the user so of this job, too, and
-        `pending` would go back on that."""
+        That is possible while the upstream job's end record has not been read, or while a write of
+        its cancellation is unanswered. Another node or the previous leader may already have
+        reported this job as cancelled, and reporting it as `pending` would contradict that.
+        """
         if not job.unmet_dependencies:
             return False
         seen: set[JobId] = set()
@@ -137,25 +147,29 @@
 
     @property
     def has_end_lookups(self) -> bool:
-        """Whether the end of an awaited job is not known yet."""
+        """Whether any dependency has an end record that must still be looked up."""
         return bool(self._end_lookups)
 
     def take_due_end_lookups(self, now: MonotonicTime, limit: int) -> list[JobId]:
-        """Return at most `limit` jobs whose ends must be read now."""
+        """Return at most `limit` jobs whose end records must be read now."""
         if not self._end_lookups or limit <= 0:
             return []
         due: list[JobId] = []
         for job_id, lookup in self._end_lookups.items():
             if lookup.due_at <= now:
                 due.append(job_id)
-                lookup.due_at = MonotonicTime(now + RETRY_MAX_S)  # in flight
+                # The lookup is in flight; without a result it is repeated then.
+                lookup.due_at = MonotonicTime(now + RETRY_MAX_S)
                 if len(due) >= limit:
                     break
         return due
 
     def on_end_not_found(self, job_id: JobId, now: MonotonicTime) -> None:
-        """Apply that a read found no end of the job, or could not be made: it is open and comes
-        with a watch, or its record can't be read. Whoever waits for it goes on waiting."""
+        """Schedule another lookup after a read that failed or found no end record.
+
+        Either the job has not ended, and a watch event will add it, or its record can't be read.
+        Its dependents continue to wait.
+        """
         lookup = self._end_lookups.get(job_id)
         if lookup is not None:
             lookup.due_at = MonotonicTime(now + lookup.retry_s)
@@ -181,8 +195,10 @@
                 self._end_lookups.pop(upstream_id, None)
 
     def _cancel_downstream(self, jobs: Iterable[Job], effect: DependencyEffect) -> None:
-        """Cancel these jobs and all that need them; what they waited for beside the cancelled job
-        is needed by the others only."""
+        """Mark these jobs and all jobs downstream as cancelled.
+
+        Their other dependencies no longer inherit a priority or deadline from them.
+        """
         to_cancel = list(jobs)
         released: set[JobId] = set()
         while to_cancel:
@@ -197,13 +213,13 @@
                 self._remove_edge(upstream_id, job)
         self._lower_upstream(released)
 
-    # -- what upstream jobs inherit
+    # -- inherited priorities and deadlines
 
     def _raise_upstream(self, job: Job) -> None:
-        """Apply that a job has come: those upstream of it have at least its priority, and an early
-        enough deadline."""
-        # In rounds, each job at most once in one: of two paths to the same job the longer one
-        # counts, and depth first each meeting of paths could double the work before it.
+        """Raise the priorities and bring forward the deadlines of all jobs upstream of this one."""
+        # This is breadth-first, and each level holds a job at most once. Of two paths to a job the
+        # longer one determines its deadline. A depth-first search could therefore visit everything
+        # upstream of each junction once per path, which doubles the work at every junction.
         to_visit = [job]
         while to_visit:
             raised: dict[JobId, Job] = {}
@@ -212,7 +228,7 @@
             to_visit = list(raised.values())
 
     def _raise_direct_dependencies(self, dependent: Job, raised: dict[JobId, Job]) -> None:
-        """Raise the jobs that this one awaits; those that change are added to `raised`."""
+        """Raise the direct dependencies of a job; those that change are added to `raised`."""
         if not dependent.unmet_dependencies:
             return
         priority = dependent.priority
@@ -228,20 +244,25 @@
             raised[upstream_id] = upstream
 
     def _deadline_for_dependency(self, dependent: Job) -> MonotonicTime:
-        """Return by when the jobs that this one awaits should be done."""
+        """Return when the dependencies of this job should be done."""
         deadline_at = min(dependent.deadline_at, self._own_deadline(dependent))
         return MonotonicTime(deadline_at - self._remaining_s(dependent))
 
     def _release_dependencies(self, job: Job) -> None:
-        """Apply that a job that waited has ended: those upstream are needed by the others only."""
+        """Remove the edges to the dependencies of a job that ended while waiting for them.
+
+        The dependencies no longer inherit a priority or deadline from it.
+        """
         upstream_ids = list(job.unmet_dependencies)
         for upstream_id in upstream_ids:
             self._remove_edge(upstream_id, job)
         self._lower_upstream(upstream_ids)
 
     def _lower_upstream(self, job_ids: Iterable[JobId]) -> None:
-        """Find anew what these jobs inherit, which fewer others need, and for those upstream of
-        them as long as it changes; in rounds as in `_raise_upstream`, for the same reason."""
+        """Recompute what jobs that lost a dependent inherit, and propagate changes upstream.
+
+        This is breadth-first for the same reason as in `_raise_upstream`.
+        """
         to_visit = set(job_ids)
         while to_visit:
             lowered: set[JobId] = set()
@@ -254,7 +275,7 @@
             to_visit = lowered
 
     def _recompute_inherited(self, job: Job) -> bool:
-        """Find anew what the job inherits from its dependents; return whether it has changed."""
+        """Recompute the inherited priority and deadline; return whether either has changed."""
         priority, deadline_at = job.spec.priority, DISTANT_FUTURE
         for dependent in self.dependents(job.id):
             priority = max(priority, dependent.priority)
@@ -269,5 +290,5 @@
 
 
 def _may_be_cancelled(job: Job) -> bool:
-    """Return whether a cancellation of the job was sent to the store and not answered."""
+    """Return whether the write of the job's cancellation was sent and is not confirmed yet."""
     return job.is_cancelled and job.is_end_write_sent and job.outcome is None
--- a/src/eldercart/jobs/job.py
+++ b/src/eldercart/jobs/job.py
@@ -1,15 +1,16 @@
 """A job, its chunks of tasks and the placements of its tasks.
 
 A job's tasks are divided into chunks that fit the state store's value limit. The stored part of a
-chunk holds the done tasks as ranges, the placements, and the highest attempt used, from which new
-attempts are counted on.
-
-A job keeps the chunk size of its record. If the value limit falls, a chunk may be too large for it.
-It is then divided into subchunks, and each of these says in its part where it begins and how many
-tasks it covers. For any task the smallest part that covers it counts. Division only goes finer, and
-a subchunk goes on from the highest attempt of its chunk, so that no attempt is used twice. A late
-copy of a transaction with the chunk's part may make that part the newest of all in the store. It is
-older all the same, whatever its version says, and the parts of the subchunks prevail.
+chunk holds the done tasks as ranges, the placements, and the highest attempt number used; new
+attempts are numbered from there.
+
+A job keeps the chunk size of its record. If the value limit is lowered, a chunk may exceed it. The
+chunk is then divided into subchunks, and the part of each subchunk states its first task and its
+number of tasks. If several parts cover a task, the smallest of them is authoritative. Subchunks are
+divided further but never merged, and a subchunk continues from the highest attempt of its chunk, so
+that no attempt number is used twice. A delayed duplicate of a transaction may write the part of the
+undivided chunk again and give it the newest version in the store. Its content is older
+nevertheless, so the parts of the subchunks take precedence whatever the versions are.
 """
 
 from bisect import bisect_right
@@ -36,30 +37,29 @@
 )
 from eldercart.wire.users import DependencyListReference, JobSpec
 
-MACHINE_AVOIDANCE_S = (
-    40.0  # for which a job keeps off a machine where its tasks failed or were slow
-)
-MAX_RUN_TIMES = 60  # of a job that are remembered
-DROPPED_RUN_TIMES = 30  # the oldest, when there are more
+# How long a job avoids a machine on which its tasks failed or were slow.
+MACHINE_AVOIDANCE_S = 40.0
+MAX_RUN_TIMES = 60  # run times kept for each job
+DROPPED_RUN_TIMES = 30  # the oldest run times, dropped together when the maximum is exceeded
 
 
 class PlacementPhase(IntEnum):
-    """The phases of a placement, in their order."""
+    """The phases of a placement, in the order in which they occur."""
 
-    PLANNED = 0  # not yet durable: nothing may be sent
-    COMMITTED = 1  # durable; launched or to be launched
+    PLANNED = 0  # not durable yet, so no launch may be sent
+    COMMITTED = 1  # durable; a launch was or will be sent
     FETCHING = 2
     RUNNING = 3
     SAVING = 4
-    ENDED = 5  # over; stays until the record says so
+    ENDED = 5  # kept in memory until the end of the placement is durable
 
 
 class EndWrite(Enum):
-    """How far the write of a job's end is, until its outcome is known to be durable."""
+    """The state of the write of a job's end record, until the record is known to be durable."""
 
-    NOT_SENT = "not sent"  # nor can one that was sent be carried out any more
+    NOT_SENT = "not sent"  # no write was sent that can still be applied
     SENT = "sent"
-    INDETERMINATE = "indeterminate"  # one that was sent may still be carried out late
+    INDETERMINATE = "indeterminate"  # a write that was sent may still be applied later
 
 
 @dataclass(slots=True, eq=False)
@@ -72,25 +72,25 @@
     attempt: Attempt
     machine_id: MachineId
     phase: PlacementPhase = PlacementPhase.PLANNED
-    may_have_launched: bool = False  # a launch was sent, or may have been by an earlier leader
-    is_enqueued: bool = False  # waits on its machine for room; nothing was sent
+    may_have_launched: bool = False  # this or an earlier leader may have sent a launch
+    is_enqueued: bool = False  # waits for capacity on its machine; no launch was sent
     enqueued_at: MonotonicTime = MONOTONIC_ZERO
     is_terminating: bool = False
-    started_at: MonotonicTime = MONOTONIC_ZERO  # start of running, as seen here
-    is_start_known: bool = True  # False: it ran already when this leader first saw it
+    started_at: MonotonicTime = MONOTONIC_ZERO  # when this leader first saw it running
+    is_start_known: bool = True  # False if loaded from a record: its run time is seen only in part
     has_been_reported: bool = False
     priority_at_placement: int = 0
-    is_exempt_from_preemption: bool = False  # one of the first of a job that waited too long
-    last_heartbeat_number: int = 0  # of the last heartbeat that listed it, as the reconciler counts
-    unacknowledged_commands: int = 0  # launches or kills that were sent without effect so far
+    is_exempt_from_preemption: bool = False  # one of the first tasks of a starving job
+    last_heartbeat_number: int = 0  # the reconciler's number of the last heartbeat that listed it
+    unacknowledged_commands: int = 0  # launches or kills that were sent and had no effect so far
 
     def run_time_s(self, now: MonotonicTime) -> float:
-        """Return the seconds that the task has been running, as seen here; 0 if it is not."""
+        """Return for how many seconds this leader has seen the task running; 0 if it is not."""
         return now - self.started_at if self.phase is PlacementPhase.RUNNING else 0.0
 
 
 class EncodedPart(NamedTuple):
-    """A chunk as a placement record holds it."""
+    """A chunk as it is stored in a placement record."""
 
     value: list[Any]
     size_bytes: int
@@ -98,18 +98,18 @@
 
 @dataclass(slots=True, eq=False)
 class Chunk:
-    """A run of a job's tasks that share one part of a placement record."""
+    """A range of a job's tasks that are stored together as one part of a placement record."""
 
     first_index: int
-    end_index: int  # the task after its last
+    end_index: int  # exclusive
     is_subchunk: bool = False  # smaller than the chunk size in the job's record
     highest_attempt: Attempt = NO_ATTEMPT
     is_dirty: bool = False
     is_urgent: bool = False  # holds a placement that waits to be launched
     dirty_since: MonotonicTime = MONOTONIC_ZERO
-    placements: dict[int, Placement] = field(default_factory=dict)  # by task
-    record_key: str | None = None  # of the placement record that holds it
-    reserved_bytes: int = 0  # of that record
+    placements: dict[int, Placement] = field(default_factory=dict)  # by task index
+    record_key: str | None = None  # the placement record that contains it
+    reserved_bytes: int = 0  # the space reserved for it in that record
     last_written: EncodedPart | None = None
 
     @property
@@ -130,8 +130,8 @@
     ) -> None:
         """Create an open job without placements.
 
-        `tasks_per_chunk` is what the job's record says; `dependency_list_reference` is where its
-        list of dependencies is stored, if its record does not hold it.
+        `tasks_per_chunk` is the value in the job's record. `dependency_list_reference` locates the
+        list of dependencies if it is stored outside the record.
         """
         # Specification.
         self.spec = spec
@@ -140,41 +140,44 @@
         self.submitted_at = submitted_at
         self.dependency_list_reference = dependency_list_reference
         # Dependencies; owned by the dependency graph.
-        self.unmet_dependencies: set[JobId] = set()  # that are not known to be done
-        self.is_ready = not spec.dependencies  # all dependencies are done, durably
-        self.ready_at = submitted_at  # from when its waiting counts
-        self.upstream_cancelled = False  # a dependency's cancellation is durable, so is its own
-        self.priority = spec.priority  # the highest of any job that needs it
-        self.deadline_at = DISTANT_FUTURE  # when it should be done for the jobs that need it
+        self.unmet_dependencies: set[JobId] = set()  # dependencies not known to be done
+        self.is_ready = not spec.dependencies  # all dependencies are durably done
+        self.ready_at = submitted_at  # the start of its waiting time
+        # True if an upstream job is durably cancelled, which cancels this job durably as well.
+        self.upstream_cancelled = False
+        self.priority = spec.priority  # the highest of its own and those of its dependents
+        self.deadline_at = DISTANT_FUTURE  # inherited from its dependents; excludes its own
         # Progress of its tasks.
         self.done_flags = bytearray(spec.task_count)
         self.done_count = 0
         self.running_count = 0
-        self.enqueued_count = 0  # tasks that wait in the queue of a machine
-        self.next_unplaced_index = 0  # the first task that was never placed
-        self.retry_indexes: list[int] = []  # tasks to be placed once more
-        self.has_started = False  # a task has run, here or under an earlier leader
-        self.chunks: dict[int, Chunk] = {}  # by first task
-        self.subchunk_starts: dict[int, list[int]] = {}  # first tasks, by number of the chunk
+        self.enqueued_count = 0  # tasks that wait in the prelaunch queue of a machine
+        self.next_unplaced_index = 0  # all tasks from here on were never placed
+        self.retry_indexes: list[int] = []  # tasks to be placed again, the next one last
+        self.has_started = False  # a task has run under this or an earlier leader
+        self.chunks: dict[int, Chunk] = {}  # by first task index
+        self.subchunk_starts: dict[int, list[int]] = {}  # first task indexes, by chunk number
         # Lifecycle.
         self.is_cancelled = False  # requested; durable once `outcome` is set
-        self.cancelled_at = MonotonicTime(0)  # when it was requested, of whichever leader
-        self.kill_deadline_at = MonotonicTime(0)  # after it, machines with its tasks are deleted
+        self.cancelled_at = MonotonicTime(0)  # when it was requested, possibly of an earlier leader
+        # Once cancelled, machines that still have its tasks after this time are deleted.
+        self.kill_deadline_at = MonotonicTime(0)
         self.end_write = EndWrite.NOT_SENT
         self.outcome: str | None = None  # `DONE` or `CANCELLED` once that is durable
         self.has_unreadable_record = False  # none of its tasks may start
         # Scheduling.
-        self.is_starving = False  # has waited so long that it goes ahead, see `planner.Planner`
-        self.is_deferred = False  # its objectives can't be met any more
-        self.queue_position = 0  # in the order of the last planning pass
+        self.is_starving = False  # has waited too long to start and gets extra turns, see `Planner`
+        self.is_deferred = False  # ordered after jobs that can still meet their objectives
+        self.queue_position = 0  # its position in the last planning pass
         self.last_placed_at = DISTANT_PAST
-        self.prefers_on_demand = False  # it lost work to the cloud: retries avoid spot machines
+        # It lost work on a deleted spot machine, so its retries prefer on-demand machines.
+        self.prefers_on_demand = False
         # Failures and run times.
         self.error_count = 0
         self.backoff_until = DISTANT_PAST
-        self.avoided_machines: dict[MachineId, MonotonicTime] = {}  # until when
-        self.run_times_s: list[float] = []  # the last ones seen, for comparison
-        self.longest_run_time_s = 0.0  # of these
+        self.avoided_machines: dict[MachineId, MonotonicTime] = {}  # end of avoidance
+        self.run_times_s: list[float] = []  # the most recent run times of its tasks
+        self.longest_run_time_s = 0.0  # the maximum of `run_times_s`
 
     @property
     def unplaced_count(self) -> int:
@@ -183,9 +186,9 @@
 
     @property
     def is_runnable(self) -> bool:
-        """Whether its tasks may start.
+        """Whether the job's tasks may start.
 
-        It must be ready, neither ended nor cancelled, and all its records must be readable.
+        The job must be ready, neither ended nor cancelled, and all its records must be readable.
         """
         return (
             self.outcome is None
@@ -196,27 +199,27 @@
 
     @property
     def is_end_write_sent(self) -> bool:
-        """Whether its end may be in the store, so that other nodes may tell it."""
+        """Whether its end record may be in the store, so that other nodes may report it."""
         return self.end_write is not EndWrite.NOT_SENT
 
     @property
     def is_complete(self) -> bool:
-        """Whether all tasks are done according to heartbeats, which need not be durable yet."""
+        """Whether all tasks are done according to heartbeats; this need not be durable yet."""
         return self.done_count == self.spec.task_count
 
     @property
     def has_live_placements(self) -> bool:
-        """Whether any of its placements is not over."""
+        """Whether any of its placements has not ended."""
         return any(placement.phase is not PlacementPhase.ENDED for placement in self.placements())
 
     def avoid_machine(self, machine_id: MachineId, now: MonotonicTime) -> None:
-        """Keep the job off a machine for a while, because its tasks fared badly there."""
+        """Avoid a machine for `MACHINE_AVOIDANCE_S`, because tasks failed or were slow there."""
         self.avoided_machines[machine_id] = MonotonicTime(now + MACHINE_AVOIDANCE_S)
 
     def avoids_machine(self, machine_id: MachineId, now: MonotonicTime) -> bool:
-        """Return whether the job keeps off the machine for now.
+        """Return whether the job currently avoids the machine.
 
-        That ends after a while, since all other machines may be full, or deleted.
+        Avoidance expires, since all other machines may become full or be deleted.
         """
         return (
             bool(self.avoided_machines)
@@ -224,7 +227,7 @@
         )
 
     def record_run_time(self, seconds: float) -> None:
-        """Record how long a task has run."""
+        """Record the run time of a task, and drop the oldest run times if there are too many."""
         self.run_times_s.append(seconds)
         if len(self.run_times_s) > MAX_RUN_TIMES:
             del self.run_times_s[:DROPPED_RUN_TIMES]
@@ -237,12 +240,12 @@
             yield from chunk.placements.values()
 
     def chunk_range(self, number: int) -> tuple[int, int]:
-        """Return the first task of a chunk of the job's own size and the task after its last."""
+        """Return the first task index and the exclusive end index of an undivided chunk."""
         first_index = number * self.tasks_per_chunk
         return first_index, min(first_index + self.tasks_per_chunk, self.spec.task_count)
 
     def chunk_for(self, index: int) -> Chunk:
-        """Return the chunk that covers the task; it is created if there is none yet."""
+        """Return the chunk that covers the task; create it if it does not exist yet."""
         number = index // self.tasks_per_chunk
         starts = self.subchunk_starts.get(number)
         first_index, end_index = self.chunk_range(number)
@@ -254,14 +257,14 @@
         return chunk
 
     def refresh_subchunk_starts(self, number: int) -> None:
-        """Recompute where the subchunks of a chunk begin, after it was divided or loaded so."""
+        """Recompute the first tasks of a chunk's subchunks after it was divided or loaded."""
         first_index, end_index = self.chunk_range(number)
         self.subchunk_starts[number] = sorted(
             start for start in self.chunks if first_index <= start < end_index
         )
 
     def encode_part(self, chunk: Chunk) -> list[Any]:
-        """Return the chunk as a placement record holds it."""
+        """Return the chunk encoded as a part of a placement record."""
         placements = [
             placement
             for placement in chunk.placements.values()
@@ -273,7 +276,7 @@
         return encode_part(self.id, chunk.first_index // self.tasks_per_chunk, content)
 
     def _done_ranges(self, chunk: Chunk) -> list[tuple[int, int]]:
-        """Return the first and last task of each run of done tasks in the chunk."""
+        """Return the first and last index of each range of consecutive done tasks in the chunk."""
         ranges: list[tuple[int, int]] = []
         first = self.done_flags.find(1, chunk.first_index, chunk.end_index)
         while first >= 0:
--- a/src/eldercart/jobs/registry.py
+++ b/src/eldercart/jobs/registry.py
@@ -1,4 +1,4 @@
-"""The registry of the jobs that the leader knows, which makes all changes to their tasks."""
+"""The leader's registry of jobs, which makes all changes to their tasks and placements."""
 
 from typing import Any
 
@@ -10,10 +10,10 @@
 
 
 class JobRegistry:
-    """Owns the jobs."""
+    """Owns the leader's jobs, and all changes to their tasks, chunks and placements."""
 
     def __init__(self) -> None:
-        """Create a registry without jobs."""
+        """Create an empty registry."""
         self.jobs: dict[JobId, Job] = {}
 
     def __contains__(self, job_id: JobId) -> bool:
@@ -31,7 +31,7 @@
         submitted_at: MonotonicTime,
         dependency_list_reference: DependencyListReference | None = None,
     ) -> Job:
-        """Add a job that was accepted by this node or another one; see `Job` for the arguments."""
+        """Add a job that this or another node accepted; see `Job` for the arguments."""
         job = Job(spec, tasks_per_chunk, submitted_at, dependency_list_reference)
         self.jobs[spec.id] = job
         return job
@@ -40,20 +40,23 @@
         """Remove a job whose record is deleted."""
         self.jobs.pop(job.id, None)
 
-    # -- loading what an earlier leader wrote
+    # -- loading the records of an earlier leader
 
     def load_chunk(
         self, job: Job, chunk: Chunk, value: Any, *, covers_whole_part: bool = True
     ) -> list[Placement]:
         """Load a chunk from the stored content of a part and return its placements.
 
-        Each of them may be on its machine. Unless `covers_whole_part`, the part covers more tasks
-        than the chunk, and other parts count for those. Raises `MalformedMessageError` for a part
-        that can't be read; the job is unchanged then.
+        Each of the placements may be on its machine. If `covers_whole_part` is false, the part
+        covers more tasks than the chunk, and other parts are authoritative for the other tasks.
+        Raises `MalformedMessageError` and leaves the job unchanged if the part can't be read.
         """
         part = decode_part_content(value)
         if any(last >= job.spec.task_count for _, last in part.done_ranges):
-            raise MalformedMessageError(f"place record: {part.done_ranges}")
+            raise MalformedMessageError(
+                f"placement record: done ranges {part.done_ranges} exceed the job's"
+                f" {job.spec.task_count} tasks"
+            )
         chunk.highest_attempt = max(chunk.highest_attempt, part.highest_attempt)
         job.chunks[chunk.first_index] = chunk
         self._load_done_tasks(job, chunk, part, covers_whole_part=covers_whole_part)
@@ -68,7 +71,7 @@
                 attempt,
                 machine_id,
                 PlacementPhase.COMMITTED,
-                may_have_launched=True,  # whoever wrote it may have launched it
+                may_have_launched=True,  # by the leader that wrote the record
             )
             chunk.placements[index] = placement
             loaded.append(placement)
@@ -87,7 +90,7 @@
         job.has_started = job.has_started or bool(part.done_ranges)
 
     def finish_load(self, job: Job) -> None:
-        """Work out which tasks still have to be placed, once all chunks of the job are loaded."""
+        """Derive the tasks that must still be placed, once all chunks of the job are loaded."""
         job.next_unplaced_index = max((chunk.end_index for chunk in job.chunks.values()), default=0)
         divided = {
             chunk.first_index // job.tasks_per_chunk
@@ -107,7 +110,7 @@
     def _fill_gaps(self, job: Job, number: int) -> None:
         """Add subchunks for the tasks of a chunk that no loaded subchunk covers.
 
-        No record tells of them, so they were never launched.
+        No record mentions these tasks, so they were never launched.
         """
         first_index, end_index = job.chunk_range(number)
         loaded = [
@@ -126,8 +129,8 @@
     def subdivide_chunk(self, job: Job, chunk: Chunk, max_tasks: int) -> list[Chunk]:
         """Divide the chunk into subchunks of at most `max_tasks` tasks.
 
-        All of them wait to be written, since together they take the place of the chunk, which is
-        not written any more.
+        All subchunks are marked dirty, since together they replace the chunk, which is not written
+        any more.
         """
         subchunks = []
         for first_index in range(chunk.first_index, chunk.end_index, max_tasks):
@@ -157,7 +160,7 @@
     def mark_dirty(
         self, job: Job, chunk: Chunk, now: MonotonicTime, *, is_urgent: bool = False
     ) -> None:
-        """Note that the chunk must be written; an urgent one holds a placement to be launched."""
+        """Mark the chunk to be written; it is urgent if a placement in it waits to be launched."""
         if not chunk.is_dirty:
             chunk.is_dirty = True
             chunk.dirty_since = now
@@ -166,7 +169,7 @@
     # -- tasks and placements
 
     def take_unplaced_tasks(self, job: Job, max_tasks: int) -> list[int]:
-        """Take up to `max_tasks` tasks that wait to be placed, those to be retried first."""
+        """Remove and return up to `max_tasks` unplaced tasks, those to be retried first."""
         taken = []
         while max_tasks > 0 and job.retry_indexes:
             taken.append(job.retry_indexes.pop())
@@ -179,7 +182,7 @@
     def add_placement(
         self, job: Job, index: int, machine_id: MachineId, now: MonotonicTime
     ) -> Placement:
-        """Add a placement of the task, which must be durable before anything is sent."""
+        """Add a placement of the task; it must be durable before a launch is sent."""
         chunk = job.chunk_for(index)
         chunk.highest_attempt = Attempt(chunk.highest_attempt + 1)
         placement = Placement(
@@ -190,18 +193,18 @@
         return placement
 
     def mark_enqueued(self, placement: Placement, now: MonotonicTime) -> None:
-        """Note that the placement waits on its machine for room."""
+        """Mark the placement as waiting for capacity on its machine."""
         placement.is_enqueued = True
         placement.enqueued_at = now
         placement.job.enqueued_count += 1
 
     def mark_dequeued(self, placement: Placement) -> None:
-        """Note that the placement does not wait for room any more."""
+        """Mark the placement as no longer waiting for capacity."""
         placement.is_enqueued = False
         placement.job.enqueued_count -= 1
 
     def set_phase(self, placement: Placement, phase: PlacementPhase, now: MonotonicTime) -> None:
-        """Change the phase, and with it the job's number of running tasks."""
+        """Change the phase of the placement and update the job's number of running tasks."""
         if phase is placement.phase:
             return
         if phase is PlacementPhase.RUNNING:
@@ -213,7 +216,7 @@
         placement.phase = phase
 
     def mark_done(self, placement: Placement, now: MonotonicTime) -> None:
-        """Note that the task is done; the placement stays, ended, until that is durable."""
+        """Mark the task as done; its ended placement is kept until that is durable."""
         job = placement.job
         self.set_phase(placement, PlacementPhase.ENDED, now)
         if not job.done_flags[placement.index]:
@@ -222,9 +225,9 @@
         self.mark_dirty(job, job.chunk_for(placement.index), now)
 
     def remove_placement(self, placement: Placement, now: MonotonicTime, *, retry: bool) -> None:
-        """Remove a placement that is proven not to be on its machine.
+        """Remove a placement whose task is proven not to be on its machine.
 
-        With `retry`, the task is placed once more, unless it is done or its job is cancelled.
+        With `retry`, the task is placed again, unless it is done or its job is cancelled.
         """
         job = placement.job
         self.set_phase(placement, PlacementPhase.ENDED, now)
