--- a/src/eldercart/jobs/job.py
+++ b/src/eldercart/jobs/job.py
@@ -76,7 +76,7 @@
     is_enqueued: bool = False  # waits for capacity on its machine; no launch was sent
     enqueued_at: MonotonicTime = MONOTONIC_ZERO
     is_terminating: bool = False
-    started_at: MonotonicTime = MONOTONIC_ZERO  # when this leader first saw it running
+    started_at: MonotonicTime = MONOTONIC_ZERO  # the time at which this leader first saw it running
     is_start_known: bool = True  # False if loaded from a record: its run time is seen only in part
     has_been_reported: bool = False
     priority_at_placement: int = 0
@@ -158,8 +158,8 @@
         self.chunks: dict[int, Chunk] = {}  # by first task index
         self.subchunk_starts: dict[int, list[int]] = {}  # first task indexes, by chunk number
         # Lifecycle.
-        self.is_cancelled = False  # requested; durable once `outcome` is set
-        self.cancelled_at = MonotonicTime(0)  # when it was requested, possibly of an earlier leader
+        self.is_cancelled = False  # a cancellation was requested; durable once `outcome` is set
+        self.cancelled_at = MonotonicTime(0)  # time of the request, possibly to an earlier leader
         # Once cancelled, machines that still have its tasks after this time are deleted.
         self.kill_deadline_at = MonotonicTime(0)
         self.end_write = EndWrite.NOT_SENT
--- a/src/eldercart/jobs/registry.py
+++ b/src/eldercart/jobs/registry.py
@@ -71,7 +71,7 @@
                 attempt,
                 machine_id,
                 PlacementPhase.COMMITTED,
-                may_have_launched=True,  # by the leader that wrote the record
+                may_have_launched=True,  # the leader that wrote the record may have launched it
             )
             chunk.placements[index] = placement
             loaded.append(placement)
