--- a/src/eldercart/scheduling/scheduler.py
+++ b/src/eldercart/scheduling/scheduler.py
@@ -1,18 +1,18 @@
-"""The leader's state machine: heartbeats, jobs and results in; commands, writes and requests out.
+"""The leader's state machine: processes events and produces commands, writes and requests.
 
-It holds no clock and does no I/O. Inputs are method calls with the time at which they happened:
+It reads no clock and does no I/O. Its inputs are method calls that carry the time of the event:
 heartbeats (`on_heartbeat`), submissions and job records (`add_job`, `load_job_record`), users'
-requests (`job_status`, `cancel_job`), results of what it asked for (`on_transaction_result`,
+requests (`job_status`, `cancel_job`), results of earlier outputs (`on_transaction_result`,
 `on_key_refreshed`, `on_end_lookup_result`, `on_cloud_response`, `on_direct_kill_response`,
-`record_probe_success`) and the passing of time (`tick`, `plan`). Outputs are typed values that the
-adapters take and carry out: `Command`, `PendingTransaction`, `CloudRequest`, `DirectKill`, `Probe`
-and `FinishedJob`.
+`record_probe_success`) and the passage of time (`tick`, `plan`). Its outputs are typed values that
+the adapters fetch and execute: `Command`, `PendingTransaction`, `CloudRequest`, `DirectKill`,
+`Probe` and `FinishedJob`.
 
-Three invariants are maintained here and in the parts that it composes, and nowhere else:
+This module and the parts that it composes, and no others, maintain three invariants:
 
-* a launch is sent only for a placement whose record is durable;
-* a task moves only when its old place is proven empty;
-* an end is announced only once it is durable.
+* a launch command is sent only after the placement's record is durable;
+* a task is placed again only after it is proven absent from its previous machine;
+* a job's end is announced only after it is durable.
 """
 
 import logging
@@ -63,31 +63,34 @@
 
 log = logging.getLogger("eldercart.controller")
 
-AUTOSCALING_MIN_INTERVAL_S = 0.3  # between two comparisons of demand and supply
-AUTOSCALING_INTERVAL_S = 1.0  # unless one is requested earlier
+AUTOSCALING_MIN_INTERVAL_S = 0.3  # between the starts of two autoscaling runs
+AUTOSCALING_INTERVAL_S = 1.0  # to the next autoscaling run, unless one is requested earlier
 SUMMARY_INTERVAL_S = 10.0
 
 
 class LookupFailure(Enum):
-    """Why the leader can't give the state of a job."""
+    """Why the leader cannot return the state of a job."""
 
-    UNKNOWN_JOB = "unknown"  # not in its registry; a read of the store can tell
-    UNDECIDED = "undecided"  # the job's end may be durable already, or is being written
+    # The job is not in the leader's registry, or its state there may be outdated. The caller reads
+    # the state from the store.
+    UNKNOWN_JOB = "unknown"
+    # The job's end is waiting to be written, is being written, or may already be durable.
+    UNDECIDED = "undecided"
 
 
 @dataclass(frozen=True, slots=True)
 class JobStatus:
-    """The state of a job as it is given to users."""
+    """The state of a job as reported to users."""
 
     state: str
     done_count: int
     running_count: int
-    # Some of the jobs that it depends on and that are not done.
+    # At most `MAX_LISTED_DEPENDENCIES` of the jobs that it depends on and that are not done.
     unmet_dependencies: tuple[JobId, ...] = ()
 
 
 class Scheduler:
-    """The leader's state machine: takes events with their times, hands out the work they cause."""
+    """The leader's state machine: processes timed events and hands out the resulting work."""
 
     def __init__(
         self,
@@ -99,10 +102,10 @@
         wall_time: WallTime,
         incarnation: IncarnationId = DEFAULT_INCARNATION,
     ) -> None:
-        """Start a leadership with the machine types known so far.
+        """Initialize a leadership with the machine types known so far.
 
-        `token` is its fencing token, `wall_time` the time of day at `now`, `incarnation` this
-        start of this process.
+        `token` is the leadership's fencing token, `wall_time` the wall-clock time at `now`.
+        `incarnation` identifies this run of the process.
         """
         self.settings = settings
         self.tuning = tuning
@@ -143,7 +146,7 @@
         )
 
     def load_job_record(self, item: Item, now: MonotonicTime) -> None:
-        """Add the job of a job record, from a read or a watch."""
+        """Add the job of a job record that a read or a watch returned."""
         self._loader.load_job_record(item, now)
 
     def add_job(
@@ -160,7 +163,7 @@
     # -- users' requests
 
     def job_status(self, job_id: JobId) -> JobStatus | LookupFailure:
-        """Return the job's state as far as this leader may announce it."""
+        """Return the job's state, or why this leader cannot announce one."""
         job = self.jobs.get(job_id)
         if job is None:
             return LookupFailure.UNKNOWN_JOB
@@ -169,11 +172,11 @@
         if job.upstream_cancelled:
             return JobStatus(users.CANCELLED, job.done_count, 0)
         if job.is_end_write_sent:
-            # The end may be durable and announced elsewhere: an older state would be a step back.
-            # As long as it was not sent, nobody can have seen it, however long it must wait.
+            # The end may be durable and another node may have announced it: an earlier state would
+            # contradict that. Until the write is sent, no node can have read the end.
             return LookupFailure.UNDECIDED
         if job.unmet_dependencies and self._may_be_upstream_cancelled(job):
-            return LookupFailure.UNKNOWN_JOB  # a fresh read can tell
+            return LookupFailure.UNKNOWN_JOB  # the caller reads the current state from the store
         return JobStatus(
             users.RUNNING if job.running_count else users.PENDING,
             job.done_count,
@@ -182,7 +185,7 @@
         )
 
     def _may_be_upstream_cancelled(self, job: Job) -> bool:
-        """Return whether the end of a job that this one depends on may be a cancellation."""
+        """Return whether an upstream job may be durably cancelled without this leader knowing."""
         graph = self.cluster_state.graph
         is_any_end_uncertain = graph.has_end_lookups or any(
             finalizing.is_cancelled and finalizing.is_end_write_sent
@@ -193,7 +196,7 @@
     def cancel_job(self, job_id: JobId, now: MonotonicTime) -> str | LookupFailure:
         """Cancel the job; return its final state if that is durable.
 
-        UNDECIDED: the job's end will be among `take_finished_jobs`.
+        UNDECIDED means that `take_finished_jobs` returns the job once its end is durable.
         """
         job = self.jobs.get(job_id)
         if job is None:
@@ -201,8 +204,8 @@
         if job.outcome is not None:
             return job.outcome
         if job.upstream_cancelled:
-            return users.CANCELLED  # the end of the job that it depends on is durable
-        # The end of a complete job is being written, and it may be durable already: `done`.
+            return users.CANCELLED  # it follows from the durable end of an upstream job
+        # A complete job can no longer be cancelled: its end `done` may already be durable.
         if not job.is_cancelled and not job.is_complete:
             self.cluster_state.mark_cancelled(job, now, now)
             self.cluster_state.mark_finalizing(job)
@@ -215,7 +218,7 @@
     def on_heartbeat(
         self, heartbeat: workers.Heartbeat, now: MonotonicTime, relay: NodeId | None = None
     ) -> list[workers.Command] | None:
-        """Return the commands to answer with, or None if a newer heartbeat was seen before."""
+        """Return the commands for the response, or None for a duplicate or outdated heartbeat."""
         return self.heartbeats.on_heartbeat(heartbeat, now, relay)
 
     def needs_next_heartbeat(self, machine_id: MachineId) -> bool:
@@ -228,27 +231,27 @@
         acknowledged: Iterable[tuple[MachineId, HeartbeatSequence]],
         now: MonotonicTime,
     ) -> None:
-        """Record heartbeats that the relay has acknowledged by itself, as nothing had changed."""
+        """Record heartbeats that the relay acknowledged itself because nothing had changed."""
         self.failure_detector.record_relayed_heartbeats(relay, acknowledged, now)
 
     def take_machines_needing_command(self) -> dict[NodeId, list[MachineId]]:
-        """Return by relay the machines whose next heartbeats should be forwarded."""
+        """Return the machines whose next heartbeats should be forwarded, by relay."""
         return self.cluster_state.pending_commands.take_machines_needing_command()
 
     def on_relay_lost(self, relay: NodeId) -> None:
-        """Record that the connection to the relay broke, and that what was sent on it is lost."""
+        """Record that the connection to the relay broke and messages in flight on it are lost."""
         self.heartbeats.on_relay_lost(relay)
 
     def on_response_undelivered(self, machine_id: MachineId) -> None:
-        """Record that the commands of the last response did not reach the machine in time."""
+        """Record that the commands in the last response did not reach the machine in time."""
         self.heartbeats.on_response_undelivered(machine_id)
 
     def record_probe_success(self, machine_id: MachineId, now: MonotonicTime) -> None:
-        """Record that the machine has answered a probe."""
+        """Record that the machine answered a probe."""
         self.failure_detector.record_probe_success(machine_id, now)
 
     def take_direct_kills(self, now: MonotonicTime) -> list[DirectKill]:
-        """Return the kills to be sent straight to workers now."""
+        """Return the kills to send directly to workers now."""
         return self.direct_kills.take(now)
 
     def on_direct_kill_response(
@@ -263,17 +266,17 @@
         self.direct_kills.on_response(heartbeat, sent_at, now, executed=executed)
 
     def take_probes(self) -> list[Probe]:
-        """Return the silent machines to be probed now, with their addresses."""
+        """Return the silent machines to probe now, with their addresses."""
         return self.failure_detector.take_probes()
 
     # -- time
 
     def exclude_stall(self, seconds: float) -> None:
-        """Take a time in which this process did not run out of the machines' silence."""
+        """Exclude `seconds` for which this process was stalled from the machines' silence."""
         self.failure_detector.exclude_stall(seconds)
 
     def tick(self, now: MonotonicTime) -> None:
-        """Run the periodic checks that are due; called several times a second."""
+        """Run the periodic checks that are due; the caller does this several times a second."""
         self.machine_monitor.check(now)
         if now >= self.cluster_state.autoscaling_due_at and self._autoscaling_interval.is_due(now):
             self._autoscaling_interval.start(now)
@@ -288,14 +291,14 @@
             )
 
     def record_tick_duration(self, seconds: float) -> None:
-        """Record what the last tick cost; the intervals of its checks follow from that."""
+        """Record the duration of the last tick; the intervals of its checks adapt to it."""
         self.machine_monitor.record_duration(seconds)
         self._autoscaling_interval.record_duration(seconds)
 
     def is_planning_due(self, now: MonotonicTime) -> bool:
-        """Return whether a planning pass is worth its cost now."""
-        # While nothing can be written, nothing new can be placed, and the prelaunch queues are
-        # all that can start: to plan anew would only cancel their placements.
+        """Return whether a planning pass should run now."""
+        # While the store is unavailable, no new placement can be written and only tasks in the
+        # prelaunch queues can start. A planning pass would only cancel their placements.
         return not self.cluster_state.is_store_unavailable and self.planner.is_due(
             now, self.transaction_writer.unwritten_record_count()
         )
@@ -328,10 +331,10 @@
     def next_learned_state_transaction(
         self, now: MonotonicTime, max_operations: int | None = None
     ) -> Transaction | None:
-        """Return a transaction with a part of the learned state, if a checkpoint is due.
+        """Return a transaction with part of the learned state, or None if no checkpoint is due.
 
-        Nobody waits for its outcome. Where there are more records than a transaction takes, each
-        checkpoint goes on where the last one ended.
+        Its outcome is not reported back. If there are more records than fit into a transaction,
+        each checkpoint continues where the previous one ended.
         """
         if now < self._next_checkpoint_at:
             return None
@@ -350,29 +353,32 @@
 
     @property
     def has_unpersisted_outcomes(self) -> bool:
-        """Whether a job has ended and its end is not durable yet."""
+        """Whether any job is complete or cancelled and its end is not durable yet."""
         return bool(self.cluster_state.finalizing_jobs)
 
     @property
     def keys_to_refresh(self) -> set[str]:
-        """Keys whose version must be read, as the result of a write to them is indeterminate."""
+        """Keys whose versions must be read because a write to them had an unknown outcome."""
         return self.transaction_writer.keys_to_refresh
 
     @property
     def refreshes_in_flight(self) -> set[str]:
-        """The keys to refresh that are being read."""
+        """Keys to refresh whose reads are in flight."""
         return self.transaction_writer.refreshes_in_flight
 
     def on_key_refreshed(self, key: str, item: Item | None, now: MonotonicTime) -> None:
-        """Handle the read of a key to refresh; `item` is None if the key is absent."""
+        """Handle the read of a refreshed key; `item` is None if the key is absent."""
         self.transaction_writer.on_key_refreshed(key, item, now)
 
     def take_due_end_lookups(self, now: MonotonicTime, max_lookups: int) -> list[JobId]:
-        """Return the jobs that others depend on and whose end records should be read now."""
+        """Return the upstream jobs, at most `max_lookups`, whose end records to read now."""
         return self.cluster_state.graph.take_due_end_lookups(now, max_lookups)
 
     def on_end_lookup_result(self, job_id: JobId, outcome: str | None, now: MonotonicTime) -> None:
-        """Handle the read of an end record; `outcome` is None if there is none or it failed."""
+        """Handle the read of an end record.
+
+        `outcome` is None if there is no record or the read failed.
+        """
         if outcome is None:
             self.cluster_state.graph.on_end_not_found(job_id, now)
         else:
@@ -383,19 +389,22 @@
         return self.cluster_state.take_finished_jobs()
 
     def take_start_latencies_s(self) -> list[float]:
-        """Return the seconds from readiness to start, of tasks that started since the last call."""
+        """Return the seconds from readiness to start of tasks started since the last call."""
         return self.cluster_state.take_start_latencies_s()
 
     # -- cloud
 
     def next_cloud_request(self, now: MonotonicTime) -> CloudRequest | None:
-        """Return the next request to the cloud, if one is due; see `on_cloud_response`."""
+        """Return the next request to the cloud, or None if none is due.
+
+        The response must be passed to `on_cloud_response`.
+        """
         return self.cloud_requests.next_request(now)
 
     def on_cloud_response(
         self, request: CloudRequest, status: int | None, body: bytes, now: MonotonicTime
     ) -> None:
-        """Handle the response to a request; `status` is None if there was none."""
+        """Handle the response to a request; `status` is None if no response arrived."""
         self.cloud_requests.on_answer(request, status, body, now)
 
 
