--- a/src/eldercart/scheduling/state_loader.py
+++ b/src/eldercart/scheduling/state_loader.py
@@ -1,4 +1,4 @@
-"""Loading of the stored records into the state of a new leader."""
+"""Loads the stored records into the state of a new leader."""
 
 import logging
 from collections.abc import Iterable
@@ -29,11 +29,11 @@
     """Adds jobs, placements and cleanup markers from the store to the cluster state."""
 
     def __init__(self, cluster_state: ClusterState, transaction_writer: TransactionWriter) -> None:
-        """Load into `cluster_state` and into the records that `transaction_writer` maintains."""
+        """Create a loader that fills `cluster_state` and the records in `transaction_writer`."""
         self._cluster_state = cluster_state
         self._transaction_writer = transaction_writer
         self._jobs = cluster_state.jobs
-        # Cleanup markers of ended jobs whose records are not read yet.
+        # Cleanup markers of ended jobs whose job records have not been read yet.
         self._unresolved_cleanup_markers: dict[JobId, Item] = {}
 
     def load(
@@ -45,10 +45,10 @@
         learned_state_items: Iterable[Item] = (),
         incomplete_jobs: Iterable[Item] = (),
     ) -> None:
-        """Load all records. Every recorded placement may be on its machine.
+        """Load all records. The task of any recorded placement may be on its machine.
 
-        `incomplete_jobs` are job records whose dependency lists are not read yet;
-        `load_job_record` takes them later.
+        `incomplete_jobs` are job records whose dependency lists have not been read yet; the caller
+        passes them to `load_job_record` later.
         """
         for item in learned_state_items:
             learned_state.restore_learned_state(self._cluster_state, item.key, item.value)
@@ -58,8 +58,8 @@
         placements = load_placement_records(
             self._transaction_writer.placement_records, placement_items, self._jobs
         )
-        recorded = {item.key[len(JOB_PREFIX) :] for item in (*job_items, *incomplete_jobs)}
-        self._load_cleanup_markers(cleanup_items, recorded, now)
+        recorded_job_ids = {item.key[len(JOB_PREFIX) :] for item in (*job_items, *incomplete_jobs)}
+        self._load_cleanup_markers(cleanup_items, recorded_job_ids, now)
         for job in self._jobs.jobs.values():
             self._finish_load(job, now)
         self._load_placements(placements, now)
@@ -72,7 +72,7 @@
         )
 
     def load_job_record(self, item: Item, now: MonotonicTime) -> None:
-        """Add the job of a job record, from a read or a watch; an unreadable one is logged."""
+        """Add the job of a record that a read or a watch returned; log an unreadable record."""
         job_id = JobId(item.key[len(JOB_PREFIX) :])
         if job_id in self._jobs:
             return
@@ -95,9 +95,10 @@
         now: MonotonicTime,
         dependency_list_reference: DependencyListReference | None = None,
     ) -> None:
-        """Add an accepted job, unless it is known.
+        """Add an accepted job, unless it is in the registry already.
 
-        `dependency_list_reference` is where its dependencies are stored, if not in its record.
+        `dependency_list_reference` refers to the keys with its dependencies, if they are not stored
+        in its record.
         """
         if spec.id in self._jobs:
             return
@@ -116,19 +117,19 @@
         )
 
     def _load_cleanup_markers(
-        self, markers: Iterable[Item], recorded: set[str], now: MonotonicTime
+        self, markers: Iterable[Item], recorded_job_ids: set[str], now: MonotonicTime
     ) -> None:
-        """Load the jobs that have ended and wait to be cleaned up.
+        """Load the cleanup markers of jobs that have ended and whose records are to be deleted.
 
-        A marker without a job record is a leftover. One whose record can't be read yet is retained,
-        or whoever can read the record would take the job for unfinished.
+        A marker without a job record is orphaned. A marker whose job record cannot be read yet is
+        retained; without it, a node that can read the record would consider the job unfinished.
         """
         for item in markers:
             job_id = JobId(item.key[len(CLEANUP_PREFIX) :])
             job = self._jobs.get(job_id)
             if job is not None:
                 self._load_finished_job(job, item, now)
-            elif job_id in recorded:
+            elif job_id in recorded_job_ids:
                 self._unresolved_cleanup_markers[job_id] = item
             else:
                 self._transaction_writer.orphaned_keys.append((item.key, item.version))
@@ -142,14 +143,14 @@
         self._cluster_state.on_job_finished(job.id, job.outcome, now)
 
     def _decode_cancelled_at(self, marker: Item, now: MonotonicTime) -> MonotonicTime:
-        """Return when the cancellation was asked for; `now` if the marker does not say."""
+        """Return when the cancellation was requested, or `now` if the marker lacks the time."""
         wall_time = decode_cancellation_time(marker.value)
         if wall_time is None:
             return now
         return MonotonicTime(min(now, wall_time - self._cluster_state.wall_clock_offset_s))
 
     def _finish_load(self, job: Job, now: MonotonicTime) -> None:
-        """Derive the job's progress once all of its records are loaded."""
+        """Derive the job's progress after all of its records are loaded."""
         self._jobs.finish_load(job)
         if job.chunks:
             effect = self._cluster_state.graph.on_job_started(job, now)
@@ -158,19 +159,19 @@
             self._cluster_state.mark_finalizing(job)
 
     def _load_placements(self, placements: list[Placement], now: MonotonicTime) -> None:
-        """Let each recorded placement take its resources: its task may be on the machine."""
+        """Allocate the resources of each recorded placement: its task may be on the machine."""
         inventory = self._cluster_state.inventory
-        # Until then a machine without a heartbeat is not taken for dead.
+        # Until this time, a machine that has not sent a heartbeat is not considered dead.
         grace_until = MonotonicTime(now + self._cluster_state.tuning.takeover_grace_s)
         for placement in placements:
             machine = inventory.get(placement.machine_id)
             if machine is None:
-                # Type and zone come with its heartbeat; until then nothing new starts on it.
+                # Its heartbeat contains its type and zone; until then no new task starts on it.
                 machine = add_unknown_machine(
                     self._cluster_state, placement.machine_id, now, grace_until
                 )
             placement.is_terminating = placement.job.outcome is not None
             inventory.allocate(machine, placement)
-            # Its run time will be seen only in part. Taken for a whole one it would make all
-            # later tasks of its job look slow, and healthy machines with them.
+            # This leader observes only part of the run time. Counted as a full run time, it would
+            # make all later tasks of the job, and the healthy machines they run on, look slow.
             placement.is_start_known = False
