--- a/src/eldercart/scheduling/cluster_state.py
+++ b/src/eldercart/scheduling/cluster_state.py
@@ -1,7 +1,7 @@
-"""State that the parts of the leader's state machine share, and the steps common to them.
+"""State that the parts of the leader's state machine share, and the operations common to them.
 
-Each part (jobs, machines, autoscaler, predictor) owns its data; the shared state holds what is
-pending between them.
+Each part (jobs, machines, autoscaler, predictor) owns its data; the shared state holds the work
+that one part requests and another carries out.
 """
 
 import logging
@@ -23,22 +23,23 @@
 
 log = logging.getLogger("eldercart.controller")
 
-FAILOVER_GRACE_HEARTBEATS = 3  # heartbeat intervals in which machines show that tasks have ended
-# Shares of `cancel_s` after which a task that still runs costs its machine; what is left of the
-# time is for the deletion.
+FAILOVER_GRACE_HEARTBEATS = 3  # heartbeat intervals for machines to report ended tasks
+# Shares of `cancel_s` after which the machine of a cancelled task that still runs is deleted. The
+# rest of the time is for the deletion.
 KILL_TIMEOUT_SHARE = 0.6
-MAX_KILL_TIMEOUT_SHARE = 0.8  # where the cancellation was asked of an earlier leader
+# Unless `cancel_s` has passed, a new leader's grace period ends at this share at the latest.
+MAX_KILL_TIMEOUT_SHARE = 0.8
 
 
 class FinishedJob(NamedTuple):
-    """A job whose end has become durable, or follows from a durable one."""
+    """A job whose end is durable, or follows from the durable end of an upstream job."""
 
     job_id: JobId
     outcome: str  # `users.DONE` or `users.CANCELLED`
 
 
 class ClusterState:
-    """The leader's shared state: recorded state, pending work and common steps."""
+    """The leader's shared state: its parts, the pending work and the common operations."""
 
     def __init__(
         self,
@@ -49,10 +50,10 @@
         now: MonotonicTime,
         wall_clock_offset_s: float,
     ) -> None:
-        """Empty state of a leadership that begins at `now`, with the machine types known so far.
+        """Create the empty state of a leadership that begins at `now`.
 
-        `wall_clock_offset_s` is the time of day minus the monotonic time, exact to the bound that
-        the settings give.
+        `types` are the machine types known so far. `wall_clock_offset_s` is the wall-clock time
+        minus the monotonic time, accurate to the bound in the settings.
         """
         self.settings = settings
         self.tuning = tuning
@@ -75,16 +76,17 @@
         self.autoscaling_due_at = now
         self.pending_deletions: dict[MachineId, None] = {}
         # Pending writes.
-        self.is_store_unavailable = False  # the last write was not carried out
+        self.is_store_unavailable = False  # the last write failed or its outcome is unknown
         self.dirty_jobs: dict[JobId, Job] = {}
-        self.finalizing_jobs: dict[JobId, Job] = {}  # complete or cancelled, end not yet durable
-        # Cancelled with a job that they depend on, end not yet written.
+        self.finalizing_jobs: dict[JobId, Job] = {}  # complete or cancelled, end not durable yet
+        # Jobs cancelled with an upstream job whose own ends have not been written yet.
         self.upstream_cancelled_jobs: dict[JobId, Job] = {}
         self.pending_commands = PendingCommands()
         # Events for the adapters.
         self.finished_jobs: list[FinishedJob] = []
-        self.start_latencies_s: list[float] = []  # from readiness, of tasks that started
-        # CPU seconds, as seen by this leader.
+        # Times from readiness to start, one for each task that started.
+        self.start_latencies_s: list[float] = []
+        # CPU seconds that this leader has observed.
         self.completed_cpu_s = 0.0
         self.lost_cpu_s = 0.0
 
@@ -99,7 +101,7 @@
         self.finalizing_jobs[job.id] = job
 
     def on_end_persisted(self, job: Job) -> None:
-        """Drop the request to write the job's end: it is durable."""
+        """Drop the request to write the job's end, which is durable now."""
         self.finalizing_jobs.pop(job.id, None)
         self.upstream_cancelled_jobs.pop(job.id, None)
 
@@ -108,7 +110,7 @@
         self.is_planning_requested = True
 
     def request_autoscaling(self, due_at: MonotonicTime) -> None:
-        """Make the next comparison of demand and supply due at this time."""
+        """Make the next autoscaling run due at `due_at`."""
         self.autoscaling_due_at = due_at
 
     # -- events
@@ -123,18 +125,18 @@
         return finished
 
     def add_start_latency(self, seconds: float) -> None:
-        """Record how long a task that started now has waited since its job was ready."""
+        """Record the seconds that a started task has waited since its job became ready."""
         self.start_latencies_s.append(seconds)
 
     def take_start_latencies_s(self) -> list[float]:
-        """Return the seconds from readiness to start, of tasks that started since the last call."""
+        """Return the seconds from readiness to start of tasks started since the last call."""
         latencies, self.start_latencies_s = self.start_latencies_s, []
         return latencies
 
     # -- dependencies
 
     def _estimated_remaining_s(self, job: Job) -> float:
-        """Return how long the job is expected to take once it is ready."""
+        """Return how many seconds the job is expected to take after it becomes ready."""
         return self.predictor.expected_longest_run_s(job)
 
     def _deadline_at(self, job: Job) -> MonotonicTime:
@@ -145,19 +147,19 @@
         return MonotonicTime(job.submitted_at + deadline_s)
 
     def on_job_submitted(self, job: Job, now: MonotonicTime) -> None:
-        """Take in a job that was added to the job registry."""
+        """Process a job that was added to the job registry."""
         effect = self.graph.add(job, now)
         if not job.upstream_cancelled:
             self.predictor.on_job_submitted(job, self.graph.dependents(job.id))
         self.apply_graph_change(effect, now)
 
     def on_job_finished(self, job: JobId, outcome: str, now: MonotonicTime) -> None:
-        """Take in a durable end of a job in the registry, or of one that others depend on."""
+        """Process the durable end of a job in the registry, or of a job that others depend on."""
         self.predictor.on_chain_job_ended(job, outcome, now)
         self.apply_graph_change(self.graph.on_job_ended(job, outcome, now), now)
 
     def apply_graph_change(self, effect: DependencyEffect, now: MonotonicTime) -> None:
-        """Handle the jobs that became ready, or were cancelled with one that they depend on."""
+        """Process the jobs that became ready or were cancelled with an upstream job."""
         for job in effect.ready:
             self._on_job_ready(job, now)
         for job in effect.upstream_cancelled:
@@ -173,10 +175,10 @@
             log.info("job ready job=%s waited_s=%.1f", job.id, now - job.submitted_at)
 
     def _on_upstream_cancelled(self, job: Job, now: MonotonicTime) -> None:
-        """Cancel the job, and announce that at once, whatever becomes of the write of its end.
+        """Cancel the job and announce that at once, whether or not its own end is written.
 
-        Polls after a change of leader get the same answer, since it follows from the end of the
-        job that it depends on.
+        Polls after a failover get the same answer, because it follows from the durable end of the
+        upstream job.
         """
         log.info("job cancelled with its dependency job=%s", job.id)
         self.mark_cancelled(job, now, now)
@@ -189,7 +191,7 @@
     # -- tasks
 
     def cancel_placement(self, placement: Placement, now: MonotonicTime) -> None:
-        """Remove a placement that is proven not to be on its machine; its task waits again."""
+        """Remove a placement that is proven absent from its machine; requeue its task."""
         machine = self.inventory.get(placement.machine_id)
         if machine is not None:
             if placement.is_enqueued:
@@ -199,7 +201,7 @@
                 self.inventory.release(machine, placement, now)
             self.inventory.remove_placement(machine, placement)
         if placement.phase is PlacementPhase.ENDED:
-            return  # done; only the record is outstanding
+            return  # the task has ended; only its record is not written yet
         job = placement.job
         self.lost_cpu_s += placement.run_time_s(now) * job.spec.cpus
         self.jobs.remove_placement(placement, now, retry=True)
@@ -207,11 +209,11 @@
         self.request_planning()
 
     def kill_placement(self, placement: Placement, now: MonotonicTime) -> None:
-        """Kill the task where it is; one that was never launched is cancelled at once."""
+        """Kill the task on its machine; cancel the placement at once if it was never launched."""
         machine = self.inventory.get(placement.machine_id)
         self.inventory.mark_terminating(machine, placement)
         if not placement.may_have_launched:
-            # No launch was ever sent: it is nowhere.
+            # No launch command was sent, so the task is on no machine.
             self.cancel_placement(placement, now)
         elif machine is not None:
             self.mark_needs_command(machine)
@@ -219,21 +221,21 @@
                 PlacementPhase.COMMITTED,
                 PlacementPhase.FETCHING,
             ):
-                # It would start before its machine's next heartbeat.
+                # Without a direct kill, it would start before its machine's next heartbeat.
                 self.pending_commands.request_direct_kill(machine.id)
 
     def kill_all_placements(self, job: Job, now: MonotonicTime) -> None:
-        """Kill all tasks of the job where they are."""
+        """Kill all tasks of the job that have not ended."""
         for placement in list(job.placements()):
             if placement.phase is not PlacementPhase.ENDED:
                 self.kill_placement(placement, now)
 
     def mark_cancelled(self, job: Job, cancelled_at: MonotonicTime, now: MonotonicTime) -> None:
-        """Record that a user asked at `cancelled_at` to cancel the job.
+        """Record that a user requested the job's cancellation at `cancelled_at`.
 
-        The time for its tasks to end runs from then on, through any number of leaders. A leader
-        that is elected late lets the machines show first that the tasks have ended, as far as
-        there is time.
+        The time limit for its tasks to end counts from then, across any number of leaders. A leader
+        that is elected late first gives the machines time to report that the tasks have ended, as
+        far as the limit allows.
         """
         cancel_s = self.settings.cancel_s
         grace_until = now + FAILOVER_GRACE_HEARTBEATS * self.settings.report_s
@@ -247,24 +249,24 @@
     # -- machines
 
     def mark_needs_command(self, machine: Machine) -> None:
-        """Record that the machine's next heartbeat should come here, to be given a command."""
+        """Request that the machine's next heartbeat is forwarded here, to answer with a command."""
         self.pending_commands.mark_needs_command(machine)
 
     def request_deletion(self, machine: Machine, now: MonotonicTime) -> None:
-        """Have the machine deleted; nothing new starts there."""
+        """Request the deletion of the machine and start no new task on it."""
         machine.state = MachineState.DELETING
         machine.is_unschedulable = True
         self.pending_deletions[machine.id] = None
         self.request_autoscaling(now)
 
     def cordon(self, machine: Machine, reason: str, now: MonotonicTime) -> None:
-        """Start nothing new on the machine, unless too many others are cordoned as well."""
+        """Cordon the machine against new tasks, unless too many others are cordoned already."""
         if machine.is_cordoned:
             return
         machines = self.inventory.machines
         cordoned_count = sum(1 for other in machines.values() if other.is_cordoned)
         if cordoned_count >= max(1, self.tuning.quarantine_share * len(machines)):
-            # When many machines look bad at once, the evidence is more likely at fault.
+            # If many machines look faulty at once, the evidence is more likely to be wrong.
             return
         machine.is_cordoned = True
         machine.cordoned_at = now
