--- a/src/eldercart/scheduling/pacing.py
+++ b/src/eldercart/scheduling/pacing.py
@@ -1,38 +1,38 @@
-"""Intervals for repeated work over the whole cluster that adapt to what the work costs.
+"""Intervals of repeated work over the whole cluster, which adapt to the duration of the work.
 
-The state machine has no clock: its caller reports afterwards how long the work took.
+The state machine reads no clock, so its caller reports afterwards how long the work took.
 """
 
 from eldercart.units import DISTANT_PAST, MonotonicTime
 
-INTERVAL_PER_COST = 8.0  # the work takes at most one part in this many of the time
-# Upper bound of one recorded duration: a process that was stalled did not work all that time.
+INTERVAL_PER_COST = 8.0  # the work takes at most 1 / INTERVAL_PER_COST of the time
+# Upper bound of one recorded duration: a stalled process did not work during the whole time.
 MAX_COST_S = 0.5
-COST_DECAY = 0.7  # per run, so that one quick run does not crowd the next ones
+COST_DECAY = 0.7  # factor per run; one quick run does not shorten the interval at once
 
 
 class DecayingMaxCost:
-    """Duration of some repeated work: the longest of the last runs, decaying with each run."""
+    """Cost of repeated work: the longest duration of recent runs, which decays with each run."""
 
     def __init__(self, max_s: float) -> None:
-        """Start at no cost; one run counts for at most `max_s` seconds."""
+        """Start with no cost; each run counts for at most `max_s` seconds."""
         self.seconds = 0.0
         self._max_s = max_s
 
     def record(self, seconds: float) -> None:
-        """Take in the duration of the last run."""
+        """Record the duration of the last run."""
         self.seconds = max(min(seconds, self._max_s), COST_DECAY * self.seconds)
 
 
 class AdaptiveInterval:
-    """Time at which repeated work is due: after a minimum interval, or later if it is costly."""
+    """Decides when repeated work is due: after a minimum interval, or later if it is costly."""
 
     def __init__(self, min_interval_s: float) -> None:
-        """Due at once, then at least `min_interval_s` seconds after the last start."""
+        """Make the first run due at once; later runs start at least `min_interval_s` apart."""
         self._min_interval_s = min_interval_s
         self._cost = DecayingMaxCost(MAX_COST_S)
         self._started_at = DISTANT_PAST
-        self._is_duration_pending = False  # the last run's duration has not been recorded yet
+        self._is_duration_pending = False  # whether the last run's duration is not recorded yet
 
     def is_due(self, now: MonotonicTime) -> bool:
         """Return whether the next run may start."""
@@ -45,7 +45,7 @@
         self._is_duration_pending = True
 
     def record_duration(self, seconds: float) -> None:
-        """Record the duration of the run started since the last call; ignored if there was none."""
+        """Record the duration of the run started since the last call, if there was one."""
         if self._is_duration_pending:
             self._is_duration_pending = False
             self._cost.record(seconds)
--- a/src/eldercart/scheduling/summary.py
+++ b/src/eldercart/scheduling/summary.py
@@ -1,4 +1,4 @@
-"""Periodic log lines with the state of the cluster and of the leader's work."""
+"""Logs the state of the cluster and of the leader's work periodically."""
 
 import logging
 from collections.abc import Iterable
@@ -12,7 +12,10 @@
 
 
 def log_summary(cluster_state: ClusterState, jobs_awaiting_cleanup: int) -> None:
-    """Log predictions and cluster; `jobs_awaiting_cleanup` counts ended jobs with records left."""
+    """Log one line about the predictions and one about the cluster.
+
+    `jobs_awaiting_cleanup` is the number of ended jobs whose records are not deleted yet.
+    """
     _log_prediction(cluster_state)
     _log_cluster(cluster_state, jobs_awaiting_cleanup)
 
@@ -66,11 +69,11 @@
 
 @dataclass(frozen=True, slots=True)
 class _Capacity:
-    """CPUs of machines that are up."""
+    """Total CPUs of the machines that are up."""
 
     cpus: float
     schedulable_cpus: float
-    free_cpus: float  # of the schedulable machines
+    free_cpus: float  # unallocated CPUs of the schedulable machines
 
 
 def _capacity_of(up: list[Machine]) -> _Capacity:
@@ -83,7 +86,7 @@
 
 
 def _starting_cpus(up: list[Machine]) -> dict[str, float]:
-    """Return the CPUs of placed tasks that do not run yet, by what they wait for."""
+    """Return the CPUs of placed tasks that are not running yet, by phase or `terminating`."""
     cpus_by_phase: dict[str, float] = {}
     for machine in up:
         for placement in machine.placements.values():
