--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,7 @@
-"""The core in the simulated world: each row is a trouble that a guard in the core answers."""
+"""Tests of the scheduler in the simulated world: each injects a fault that it must tolerate.
+
+`World.check` verifies the invariants in every step.
+"""
 
 from typing import Any
 
@@ -22,16 +25,17 @@
 ]
 
 
-def submit_all(w: World) -> None:
+def submit_all(world: World) -> None:
     for i, changes in enumerate(JOBS):
-        w.submit(f"wk-{i:06d}", **changes)
+        world.submit(f"wk-{i:06d}", **changes)
 
 
-def finish(w: World, limit: float = 400.0) -> None:
-    end = w.now + limit
-    while not w.all_ended() and w.now < end:
-        w.run(1.0)
-    assert w.all_ended(), "not all jobs came to an end"
+def finish(world: World, limit: float = 400.0) -> None:
+    """Run the world until all jobs have ended; fail after `limit` seconds."""
+    end = world.now + limit
+    while not world.all_ended() and world.now < end:
+        world.run(1.0)
+    assert world.all_ended(), "not all jobs ended"
 
 
 @pytest.mark.parametrize(
@@ -55,272 +59,311 @@
     ],
 )
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_rules_hold_and_work_ends(name: str, faults: dict[str, Any], seed: int) -> None:
-    w = World(seed, **faults)
-    submit_all(w)
-    finish(w)
-    w.run(5)
-    assert set(w.told.values()) == {"done"}, name
+def test_invariants_hold_and_jobs_finish_despite_lost_messages(
+    name: str, faults: dict[str, Any], seed: int
+) -> None:
+    world = World(seed, **faults)
+    submit_all(world)
+    finish(world)
+    world.run(5)
+    assert set(world.told.values()) == {"done"}, name
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_leader_changes(seed: int) -> None:
-    """Placements of the old leader count until a report under the new epoch disproves them."""
-    w = World(seed, txn_lost=0.1, answer_lost=0.05)
-    submit_all(w)
+def test_placements_stay_valid_across_leader_changes(seed: int) -> None:
+    """A new leader keeps recorded placements until a heartbeat with its token disproves them."""
+    world = World(seed, txn_lost=0.1, answer_lost=0.05)
+    submit_all(world)
     for _ in range(6):
-        w.run(7)
-        w.elect()
-    finish(w)
-
-
-def test_job_taken_over_between_its_end_and_its_clean_up() -> None:
-    """Seen on a rough day: the last report of such a job had it ended a second time, which was
-    refused for ever, and no other job ended any more."""
-    w = World(1)
-    w.submit("wk-000001", parcels=4)
-    w.run(12)
-    assert w.started
-    # What a transaction with an unknown outcome leaves: the end and its marker, all else as was.
+        world.run(7)
+        world.elect()
+    finish(world)
+
+
+def test_failover_between_end_and_cleanup_does_not_end_job_twice() -> None:
+    """Guards against writing the end of an ended job again after a failover.
+
+    The last heartbeat for the job caused a second write of its end. The store rejected that
+    each time, so no other job could end.
+    """
+    world = World(1)
+    world.submit("wk-000001", parcels=4)
+    world.run(12)
+    assert world.started
+    # A transaction with an unknown outcome may leave the end and its cleanup marker in the store,
+    # with all other records unchanged.
     for key, value in (("end/wk-000001", {"e": "done", "n": 4}), ("gone/wk-000001", {"e": "done"})):
-        w.store.revision += 1
-        w.store.keys[key] = (value, w.store.revision, None)
-    w.elect()
-    w.submit("wk-000002")
-    finish(w)
-    w.run(20)
-    assert w.told["wk-000002"] == "done"
-    assert not w.store.range("job/") and not w.store.range("gone/") and not w.store.range("place/")
+        world.store.revision += 1
+        world.store.keys[key] = (value, world.store.revision, None)
+    world.elect()
+    world.submit("wk-000002")
+    finish(world)
+    world.run(20)
+    assert world.told["wk-000002"] == "done"
+    assert (
+        not world.store.range("job/")
+        and not world.store.range("gone/")
+        and not world.store.range("place/")
+    )
 
 
 @pytest.mark.parametrize("hang_s", [5.0, 60.0])
-def test_hanging_machine(hang_s: float) -> None:
-    """Silence proves nothing: the tasks move only after the deletion, and never before."""
-    w = World(3)
-    w.submit("wk-000001", run_s=20.0, parcels=8)
-    w.run(14)
-    victim = next(m for m in w.cloud.machines.values() if m.on())
+def test_tasks_of_hanging_machine_move_only_after_its_deletion(hang_s: float) -> None:
+    """Silence does not prove that tasks have stopped: they move only after the deletion."""
+    world = World(3)
+    world.submit("wk-000001", run_s=20.0, parcels=8)
+    world.run(14)
+    victim = next(worker for worker in world.cloud.machines.values() if worker.on())
     held = set(victim.on())
-    victim.hangs_until = w.now + hang_s
-    while w.now < victim.hangs_until:
-        w.run(0.1)
-        elsewhere = {k for m in w.cloud.machines.values() if m is not victim for k in m.on()}
+    victim.hangs_until = world.now + hang_s
+    while world.now < victim.hangs_until:
+        world.run(0.1)
+        elsewhere = {
+            key
+            for worker in world.cloud.machines.values()
+            if worker is not victim
+            for key in worker.on()
+        }
         assert victim.deleted or not held & elsewhere
     assert victim.deleted is (hang_s > 30)
-    finish(w)
+    finish(world)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_what_was_written_ahead_keeps_the_limit_under_a_new_leader(seed: int) -> None:
-    """A hunt's day broke the quota just after a change of leader. The old one counts what it has
-    written ahead only when it launches it; to the new one all of it looks launched, and as room
-    came free on the machines, it launched all of it."""
-    w = World(seed, capacity=12)
+def test_prelaunch_queues_respect_team_quota_after_failover(seed: int) -> None:
+    """Guards against exceeding a team's quota just after a change of leader.
+
+    A leader counts a placement in a prelaunch queue against the quota only when it launches the
+    task. To a new leader all recorded placements look launched, so it launched all of them as
+    capacity became free on the machines.
+    """
+    world = World(seed, capacity=12)
     for i in range(3):
-        w.submit(f"wk-00000{i}", parcels=20, cpus=2.0, run_s=9.0, crew="t1")
-        w.submit(f"wk-10000{i}", parcels=20, cpus=2.0, run_s=9.0)
+        world.submit(f"wk-00000{i}", parcels=20, cpus=2.0, run_s=9.0, crew="t1")
+        world.submit(f"wk-10000{i}", parcels=20, cpus=2.0, run_s=9.0)
     for _ in range(8):
-        w.run(6.0)
-        assert w.scheduler is not None
-        w.elect()
-    finish(w)
+        world.run(6.0)
+        assert world.scheduler is not None
+        world.elect()
+    finish(world)
 
 
-def test_state_outage_longer_than_a_lease() -> None:
-    """Reports go on being answered, so leases live; what was written ahead still starts."""
-    w = World(4, capacity=3)
-    w.submit("wk-000001", run_s=5.0, parcels=60)
-    w.run(25)
-    before = set(w.started)
-    w.outage_until = w.now + 20
-    w.run(19)
-    assert all(m.agent_epoch == 1 for m in w.cloud.machines.values())
-    assert w.started - before, "nothing written ahead was started"
-    finish(w)
+def test_leases_and_prelaunch_queues_survive_store_outage() -> None:
+    """The leader still answers heartbeats, so leases stay valid and recorded tasks still start."""
+    world = World(4, capacity=3)
+    world.submit("wk-000001", run_s=5.0, parcels=60)
+    world.run(25)
+    before = set(world.started)
+    world.outage_until = world.now + 20
+    world.run(19)
+    assert all(worker.agent_epoch == 1 for worker in world.cloud.machines.values())
+    assert world.started - before, "no task from a prelaunch queue was started"
+    finish(world)
 
 
 @pytest.mark.parametrize("at", [0.2, 6.0, 11.0, 14.0])
 @pytest.mark.parametrize("faults", [{}, {"txn_lost": 0.3, "answer_lost": 0.2}])
-def test_cancel(at: float, faults: dict[str, Any]) -> None:
-    w = World(5, **faults)
-    w.submit("wk-000001", run_s=60.0)
-    w.submit("wk-000002")
-    w.run(at)
-    w.cancel("wk-000001")
-    finish(w)
-    assert w.told["wk-000001"] == "aborted"
-    w.run(40)
-    assert not any(k.startswith("wk-000001/") for m in w.cloud.machines.values() for k in m.tasks)
-
-
-def test_cancelled_on_a_hanging_machine() -> None:
-    w = World(6)
-    w.submit("wk-000001", run_s=90.0)
-    w.run(14)
-    for m in w.cloud.machines.values():
-        m.hangs_until = w.now + 100
-    w.cancel("wk-000001")
-    w.run(60)  # `World.check` fails if a task outlives the cancellation
-
-
-def test_end_is_told_only_when_durable() -> None:
-    w = World(7)
-    w.submit("wk-000001", run_s=2.0)
-    c = w.scheduler
-    assert c is not None
-    while c.jobs.jobs[JobId("wk-000001")].done_count < 4 and w.now < 140.0:
-        w.run(0.2)
-    w.outage_until = w.now + 15
-    w.run(12)
-    # The store refused the end, so nobody can have been told of it: the question is answered.
-    status = c.job_status(JobId("wk-000001"))
+def test_cancelled_job_ends_and_leaves_no_task(at: float, faults: dict[str, Any]) -> None:
+    world = World(5, **faults)
+    world.submit("wk-000001", run_s=60.0)
+    world.submit("wk-000002")
+    world.run(at)
+    world.cancel("wk-000001")
+    finish(world)
+    assert world.told["wk-000001"] == "aborted"
+    world.run(40)
+    assert not any(
+        key.startswith("wk-000001/")
+        for worker in world.cloud.machines.values()
+        for key in worker.tasks
+    )
+
+
+def test_tasks_on_hanging_machines_end_within_cancellation_limit() -> None:
+    world = World(6)
+    world.submit("wk-000001", run_s=90.0)
+    world.run(14)
+    for worker in world.cloud.machines.values():
+        worker.hangs_until = world.now + 100
+    world.cancel("wk-000001")
+    world.run(60)  # `World.check` fails if a task outlives the cancellation
+
+
+def test_end_is_announced_only_when_durable() -> None:
+    world = World(7)
+    world.submit("wk-000001", run_s=2.0)
+    leader = world.scheduler
+    assert leader is not None
+    while leader.jobs.jobs[JobId("wk-000001")].done_count < 4 and world.now < 140.0:
+        world.run(0.2)
+    world.outage_until = world.now + 15
+    world.run(12)
+    # The store rejected the write of the end, so it was not announced: the leader returns the
+    # state before it.
+    status = leader.job_status(JobId("wk-000001"))
     assert isinstance(status, JobStatus) and status.state != "done" and status.done_count == 6
-    assert "wk-000001" not in w.told
-    finish(w)
-
-
-def test_faulty_machine_is_taken_out_and_bad_job_condemns_none() -> None:
-    w = World(8)
-    submit_all(w)
-    w.run(9)
-    next(iter(w.cloud.machines.values())).faulty = True
-    finish(w)
-    w = World(9)
-    w.submit("wk-000001", parcels=20)
-    w.run(10)
-    for m in w.cloud.machines.values():
-        m.faulty = True  # as one job with a mistake would look: it alone fails, everywhere
-    w.run(30)
-    c = w.scheduler
-    assert c is not None
-    assert sum(m.is_cordoned for m in c.inventory.machines.values()) <= 1
-
-
-def test_late_report_proves_nothing() -> None:
-    """A report held back by the network lacks a task launched since."""
-    w = World(10)
-    w.submit("wk-000001", run_s=30.0)
-    w.run(8)
-    m = next(m for m in w.cloud.machines.values() if w.now >= m.boots_at)
-    old = workers.parse_heartbeat(m.report())
-    w.run(6)
-    assert m.on()
-    c = w.scheduler
-    assert c is not None
-    machine = c.inventory.get(old.machine)
+    assert "wk-000001" not in world.told
+    finish(world)
+
+
+def test_faulty_machine_is_tolerated_and_failing_job_cordons_at_most_one() -> None:
+    world = World(8)
+    submit_all(world)
+    world.run(9)
+    next(iter(world.cloud.machines.values())).faulty = True
+    finish(world)
+    world = World(9)
+    world.submit("wk-000001", parcels=20)
+    world.run(10)
+    for worker in world.cloud.machines.values():
+        worker.faulty = True  # simulates one faulty job, whose tasks fail on all machines
+    world.run(30)
+    leader = world.scheduler
+    assert leader is not None
+    assert sum(machine.is_cordoned for machine in leader.inventory.machines.values()) <= 1
+
+
+def test_delayed_heartbeat_removes_no_newer_placement() -> None:
+    """A heartbeat delayed by the network does not list a task that was launched after it."""
+    world = World(10)
+    world.submit("wk-000001", run_s=30.0)
+    world.run(8)
+    worker = next(
+        worker for worker in world.cloud.machines.values() if world.now >= worker.boots_at
+    )
+    delayed_heartbeat = workers.parse_heartbeat(worker.report())
+    world.run(6)
+    assert worker.on()
+    leader = world.scheduler
+    assert leader is not None
+    machine = leader.inventory.get(delayed_heartbeat.machine)
     assert machine is not None
     placed = set(machine.placements)
-    assert c.on_heartbeat(old, MonotonicTime(w.now)) is None
+    assert leader.on_heartbeat(delayed_heartbeat, MonotonicTime(world.now)) is None
     assert set(machine.placements) == placed
 
 
 def test_urgent_work_is_not_starved_by_small_tasks() -> None:
-    """Single CPUs freed one by one never add up to a larger task unless room is reserved."""
-    w = World(11, capacity=2)
-    w.submit("wk-000001", cpus=1.0, parcels=200, urgency="idle", run_s=8.0)
-    w.run(20)
-    w.submit("wk-000002", cpus=4.0, parcels=2, urgency="urgent", lot="quick", run_s=3.0)
-    w.run(16)
-    c = w.scheduler
-    assert c is not None
-    status = c.job_status(JobId("wk-000002"))
+    """Single CPUs that become free one by one never fit a larger task unless they are reserved."""
+    world = World(11, capacity=2)
+    world.submit("wk-000001", cpus=1.0, parcels=200, urgency="idle", run_s=8.0)
+    world.run(20)
+    world.submit("wk-000002", cpus=4.0, parcels=2, urgency="urgent", lot="quick", run_s=3.0)
+    world.run(16)
+    leader = world.scheduler
+    assert leader is not None
+    status = leader.job_status(JobId("wk-000002"))
     assert not isinstance(status, JobStatus) or status.done_count + status.running_count == 2
 
 
-def test_urgent_jobs_do_not_stop_their_equals() -> None:
-    w = World(12, capacity=1)
-    w.submit("wk-000001", parcels=4, run_s=30.0, urgency="urgent")
-    w.run(12)
-    w.submit("wk-000002", parcels=4, run_s=3.0, urgency="urgent")
-    w.run(20)
-    c = w.scheduler
-    assert c is not None
-    job = c.jobs.get(JobId("wk-000001"))
-    assert job is not None and not any(p.is_terminating for p in job.placements())
+def test_urgent_job_does_not_preempt_equal_priority() -> None:
+    world = World(12, capacity=1)
+    world.submit("wk-000001", parcels=4, run_s=30.0, urgency="urgent")
+    world.run(12)
+    world.submit("wk-000002", parcels=4, run_s=3.0, urgency="urgent")
+    world.run(20)
+    leader = world.scheduler
+    assert leader is not None
+    job = leader.jobs.get(JobId("wk-000001"))
+    assert job is not None and not any(placement.is_terminating for placement in job.placements())
 
 
-def test_attempts_only_grow() -> None:
-    w = World(13, answer_lost=0.2, report_lost=0.2)
-    w.submit("wk-000001", run_s=4.0, parcels=10)
+def test_stored_attempt_numbers_never_decrease() -> None:
+    world = World(13, answer_lost=0.2, report_lost=0.2)
+    world.submit("wk-000001", run_s=4.0, parcels=10)
     seen: dict[str, int] = {}
     for _ in range(40):
-        w.run(1)
-        for part in w.parts("wk-000001"):
+        world.run(1)
+        for part in world.parts("wk-000001"):
             assert part["a"] >= seen.get("wk-000001", 0)
             seen["wk-000001"] = part["a"]
-        if w.rng.random() < 0.2:
-            w.elect()
+        if world.rng.random() < 0.2:
+            world.elect()
     assert seen
 
 
-def test_large_array_fits_the_value_limit() -> None:
-    w = World(14, capacity=2)
-    w.submit("wk-000001", parcels=5000, cpus=1.0, run_s=1.0, memGb=0.1)
-    w.run(30)
+def test_placement_records_of_large_job_fit_value_limit() -> None:
+    world = World(14, capacity=2)
+    world.submit("wk-000001", parcels=5000, cpus=1.0, run_s=1.0, memGb=0.1)
+    world.run(30)
     import orjson
 
-    sizes = [len(orjson.dumps(i["v"])) for i in w.store.range("place/")]
-    assert sizes and max(sizes) <= w.settings.value_bytes
+    sizes = [len(orjson.dumps(i["v"])) for i in world.store.range("place/")]
+    assert sizes and max(sizes) <= world.settings.value_bytes
 
 
 @pytest.mark.parametrize(("run_s", "moves"), [(60.0, True), (12.0, False)])
-def test_spot_notice(run_s: float, moves: bool) -> None:
-    """What cannot end in time starts elsewhere at once; what can is left alone."""
-    w = World(15)
-    w.submit("wk-000001", run_s=run_s, haulS=run_s, parcels=4)
-    w.run(12)
-    victim = next(m for m in w.cloud.machines.values() if m.on())
+def test_preemption_notice_moves_only_tasks_that_cannot_finish_in_time(
+    run_s: float, moves: bool
+) -> None:
+    """A task that cannot end before the preemption starts elsewhere at once; others stay."""
+    world = World(15)
+    world.submit("wk-000001", run_s=run_s, haulS=run_s, parcels=4)
+    world.run(12)
+    victim = next(worker for worker in world.cloud.machines.values() if worker.on())
     held = set(victim.on())
     victim.notice = 10.0
-    w.run(8)
-    elsewhere = {k for m in w.cloud.machines.values() if m is not victim for k in m.tasks}
+    world.run(8)
+    elsewhere = {
+        key
+        for worker in world.cloud.machines.values()
+        if worker is not victim
+        for key in worker.tasks
+    }
     assert bool(held & elsewhere) is moves
 
 
 @pytest.mark.parametrize("changes", [{"together": True}, {"spread": True, "parcels": 9}])
-def test_zones_unknown_after_a_change_of_leader(changes: dict[str, Any]) -> None:
-    """A new leader knows the machines of a placement by name alone; until their reports tell the
-    zones, nothing of a job bound to zones may be added."""
-    w = World(16, capacity=6)
-    w.submit("wk-000001", run_s=40.0, cpus=4.0, **changes)
-    w.run(9)
-    w.elect()
-    c = w.scheduler
-    assert c is not None
-    job = c.jobs.get(JobId("wk-000001"))
+def test_zone_bound_tasks_are_not_placed_while_zones_are_unknown(changes: dict[str, Any]) -> None:
+    """A new leader knows only the names of the machines in recorded placements.
+
+    Until their heartbeats contain the zones, no task of a job with zone constraints may be placed.
+    """
+    world = World(16, capacity=6)
+    world.submit("wk-000001", run_s=40.0, cpus=4.0, **changes)
+    world.run(9)
+    world.elect()
+    leader = world.scheduler
+    assert leader is not None
+    job = leader.jobs.get(JobId("wk-000001"))
     assert job is not None
-    before = {p.key for p in job.placements()}
+    before = {placement.key for placement in job.placements()}
     assert before
-    machines = list(c.inventory.machines.values())
+    machines = list(leader.inventory.machines.values())
     assert (
         machine_selection.select_machines(
-            job, 5, machines, c.inventory, w.settings.teams, MonotonicTime(w.now)
+            job, 5, machines, leader.inventory, world.settings.teams, MonotonicTime(world.now)
         )
         == []
     )
-    w.run(3)
-    assert feasibility.UNKNOWN_ZONE not in machine_selection.tasks_by_zone(job, c.inventory)
-    finish(w)
-
-
-def test_new_leader_recalls_images_and_paces() -> None:
-    """A cache that nobody knows of is a fetch in the way of each urgent task."""
-    w = World(18, tuning={"memo_s": 2.0})
-    w.submit("wk-000001", run_s=4.0, haulS=6.0, parcels=4)
-    w.submit("wk-000002", run_s=60.0, kit="other", parcels=4)
-    w.run(20)
-    before = w.scheduler
+    world.run(3)
+    assert feasibility.UNKNOWN_ZONE not in machine_selection.tasks_by_zone(job, leader.inventory)
+    finish(world)
+
+
+def test_new_leader_restores_cached_images_and_run_times() -> None:
+    """Unless a new leader restores the list of cached images, urgent tasks wait for fetches."""
+    world = World(18, tuning={"memo_s": 2.0})
+    world.submit("wk-000001", run_s=4.0, haulS=6.0, parcels=4)
+    world.submit("wk-000002", run_s=60.0, kit="other", parcels=4)
+    world.run(20)
+    before = world.scheduler
     assert before is not None
     held = {
-        m.id: dict(m.cached_images) for m in before.inventory.machines.values() if m.cached_images
+        machine.id: dict(machine.cached_images)
+        for machine in before.inventory.machines.values()
+        if machine.cached_images
     }
     assert held
-    w.elect()
-    after = w.scheduler
+    world.elect()
+    after = world.scheduler
     assert after is not None and after is not before
-    w.run(3)
+    world.run(3)
     assert (
-        held.items() <= {m.id: m.cached_images for m in after.inventory.machines.values()}.items()
+        held.items()
+        <= {
+            machine.id: machine.cached_images for machine in after.inventory.machines.values()
+        }.items()
     )
     assert (
         after.cluster_state.predictor.run_time_sums()
@@ -333,23 +376,30 @@
     )
 
 
-def test_task_that_is_lost_in_an_outage_does_not_resume_planning() -> None:
-    """Seen on reading: each task proven absent made the leader forget that nothing can be written,
-    and plan anew what could only be taken back."""
-    w = World(19, capacity=2)
-    w.submit("wk-000001", run_s=30.0, parcels=40)
-    w.run(14)
-    w.outage_until = w.now + 30
-    c = w.scheduler
-    assert c is not None
-    c.cluster_state.dirty_jobs.update(c.jobs.jobs)
-    for job in c.jobs.jobs.values():
+def test_cancelled_placement_does_not_resume_planning_in_store_outage() -> None:
+    """Guards against planning while the store is unavailable.
+
+    Each task proven absent made the leader reset the flag for the outage and run a planning pass
+    whose placements it could only cancel again.
+    """
+    world = World(19, capacity=2)
+    world.submit("wk-000001", run_s=30.0, parcels=40)
+    world.run(14)
+    world.outage_until = world.now + 30
+    leader = world.scheduler
+    assert leader is not None
+    leader.cluster_state.dirty_jobs.update(leader.jobs.jobs)
+    for job in leader.jobs.jobs.values():
         for chunk in job.chunks.values():
-            c.jobs.mark_dirty(job, chunk, MonotonicTime(w.now), is_urgent=True)
-    w.run(1)
-    assert c.cluster_state.is_store_unavailable
-    c.cluster_state.cancel_placement(
-        next(p for m in c.inventory.machines.values() for p in m.prelaunch_queue.values()),
-        MonotonicTime(w.now),
+            leader.jobs.mark_dirty(job, chunk, MonotonicTime(world.now), is_urgent=True)
+    world.run(1)
+    assert leader.cluster_state.is_store_unavailable
+    leader.cluster_state.cancel_placement(
+        next(
+            placement
+            for machine in leader.inventory.machines.values()
+            for placement in machine.prelaunch_queue.values()
+        ),
+        MonotonicTime(world.now),
     )
-    assert not c.is_planning_due(MonotonicTime(w.now + 5.0))
+    assert not leader.is_planning_due(MonotonicTime(world.now + 5.0))
