--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -1,4 +1,4 @@
-"""Hundreds of machines, and what befalls many of them in the same second."""
+"""Tests with hundreds of machines, many of which are affected by one event in the same second."""
 
 from collections.abc import Callable
 
@@ -10,84 +10,94 @@
 MACHINES = 240
 
 
-def all_sessions_rise(w: RelayWorld) -> None:
-    for m in w.cloud.machines.values():
-        m.answered = -1e9
+def all_worker_leases_expire(world: RelayWorld) -> None:
+    for worker in world.cloud.machines.values():
+        worker.answered = -1e9
 
 
-def a_third_dies(w: RelayWorld) -> None:
-    for i, m in enumerate(list(w.cloud.machines.values())):
+def a_third_of_machines_fails(world: RelayWorld) -> None:
+    for i, worker in enumerate(list(world.cloud.machines.values())):
         if i % 3 == 0:
-            m.hangs_until = 1e9
+            worker.hangs_until = 1e9
 
 
-def a_zone_falls_silent_and_comes_back(w: RelayWorld) -> None:
-    for m in w.cloud.machines.values():
-        if m.zone == "b":
-            m.hangs_until = w.now + 1.5 * w.settings.lease_s
+def a_zone_hangs_and_recovers(world: RelayWorld) -> None:
+    for worker in world.cloud.machines.values():
+        if worker.zone == "b":
+            worker.hangs_until = world.now + 1.5 * world.settings.lease_s
 
 
-def all_nodes_restart(w: RelayWorld) -> None:
-    for i in range(w.nodes):
-        w.crash(i)
+def all_nodes_restart(world: RelayWorld) -> None:
+    for i in range(world.nodes):
+        world.crash(i)
 
 
-def nodes_restart_in_turn(w: RelayWorld) -> None:
-    for i in range(w.nodes):
-        w.crash(i)
-        w.run(3)
+def nodes_restart_in_turn(world: RelayWorld) -> None:
+    for i in range(world.nodes):
+        world.crash(i)
+        world.run(3)
 
 
-def one_node_remains(w: RelayWorld) -> None:
-    w.crash(w.leader)
-    keep = w.leader
-    for i in range(w.nodes):
-        if i != keep:
-            w.relays[i] = w.new_relay(i)
-            w.cut.add(i)
+def one_node_remains(world: RelayWorld) -> None:
+    world.crash(world.leader)
+    remaining = world.leader
+    for i in range(world.nodes):
+        if i != remaining:
+            world.relays[i] = world.new_relay(i)
+            world.cut.add(i)
 
 
-def spot_machines_are_taken(w: RelayWorld) -> None:
-    for m in list(w.cloud.machines.values()):
-        if m.spot:
-            m.notice = 5.0
+def spot_machines_get_preemption_notice(world: RelayWorld) -> None:
+    for worker in list(world.cloud.machines.values()):
+        if worker.spot:
+            worker.notice = 5.0
 
 
-def all_leaders_die_and_a_third_of_the_machines(w: RelayWorld) -> None:
-    a_third_dies(w)
+def three_leaders_and_a_third_of_machines_fail(world: RelayWorld) -> None:
+    a_third_of_machines_fails(world)
     for _ in range(3):
-        w.crash(w.leader)
-        w.run(1)
+        world.crash(world.leader)
+        world.run(1)
 
 
 @pytest.mark.parametrize(
     "event",
     [
-        all_sessions_rise,
-        a_third_dies,
-        a_zone_falls_silent_and_comes_back,
+        all_worker_leases_expire,
+        a_third_of_machines_fails,
+        a_zone_hangs_and_recovers,
         all_nodes_restart,
         nodes_restart_in_turn,
         one_node_remains,
-        spot_machines_are_taken,
-        all_leaders_die_and_a_third_of_the_machines,
+        spot_machines_get_preemption_notice,
+        three_leaders_and_a_third_of_machines_fail,
     ],
 )
-def test_mass_event(event: Callable[[RelayWorld], None]) -> None:
-    """The rules are looked at in every step. Afterwards all work ends, and few machines that came
-    through it were deleted for it: none that reported all the while."""
-    w = RelayWorld(11, capacity=MACHINES)
+def test_jobs_finish_and_healthy_machines_survive_mass_event(
+    event: Callable[[RelayWorld], None],
+) -> None:
+    """All jobs finish after the event, and no machine that kept reporting is deleted.
+
+    `World.check` verifies the invariants in every step.
+    """
+    world = RelayWorld(11, capacity=MACHINES)
     for i in range(12):
-        w.submit(f"wk-{i:06d}", run_s=25.0, parcels=100, cpus=2.0, loaners=i % 2 == 0)
-    w.run(16)
-    assert len(w.cloud.machines) > MACHINES * 0.8
-    well = set(w.cloud.machines)
-    event(w)
-    hurt = {name for name, m in w.cloud.machines.items() if m.hangs_until > w.now or m.notice}
-    w.run(12)
+        world.submit(f"wk-{i:06d}", run_s=25.0, parcels=100, cpus=2.0, loaners=i % 2 == 0)
+    world.run(16)
+    assert len(world.cloud.machines) > MACHINES * 0.8
+    initial_machines = set(world.cloud.machines)
+    event(world)
+    affected = {
+        name
+        for name, worker in world.cloud.machines.items()
+        if worker.hangs_until > world.now or worker.notice
+    }
+    world.run(12)
     if event is one_node_remains:
-        at = {w.at[name] for name in w.cloud.machines if name in w.at}
-        assert at == {w.leader}, "some did not find the node that is left"
-    assert well - hurt <= set(w.cloud.machines), "a healthy machine was deleted"
-    finish(w, 200.0)
-    assert set(w.told.values()) == {"done"} and len(w.told) == 12
+        reporting_nodes = {world.at[name] for name in world.cloud.machines if name in world.at}
+        assert reporting_nodes == {world.leader}, (
+            "some machines did not switch to the remaining node"
+        )
+    assert initial_machines - affected <= set(world.cloud.machines), "a healthy machine was deleted"
+    finish(world, 200.0)
+    assert set(world.told.values()) == {"done"} and len(world.told) == 12
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -1,4 +1,4 @@
-"""Work that looks at everything takes a bounded part of the time, however large the fleet is."""
+"""Work over the whole cluster takes a bounded share of the time, whatever the cluster size."""
 
 import itertools
 
@@ -10,17 +10,17 @@
 from world import World
 
 
-def pauses(work: AdaptiveInterval, cost_s: float, turns: int) -> list[float]:
-    """The pauses between turns that take so long, by a clock that ticks ten times a second."""
-    began: list[float] = []
+def intervals_between_runs(work: AdaptiveInterval, cost_s: float, run_count: int) -> list[float]:
+    """Return the seconds between starts of runs of `cost_s` each, with ten clock ticks a second."""
+    started_at: list[float] = []
     now = 0.0
-    while len(began) < turns:
+    while len(started_at) < run_count:
         if work.is_due(MonotonicTime(now)):
-            began.append(now)
+            started_at.append(now)
             work.start(MonotonicTime(now))
             work.record_duration(cost_s)
         now += 0.1
-    return [after - before for before, after in itertools.pairwise(began)]
+    return [after - before for before, after in itertools.pairwise(started_at)]
 
 
 @pytest.mark.parametrize(
@@ -29,24 +29,24 @@
         (0.0, 0.5),
         (0.05, 0.5),
         (0.2, 1.6),
-        (60.0, 4.0),  # stalled in the middle of it
+        (60.0, 4.0),  # the process stalled during the run
     ],
 )
-def test_what_takes_long_is_repeated_less_often(cost_s: float, pause_s: float) -> None:
-    for pause in pauses(AdaptiveInterval(0.5), cost_s, 5):
-        assert pause_s - 1e-6 <= pause <= pause_s + 0.2
+def test_interval_grows_with_duration_of_work(cost_s: float, pause_s: float) -> None:
+    for interval in intervals_between_runs(AdaptiveInterval(0.5), cost_s, 5):
+        assert pause_s - 1e-6 <= interval <= pause_s + 0.2
 
 
-def test_a_cost_is_counted_for_what_ran_alone() -> None:
-    """One tick does several things at times; those that it did not do cost nothing."""
+def test_duration_of_tick_without_run_is_ignored() -> None:
+    """A tick runs only the work that is due: its duration counts for no other work."""
     work = AdaptiveInterval(0.5)
     work.start(MonotonicTime(0.0))
     work.record_duration(0.01)
-    work.record_duration(0.4)  # of a tick in which it was not due
+    work.record_duration(0.4)  # the duration of a tick in which the work was not due
     assert work.is_due(MonotonicTime(0.5))
 
 
-def test_a_quick_turn_does_not_crowd_the_next_ones() -> None:
+def test_one_quick_run_does_not_shorten_interval_at_once() -> None:
     work = AdaptiveInterval(0.1)
     work.start(MonotonicTime(0.0))
     work.record_duration(0.4)
@@ -57,24 +57,24 @@
     )
 
 
-def test_a_planner_that_was_stalled_plans_again_soon() -> None:
+def test_planner_runs_soon_after_process_stall() -> None:
     planner = Planner(World(1).new_controller(5).cluster_state)
     planner.plan(MonotonicTime(100.0))
     planner.record_pass_duration(60.0)
     assert planner.is_due(MonotonicTime(111.0), 0)
 
 
-def test_looks_at_thousands_of_machines_are_spaced_out() -> None:
-    """As the adapter tells how long they took; without that they would fill a small core."""
+def test_costly_autoscaling_runs_are_spaced_out() -> None:
+    """The adapter reports the duration of each run; otherwise runs would use up a small core."""
     world = World(1)
-    controller = world.scheduler
-    assert controller is not None
-    rented: list[float] = []
-    measured = controller.cloud_requests.autoscale
-    controller.cloud_requests.autoscale = lambda now: (rented.append(now), measured(now))  # type: ignore
+    leader = world.scheduler
+    assert leader is not None
+    autoscaled_at: list[float] = []
+    run_autoscaling = leader.cloud_requests.autoscale
+    leader.cloud_requests.autoscale = lambda now: (autoscaled_at.append(now), run_autoscaling(now))  # type: ignore
     for tick in range(100):
         now = MonotonicTime(200.0 + tick / 10)
-        controller.cluster_state.autoscaling_due_at = now
-        controller.tick(now)
-        controller.record_tick_duration(0.25)
-    assert 4 <= len(rented) <= 6
+        leader.cluster_state.autoscaling_due_at = now
+        leader.tick(now)
+        leader.record_tick_duration(0.25)
+    assert 4 <= len(autoscaled_at) <= 6
