--- a/src/eldercart/scheduling/capacity_reservation.py
+++ b/src/eldercart/scheduling/capacity_reservation.py
@@ -1,7 +1,8 @@
-"""Reserving capacity that comes free, by itself or by preemption, for tasks that fit nowhere now.
+"""Reserves capacity that is about to be freed, for tasks that fit on no machine now.
 
-Without a reservation, small tasks would take each freed bit, and a larger one would wait for ever.
-The tasks are enqueued on the machine, which also reserves the capacity there.
+The capacity is freed by tasks that are being killed already, or by preemption. Without a
+reservation, small tasks would take all freed capacity, and a larger task would never start. The
+tasks are enqueued on the machine, which also reserves the capacity there.
 """
 
 import heapq
@@ -19,12 +20,14 @@
 
 log = logging.getLogger("eldercart.controller")
 
-MIN_PREEMPTION_OPTIONS = 12  # machines examined for a job that may preempt
-PREEMPTION_OPTIONS_PER_TASK = 2  # examined beyond these for each task that needs a place
+MIN_PREEMPTION_OPTIONS = 12  # machines examined for each job that may preempt
+PREEMPTION_OPTIONS_PER_TASK = 2  # further machines examined for each task that needs capacity
 
 
 class _PreemptionOption(NamedTuple):
-    """The preemption for one task on one machine; the cheapest sorts first, then by machine id."""
+    """Preemption on one machine in favour of one task.
+
+    Options sort by cost, then by machine id."""
 
     cost_cpu_s: float
     machine_id: MachineId
@@ -33,52 +36,59 @@
 
 
 class CapacityReserver:
-    """Reserves capacity that comes free, during one planning pass."""
+    """Reserves capacity that is about to be freed, during one planning pass."""
 
     def __init__(
         self,
         cluster: ClusterState,
         machines: list[Machine],
         prelaunch_queues: PrelaunchQueues,
-        first_examined: Callable[[int], int],
+        next_start_index: Callable[[int], int],
         now: MonotonicTime,
     ) -> None:
-        """`first_examined`: the index where a search among so many machines begins."""
+        """Create a reserver for a pass over `machines`.
+
+        `next_start_index` maps a number of machines to the index at which the next search among
+        them begins."""
         self._cluster = cluster
         self._machines = machines
         self._prelaunch_queues = prelaunch_queues
-        self._first_examined = first_examined
+        self._next_start_index = next_start_index
         self._now = now
-        self._terminating: list[Machine] | None = None  # where tasks end; found when first needed
+        # Machines on which tasks are being killed; computed on first use.
+        self._terminating_machines: list[Machine] | None = None
         self._unreservable_shapes: set[TaskShape] = set()
 
     def reserve_or_preempt(self, job: Job, task_count: int, shape: TaskShape) -> int:
-        """Reserve capacity for tasks of the job: first where tasks are being killed anyway, then
-        by killing tasks of lower priority, those that lose the least work first, on some of the
-        machines. Return for how many tasks it was done."""
+        """Reserve capacity for at most `task_count` tasks of the job; return for how many.
+
+        Capacity of tasks that are being killed already comes first. Then tasks of lower priority
+        are killed on some of the machines, those that lose the least work first."""
         if shape in self._unreservable_shapes:
             return 0
-        if self._terminating is None:
-            self._terminating = [
+        if self._terminating_machines is None:
+            self._terminating_machines = [
                 machine for machine in self._machines if machine.terminating_cpus > RESOURCE_EPSILON
             ]
-        reserved = self._reserve_terminating(job, task_count, self._terminating)
+        reserved = self._reserve_terminating(job, task_count, self._terminating_machines)
         cpus_by_priority = self._cluster.inventory.cpus_by_priority
         if reserved >= task_count or not _has_lower_priority(cpus_by_priority, job):
             return reserved
-        left = task_count - reserved
+        remaining = task_count - reserved
         options = self._preemption_options(
-            job, MIN_PREEMPTION_OPTIONS + PREEMPTION_OPTIONS_PER_TASK * left
+            job, MIN_PREEMPTION_OPTIONS + PREEMPTION_OPTIONS_PER_TASK * remaining
         )
-        reserved += self._preempt(job, left, options, self._terminating)
+        reserved += self._preempt(job, remaining, options, self._terminating_machines)
         if reserved == 0 and not job.avoided_machines:
             self._unreservable_shapes.add(shape)
         return reserved
 
-    def _reserve_terminating(self, job: Job, task_count: int, terminating: list[Machine]) -> int:
-        """Reserve capacity that tasks being killed will free; return for how many tasks."""
+    def _reserve_terminating(
+        self, job: Job, task_count: int, terminating_machines: list[Machine]
+    ) -> int:
+        """Reserve capacity that killed tasks are about to free; return for how many tasks."""
         reserved = 0
-        for machine in terminating:
+        for machine in terminating_machines:
             if reserved >= task_count:
                 break
             if is_feasible(job.spec, machine) and not job.avoids_machine(machine.id, self._now):
@@ -90,14 +100,15 @@
         return reserved
 
     def _preemption_options(self, job: Job, max_machines: int) -> list[_PreemptionOption]:
-        """Return what making room for one task costs on at most `max_machines` machines, as a
-        heap. Each search begins with another machine."""
+        """Return a heap of the preemptions that would free capacity for one task.
+
+        At most `max_machines` machines are examined. Each search begins at another machine."""
         options: list[_PreemptionOption] = []
         examined = 0
         machine_count = len(self._machines)
-        first = self._first_examined(machine_count)
+        start = self._next_start_index(machine_count)
         for offset in range(machine_count):
-            machine = self._machines[(first + offset) % machine_count]
+            machine = self._machines[(start + offset) % machine_count]
             if not _has_lower_priority(machine.cpus_by_priority, job):
                 continue
             if not is_feasible(job.spec, machine) or job.avoids_machine(machine.id, self._now):
@@ -121,9 +132,9 @@
         job: Job,
         task_count: int,
         options: list[_PreemptionOption],
-        terminating: list[Machine],
+        terminating_machines: list[Machine],
     ) -> int:
-        """Take the cheapest options; return for how many tasks others are being killed."""
+        """Carry out the cheapest options; return for how many tasks capacity was reserved."""
         reserved = 0
         while reserved < task_count and options:
             machine, victims = heapq.heappop(options)[2:]
@@ -134,14 +145,14 @@
                     "preempted task=%s machine=%s for=%s", victim.key, victim.machine_id, job.id
                 )
                 self._cluster.kill_placement(victim, self._now)
-            if machine not in terminating:
-                terminating.append(machine)
+            if machine not in terminating_machines:
+                terminating_machines.append(machine)
             self._push_option(options, job, machine)
         return reserved
 
 
 def _has_lower_priority(cpus_by_priority: dict[int, float], job: Job) -> bool:
-    """Return whether anything of lower priority than the job runs there."""
+    """Return whether tasks of lower priority than the job hold any of these CPUs."""
     return any(
         cpus > RESOURCE_EPSILON
         for priority, cpus in cpus_by_priority.items()
--- a/src/eldercart/scheduling/planner.py
+++ b/src/eldercart/scheduling/planner.py
@@ -1,7 +1,7 @@
-"""When a planning pass is made, and the queue that it works through.
+"""Decides when a planning pass runs, and builds the job queue for it.
 
-A pass looks at what is free or may come free, not at everything that runs, and is repeated at
-intervals that its own cost sets.
+A pass examines only capacity that is free or may become free, not every running task. The interval
+between passes grows with the duration of a pass.
 """
 
 from eldercart.cluster.inventory import Machine
@@ -13,35 +13,39 @@
 from eldercart.scheduling.queue_order import QueueOrderContext, order_jobs
 from eldercart.units import DISTANT_PAST, MonotonicTime
 
-PASS_COST_FACTOR = 5.0  # the interval between passes is at least so many times what one takes
-MAX_PASS_COST_S = 2.0  # that is believed: a process that was stalled meanwhile did not plan so long
-MAX_PASS_INTERVAL_S = 1.0  # unless a pass takes long
-# How long placements may wait to be written, as a share of the writes of a second.
+PASS_COST_FACTOR = 5.0  # minimum interval between passes, in durations of a pass
+# Upper bound of one recorded duration: a process that was stalled did not plan all that time.
+MAX_PASS_COST_S = 2.0
+# A pass is due after this time even if none was requested, unless passes take long.
+MAX_PASS_INTERVAL_S = 1.0
+# Backlog of unwritten placement records above which passes are less frequent, in seconds of the
+# state store's write rate.
 UNWRITTEN_BACKLOG_S = 0.2
-START_INDEX_STEP = 7  # by which the first machine of a search differs from the last search's
+START_INDEX_STEP = 7  # distance between the first machines of two consecutive searches
 
 
 class Planner:
-    """Makes planning passes and remembers what the last one left unplaced."""
+    """Runs planning passes, and keeps the jobs that the last pass could not place completely."""
 
     def __init__(self, cluster: ClusterState) -> None:
-        """No pass has been made yet."""
+        """Create a planner whose first pass is due at once."""
         self.cluster = cluster
-        self.unplaced_jobs: list[Job] = []  # that found no capacity in the last pass, in its order
+        # Jobs with tasks that found no capacity in the last pass, in queue order.
+        self.unplaced_jobs: list[Job] = []
         self._last_pass_at = DISTANT_PAST
         self._pass_cost = DecayingMaxCost(MAX_PASS_COST_S)
-        self._rotation = 0
+        self._search_count = 0
 
     def record_pass_duration(self, seconds: float) -> None:
-        """Record what the last pass took, which sets the interval to the next ones."""
+        """Record the duration of the last pass, which determines the interval to the next."""
         self._pass_cost.record(seconds)
 
     def is_due(self, now: MonotonicTime, unwritten: int) -> bool:
-        """Return whether the next pass may be made.
+        """Return whether the next pass may run.
 
-        `unwritten`: how many records with placements wait to be written. As long as there are many,
-        to place more would only spread each freed place over more records; the tasks in the
-        prelaunch queues bridge the time."""
+        `unwritten` is the number of placement records that wait to be written. While there are
+        many, further passes would only spread the placements over more records; meanwhile, freed
+        capacity goes to the tasks in the prelaunch queues."""
         elapsed_s = now - self._last_pass_at
         interval_s = max(
             self.cluster.tuning.plan_interval_s, PASS_COST_FACTOR * self._pass_cost.seconds
@@ -53,13 +57,13 @@
         )
 
     def plan(self, now: MonotonicTime) -> None:
-        """Make one pass: place waiting tasks in the order of their jobs."""
+        """Run one pass, which places waiting tasks in the queue order of their jobs."""
         cluster = self.cluster
         cluster.is_planning_requested = False
         self._last_pass_at = now
         self.unplaced_jobs = []
-        waiting = self._waiting_jobs(now)
-        if not waiting:
+        waiting_jobs = self._waiting_jobs(now)
+        if not waiting_jobs:
             return
         machines = [
             machine for machine in cluster.inventory.machines.values() if machine.is_schedulable
@@ -68,25 +72,27 @@
             return
         cluster.inventory.clear_reservations()
         cancel_stale(cluster, now)
-        ordered = self._order_queue(waiting, machines, now)
-        queue = self._with_starving_first(ordered, now)
+        ordered = self._order_queue(waiting_jobs, machines, now)
+        queue = self._add_turns_of_starving_jobs(ordered, now)
         planning_pass = PlanningPass(cluster, machines, queue, self._next_start_index, now)
         self.unplaced_jobs = planning_pass.unplaced_jobs
         planning_pass.run()
 
     def _waiting_jobs(self, now: MonotonicTime) -> list[Job]:
-        """Return the jobs with tasks to place; for those in backoff, request another pass."""
-        waiting = []
+        """Return the jobs with tasks to place, without those in backoff.
+
+        For a job in backoff, another pass is requested."""
+        waiting_jobs = []
         for job in self.cluster.jobs.jobs.values():
             if (job.enqueued_count or job.unplaced_count) and job.is_runnable:
                 if job.backoff_until > now:
                     self.cluster.request_planning()
                     continue
-                waiting.append(job)
-        return waiting
+                waiting_jobs.append(job)
+        return waiting_jobs
 
     def _order_queue(
-        self, waiting: list[Job], machines: list[Machine], now: MonotonicTime
+        self, waiting_jobs: list[Job], machines: list[Machine], now: MonotonicTime
     ) -> list[Job]:
         cluster = self.cluster
         on_demand_cpus = sum(machine.type.cpus for machine in machines if not machine.is_spot)
@@ -108,17 +114,21 @@
             expected_run_s=cluster.predictor.expected_run_s,
             expected_longest_run_s=cluster.predictor.expected_longest_run_s,
         )
-        ordered = order_jobs(waiting, context, now)
+        ordered = order_jobs(waiting_jobs, context, now)
         for position, job in enumerate(ordered):
             job.queue_position = position
         return ordered
 
-    def _with_starving_first(self, ordered: list[Job], now: MonotonicTime) -> list[QueueEntry]:
-        """Return the queue with extra turns, for their first tasks, of jobs that have waited too
-        long to start: ahead of their priority, and after a longer wait ahead of every other.
+    def _add_turns_of_starving_jobs(
+        self, ordered: list[Job], now: MonotonicTime
+    ) -> list[QueueEntry]:
+        """Return the queue with an extra turn for each starving job, limited to its first tasks.
+
+        A starving job has waited too long to start. Its extra turn comes before all jobs of its
+        priority, or after a longer wait before all other jobs.
 
-        The order alone defers the largest jobs as long as a burst lasts, and would never come to
-        the lowest priority under steady load."""
+        Without extra turns, the largest jobs would be deferred for as long as a burst lasts, and
+        jobs of the lowest priority would never run under steady load."""
         tuning = self.cluster.tuning
         queue: list[QueueEntry] = []
         ahead_of_priority: dict[int, list[QueueEntry]] = {}
@@ -127,13 +137,13 @@
             job.is_starving = not job.has_started and waited_s >= tuning.starve_s
             if not job.is_starving:
                 continue
-            limit = int(tuning.starve_tasks) - _placed_count(job)
-            if limit <= 0:
+            task_limit = int(tuning.starve_tasks) - _placed_count(job)
+            if task_limit <= 0:
                 continue
             if waited_s >= tuning.starve_below_s:
-                queue.append(QueueEntry(job, limit))
+                queue.append(QueueEntry(job, task_limit))
             else:
-                ahead_of_priority.setdefault(job.priority, []).append(QueueEntry(job, limit))
+                ahead_of_priority.setdefault(job.priority, []).append(QueueEntry(job, task_limit))
         priority: int | None = None
         for job in ordered:
             if job.priority != priority:
@@ -143,11 +153,11 @@
         return queue
 
     def _next_start_index(self, machine_count: int) -> int:
-        """Return where a search among so many machines begins, each time elsewhere."""
-        self._rotation += 1
-        return (self._rotation * START_INDEX_STEP) % max(1, machine_count)
+        """Return the index of the first machine of a search, which changes with each search."""
+        self._search_count += 1
+        return (self._search_count * START_INDEX_STEP) % max(1, machine_count)
 
 
 def _placed_count(job: Job) -> int:
-    """Return how many of the job's tasks are launched, or are to be, and not done."""
+    """Return how many of the job's tasks are placed but neither done nor enqueued."""
     return job.spec.task_count - job.unplaced_count - job.done_count - job.enqueued_count
--- a/src/eldercart/scheduling/planning_pass.py
+++ b/src/eldercart/scheduling/planning_pass.py
@@ -1,8 +1,8 @@
-"""One planning pass: what is done with each job of the queue, step by step.
+"""One planning pass over the job queue.
 
-For each job, in order: place its tasks where they fit now (filter, score, assign); for what is
-left, reserve capacity that comes free and preempt tasks of lower priority; enqueue the rest on
-machines ahead of free capacity.
+For each job, in queue order, a pass places the tasks that fit now (filter, score, assign). For the
+remaining tasks, it reserves capacity that is about to be freed and preempts tasks of lower
+priority. It enqueues the rest on machines that have no free capacity yet.
 """
 
 from collections.abc import Callable
@@ -18,17 +18,19 @@
 from eldercart.units import MonotonicTime
 from eldercart.wire.users import JobSpec
 
-# Capacity that nobody has used for so long is used, whatever it was reserved or left for.
+# A machine where no task has ended for this long takes any job that has waited as long, even if
+# its free capacity is reserved or kept for other jobs.
 UNUSED_CAPACITY_TIMEOUT_S = 45.0
-# How long before its start objective a job may preempt: the kill, its report and the launch.
+# A job may preempt this long before its start objective, in heartbeat intervals plus seconds: the
+# time for the kill, its report and the launch.
 PREEMPTION_LEAD_HEARTBEATS, PREEMPTION_LEAD_S = 2.5, 1.0
 
 
 class QueueEntry(NamedTuple):
-    """A job's turn in a pass. A job that starves has an extra turn for its first tasks."""
+    """A job's turn in a pass. A starving job has an extra turn for its first tasks."""
 
     job: Job
-    starvation_limit: int | None = None  # at most so many tasks; None: its ordinary turn
+    starvation_limit: int | None = None  # most tasks of an extra turn; None in an ordinary turn
 
 
 class PlanningPass:
@@ -39,12 +41,14 @@
         cluster: ClusterState,
         machines: list[Machine],
         queue: list[QueueEntry],
-        first_examined: Callable[[int], int],
+        next_start_index: Callable[[int], int],
         now: MonotonicTime,
     ) -> None:
-        """`machines`: those that take new tasks; `first_examined`: the index where a search for
-        preemptions among so many machines begins."""
-        self.unplaced_jobs: list[Job] = []  # with tasks that have no place after their own turn
+        """Prepare a pass over `queue`.
+
+        `machines` are those that accept new tasks. `next_start_index` maps a number of machines to
+        the index at which a search for preemptions among them begins."""
+        self.unplaced_jobs: list[Job] = []  # jobs with tasks still unplaced after the ordinary turn
         self._cluster = cluster
         self._now = now
         self._machines = machines
@@ -60,45 +64,47 @@
         ]
         self._prelaunch_queues = PrelaunchQueues(cluster, machines, self._min_task_cpus, now)
         self._reserver = CapacityReserver(
-            cluster, machines, self._prelaunch_queues, first_examined, now
+            cluster, machines, self._prelaunch_queues, next_start_index, now
         )
-        # Shapes that found no place in this pass: anywhere, and on spot machines.
+        # Task shapes that fitted nowhere in this pass: on any machine, and on spot machines.
         self._infeasible_shapes: set[TaskShape] = set()
         self._infeasible_on_spot: set[TaskShape] = set()
-        # What is enqueued by priority, as far as its capacity is not reserved in this pass yet.
-        self._unreserved = enqueued_by_priority(cluster.inventory)
-        self._reserved_down_to: int | None = None
-        self._spot_only_up_to = self._priority_barred_from_on_demand()
+        # Enqueued tasks whose capacity is not reserved in this pass yet, by priority.
+        self._unreserved_enqueued = enqueued_by_priority(cluster.inventory)
+        self._lowest_reserved_priority: int | None = None
+        self._max_spot_only_priority = self._priority_barred_from_on_demand()
         self._preemption_lead_s = (
             PREEMPTION_LEAD_HEARTBEATS * cluster.settings.report_s + PREEMPTION_LEAD_S
         )
 
     def run(self) -> None:
-        """Take all steps for each job, in the order of the queue."""
+        """Place, reserve, preempt and enqueue for each job, in queue order."""
         for entry in self._queue:
             if entry.starvation_limit is None:
                 self._reserve_enqueued(entry.job.priority)
             shape = shape_of(entry.job.spec)
-            self._place_where_it_fits(entry, shape)
+            self._place_on_open_machines(entry, shape)
             if entry.starvation_limit is None and _has_waiting_tasks(entry.job):
                 self.unplaced_jobs.append(entry.job)
-            self._provide_for_the_rest(entry, shape)
+            self._reserve_or_enqueue_remaining(entry, shape)
         self._place_on_unused_capacity()
 
     def _reserve_enqueued(self, priority: int) -> None:
-        """Reserve capacity for what was enqueued in earlier passes: jobs of the same or of lower
-        priority don't take it."""
-        if priority == self._reserved_down_to:
+        """Reserve capacity for tasks of at least this priority that earlier passes enqueued.
+
+        Thus jobs of the same or a lower priority don't take it."""
+        if priority == self._lowest_reserved_priority:
             return
-        self._reserved_down_to = priority
-        for level in [level for level in self._unreserved if level >= priority]:
-            for enqueued in self._unreserved.pop(level).values():
+        self._lowest_reserved_priority = priority
+        for level in [level for level in self._unreserved_enqueued if level >= priority]:
+            for enqueued in self._unreserved_enqueued.pop(level).values():
                 self._cluster.inventory.reserve(
                     enqueued.machine, enqueued.spec, enqueued.task_count
                 )
 
-    def _place_where_it_fits(self, entry: QueueEntry, shape: TaskShape) -> None:
-        """Place tasks of the job on open machines, unless its like found no place before."""
+    def _place_on_open_machines(self, entry: QueueEntry, shape: TaskShape) -> None:
+        """Place tasks of the job on open machines, unless tasks of this shape already failed to
+        fit in this pass."""
         if not self._open_machines or shape in self._infeasible_shapes:
             return
         spot_only = self._must_use_spot(entry)
@@ -106,30 +112,30 @@
             return
         job = entry.job
         is_placed = self._place(entry, spot_only=spot_only)
-        if not is_placed and _has_no_own_rules(job) and self._quota_headroom(job.spec) > 0:
-            # Of those that are barred from on-demand machines it tells nothing about the others.
+        if not is_placed and _is_decided_by_shape(job) and self._quota_headroom(job.spec) > 0:
+            # A search of spot machines only does not show whether the shape fits on-demand ones.
             infeasible = self._infeasible_on_spot if spot_only else self._infeasible_shapes
             infeasible.add(shape)
 
-    def _provide_for_the_rest(self, entry: QueueEntry, shape: TaskShape) -> None:
-        """Reserve capacity, preempt and enqueue for tasks that found no place."""
-        job, limit = entry
-        left = min(job.unplaced_count, self._quota_headroom(job.spec))
-        if limit is not None:
-            left = min(left, limit - job.enqueued_count)
-        if left <= 0 or job.spec.single_zone or job.spec.spread:
+    def _reserve_or_enqueue_remaining(self, entry: QueueEntry, shape: TaskShape) -> None:
+        """Reserve capacity, preempt and enqueue for tasks that fit nowhere now."""
+        job, task_limit = entry
+        remaining = min(job.unplaced_count, self._quota_headroom(job.spec))
+        if task_limit is not None:
+            remaining = min(remaining, task_limit - job.enqueued_count)
+        if remaining <= 0 or job.spec.single_zone or job.spec.spread:
             return
-        if limit is not None or self._may_preempt(job):
-            left -= self._reserver.reserve_or_preempt(job, left, shape)
-        if left > 0:
-            self._prelaunch_queues.enqueue_ahead(job, left, is_starving=limit is not None)
+        if task_limit is not None or self._may_preempt(job):
+            remaining -= self._reserver.reserve_or_preempt(job, remaining, shape)
+        if remaining > 0:
+            self._prelaunch_queues.enqueue_ahead(job, remaining, is_starving=task_limit is not None)
 
     def _place_on_unused_capacity(self) -> None:
-        """Place jobs that have waited long on machines that have been idle as long.
+        """Place jobs that have waited long on machines where no task has ended for as long.
 
-        Capacity may be reserved for a larger task, kept for those that need on-demand machines, or
-        left because something else scored better. Where nothing has ended for so long, nobody has
-        come for it."""
+        Free capacity there may be reserved for a larger task, kept for jobs that need on-demand
+        machines, or unused because other machines scored better. After this time without change,
+        the jobs that it was kept for have not used it."""
         idle_since = self._now - UNUSED_CAPACITY_TIMEOUT_S
         overdue = [
             entry
@@ -157,11 +163,11 @@
     # -- steps
 
     def _place(self, entry: QueueEntry, *, spot_only: bool) -> bool:
-        """Place waiting and enqueued tasks of the job; return whether any machine was found."""
-        job, limit = entry
+        """Place unplaced and enqueued tasks of the job; return whether any machine was found."""
+        job, task_limit = entry
         wanted = job.unplaced_count + job.enqueued_count
-        if limit is not None:
-            wanted = min(limit, wanted)
+        if task_limit is not None:
+            wanted = min(task_limit, wanted)
         machines = self._open_machines
         if spot_only:
             machines = [machine for machine in machines if machine.is_spot]
@@ -173,13 +179,13 @@
             return False
         assigned = sum(assignment.task_count for assignment in assignments)
         self._prelaunch_queues.cancel(job, assigned - job.unplaced_count)
-        self._assign(job, assignments, exempt_from_preemption=limit is not None)
+        self._assign(job, assignments, exempt_from_preemption=task_limit is not None)
         return True
 
     def _assign(
         self, job: Job, assignments: list[Assignment], *, exempt_from_preemption: bool
     ) -> None:
-        """Add the placements, to be written and then launched."""
+        """Add the placements, which are launched once their records are durable."""
         cluster, now = self._cluster, self._now
         job.last_placed_at = now
         for assignment in assignments:
@@ -198,23 +204,24 @@
     # -- conditions
 
     def _must_use_spot(self, entry: QueueEntry) -> bool:
-        """Return whether on-demand machines are kept from the job in this turn."""
-        job, limit = entry
+        """Return whether the job may use only spot machines in this turn."""
+        job, task_limit = entry
         return (
             job.spec.allows_spot
-            and self._spot_only_up_to is not None
-            and job.priority <= self._spot_only_up_to
-            and limit is None
+            and self._max_spot_only_priority is not None
+            and job.priority <= self._max_spot_only_priority
+            and task_limit is None
             and not job.prefers_on_demand
         )
 
     def _priority_barred_from_on_demand(self) -> int | None:
-        """Return up to which priority jobs that may use spot machines are barred from on-demand
-        ones; None if none is.
+        """Return the highest priority of spot-capable jobs that may not use on-demand machines
+        now, or None if all of them may.
 
-        They are when the jobs that may use nothing else are expected to need all that is left of
-        them: then the others wait for a spot machine rather than be preempted or stand in the
-        way."""
+        It is the highest priority of the ready jobs that need on-demand machines, if these are
+        expected to need all free on-demand CPUs. Spot-capable jobs up to that priority then wait
+        for spot machines: on on-demand machines they would block the other jobs, or be preempted
+        by them."""
         free_cpus = sum(machine.free_cpus for machine in self._machines if not machine.is_spot)
         highest = -1
         for job in self._cluster.jobs.jobs.values():
@@ -235,10 +242,10 @@
 
 
 def _has_waiting_tasks(job: Job) -> bool:
-    """Return whether tasks of the job are not launched, enqueued ones among them."""
+    """Return whether the job has tasks that are unplaced or enqueued."""
     return bool(job.unplaced_count or job.enqueued_count)
 
 
-def _has_no_own_rules(job: Job) -> bool:
-    """Return whether only the shape of its tasks decides where the job may run."""
+def _is_decided_by_shape(job: Job) -> bool:
+    """Return whether the shape of its tasks alone determines where the job may run."""
     return not (job.spec.single_zone or job.spec.spread or job.avoided_machines)
