--- a/src/eldercart/scheduling/feasibility.py
+++ b/src/eldercart/scheduling/feasibility.py
@@ -1,6 +1,7 @@
-"""Whether tasks of a job may run somewhere: machine types, zones, free capacity and team quotas.
+"""Checks whether tasks of a job may run on a machine or a machine type.
 
-These rules hold whatever the need; what is better among the feasible is decided elsewhere.
+The checks cover machine types, zones, free capacity and team quotas. They are hard constraints;
+the choice among feasible machines is made in `machine_selection`.
 """
 
 from typing import NamedTuple
@@ -10,12 +11,13 @@
 from eldercart.wire.cloud import MachineType
 from eldercart.wire.users import JobSpec
 
-UNKNOWN_ZONE = "?"  # of a machine that is known from its tasks alone
-UNLIMITED_TASKS = 100_000  # more than any job has
+UNKNOWN_ZONE = "?"  # zone of a machine that is known only from the placements on it
+UNLIMITED_TASKS = 100_000  # more tasks than any job has
 
 
 class TaskShape(NamedTuple):
-    """What a task asks of a machine: where one task finds no place, its like finds none."""
+    """Requirements of a task on a machine. If one task fits nowhere, no task of the same shape
+    does."""
 
     cpus: float
     gpus: float
@@ -33,8 +35,9 @@
 
 
 def fits_machine_type(spec: JobSpec, machine_type: MachineType) -> bool:
-    """Return whether one task of the job fits an empty machine of that type, where it is
-    offered."""
+    """Return whether one task of the job fits an empty machine of that type.
+
+    If the job requires a zone, the type must be offered there."""
     return (
         (spec.machine_types is None or machine_type.name in spec.machine_types)
         and (spec.zone is None or spec.zone in machine_type.zones)
@@ -47,7 +50,7 @@
 def rejection_reason(
     spec: JobSpec, types: dict[str, MachineType], teams: dict[str, Team]
 ) -> str | None:
-    """Return why the job can never run, as the user is told; None if it can."""
+    """Return why the job can never run, as text for the user, or None if it can run."""
     team = teams.get(spec.team)
     if team is None:
         return "unknown team"
@@ -61,7 +64,7 @@
 
 
 def is_feasible(spec: JobSpec, machine: Machine) -> bool:
-    """Return whether the job may run on a machine of this type, in this zone, and spot or not."""
+    """Return whether the job allows the machine's type, its zone and, if so, a spot machine."""
     return (
         (spec.allows_spot or not machine.is_spot)
         and (spec.machine_types is None or machine.type.name in spec.machine_types)
@@ -70,7 +73,7 @@
 
 
 def count_fitting(spec: JobSpec, cpus: float, gpus: float, memory_gb: float) -> int:
-    """Return how many tasks of the job fit into that capacity."""
+    """Return how many tasks of the job fit into the given capacity."""
     task_count = UNLIMITED_TASKS
     if spec.cpus > 0:
         task_count = int((cpus + RESOURCE_EPSILON) / spec.cpus)
@@ -84,8 +87,10 @@
 
 
 def capacity_for(spec: JobSpec, machine: Machine) -> int:
-    """Return how many more tasks of the job fit on the machine, beside everything that may run
-    there and what is reserved for jobs placed before."""
+    """Return how many more tasks of the job fit on the machine now.
+
+    Capacity is not available if it belongs to tasks that may still run there, or is reserved for
+    other jobs in this planning pass."""
     return count_fitting(
         spec,
         machine.free_cpus - machine.reserved_cpus,
@@ -95,7 +100,7 @@
 
 
 def capacity_after_terminations(spec: JobSpec, machine: Machine) -> int:
-    """Return the same once every task that is being killed there has ended."""
+    """Return what `capacity_for` will return once all tasks being killed there have ended."""
     return count_fitting(
         spec,
         machine.free_cpus - machine.reserved_cpus + machine.terminating_cpus,
@@ -111,17 +116,18 @@
         return 0
     task_count = UNLIMITED_TASKS
     if team.cpus_max > 0 and spec.cpus > 0:
-        left = team.cpus_max - inventory.cpus_by_team.get(spec.team, 0.0)
-        task_count = min(task_count, int((left + RESOURCE_EPSILON) / spec.cpus))
+        remaining = team.cpus_max - inventory.cpus_by_team.get(spec.team, 0.0)
+        task_count = min(task_count, int((remaining + RESOURCE_EPSILON) / spec.cpus))
     if team.gpus_max > 0 and spec.gpus > 0:
-        left = team.gpus_max - inventory.gpus_by_team.get(spec.team, 0.0)
-        task_count = min(task_count, int((left + RESOURCE_EPSILON) / spec.gpus))
+        remaining = team.gpus_max - inventory.gpus_by_team.get(spec.team, 0.0)
+        task_count = min(task_count, int((remaining + RESOURCE_EPSILON) / spec.gpus))
     return max(0, task_count)
 
 
 def exceeds_quota(spec: JobSpec, inventory: MachineInventory, teams: dict[str, Team]) -> bool:
-    """Return whether all that may run of the team, a task of this job among it, is more than its
-    quota."""
+    """Return whether the tasks of the job's team that may be running exceed the team's quota.
+
+    The task of this job to be judged is already counted among them."""
     team = teams.get(spec.team)
     if team is None:
         return True
--- a/src/eldercart/scheduling/machine_selection.py
+++ b/src/eldercart/scheduling/machine_selection.py
@@ -1,4 +1,4 @@
-"""Which machines the tasks of a job are placed on: scores, and the rules on zones."""
+"""Selects the machines for the tasks of a job, by score and under the job's zone constraints."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -16,13 +16,13 @@
 from eldercart.units import MonotonicTime
 from eldercart.wire.users import JobSpec
 
-MIN_FETCH_GB_PER_S = 1e-3  # of a machine type that states none
+MIN_FETCH_GB_PER_S = 1e-3  # lower bound, for machine types whose rate is not known
 
 
 class MachineScore(NamedTuple):
-    """How well a machine suits a job; lower is better."""
+    """How well a machine suits a job, compared field by field; lower is better."""
 
-    is_other_kind: bool  # spot or on-demand, unlike what the job should use
+    is_other_kind: bool  # spot where the job should use on-demand, or the other way round
     fetch_s: float
     price_per_cpu: float
     free_cpus: float
@@ -37,7 +37,7 @@
 
 
 class _Candidate(NamedTuple):
-    """A feasible machine, and how many tasks of the job fit there now."""
+    """A feasible machine, and the number of tasks of the job that fit on it now."""
 
     machine: Machine
     capacity: int
@@ -55,8 +55,10 @@
 
 
 def required_zone(job: Job, inventory: MachineInventory) -> str | None:
-    """Return the only zone where the job's next task may run: the one that it asks for, or the one
-    where its other tasks are if it must stay in a single zone; None if it is free."""
+    """Return the only zone where the job's next task may run, or None if there is no such limit.
+
+    It is the zone that the job requests, or the zone of its other tasks if the job must stay in a
+    single zone."""
     if job.spec.zone is None and job.spec.single_zone:
         zones = tasks_by_zone(job, inventory)
         return next(iter(zones)) if len(zones) == 1 and UNKNOWN_ZONE not in zones else None
@@ -64,8 +66,9 @@
 
 
 def pending_fetch_gb(machine: Machine, image: str) -> float:
-    """Return the GB of other images that tasks on the machine wait for: fetched at once, they
-    share the machine's rate."""
+    """Return the GB of other images that tasks on the machine wait for.
+
+    Images that a machine fetches at the same time share its fetch rate."""
     if not machine.live_task_count:
         return 0.0
     sizes_gb = {
@@ -80,11 +83,14 @@
 def score(spec: JobSpec, machine: Machine, *, prefers_on_demand: bool = False) -> MachineScore:
     """Return how well the machine suits tasks of the job.
 
-    On-demand machines are left for jobs that may use nothing else; then a cached image (as
-    heartbeats and starts have shown) or the shortest fetch counts; then the cheaper type, so that
-    the dearer ones come free and are returned; then the fullest machine, so that whole machines
-    come free. `prefers_on_demand` is for jobs that a reclaimed spot machine has interrupted: what
-    it took is long, or it would have ended, and would be lost again.
+    The criteria, in order:
+    - On-demand machines are left for jobs that can't use spot machines.
+    - A cached image, as known from heartbeats and starts, or the shortest fetch.
+    - The cheaper machine type, so that dearer machines become empty and are returned.
+    - The fullest machine, so that whole machines become empty.
+
+    `prefers_on_demand` is for jobs that the reclaim of a spot machine has interrupted. A task that
+    was still running then is probably long, and its work could be lost again on a spot machine.
     """
     machine_type = machine.type
     fetch_s = 0.0
@@ -108,8 +114,9 @@
     teams: dict[str, Team],
     now: MonotonicTime,
 ) -> list[Assignment]:
-    """Return machines for at most `wanted` tasks of the job, those with the best scores first,
-    within its team's quota and its rules on zones."""
+    """Return machines for at most `wanted` tasks of the job, the best scores first.
+
+    The assignments respect the quota of the job's team and the job's zone constraints."""
     wanted = min(wanted, quota_headroom(job.spec, inventory, teams))
     if wanted <= 0:
         return []
@@ -121,10 +128,10 @@
     if spec.single_zone or spec.spread:
         zones = tasks_by_zone(job, inventory)
         if UNKNOWN_ZONE in zones:
-            # After a failover: where some of its tasks are comes with the next heartbeats.
+            # After a failover, the zones of some tasks are unknown until the next heartbeats.
             return []
     if spec.single_zone:
-        # Whatever may still run counts, also where its machine is given up: it may go on.
+        # Tasks that may still run count, even on a machine that is being deleted.
         zone = next(iter(zones)) if zones else _zone_with_most_capacity(candidates, wanted)
         candidates = [candidate for candidate in candidates if candidate.machine.zone == zone]
     zone_limit = (spec.task_count + 1) // 2 if spec.spread else None
@@ -148,14 +155,14 @@
     candidates.sort(
         key=lambda candidate: (
             score(spec, candidate.machine, prefers_on_demand=prefers_on_demand),
-            candidate.machine.id,  # makes the order total
+            candidate.machine.id,  # tie-breaker
         )
     )
     return candidates
 
 
 def _zone_with_most_capacity(candidates: list[_Candidate], wanted: int) -> str:
-    """Return the zone with room for the most of the wanted tasks."""
+    """Return the zone with capacity for the most of the wanted tasks."""
     capacity: dict[str, int] = {}
     for machine, task_count in candidates:
         capacity[machine.zone] = capacity.get(machine.zone, 0) + task_count
@@ -165,8 +172,9 @@
 def _assign_in_order(
     candidates: list[_Candidate], wanted: int, zones: dict[str, int], zone_limit: int | None
 ) -> list[Assignment]:
-    """Return the first candidates that hold the wanted tasks, with at most `zone_limit` tasks in a
-    zone, those that are there already (`zones`) among them."""
+    """Assign the wanted tasks to the candidates, in their order.
+
+    A zone gets at most `zone_limit` tasks, including those that `zones` counts there already."""
     assignments = []
     for machine, capacity in candidates:
         task_count = min(capacity, wanted)
--- a/src/eldercart/scheduling/preemption.py
+++ b/src/eldercart/scheduling/preemption.py
@@ -1,4 +1,4 @@
-"""Preemption: which running tasks to kill so that a task of higher priority gets their place."""
+"""Selects the tasks to kill so that a task of higher priority gets their capacity."""
 
 from typing import NamedTuple
 
@@ -7,25 +7,26 @@
 from eldercart.scheduling.feasibility import count_fitting
 from eldercart.units import MonotonicTime
 
-RESTART_COST_S = 1.5  # seconds of work that starting a task again costs
-DEFERRED_COST_FACTOR = 0.7  # jobs that will be late anyway lose less by a preemption
+RESTART_COST_S = 1.5  # work lost by restarting a task, besides its lost run time
+DEFERRED_COST_FACTOR = 0.7  # preempting a job that misses its objective anyway costs less
 
 
 class Preemption(NamedTuple):
     """The tasks to kill on one machine so that one more task fits there."""
 
-    cost_cpu_s: float  # CPU seconds of work that are lost
+    cost_cpu_s: float  # CPU seconds of work lost by the kills
     victims: list[Placement]
 
 
 def select_victims(job: Job, machine: Machine, now: MonotonicTime) -> Preemption | None:
-    """Return the tasks of lower priority that lose the least work by making room for one task of
-    the job on the machine; None if killing all of them is not enough."""
+    """Return the tasks of lower priority to kill on the machine to free capacity for one task of
+    the job, those that lose the least work first; None if killing all of them is not enough."""
     spec = job.spec
     candidates = [
         (preemption_cost(placement, now), placement.key, placement)
         for placement in machine.placements.values()
-        # The other job may be needed more since its task was placed.
+        # The other job's priority may have risen since its task was placed, because a job of
+        # higher priority depends on it.
         if max(placement.priority_at_placement, placement.job.priority) < job.priority
         and not placement.is_terminating
         and not placement.is_exempt_from_preemption
@@ -49,7 +50,7 @@
 
 
 def preemption_cost(placement: Placement, now: MonotonicTime) -> float:
-    """Return the CPU seconds of work that are lost if the task is killed now."""
+    """Return the CPU seconds of work that a kill of the task now would lose."""
     spec = placement.job.spec
     lost_s = placement.run_time_s(now)
     if spec.checkpoint_interval_s > 0:
