--- a/src/eldercart/scheduling/prelaunch_queue.py
+++ b/src/eldercart/scheduling/prelaunch_queue.py
@@ -1,8 +1,8 @@
-"""Tasks enqueued on machines ahead of free capacity.
+"""Queues of tasks on machines that have no free capacity for them yet.
 
-Such a placement is recorded but not launched. The heartbeat that shows the capacity is then
-answered with the launch, and no write stands between; in an outage of the state store work goes on
-as far as the queues reach.
+An enqueued placement is recorded but not launched. When a heartbeat shows free capacity, its
+response carries the launch, without a write in between. During an outage of the state store,
+enqueued tasks can still be launched.
 """
 
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class EnqueuedTasks:
-    """The tasks of one job that are enqueued on one machine."""
+    """Tasks of one job that are enqueued on one machine."""
 
     machine: Machine
     spec: JobSpec
@@ -43,8 +43,10 @@
 
 
 def cancel_stale(cluster: ClusterState, now: MonotonicTime) -> None:
-    """Cancel what is enqueued on a machine that no longer takes anything, or where the capacity
-    has not come: it was never launched, so it may go elsewhere at once."""
+    """Cancel placements on machines that no longer accept tasks, or whose capacity has not become
+    free in time.
+
+    They were never launched, so their tasks may be placed elsewhere at once."""
     enqueued_before = now - cluster.tuning.ahead_patience_s
     stale = [
         placement
@@ -66,12 +68,14 @@
         min_task_cpus: float,
         now: MonotonicTime,
     ) -> None:
-        """`min_task_cpus`: the fewest CPUs that a task of this pass needs."""
+        """Prepare the queues of `machines` for a pass.
+
+        `min_task_cpus` is the smallest number of CPUs that a task of this pass needs."""
         self._cluster = cluster
         self._machines = machines
         self._min_task_cpus = min_task_cpus
         self._now = now
-        self._machines_with_space: list[Machine] | None = None  # found when first needed
+        self._machines_with_space: list[Machine] | None = None  # computed on first use
 
     def enqueue(
         self, job: Job, machine: Machine, task_count: int, *, exempt_from_preemption: bool = False
@@ -87,17 +91,20 @@
         cluster.mark_dirty(job)
 
     def enqueue_ahead(self, job: Job, task_count: int, *, is_starving: bool) -> None:
-        """Enqueue at most `task_count` tasks of the job wherever queues have space: where its image
-        is cached first, then on the shortest queues. A starving job finds space for one task in
-        any queue, and is not preempted."""
+        """Enqueue at most `task_count` tasks of the job on machines whose queues have space.
+
+        Machines that have the job's image cached come first, then those with the shortest queues.
+        Any queue has space for one task of a starving job, whose tasks are not preempted."""
         if job.spec.cpus <= 0:
             return
         if self._machines_with_space is None:
-            self._machines_with_space = self._with_space(self._machines, self._min_task_cpus)
+            self._machines_with_space = self._filter_by_queue_space(
+                self._machines, self._min_task_cpus
+            )
         if is_starving:
             candidates = self._machines
         else:
-            candidates = self._with_space(self._machines_with_space, job.spec.cpus)
+            candidates = self._filter_by_queue_space(self._machines_with_space, job.spec.cpus)
         candidates = self._best_queues_first(job, candidates)
         if not candidates:
             return
@@ -108,11 +115,14 @@
                 break
             task_count -= enqueued
             self.enqueue(job, machine, enqueued, exempt_from_preemption=is_starving)
-        self._machines_with_space = self._with_space(self._machines_with_space, self._min_task_cpus)
+        self._machines_with_space = self._filter_by_queue_space(
+            self._machines_with_space, self._min_task_cpus
+        )
 
     def cancel(self, job: Job, task_count: int) -> None:
-        """Cancel enqueued tasks of the job, the last ones first, since there is free capacity
-        elsewhere: nothing was launched, so they may move."""
+        """Cancel enqueued tasks of the job, the most recent first.
+
+        There is free capacity elsewhere, and the tasks may move since they were never launched."""
         if task_count <= 0:
             return
         enqueued = [placement for placement in job.placements() if placement.is_enqueued]
@@ -120,8 +130,8 @@
         for placement in enqueued[:task_count]:
             self._cluster.cancel_placement(placement, self._now)
 
-    def _with_space(self, machines: list[Machine], cpus: float) -> list[Machine]:
-        """Return those whose queues have space for so many more CPUs."""
+    def _filter_by_queue_space(self, machines: list[Machine], cpus: float) -> list[Machine]:
+        """Return the machines whose queues have space for tasks with this many CPUs."""
         share = self._cluster.tuning.ahead_share
         return [
             machine
@@ -130,7 +140,8 @@
         ]
 
     def _best_queues_first(self, job: Job, machines: list[Machine]) -> list[Machine]:
-        """Return those where the job may run: with its image first, then the shortest queues."""
+        """Return the machines where the job may run: those with its image cached first, then those
+        with the shortest queues."""
         spec, now = job.spec, self._now
         feasible = [
             machine
@@ -147,8 +158,10 @@
         return feasible
 
     def _queue_capacity(self, spec: JobSpec, machine: Machine, *, is_starving: bool) -> int:
-        """Return how many tasks of the job the machine's queue has space for."""
-        space_cpus = machine.type.cpus * self._cluster.tuning.ahead_share - machine.prelaunch_cpus
+        """Return the number of tasks of the job for which the machine's queue has space."""
+        available_cpus = (
+            machine.type.cpus * self._cluster.tuning.ahead_share - machine.prelaunch_cpus
+        )
         if is_starving:
-            space_cpus = max(space_cpus, spec.cpus)
-        return int((space_cpus + RESOURCE_EPSILON) / spec.cpus)
+            available_cpus = max(available_cpus, spec.cpus)
+        return int((available_cpus + RESOURCE_EPSILON) / spec.cpus)
