--- a/src/eldercart/scheduling/machine_selection.py
+++ b/src/eldercart/scheduling/machine_selection.py
@@ -16,7 +16,7 @@
 from eldercart.units import MonotonicTime
 from eldercart.wire.users import JobSpec
 
-MIN_FETCH_GB_PER_S = 1e-3  # lower bound, for machine types whose rate is not known
+MIN_FETCH_GB_PER_S = 1e-3  # lower bound of the rate that a machine type states, which may be 0
 
 
 class MachineScore(NamedTuple):
