--- a/src/eldercart/cluster/__init__.py
+++ b/src/eldercart/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""The machines: what is known of them, their heartbeats, and what is sent to them."""
+"""Cluster machines: inventory, heartbeats, failure detection and commands to workers."""
--- a/src/eldercart/cluster/heartbeats.py
+++ b/src/eldercart/cluster/heartbeats.py
@@ -1,4 +1,4 @@
-"""Handling of workers' heartbeats: their order, the machine they describe, its responsiveness."""
+"""Handling of heartbeats by the leader: sequence checks, machine updates and responsiveness."""
 
 import logging
 from enum import Enum
@@ -24,17 +24,17 @@
 
 
 class HeartbeatHandler:
-    """Takes heartbeats in their order and answers them with commands."""
+    """Handles the heartbeats that reach the leader and returns the commands that answer them."""
 
     def __init__(self, cluster_state: ClusterState, planner: Planner) -> None:
-        """Read and change `cluster_state`; `planner` fills room that a heartbeat shows."""
+        """Read and change `cluster_state`; launches leave room for unplaced jobs of `planner`."""
         self._cluster_state = cluster_state
         self._reconciler = Reconciler(cluster_state, planner)
 
     def on_heartbeat(
         self, heartbeat: workers.Heartbeat, now: MonotonicTime, relay: NodeId | None
     ) -> list[workers.Command] | None:
-        """Return the commands to answer with, or None if a newer heartbeat was seen before.
+        """Return the commands of the response, or None if the heartbeat is a copy or out of date.
 
         `relay` is the node that forwarded the heartbeat; None if the leader received it itself.
         """
@@ -43,16 +43,16 @@
         machine = cluster_state.inventory.get(heartbeat.machine)
         if machine is None:
             if cluster_state.inventory.is_deleted(heartbeat.machine):
-                # Its deletion was answered: this is a late copy and proves nothing.
+                # The machine has been deleted: this is a delayed copy and proves nothing.
                 return None
             if not shows_current_token:
-                # The first heartbeat of this machine, and it may be a late copy from a machine
-                # deleted under an earlier leader. A live worker learns the token from this response
-                # and shows it in its next heartbeat; a copy never can.
+                # This is the first heartbeat of the machine here, and it may be a delayed copy from
+                # a machine that was deleted under an earlier leader. A live worker receives the
+                # token in this response and shows it in its next heartbeat; a copy never does.
                 return []
             machine = self._register_machine(heartbeat, now)
         if heartbeat.sequence <= machine.heartbeat_sequence:
-            # Held back by the network: what it says has been overtaken.
+            # The network delayed or repeated this heartbeat: its content is out of date.
             return None
         agent_epoch_before = machine.heartbeat_sequence.agent_epoch
         lease_has_expired = 0 < agent_epoch_before < heartbeat.sequence.agent_epoch
@@ -82,7 +82,7 @@
         return self._cluster_state.types.get(name) or placeholder_type(name)
 
     def _register_machine(self, heartbeat: workers.Heartbeat, now: MonotonicTime) -> Machine:
-        """Add a machine that no list or record has named yet."""
+        """Add a machine that neither the cloud's list nor a stored record has named yet."""
         machine = self._cluster_state.inventory.add(
             heartbeat.machine,
             self._machine_type(heartbeat.type),
@@ -109,15 +109,15 @@
     def _record_stale_token(self, machine: Machine, now: MonotonicTime) -> None:
         """Count a heartbeat from a worker that has not seen this leader's fencing token.
 
-        An older leader's response may still be obeyed, so what this heartbeat lacks is no proof.
-        Nor does it show that the machine lives now.
+        The worker may still obey a response of an earlier leader, so the absence of a task from
+        this heartbeat proves nothing. Nor does the heartbeat prove that the machine is alive now.
         """
         machine.stale_token_heartbeats += 1
         if machine.stale_token_heartbeats > 1:
             self._record_ignored_response(machine, UnresponsiveReason.STALE_TOKEN, now)
 
     def _update_description(self, machine: Machine, heartbeat: workers.Heartbeat) -> None:
-        """Take type, zone and kind from the heartbeat, which knows best."""
+        """Update type, zone and spot status from the heartbeat, the most reliable source."""
         if (
             machine.type.name != heartbeat.type
             or machine.zone != heartbeat.zone
@@ -128,7 +128,7 @@
             )
 
     def _schedule_reclaim(self, machine: Machine, notice_s: float, now: MonotonicTime) -> None:
-        """Stop using a spot machine that the cloud takes back in `notice_s` seconds."""
+        """Start no more tasks on a spot machine that the cloud reclaims in `notice_s` seconds."""
         machine.reclaim_at = MonotonicTime(now + notice_s)
         machine.is_unschedulable = True
         log.info("spot preemption notice machine=%s notice_s=%.0f", machine.id, notice_s)
@@ -137,6 +137,7 @@
     def _respond(
         self, machine: Machine, heartbeat: workers.Heartbeat, now: MonotonicTime
     ) -> list[workers.Command]:
+        """Reconcile the tasks, record whether commands took effect, and return new commands."""
         result = self._reconciler.reconcile(machine, heartbeat, now)
         if result.has_command_effect:
             self._cluster_state.responsiveness.record_executed_command(machine)
@@ -150,7 +151,7 @@
     def _record_ignored_response(
         self, machine: Machine, reason: UnresponsiveReason, now: MonotonicTime
     ) -> None:
-        """Count a response without effect, and delete the machine once it is unresponsive."""
+        """Count a response that had no effect; delete the machine once it is unresponsive."""
         if machine.is_response_undelivered:
             machine.is_response_undelivered = False
         elif (
@@ -161,19 +162,19 @@
             self._cluster_state.request_deletion(machine, now)
 
     def on_response_undelivered(self, machine_id: MachineId) -> None:
-        """Record that the last response came too late: that it had no effect is no evidence."""
+        """Record that the last response was late, so its lack of effect is no evidence."""
         machine = self._cluster_state.inventory.get(machine_id)
         if machine is not None:
             machine.is_response_undelivered = True
 
     def on_relay_lost(self, relay: NodeId) -> None:
-        """Record that responses sent through the relay are lost, through no fault of a machine."""
+        """Record that responses sent through the relay may be lost, which is no evidence."""
         for machine in self._cluster_state.inventory.machines.values():
             if machine.relay == relay:
                 machine.is_response_undelivered = True
 
     def needs_next_heartbeat(self, machine_id: MachineId) -> bool:
-        """Return whether a relay should forward the machine's next heartbeat even if unchanged."""
+        """Return whether a relay must forward the machine's next heartbeat even if unchanged."""
         machine = self._cluster_state.inventory.get(machine_id)
         if machine is None or not machine.is_confirmed or machine.has_unknown_tasks:
             return True
