--- a/src/eldercart/cluster/health.py
+++ b/src/eldercart/cluster/health.py
@@ -1,8 +1,8 @@
-"""Evidence against machines and against jobs, kept apart.
+"""Evidence of faulty machines and of faulty jobs, kept separate.
 
-A job submitted with a mistake fails on every machine and must condemn none; a faulty machine fails
-tasks of jobs that run well elsewhere. So a machine is judged by several jobs, or by a job that has
-succeeded on other machines.
+A job submitted with a mistake fails on every machine and must not get any of them cordoned; a
+faulty machine fails tasks of jobs that succeed elsewhere. So it takes failures of several jobs, or
+of one job that has succeeded on other machines, to cordon a machine.
 """
 
 from statistics import median
@@ -11,31 +11,31 @@
 from eldercart.jobs.job import Job, Placement
 from eldercart.units import MonotonicTime
 
-SLOW_RUN_TIME_RATIO = 1.8  # mean run time against the jobs' own medians
-# Tasks of one job differ by a factor of three: one alone proves nothing.
+SLOW_RUN_TIME_RATIO = 1.8  # mean of run time / median run time of the job
+# Run times of a job's tasks vary by a factor of three, so a single task proves nothing.
 SLOW_MIN_TASKS = 5
 SLOW_MIN_JOBS = 2
-STRAGGLER_RUN_TIME_RATIO = 3.0  # run time against the longest one of the job
-STRAGGLER_GRACE_S = 5.0  # added to that, for jobs of very short tasks
+STRAGGLER_RUN_TIME_RATIO = 3.0  # run time / longest run time of the job
+STRAGGLER_GRACE_S = 5.0  # added to that limit, for jobs of very short tasks
 MIN_MEDIAN_RUN_TIME_S = 0.1  # avoids ratios against a median near zero
 MAX_BACKOFF_S = 30.0
 MAX_BACKOFF_DOUBLINGS = 8
-SUCCESSES_TO_CLEAR_FAILURES = 3  # in a row, after which earlier failures count no more
-MAX_RUN_TIME_RATIOS = 12  # of the last tasks on a machine
-MIN_KNOWN_RUN_TIMES = 3  # run times of a job before one more is compared with them
+SUCCESSES_TO_CLEAR_FAILURES = 3  # successes in a row after which earlier failures are cleared
+MAX_RUN_TIME_RATIOS = 12  # ratios kept per machine, for its last tasks
+MIN_KNOWN_RUN_TIMES = 3  # run times of a job before another is compared with them
 
 
 class Responsiveness:
     """Evidence that a machine sends heartbeats but doesn't carry out commands.
 
-    Its silence is no sign, for heartbeats keep coming; but launches and kills have no effect, its
-    agent epoch rises although it was answered, or it goes on showing an old fencing token. One lost
-    response, or a change of leader, condemns nobody: the signs must follow each other, over some
-    time, with no command executed in between.
+    The machine is not silent, because heartbeats keep arriving. But launches and kills have no
+    effect, or its agent epoch rises although its heartbeats were answered, or its heartbeats keep
+    showing an old fencing token. One lost response or a change of leader is not enough: several
+    ignored responses must follow each other, over some time, with no executed command in between.
     """
 
     def __init__(self, min_ignored_responses: int, min_duration_s: float) -> None:
-        """Set how many ignored responses in a row condemn, if they span `min_duration_s`."""
+        """Set the thresholds: ignored responses in a row, and the time that they must span."""
         self._min_ignored_responses = min_ignored_responses
         self._min_duration_s = min_duration_s
 
@@ -50,18 +50,18 @@
         )
 
     def record_executed_command(self, machine: Machine) -> None:
-        """Clear the evidence: a command has had its effect."""
+        """Clear the evidence, because a command took effect."""
         machine.ignored_responses = 0
 
 
 class Health:
-    """Judges machines by the outcomes and run times of tasks; machines and jobs hold the data."""
+    """Detects faulty machines by task failures and run times; machines and jobs hold the data."""
 
     def __init__(self, cordon_failed_jobs: int, error_backoff_s: float) -> None:
         """Set the thresholds.
 
-        A machine is condemned once tasks of `cordon_failed_jobs` jobs have failed on it. A failing
-        job waits for `error_backoff_s` seconds, doubled with each failure.
+        A machine should be cordoned once tasks of `cordon_failed_jobs` jobs have failed on it. A
+        failing job backs off for `error_backoff_s` seconds, doubled with each failure.
         """
         self._cordon_failed_jobs = cordon_failed_jobs
         self._error_backoff_s = error_backoff_s
@@ -73,7 +73,7 @@
         job.avoid_machine(machine.id, now)
         job.error_count += 1
         if job.done_count:
-            # It runs well elsewhere: the fault is the machine's, so the job need not wait.
+            # Other tasks of the job succeeded: the machine is faulty, so the job need not back off.
             return True
         if len(job.avoided_machines) > 1:
             job.backoff_until = MonotonicTime(now + self._backoff_s(job))
--- a/src/eldercart/cluster/machine_monitor.py
+++ b/src/eldercart/cluster/machine_monitor.py
@@ -12,18 +12,18 @@
 
 log = logging.getLogger("eldercart.controller")
 
-RECLAIM_SAFETY_FACTOR = 1.3  # of the time left, for run times are uncertain
-CHECK_INTERVAL_S = 0.5  # between two checks of silence and boots
-TASK_CHECK_INTERVAL_S = 1.5  # between two checks of the tasks of all machines
-# Heartbeat intervals in which a kill that was sent in a response shows an effect.
+RECLAIM_SAFETY_FACTOR = 1.3  # factor on the time left, because run times are uncertain
+CHECK_INTERVAL_S = 0.5  # minimum time between two checks of silence and boots
+TASK_CHECK_INTERVAL_S = 1.5  # minimum time between two checks of tasks
+# Heartbeat intervals that a kill in a response has to take effect before it is sent directly.
 DIRECT_KILL_AFTER_HEARTBEATS = 2.5
 DRAINABLE_PHASES = (PlacementPhase.COMMITTED, PlacementPhase.FETCHING, PlacementPhase.RUNNING)
-# For which tasks on a cordoned machine run on, though a pending task lacks their room.
+# Time that tasks on a cordoned machine may keep running while a pending task needs their room.
 CORDON_GRACE_S = 45.0
 
 
 class MachineMonitor:
-    """Detects what no heartbeat shows, and deletes machines that can't be used any more."""
+    """Detects failures that no heartbeat reports, and deletes machines that are unusable."""
 
     def __init__(self, cluster_state: ClusterState, failure_detector: FailureDetector) -> None:
         """Start with the first check due at once."""
@@ -33,7 +33,7 @@
         self._task_check_interval = AdaptiveInterval(TASK_CHECK_INTERVAL_S)
 
     def record_duration(self, seconds: float) -> None:
-        """Record what the last check cost; thousands of machines are checked less often."""
+        """Record the duration of the last check; thousands of machines are checked less often."""
         self._check_interval.record_duration(seconds)
         self._task_check_interval.record_duration(seconds)
 
@@ -54,7 +54,7 @@
                 self._check_deleting_machine(machine)
 
     def _check_deleting_machine(self, machine: Machine) -> None:
-        """Repeat the kills: until the cloud has answered its deletion the machine may be alive."""
+        """Repeat pending kills: until the cloud confirms the deletion, the machine may be alive."""
         if any(placement.is_terminating for placement in machine.placements.values()):
             self._cluster_state.mark_needs_command(machine)
             self._cluster_state.pending_commands.request_direct_kill(machine.id)
@@ -91,7 +91,7 @@
             self._kill_all_placements(machine, now)
         for placement in list(machine.placements.values()):
             if placement.phase is PlacementPhase.COMMITTED and not placement.has_been_reported:
-                # The request to its relay may have been lost.
+                # The request for the next heartbeat may have been lost on its way to the relay.
                 cluster_state.mark_needs_command(machine)
             if placement.is_terminating:
                 self._escalate_kill(machine, placement, now)
@@ -108,7 +108,7 @@
                 self._cluster_state.kill_placement(placement, now)
 
     def _escalate_kill(self, machine: Machine, placement: Placement, now: MonotonicTime) -> None:
-        """Send the kill with the next heartbeat response, and directly if that had no effect.
+        """Send the kill in the next heartbeat response, and directly if that has no effect.
 
         Only kills of cancelled tasks go to the worker directly.
         """
@@ -127,10 +127,10 @@
             cluster_state.cordon(machine, "slow", now)
 
     def _blocks_pending_task(self, machine: Machine) -> bool:
-        """Return whether a pending task would have room on this machine, were it not cordoned.
+        """Return whether a pending task would fit on this machine if it were not cordoned.
 
-        Where no machine can be added, a long task on a cordoned machine would keep that room from
-        it for as long as it runs.
+        Where no machine can be added, a long task on a cordoned machine would block the pending
+        task for as long as it runs.
         """
         return any(
             feasibility.is_feasible(job.spec, machine)
@@ -147,11 +147,11 @@
     def _drain_before_reclaim(
         self, machine: Machine, reclaim_at: MonotonicTime, now: MonotonicTime
     ) -> None:
-        """Kill the tasks that should start again elsewhere before the machine is taken back.
+        """Kill the tasks that should restart elsewhere before the cloud reclaims the machine.
 
-        Those are the tasks that can't end in time, for they lose less now than with the machine,
-        and the tasks that can save a checkpoint when they are killed. A task that may end in time
-        runs on.
+        These are the tasks that can't end in time, which lose less work if they are killed now, and
+        the tasks that can save a checkpoint when they are killed. A task that may end in time keeps
+        running.
         """
         time_left_s = reclaim_at - now
         for placement in list(machine.placements.values()):
