--- a/tests/relay_world.py
+++ b/tests/relay_world.py
@@ -1,6 +1,8 @@
-"""The seeded world with several nodes: reports go through relays, and every message on every hop
-may be lost, be repeated, or come late. The rules are checked as in `world`, from the workers'
-tasks and the store's keys."""
+"""Seeded simulation of several nodes, in which workers' heartbeats pass through relays.
+
+Every message on every hop may be lost, repeated or delayed. The rules are checked as in `world`,
+from the workers' tasks and the keys in the store.
+"""
 
 from dataclasses import dataclass
 from typing import Any
@@ -28,20 +30,20 @@
 from simulators import WorkerSim
 from world import World
 
-GIVE_UP_S = 4.0
+RESPONSE_TIMEOUT_S = 4.0  # how long a worker waits for a response
 LEADER_LEASE_S = 3.0
-RPC_S = 0.2
-REPLY_S = 3.0
+ROUND_TRIP_S = 0.2
+REPLY_TIMEOUT_S = 3.0  # how long a relay waits for the leader's reply
 
 
 @dataclass
 class Flight:
-    """A report under way from a worker: it has one, and drops answers after a while."""
+    """A heartbeat that awaits its response; each worker has at most one, and it times out."""
 
-    sent: float
+    sent_at: float
     agent_epoch: int
-    order: HeartbeatSequence
-    notice: bool
+    sequence: HeartbeatSequence
+    has_notice: bool
     tasks: Any
     body: bytes
     token: int
@@ -49,7 +51,7 @@
 
 @dataclass
 class LeaderReply:
-    """The leader's answer to a forwarded report, as the worker gets it."""
+    """The leader's reply to a forwarded heartbeat; `body` is the response to the worker."""
 
     body: bytes
     launches: list[workers.Launch]
@@ -57,22 +59,24 @@
 
 
 class RelayWorld(World):
+    """A world in which each of several nodes has a relay, and one of the nodes leads."""
+
     def __init__(self, seed: int, nodes: int = 3, **faults: Any) -> None:
         self.nodes = nodes
         self.leader = 0
         self.relays: list[HeartbeatRelay] = []
-        self.flights: dict[str, Flight] = {}
-        self.at: dict[str, int] = {}  # worker -> the node it reports to
-        self.later: list[tuple[float, int, Any]] = []  # (when, number, what to do then)
-        self.number = 0
+        self.heartbeats_in_flight: dict[str, Flight] = {}
+        self.at: dict[str, int] = {}  # worker -> node that it sends heartbeats to
+        self.scheduled_actions: list[tuple[float, int, Any]] = []  # (due time, number, action)
+        self.action_number = 0
         self.cut: set[int] = set()  # nodes that reach neither store nor peers
-        self.shared_out = True  # workers are sent on to other nodes by their numbers
+        self.shared_out = True  # nodes redirect workers beyond their machine share
         self.unreachable_nodes: set[int] = set()  # nodes that no worker reaches
-        self.asleep: int | None = None  # a node that does not run at all
-        self.silent: set[str] = set()  # machines that reach no node; they can be asked directly
-        self.cut_zone: str | None = None  # its machines reach the nodes in `cut` alone
-        self.copies = 0
-        # Machines answered all the time by a node that still acts for an earlier leader.
+        self.asleep: int | None = None  # a node whose process is stalled
+        self.silent: set[str] = set()  # machines that reach no node but can be probed
+        self.cut_zone: str | None = None  # its machines reach only the nodes in `cut`
+        self.delayed_copies = 0
+        # Machines whose heartbeats are answered by a node that still acts for an earlier leader.
         self.stale: set[str] = set()
         self.stale_epoch = 0
         super().__init__(seed, **faults)
@@ -83,25 +87,27 @@
 
     def elect(self) -> None:
         if self.relays:
-            free = [i for i in range(self.nodes) if i not in {*self.away(), self.leader}]
-            self.leader = self.choose(free)
+            candidates = [
+                i for i in range(self.nodes) if i not in {*self.isolated_nodes(), self.leader}
+            ]
+            self.leader = self.choose(candidates)
         super().elect()
 
-    def choose(self, free: list[int]) -> int:
-        """Which of these nodes is elected."""
-        return self.rng.choice(free)
+    def choose(self, candidates: list[int]) -> int:
+        """Return the node that is elected, one of `candidates`."""
+        return self.rng.choice(candidates)
 
     def crash(self, i: int) -> None:
-        """The node is back at once, and remembers nothing."""
+        """Restart the node at once, with an empty relay."""
         self.relays[i] = self.new_relay(i)
-        for name in [w for w, at in self.at.items() if at == i]:
-            self.flights.pop(name, None)
+        for name in [worker for worker, at in self.at.items() if at == i]:
+            self.heartbeats_in_flight.pop(name, None)
         if i == self.leader:
             self.elect()
 
     def sleep(self, i: int, seconds: float) -> None:
-        """Node `i` stalls. If it leads, another does once its lease has ended; what it knew
-        and what it was granted are kept for a look at what it does when it wakes."""
+        """Stall node `i`. If it leads, another node is elected once its lease has ended; its relay
+        is kept as `stale_relay`, for checks of how it behaves after the stall."""
         self.asleep = i
         end = self.now + seconds
         if i == self.leader:
@@ -114,23 +120,25 @@
             self.run(end - self.now)
         self.asleep = None
 
-    def after(self, seconds: float, what: Any) -> None:
-        self.number += 1
-        self.later.append((self.now + seconds, self.number, what))
+    def after(self, seconds: float, action: Any) -> None:
+        self.action_number += 1
+        self.scheduled_actions.append((self.now + seconds, self.action_number, action))
 
     def step(self, dt: float) -> None:
-        due = sorted(x for x in self.later if x[0] <= self.now + dt)
-        self.later = [x for x in self.later if x[0] > self.now + dt]
-        for _, _, what in due:
-            what()
+        due = sorted(entry for entry in self.scheduled_actions if entry[0] <= self.now + dt)
+        self.scheduled_actions = [
+            entry for entry in self.scheduled_actions if entry[0] > self.now + dt
+        ]
+        for _, _, action in due:
+            action()
         if self.asleep != self.leader:
-            self.greet(MonotonicTime(self.now))
+            self.exchange_peer_heartbeats(MonotonicTime(self.now))
         super().step(dt)
         assert self.scheduler is not None
         for machine, _ in self.scheduler.take_probes() if self.leader_runs() else ():
-            asked = self.cloud.machines.get(machine)
-            cut = asked is not None and asked.zone == self.cut_zone
-            if asked is not None and asked.hangs_until <= self.now >= asked.boots_at and not cut:
+            worker = self.cloud.machines.get(machine)
+            cut = worker is not None and worker.zone == self.cut_zone
+            if worker is not None and worker.hangs_until <= self.now >= worker.boots_at and not cut:
                 self.scheduler.record_probe_success(machine, MonotonicTime(self.now))
         for node, machines in self.scheduler.take_machines_needing_command().items():
             i = int(node[1:])
@@ -138,154 +146,182 @@
                 for machine in machines:
                     self.relays[i].request_next_heartbeat(machine)
 
-    def away(self) -> set[int | None]:
-        """Nodes that nobody but their workers reaches, if they do."""
+    def isolated_nodes(self) -> set[int | None]:
+        """Return the nodes that can't communicate with peers; workers may reach those in `cut`."""
         return self.cut | {self.asleep}
 
     def leader_runs(self) -> bool:
         return self.asleep != self.leader
 
-    def greet(self, now: MonotonicTime) -> None:
-        c = self.scheduler
-        assert c is not None
-        away = self.away()
-        counts = {r.label: r.machine_count for i, r in enumerate(self.relays) if i not in away}
-        told = machine_shares(counts, self.relays[self.leader].label, 500)
+    def exchange_peer_heartbeats(self, now: MonotonicTime) -> None:
+        """Exchange heartbeats between the leader and its peers, which renews relay leases."""
+        leader_scheduler = self.scheduler
+        assert leader_scheduler is not None
+        isolated_nodes = self.isolated_nodes()
+        counts = {
+            r.label: r.machine_count for i, r in enumerate(self.relays) if i not in isolated_nodes
+        }
+        shares = machine_shares(counts, self.relays[self.leader].label, 500)
         for i, relay in enumerate(self.relays):
-            if i in away or self.chance("mesh_lost"):
+            if i in isolated_nodes or self.chance("mesh_lost"):
                 continue
-            anywhere = MachineShare(500, None)
-            share = told.get(relay.label, anywhere) if self.shared_out else anywhere
-            c.record_relayed_heartbeats(relay.label, relay.take_acknowledged(now), now)
-            asked = MonotonicTime(now - RPC_S)
+            unlimited = MachineShare(500, None)
+            share = shares.get(relay.label, unlimited) if self.shared_out else unlimited
+            leader_scheduler.record_relayed_heartbeats(
+                relay.label, relay.take_acknowledged(now), now
+            )
+            requested_at = MonotonicTime(now - ROUND_TRIP_S)
             relay.renew_lease(
-                c.token,
+                leader_scheduler.token,
                 self.relays[self.leader].label,
-                asked,
+                requested_at,
                 now,
                 share.max_machines,
                 share.redirect_target,
             )
 
-    def serve_worker(self, c: Scheduler, w: WorkerSim, now: MonotonicTime, dt: float) -> None:
-        if self.now < w.boots_at or self.now < w.hangs_until:
+    def serve_worker(
+        self, scheduler: Scheduler, worker: WorkerSim, now: MonotonicTime, dt: float
+    ) -> None:
+        if self.now < worker.boots_at or self.now < worker.hangs_until:
             return
-        w.step(self.now, dt, self.settings.lease_s)
-        flight = self.flights.get(w.id)
-        if flight is not None:
-            if self.now - flight.sent > GIVE_UP_S:
-                del self.flights[w.id]
-                self.move(w, None)
+        worker.step(self.now, dt, self.settings.lease_s)
+        heartbeat = self.heartbeats_in_flight.get(worker.id)
+        if heartbeat is not None:
+            if self.now - heartbeat.sent_at > RESPONSE_TIMEOUT_S:
+                del self.heartbeats_in_flight[worker.id]
+                self.move_worker(worker, None)
             return
-        if self.now < self.reports_due.get(w.id, 0.0):
+        if self.now < self.reports_due.get(worker.id, 0.0):
             return
-        self.reports_due[w.id] = self.now + self.settings.report_s * self.rng.uniform(0.75, 1.25)
-        body = orjson.dumps(w.report())
+        self.reports_due[worker.id] = self.now + self.settings.report_s * self.rng.uniform(
+            0.75, 1.25
+        )
+        body = orjson.dumps(worker.report())
         obj = orjson.loads(body)
-        order = HeartbeatSequence(AgentEpoch(obj["stint"]), obj["tally"])
-        flight = Flight(
+        sequence = HeartbeatSequence(AgentEpoch(obj["stint"]), obj["tally"])
+        heartbeat = Flight(
             self.now,
-            w.agent_epoch,
-            order,
+            worker.agent_epoch,
+            sequence,
             obj["recallS"] is not None,
             obj["parcels"],
             body,
-            w.token,
+            worker.token,
         )
-        self.flights[w.id] = flight
-        if self.chance("report_lost") or w.id in self.silent:
+        self.heartbeats_in_flight[worker.id] = heartbeat
+        if self.chance("report_lost") or worker.id in self.silent:
             return
-        at = self.at.setdefault(w.id, self.rng.randrange(self.nodes))
+        at = self.at.setdefault(worker.id, self.rng.randrange(self.nodes))
         if self.chance("report_twice"):
             node = self.rng.randrange(self.nodes)
-            self.copies += 1
-            late = self.rng.uniform(0.5, 2.5 * self.settings.lease_s)
-            self.after(late, lambda: self.arrive(w, flight, node))
-        self.arrive(w, flight, at)
-
-    def move(self, w: WorkerSim, to: int | None) -> None:
-        at = self.at.get(w.id, 0)
-        self.at[w.id] = (at + 1) % self.nodes if to is None else to
-        self.reports_due[w.id] = self.now + (1.0 if to is None else 0.3)
-
-    def arrive(self, w: WorkerSim, f: Flight, at: int) -> None:
-        """At a node: the report itself, or a copy of it that nobody waits for any more."""
+            self.delayed_copies += 1
+            delay = self.rng.uniform(0.5, 2.5 * self.settings.lease_s)
+            self.after(delay, lambda: self.receive_heartbeat(worker, heartbeat, node))
+        self.receive_heartbeat(worker, heartbeat, at)
+
+    def move_worker(self, worker: WorkerSim, target: int | None) -> None:
+        at = self.at.get(worker.id, 0)
+        self.at[worker.id] = (at + 1) % self.nodes if target is None else target
+        self.reports_due[worker.id] = self.now + (1.0 if target is None else 0.3)
+
+    def receive_heartbeat(self, worker: WorkerSim, heartbeat: Flight, at: int) -> None:
+        """Handle a heartbeat, or a delayed copy of it, at node `at`."""
         if at == self.asleep or at in self.unreachable_nodes:
             return
-        if w.zone == self.cut_zone and at not in self.cut:
+        if worker.zone == self.cut_zone and at not in self.cut:
             return
         relay, now = self.relays[at], MonotonicTime(self.now)
-        if w.id in self.stale:
-            if f.token > self.stale_epoch:
-                self.stale.discard(w.id)  # the worker's own word deposes that leader
+        if worker.id in self.stale:
+            if heartbeat.token > self.stale_epoch:
+                self.stale.discard(worker.id)  # the heartbeat shows the node a newer token
             else:
                 self.answer(
-                    w, f, workers.heartbeat_response_body(FencingToken(self.stale_epoch), [])
+                    worker,
+                    heartbeat,
+                    workers.heartbeat_response_body(FencingToken(self.stale_epoch), []),
                 )
                 return
-        reachable = at == self.leader or (at not in self.cut and self.leader not in self.cut)
+        leader_reachable = at == self.leader or (at not in self.cut and self.leader not in self.cut)
         decision = relay.handle_heartbeat(
-            MachineId(w.id), f.order, FencingToken(f.token), f.notice, f.tasks, now, reachable
+            MachineId(worker.id),
+            heartbeat.sequence,
+            FencingToken(heartbeat.token),
+            heartbeat.has_notice,
+            heartbeat.tasks,
+            now,
+            leader_reachable,
         )
         match decision:
-            case Acknowledge(epoch):
-                self.answer(w, f, workers.heartbeat_response_body(epoch, []))
-            case Redirect(to):
-                if self.flights.get(w.id) is f:
-                    del self.flights[w.id]
-                    self.move(w, None if to is None else int(to[1:]))
+            case Acknowledge(relay_token):
+                self.answer(worker, heartbeat, workers.heartbeat_response_body(relay_token, []))
+            case Redirect(target):
+                if self.heartbeats_in_flight.get(worker.id) is heartbeat:
+                    del self.heartbeats_in_flight[worker.id]
+                    self.move_worker(worker, None if target is None else int(target[1:]))
             case Forward():
                 delay = self.rng.uniform(0.0, self.faults.get("mesh_delay", 0.05))
-                epoch = relay.token
-                self.after(REPLY_S, lambda: self.timed_out(w, f, relay))
+                relay_token = relay.token
+                self.after(REPLY_TIMEOUT_S, lambda: self.on_reply_timeout(worker, heartbeat, relay))
                 if not self.chance("mesh_lost"):
-                    self.after(delay, lambda: self.forwarded(w, f, at, relay, epoch))
+                    self.after(
+                        delay,
+                        lambda: self.handle_forwarded(worker, heartbeat, at, relay, relay_token),
+                    )
             case _:
-                if self.flights.get(w.id) is f:
-                    del self.flights[w.id]
-                    self.move(w, None)
+                if self.heartbeats_in_flight.get(worker.id) is heartbeat:
+                    del self.heartbeats_in_flight[worker.id]
+                    self.move_worker(worker, None)
 
-    def timed_out(self, w: WorkerSim, f: Flight, relay: HeartbeatRelay) -> None:
+    def on_reply_timeout(self, worker: WorkerSim, heartbeat: Flight, relay: HeartbeatRelay) -> None:
         asleep = self.asleep is not None and relay is self.relays[self.asleep]
         if (
             not asleep
-            and self.flights.get(w.id) is f
+            and self.heartbeats_in_flight.get(worker.id) is heartbeat
             and relay.holds_lease(MonotonicTime(self.now))
         ):
-            relay.request_next_heartbeat(MachineId(w.id))
-            self.answer(w, f, workers.heartbeat_response_body(relay.token, []))
-
-    def forwarded(
-        self, w: WorkerSim, f: Flight, at: int, relay: HeartbeatRelay, epoch: FencingToken
+            relay.request_next_heartbeat(MachineId(worker.id))
+            self.answer(worker, heartbeat, workers.heartbeat_response_body(relay.token, []))
+
+    def handle_forwarded(
+        self,
+        worker: WorkerSim,
+        heartbeat: Flight,
+        at: int,
+        relay: HeartbeatRelay,
+        relay_token: FencingToken,
     ) -> None:
-        c, now = self.scheduler, MonotonicTime(self.now)
-        assert c is not None
+        leader_scheduler, now = self.scheduler, MonotonicTime(self.now)
+        assert leader_scheduler is not None
         if self.asleep in (at, self.leader):
             return
-        if epoch != c.token:
-            return  # another leader by now
-        machine = MachineId(w.id)
-        reply = self.ask_leader(f.body, now, relay.label)
+        if relay_token != leader_scheduler.token:
+            return  # the leader has changed
+        machine = MachineId(worker.id)
+        reply = self.ask_leader(heartbeat.body, now, relay.label)
         if self.chance("mesh_lost"):
-            c.on_response_undelivered(machine)  # the connection broke, and that the leader sees
+            # The leader sees that the connection broke.
+            leader_scheduler.on_response_undelivered(machine)
             return
         if reply is None:
-            relay.on_stale_heartbeat(machine, f.order)
+            relay.on_stale_heartbeat(machine, heartbeat.sequence)
             return
         for launch in reply.launches:
-            self.check_durable(launch, w)
-        again = reply.commands > 0 or c.needs_next_heartbeat(machine)
+            self.check_durable(launch, worker)
+        wants_next = reply.commands > 0 or leader_scheduler.needs_next_heartbeat(machine)
         delay = self.rng.uniform(0.0, self.faults.get("mesh_delay", 0.05))
 
-        def back() -> None:
+        def deliver_reply() -> None:
             if self.relays[at] is relay and at != self.asleep:
-                relay.on_leader_response(machine, f.order, f.notice, f.tasks, again)
-                self.answer(w, f, reply.body)
+                relay.on_leader_response(
+                    machine, heartbeat.sequence, heartbeat.has_notice, heartbeat.tasks, wants_next
+                )
+                self.answer(worker, heartbeat, reply.body)
 
-        self.after(delay, back)
+        self.after(delay, deliver_reply)
 
     def ask_leader(self, body: bytes, now: MonotonicTime, relay: NodeId) -> LeaderReply | None:
-        """What the leader answers to a report; None: it has seen a newer one."""
+        """Return the leader's reply to a heartbeat, or None if it has seen a newer one."""
         assert self.scheduler is not None
         commands = self.scheduler.on_heartbeat(
             workers.parse_heartbeat(orjson.loads(body)), now, relay
@@ -297,21 +333,24 @@
             workers.commands_response_body(self.scheduler.token, commands), launches, len(commands)
         )
 
-    def answer(self, w: WorkerSim, f: Flight, body: bytes) -> None:
-        if self.flights.get(w.id) is not f:
-            return  # a copy's, or too late: the worker does not wait for it any more
-        if self.chance("answer_lost") or w.id in self.unresponsive:
+    def answer(self, worker: WorkerSim, heartbeat: Flight, body: bytes) -> None:
+        if self.heartbeats_in_flight.get(worker.id) is not heartbeat:
+            return  # for a copy, or too late: the worker no longer waits for it
+        if self.chance("answer_lost") or worker.id in self.unresponsive:
             return
         if "answer_slow" in self.faults and self.chance("answer_slow"):
-            # The link holds it up, longer than the worker waits or not, and the machine with it.
-            late = self.rng.uniform(0.5, 1.5 * GIVE_UP_S)
-            w.hangs_until = max(w.hangs_until, self.now + self.rng.uniform(0.0, late))
-            self.after(late, lambda: self.arrived(w, f, body))
+            # The link delays the response, possibly beyond the timeout, and the machine hangs too.
+            delay = self.rng.uniform(0.5, 1.5 * RESPONSE_TIMEOUT_S)
+            worker.hangs_until = max(worker.hangs_until, self.now + self.rng.uniform(0.0, delay))
+            self.after(delay, lambda: self.deliver_response(worker, heartbeat, body))
             return
-        self.arrived(w, f, body)
+        self.deliver_response(worker, heartbeat, body)
 
-    def arrived(self, w: WorkerSim, f: Flight, body: bytes) -> None:
-        if self.flights.get(w.id) is not f or self.now - f.sent > GIVE_UP_S:
+    def deliver_response(self, worker: WorkerSim, heartbeat: Flight, body: bytes) -> None:
+        if (
+            self.heartbeats_in_flight.get(worker.id) is not heartbeat
+            or self.now - heartbeat.sent_at > RESPONSE_TIMEOUT_S
+        ):
             return
-        del self.flights[w.id]
-        w.obey(body, f.sent, f.agent_epoch, self.jobs)
+        del self.heartbeats_in_flight[worker.id]
+        worker.obey(body, heartbeat.sent_at, heartbeat.agent_epoch, self.jobs)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay by itself, and the service with relays under every kind of loss."""
+"""Unit tests of the relay, and simulations of the service with relays under message loss."""
 
 from typing import Any
 
@@ -68,7 +68,7 @@
 def handle_and_acknowledge(
     relay: HeartbeatRelay, number: int = 1, wants_next: bool = False, tasks: Any = ()
 ) -> None:
-    """A report that the leader has taken."""
+    """Forward a heartbeat, and pass the leader's response to it to the relay."""
     assert handle_heartbeat(relay, number, tasks=tasks) == Forward()
     relay.on_leader_response(MACHINE, sequence(number), False, list(tasks), wants_next)
 
@@ -76,37 +76,37 @@
 @pytest.mark.parametrize(
     ("name", "wants_next", "then", "expected"),
     [
-        ("nothing new", False, {}, Acknowledge(FencingToken(5))),
-        ("a task more", False, {"tasks": [1]}, Forward()),
-        ("a notice", False, {"has_notice": True}, Forward()),
-        ("another session", False, {"agent_epoch": 2}, Forward()),
-        ("commands went out: whether they arrived shows only to the leader", True, {}, Forward()),
-        ("an epoch that is not known here", False, {"token": 6}, Redirect(None)),
-        ("the grant is over", False, {"at": 4.1}, Redirect(LEADER)),
-        ("a copy of the same", False, {"number": 1}, Stale()),
-        ("a late copy of an earlier one", False, {"number": 0, "tasks": [1]}, Stale()),
-        ("a copy of an earlier session", False, {"number": 99, "agent_epoch": 0}, Stale()),
+        ("no change", False, {}, Acknowledge(FencingToken(5))),
+        ("an additional task", False, {"tasks": [1]}, Forward()),
+        ("a preemption notice", False, {"has_notice": True}, Forward()),
+        ("a new agent epoch", False, {"agent_epoch": 2}, Forward()),
+        ("only the leader can check the effect of its commands", True, {}, Forward()),
+        ("a token newer than the relay's", False, {"token": 6}, Redirect(None)),
+        ("the relay lease has ended", False, {"at": 4.1}, Redirect(LEADER)),
+        ("a copy of the same heartbeat", False, {"number": 1}, Stale()),
+        ("a delayed copy of an earlier heartbeat", False, {"number": 0, "tasks": [1]}, Stale()),
+        ("a copy from an earlier agent epoch", False, {"number": 99, "agent_epoch": 0}, Stale()),
         (
-            "no way to the leader, nothing new",
+            "leader unreachable, no change",
             False,
             {"leader_reachable": False},
             Acknowledge(FencingToken(5)),
         ),
         (
-            "no way to the leader for a moment",
+            "leader unreachable for a short time, a change",
             False,
             {"leader_reachable": False, "tasks": [1], "at": 1.0},
             Acknowledge(FencingToken(5)),
         ),
         (
-            "no way to the leader, and it must be told",
+            "leader unreachable for longer, a change",
             False,
             {"leader_reachable": False, "tasks": [1], "at": 2.0},
             Redirect(LEADER),
         ),
     ],
 )
-def test_what_becomes_of_a_report(
+def test_relay_decides_by_the_content_of_a_heartbeat(
     name: str, wants_next: bool, then: dict[str, Any], expected: Any
 ) -> None:
     relay = relay_with_lease()
@@ -114,55 +114,53 @@
     assert handle_heartbeat(relay, **({"number": 2} | then)) == expected, name
 
 
-def test_an_unanswered_report_is_followed_by_another_to_the_leader() -> None:
+def test_heartbeats_are_forwarded_until_the_leader_answers_the_latest() -> None:
     relay = relay_with_lease()
     handle_and_acknowledge(relay)
     assert handle_heartbeat(relay, 2, tasks=[1]) == Forward()
-    assert handle_heartbeat(relay, 3, tasks=[1]) == Forward(), (
-        "the answer to the last one never came"
-    )
-    relay.on_leader_response(
-        MACHINE, sequence(2), False, [1], False
-    )  # it comes now, for a report that is overtaken
+    assert handle_heartbeat(relay, 3, tasks=[1]) == Forward(), "the leader has not replied"
+    # This response is for a heartbeat that a newer one has overtaken.
+    relay.on_leader_response(MACHINE, sequence(2), False, [1], False)
     assert handle_heartbeat(relay, 4, tasks=[1]) == Forward()
     assert handle_heartbeat(relay, 5) == Forward(), (
-        "as it was before: the leader may have taken the other"
+        "the tasks are as at first, but the leader may have handled the others"
     )
 
 
-def test_wanted_machine_is_heard_by_the_leader() -> None:
+def test_requested_heartbeat_is_forwarded_although_unchanged() -> None:
     relay = relay_with_lease()
     handle_and_acknowledge(relay)
     relay.request_next_heartbeat(MACHINE)
     assert handle_heartbeat(relay, 2) == Forward()
 
 
-def test_new_epoch_empties_what_is_held() -> None:
+def test_new_token_makes_the_relay_forward_unchanged_heartbeats() -> None:
     relay = relay_with_lease()
     handle_and_acknowledge(relay)
     relay.renew_lease(FencingToken(9), NodeId("n2"), MonotonicTime(1.0), MonotonicTime(1.0))
     assert handle_heartbeat(relay, 2, 1.0, token=5) == Acknowledge(FencingToken(9)), (
-        "it learns the epoch first"
+        "the relay first sends the new token"
     )
-    assert handle_heartbeat(relay, 3, 1.5, token=5) == Forward(), "and is reported if it does not"
+    assert handle_heartbeat(relay, 3, 1.5, token=5) == Forward(), "the worker still shows the old"
     assert handle_heartbeat(relay, 4, 2.0, token=9) == Forward()
-    relay.renew_lease(
-        FencingToken(5), LEADER, MonotonicTime(3.0), MonotonicTime(3.0)
-    )  # a late word of the old leader
+    # A delayed message of the old leader changes nothing.
+    relay.renew_lease(FencingToken(5), LEADER, MonotonicTime(3.0), MonotonicTime(3.0))
     assert relay.token == 9
 
 
-def test_grant_counts_from_before_it_was_asked_for() -> None:
+def test_relay_lease_starts_when_it_is_requested() -> None:
     relay = relay_with_lease()
     relay.renew_lease(FencingToken(5), LEADER, MonotonicTime(1.0), MonotonicTime(3.0))
     assert relay.holds_lease(MonotonicTime(4.9)) and not relay.holds_lease(MonotonicTime(5.0))
-    relay.confirm_token(FencingToken(4), MonotonicTime(9.0))  # of an epoch that is over
+    relay.confirm_token(FencingToken(4), MonotonicTime(9.0))  # a token that is out of date
     assert not relay.holds_lease(MonotonicTime(9.0))
-    relay.confirm_token(FencingToken(5), MonotonicTime(9.0))  # the store shows that it still leads
+    relay.confirm_token(
+        FencingToken(5), MonotonicTime(9.0)
+    )  # the store shows that the leader still leads
     assert relay.holds_lease(MonotonicTime(12.9))
 
 
-def test_only_self_answered_reports_are_told_as_heard() -> None:
+def test_only_heartbeats_acknowledged_by_the_relay_are_reported() -> None:
     relay = relay_with_lease()
     handle_and_acknowledge(relay)
     assert relay.take_acknowledged(MonotonicTime(0.0)) == ()
@@ -172,17 +170,17 @@
     assert relay.take_acknowledged(MonotonicTime(0.0)) == ()
 
 
-def test_leader_calls_a_copy_what_a_new_relay_took_for_news() -> None:
+def test_relay_removes_a_machine_whose_heartbeat_the_leader_finds_stale() -> None:
     relay = relay_with_lease()
     assert handle_heartbeat(relay, 7) == Forward()
     relay.on_stale_heartbeat(MACHINE, sequence(7))
     assert relay.machine_count == 0 and relay.take_acknowledged(MonotonicTime(0.0)) == ()
 
 
-def test_crowded_relay_sends_new_workers_on_once() -> None:
+def test_relay_above_its_share_redirects_a_new_worker_once() -> None:
     relay = relay_with_lease(max_machines=0, redirect_target=NodeId("n2"))
     assert handle_heartbeat(relay, 1) == Redirect(NodeId("n2"))
-    assert handle_heartbeat(relay, 2) == Forward(), "it is back: nobody else takes it"
+    assert handle_heartbeat(relay, 2) == Forward(), "a worker that returns is not redirected again"
 
 
 @pytest.mark.parametrize(
@@ -208,13 +206,13 @@
         ),
     ],
 )
-def test_shares(counts: dict[str, int], expected: dict[str, MachineShare]) -> None:
+def test_machine_shares(counts: dict[str, int], expected: dict[str, MachineShare]) -> None:
     assert machine_shares({NodeId(n): c for n, c in counts.items()}, LEADER, 100) == expected
 
 
 # -- the service with relays
 
-ROUGH = {
+ALL_FAULTS = {
     "txn_lost": 0.05,
     "txn_twice": 0.2,
     "report_lost": 0.05,
@@ -226,206 +224,244 @@
 }
 
 
-@pytest.mark.parametrize("faults", [{}, {"mesh_lost": 0.3}, {"report_twice": 0.5}, ROUGH])
+@pytest.mark.parametrize("faults", [{}, {"mesh_lost": 0.3}, {"report_twice": 0.5}, ALL_FAULTS])
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_rules_hold_with_relays(faults: dict[str, Any], seed: int) -> None:
-    w = RelayWorld(seed, **faults)
-    submit_all(w)
-    finish(w)
-    assert set(w.told.values()) == {"done"}
-    answered = sum(r.machine_count for r in w.relays)
-    assert answered > 0 and w.relays[w.leader].machine_count < answered
+    world = RelayWorld(seed, **faults)
+    submit_all(world)
+    finish(world)
+    assert set(world.told.values()) == {"done"}
+    answered = sum(r.machine_count for r in world.relays)
+    assert answered > 0 and world.relays[world.leader].machine_count < answered
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_rules_hold_while_nodes_come_and_go(seed: int) -> None:
-    """Leaders and relays die in turn and are back at once; copies of reports come up to two and a
-    half leases late, to whichever node."""
-    w = RelayWorld(seed, **ROUGH)
-    submit_all(w)
+def test_rules_hold_while_nodes_crash_and_restart(seed: int) -> None:
+    """Leaders and relays crash in turn and restart at once, and copies of heartbeats reach random
+    nodes up to two and a half leases late."""
+    world = RelayWorld(seed, **ALL_FAULTS)
+    submit_all(world)
     for i in range(8):
-        w.run(4)
-        w.crash(w.rng.randrange(w.nodes))
+        world.run(4)
+        world.crash(world.rng.randrange(world.nodes))
         if i % 3 == 0:
-            w.crash(w.leader)
-    finish(w)
-    assert w.copies > 20
-
-
-def test_nodes_that_lose_store_and_peers_let_their_workers_go() -> None:
-    """A leader cut off with its workers, a third of the fleet: the grant ends soon enough for
-    them to find the new leader within their lease, so nothing is lost and nothing deleted."""
-    w = RelayWorld(5, capacity=6)
-    w.submit("wk-000001", run_s=60.0, parcels=12)
-    w.run(16)
-    old = w.leader
-    c = w.scheduler
-    assert c is not None
-    now = MonotonicTime(w.now)
-    # The other nodes have no room, so the leader keeps what comes to it.
-    w.relays[old].renew_lease(c.token, w.relays[old].label, now, now, 500, None)
-    for name in [name for name, m in w.cloud.machines.items() if m.tasks][:2]:
-        w.at[name] = old
-    before = {name: m for name, m in w.cloud.machines.items() if m.tasks}
-    assert any(w.at[name] == old for name in before)
-    w.cut.add(old)
-    w.run(leader_lease_s := 3.0)
-    w.elect()
-    w.run(20 - leader_lease_s)
-    assert not any(w.at[name] == old for name in w.cloud.machines)
+            world.crash(world.leader)
+    finish(world)
+    assert world.delayed_copies > 20
+
+
+def test_isolated_leader_redirects_its_workers_before_their_leases_end() -> None:
+    """A leader is cut off together with its workers, a third of the cluster.
+
+    Its relay lease must end early enough for them to find the new leader within their worker lease;
+    otherwise tasks are lost and healthy machines are deleted.
+    """
+    world = RelayWorld(5, capacity=6)
+    world.submit("wk-000001", run_s=60.0, parcels=12)
+    world.run(16)
+    old_leader = world.leader
+    leader_scheduler = world.scheduler
+    assert leader_scheduler is not None
+    now = MonotonicTime(world.now)
+    # The leader has no node to redirect machines to, so it keeps those that report to it.
+    world.relays[old_leader].renew_lease(
+        leader_scheduler.token, world.relays[old_leader].label, now, now, 500, None
+    )
+    for name in [name for name, m in world.cloud.machines.items() if m.tasks][:2]:
+        world.at[name] = old_leader
+    before = {name: m for name, m in world.cloud.machines.items() if m.tasks}
+    assert any(world.at[name] == old_leader for name in before)
+    world.cut.add(old_leader)
+    world.run(leader_lease_s := 3.0)
+    world.elect()
+    world.run(20 - leader_lease_s)
+    assert not any(world.at[name] == old_leader for name in world.cloud.machines)
     assert all(m.agent_epoch == 1 for m in before.values()), "a lease ran out"
-    assert all(name in w.cloud.machines for name in before), "a healthy machine was deleted"
+    assert all(name in world.cloud.machines for name in before), "a healthy machine was deleted"
 
 
 @pytest.mark.parametrize("leads", [True, False])
 @pytest.mark.parametrize("seed", range(3))
-def test_node_that_loses_its_workers_only(leads: bool, seed: int) -> None:
-    """It reaches store and peers, and its workers wait in vain. Of 400 machines that reported to
-    a leader, 33 were deleted before they had found another node."""
-    w = RelayWorld(seed, capacity=12)
-    w.submit("wk-000001", run_s=60.0, parcels=60)
-    w.run(16)
-    c = w.scheduler
-    assert c is not None
-    at = w.leader if leads else next(i for i in range(w.nodes) if i != w.leader)
-    w.shared_out = False
-    for name in w.cloud.machines:
-        w.at[name] = at
-    w.run(3)
-    before = {name for name, m in w.cloud.machines.items() if m.tasks}
-    assert sum(w.at[name] == at for name in before) >= 4
+def test_machines_survive_when_only_workers_lose_their_node(leads: bool, seed: int) -> None:
+    """The node reaches the store and its peers, but its workers get no response from it.
+
+    In the failure that this guards against, 33 of 400 machines that reported to a leader were
+    deleted before they had found another node.
+    """
+    world = RelayWorld(seed, capacity=12)
+    world.submit("wk-000001", run_s=60.0, parcels=60)
+    world.run(16)
+    leader_scheduler = world.scheduler
+    assert leader_scheduler is not None
+    node = world.leader if leads else next(i for i in range(world.nodes) if i != world.leader)
+    world.shared_out = False
+    for name in world.cloud.machines:
+        world.at[name] = node
+    world.run(3)
+    before = {name for name, m in world.cloud.machines.items() if m.tasks}
+    assert sum(world.at[name] == node for name in before) >= 4
     for name in before:
-        w.reports_due[name] = w.now + 1.25 * w.settings.report_s
-    w.unreachable_nodes.add(at)
-    w.run(15)
-    assert before <= set(w.cloud.machines), "a healthy machine was deleted"
-    finish(w)
+        world.reports_due[name] = world.now + 1.25 * world.settings.report_s
+    world.unreachable_nodes.add(node)
+    world.run(15)
+    assert before <= set(world.cloud.machines), "a healthy machine was deleted"
+    finish(world)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_machine_that_talks_but_does_not_hear(seed: int) -> None:
-    """Its reports come, so it is never silent; what it does not do gives it away."""
-    w = RelayWorld(seed, capacity=4)
-    w.submit("wk-000001", run_s=30.0, parcels=16)
-    w.run(14)
-    victim = next(m for m in w.cloud.machines.values() if m.on())
-    w.unresponsive.add(victim.id)
-    w.submit("wk-000002", run_s=30.0, parcels=16)
-    w.run(60)
+def test_machine_that_ignores_responses_is_deleted(seed: int) -> None:
+    """Its heartbeats arrive, so it is never silent; it is detected by commands without effect."""
+    world = RelayWorld(seed, capacity=4)
+    world.submit("wk-000001", run_s=30.0, parcels=16)
+    world.run(14)
+    victim = next(m for m in world.cloud.machines.values() if m.on())
+    world.unresponsive.add(victim.id)
+    world.submit("wk-000002", run_s=30.0, parcels=16)
+    world.run(60)
     assert victim.deleted
-    finish(w)
-    assert w.told == {"wk-000001": "done", "wk-000002": "done"}
+    finish(world)
+    assert world.told == {"wk-000001": "done", "wk-000002": "done"}
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_lost_answers_and_new_leaders_condemn_no_machine(seed: int) -> None:
-    w = RelayWorld(seed, capacity=4, answer_lost=0.25)
-    w.submit("wk-000001", run_s=6.0, parcels=60)
+def test_lost_responses_and_leader_changes_delete_no_machine(seed: int) -> None:
+    world = RelayWorld(seed, capacity=4, answer_lost=0.25)
+    world.submit("wk-000001", run_s=6.0, parcels=60)
     before: set[str] = set()
     for _ in range(4):
-        w.run(8)
-        before |= set(w.cloud.machines)
-        w.elect()
-    assert before <= set(w.cloud.machines)
-
-
-def test_late_copy_adopts_no_machine_under_a_new_leader() -> None:
-    """The machine was deleted under an earlier leader, of whom the new one knows nothing."""
-    w = RelayWorld(9, capacity=4)
-    w.submit("wk-000001", run_s=40.0)
-    w.run(12)
-    ghost = next(iter(w.cloud.machines.values()))
-    copy = ghost.report()
-    w.cloud.delete(b'{"wagons":["%s"]}' % ghost.id.encode())
-    w.elect()
-    c = w.scheduler
-    assert c is not None
-    known = c.inventory.get(MachineId(ghost.id))
-    heard = None if known is None else known.last_heartbeat_at
-    assert c.on_heartbeat(workers.parse_heartbeat(copy), MonotonicTime(w.now)) == []
-    now_known = c.inventory.get(MachineId(ghost.id))
+        world.run(8)
+        before |= set(world.cloud.machines)
+        world.elect()
+    assert before <= set(world.cloud.machines)
+
+
+def test_delayed_copy_registers_no_machine_under_a_new_leader() -> None:
+    """The machine was deleted under an earlier leader, and the new one has no record of that."""
+    world = RelayWorld(9, capacity=4)
+    world.submit("wk-000001", run_s=40.0)
+    world.run(12)
+    deleted_machine = next(iter(world.cloud.machines.values()))
+    copy = deleted_machine.report()
+    world.cloud.delete(b'{"wagons":["%s"]}' % deleted_machine.id.encode())
+    world.elect()
+    leader_scheduler = world.scheduler
+    assert leader_scheduler is not None
+    known = leader_scheduler.inventory.get(MachineId(deleted_machine.id))
+    last_seen_at = None if known is None else known.last_heartbeat_at
+    assert (
+        leader_scheduler.on_heartbeat(workers.parse_heartbeat(copy), MonotonicTime(world.now)) == []
+    )
+    now_known = leader_scheduler.inventory.get(MachineId(deleted_machine.id))
     assert (now_known is None) == (known is None)
-    assert now_known is None or now_known.last_heartbeat_at == heard, "a copy renews no liveness"
-    # One that no record names: it had nothing to do when it was deleted.
-    stranger = workers.parse_heartbeat(copy | {"wagon": "n-999999", "parcels": []})
-    assert c.on_heartbeat(stranger, MonotonicTime(w.now)) == []
-    assert c.inventory.get(MachineId("n-999999")) is None
-    alive = workers.parse_heartbeat(copy | {"wagon": "n-999998", "parcels": [], "whip": c.token})
-    assert c.on_heartbeat(alive, MonotonicTime(w.now)) == []
-    assert c.inventory.get(MachineId("n-999998")) is not None, "it has seen this epoch, so it lives"
-    c.inventory.mark_deleted(c.inventory.machines[MachineId("n-999998")])
-    finish(w)
-    assert w.told[JobId("wk-000001")] == "done"
-
-
-@pytest.mark.parametrize(("shows", "deleted"), [(True, False), (False, True)])
-def test_machine_behind_a_relay_that_is_not_heard(shows: bool, deleted: bool) -> None:
-    """Connections between nodes are refused, and the relay goes on answering what is unchanged as
-    long as the store shows the epoch. The machine is asked directly before its silence counts."""
-    w = RelayWorld(6, capacity=1)
-    w.submit("wk-000001", run_s=90.0, parcels=2, cpus=4.0)
-    w.run(14)
-    c = w.scheduler
-    assert c is not None
-    m = next(m for m in c.inventory.machines.values() if m.live_task_count)
-    other = next(i for i in range(w.nodes) if i != w.leader)
-    m.relay = w.relays[other].label
-    now = w.now
-    c.record_relayed_heartbeats(w.relays[other].label, (), MonotonicTime(now))
-    asked = 0
-    while w.now < now + 30.0:
-        w.now += 0.1
-        c.tick(MonotonicTime(w.now))
-        for machine, _ in c.take_probes():
-            asked += 1
-            if shows:
-                c.record_probe_success(machine, MonotonicTime(w.now))
-    assert asked > 2
-    assert (m.id in c.cluster_state.pending_deletions) is deleted
-
-
-def test_copy_with_the_present_epoch_is_overtaken_by_what_a_relay_answered() -> None:
-    """The relay answered newer reports by itself and said so; the copy reaches another node, which
-    takes it for news, and the leader."""
-    w = RelayWorld(7, capacity=2)
-    w.submit("wk-000001", run_s=60.0, parcels=4)
-    w.run(16)
-    c = w.scheduler
-    assert c is not None
-    sim = next(m for m in w.cloud.machines.values() if m.on())
-    m = c.inventory.get(MachineId(sim.id))
-    assert m is not None and sim.token == c.token
-    copy = workers.parse_heartbeat(sim.report())
+    assert now_known is None or now_known.last_heartbeat_at == last_seen_at, (
+        "a copy is no sign of life"
+    )
+    # This machine is in no record, because it had no tasks when it was deleted.
+    unknown_copy = workers.parse_heartbeat(copy | {"wagon": "n-999999", "parcels": []})
+    assert leader_scheduler.on_heartbeat(unknown_copy, MonotonicTime(world.now)) == []
+    assert leader_scheduler.inventory.get(MachineId("n-999999")) is None
+    alive = workers.parse_heartbeat(
+        copy | {"wagon": "n-999998", "parcels": [], "whip": leader_scheduler.token}
+    )
+    assert leader_scheduler.on_heartbeat(alive, MonotonicTime(world.now)) == []
+    assert leader_scheduler.inventory.get(MachineId("n-999998")) is not None, (
+        "it shows this leader's token, so it is alive"
+    )
+    leader_scheduler.inventory.mark_deleted(
+        leader_scheduler.inventory.machines[MachineId("n-999998")]
+    )
+    finish(world)
+    assert world.told[JobId("wk-000001")] == "done"
+
+
+@pytest.mark.parametrize(("answers_probes", "deleted"), [(True, False), (False, True)])
+def test_machine_behind_a_silent_relay_is_deleted_only_if_probes_fail(
+    answers_probes: bool, deleted: bool
+) -> None:
+    """Connections between nodes are refused, and the relay keeps acknowledging unchanged heartbeats
+    while the store shows the leader's token. The machine must be probed before it is deleted."""
+    world = RelayWorld(6, capacity=1)
+    world.submit("wk-000001", run_s=90.0, parcels=2, cpus=4.0)
+    world.run(14)
+    leader_scheduler = world.scheduler
+    assert leader_scheduler is not None
+    machine = next(
+        machine
+        for machine in leader_scheduler.inventory.machines.values()
+        if machine.live_task_count
+    )
+    relay_node = next(i for i in range(world.nodes) if i != world.leader)
+    machine.relay = world.relays[relay_node].label
+    now = world.now
+    leader_scheduler.record_relayed_heartbeats(
+        world.relays[relay_node].label, (), MonotonicTime(now)
+    )
+    probe_count = 0
+    while world.now < now + 30.0:
+        world.now += 0.1
+        leader_scheduler.tick(MonotonicTime(world.now))
+        for machine_id, _ in leader_scheduler.take_probes():
+            probe_count += 1
+            if answers_probes:
+                leader_scheduler.record_probe_success(machine_id, MonotonicTime(world.now))
+    assert probe_count > 2
+    assert (machine.id in leader_scheduler.cluster_state.pending_deletions) is deleted
+
+
+def test_copy_older_than_a_relay_acknowledgement_changes_nothing() -> None:
+    """A relay has acknowledged newer heartbeats and reported them to the leader. A copy of an older
+    one reaches another node, which has no state of the machine and forwards it."""
+    world = RelayWorld(7, capacity=2)
+    world.submit("wk-000001", run_s=60.0, parcels=4)
+    world.run(16)
+    leader_scheduler = world.scheduler
+    assert leader_scheduler is not None
+    worker = next(machine for machine in world.cloud.machines.values() if machine.on())
+    machine = leader_scheduler.inventory.get(MachineId(worker.id))
+    assert machine is not None and worker.token == leader_scheduler.token
+    copy = workers.parse_heartbeat(worker.report())
     newer = HeartbeatSequence(copy.sequence.agent_epoch, copy.sequence.number + 3)
-    now = MonotonicTime(w.now)
-    c.record_relayed_heartbeats(NodeId("n1"), ((m.id, newer),), now)
-    assert m.heartbeat_sequence == newer
-    placed, heard = dict(m.placements), m.last_heartbeat_at
-    assert c.on_heartbeat(copy, MonotonicTime(w.now + 30.0), NodeId("n2")) is None
-    assert (m.placements, m.last_heartbeat_at, m.relay) == (placed, heard, NodeId("n1"))
-    c.record_relayed_heartbeats(NodeId("n2"), ((m.id, copy.sequence),), MonotonicTime(w.now + 30.0))
-    assert (m.last_heartbeat_at, m.relay) == (heard, NodeId("n1")), "an old word renews nothing"
-
-
-def test_request_names_carry_the_start() -> None:
-    """A node that is back at once may lead under its label again; a name is never used twice, or
-    the cloud would answer with the machines of the old request."""
+    now = MonotonicTime(world.now)
+    leader_scheduler.record_relayed_heartbeats(NodeId("n1"), ((machine.id, newer),), now)
+    assert machine.heartbeat_sequence == newer
+    placements_before, last_seen_at = dict(machine.placements), machine.last_heartbeat_at
+    assert (
+        leader_scheduler.on_heartbeat(copy, MonotonicTime(world.now + 30.0), NodeId("n2")) is None
+    )
+    assert (machine.placements, machine.last_heartbeat_at, machine.relay) == (
+        placements_before,
+        last_seen_at,
+        NodeId("n1"),
+    )
+    leader_scheduler.record_relayed_heartbeats(
+        NodeId("n2"), ((machine.id, copy.sequence),), MonotonicTime(world.now + 30.0)
+    )
+    assert (machine.last_heartbeat_at, machine.relay) == (last_seen_at, NodeId("n1")), (
+        "an older heartbeat renews nothing"
+    )
+
+
+def test_scale_out_names_differ_between_incarnations() -> None:
+    """A node that restarts at once may lead again under the same label. No request name may be used
+    twice, or the cloud would answer with the machines of the old request."""
     names = []
     for incarnation in ("aaaa", "bbbb"):
-        w = RelayWorld(8)
-        w.incarnation = IncarnationId(incarnation)
-        w.elect()
-        w.submit("wk-000001")
-        c = w.scheduler
-        assert c is not None
+        world = RelayWorld(8)
+        world.incarnation = IncarnationId(incarnation)
+        world.elect()
+        world.submit("wk-000001")
+        leader_scheduler = world.scheduler
+        assert leader_scheduler is not None
         for _ in range(100):
-            w.now += 0.1
-            c.tick(MonotonicTime(w.now))
-            call = c.next_cloud_request(MonotonicTime(w.now))
+            world.now += 0.1
+            leader_scheduler.tick(MonotonicTime(world.now))
+            call = leader_scheduler.next_cloud_request(MonotonicTime(world.now))
             if isinstance(call, ScaleOut):
                 names.append(call.request.name)
                 break
             if call is not None:
-                body = CATALOG if isinstance(call, GetCatalog) else w.cloud.list(w.now)
-                c.on_cloud_response(call, 200, orjson.dumps(body), MonotonicTime(w.now))
+                body = CATALOG if isinstance(call, GetCatalog) else world.cloud.list(world.now)
+                leader_scheduler.on_cloud_response(
+                    call, 200, orjson.dumps(body), MonotonicTime(world.now)
+                )
     assert len(names) == 2 and "aaaa" in names[0] and "bbbb" in names[1]
