--- a/src/eldercart/cluster/inventory.py
+++ b/src/eldercart/cluster/inventory.py
@@ -1,7 +1,7 @@
-"""The machines, the resources in use on each, and sums over all of them.
+"""Inventory of the machines, with the resources in use on each and totals over all of them.
 
-The sums are maintained as placements come and go rather than added up on demand: a leader of
-hundreds of machines has no time for a pass over everything at each heartbeat or planning pass.
+The totals are updated whenever a placement is added or removed rather than computed on demand: a
+leader of hundreds of machines has no time to add everything up at each heartbeat or planning pass.
 """
 
 from dataclasses import dataclass, field
@@ -28,7 +28,8 @@
 _Key = TypeVar("_Key", int, str)
 
 RESOURCE_EPSILON = 1e-6  # tolerance when sums of resources are compared
-# Deleted machines that are remembered: at least so many, and more where the cluster is larger.
+# The number of deleted machines that are remembered is the larger of this minimum and a multiple of
+# the cluster's peak size.
 MIN_DELETED_MACHINES_REMEMBERED = 5000
 DELETED_MACHINES_PER_PEAK_SIZE = 4
 
@@ -38,15 +39,15 @@
 
     BOOTING = 0
     UP = 1
-    DELETING = 2  # a deletion has been asked for, or must be
+    DELETING = 2  # its deletion has been requested, or is to be requested
     DELETED = 3
 
 
 class RunTimeRatio(NamedTuple):
-    """Run time of a task on a machine, relative to the others of its job."""
+    """Run time of a task on a machine, relative to the other tasks of its job."""
 
     job_id: JobId
-    ratio: float  # run time / the median of the job's run times
+    ratio: float  # the task's run time divided by the median of the job's run times
 
 
 @dataclass(slots=True, eq=False)
@@ -66,47 +67,50 @@
     address: str = ""
     relay: NodeId | None = None  # the node that received its last heartbeat
     heartbeat_sequence: HeartbeatSequence = NO_HEARTBEAT
-    is_confirmed: bool = False  # a heartbeat has shown this leader's fencing token
+    is_confirmed: bool = False  # a heartbeat carried this leader's fencing token
     placements: dict[TaskKey, Placement] = field(default_factory=dict)
-    # Placements recorded before there is room for them; no launch of them was sent.
+    # Placements that are recorded before the machine has room for them; not launched yet.
     prelaunch_queue: dict[TaskKey, Placement] = field(default_factory=dict)
     prelaunch_cpus: float = 0.0
-    live_task_count: int = 0  # placed and not ended
-    has_unknown_tasks: bool = False  # its heartbeat lists live tasks that no record knows
+    live_task_count: int = 0  # tasks that are placed here and have not ended
+    has_unknown_tasks: bool = False  # its heartbeat lists live attempts not placed here
     free_cpus: float = 0.0
     free_gpus: float = 0.0
     free_memory_gb: float = 0.0
-    # Part of the free resources, reserved in this planning pass for jobs earlier in its order.
+    # The part of the free resources that the current planning pass reserves for earlier jobs.
     reserved_cpus: float = 0.0
     reserved_gpus: float = 0.0
     reserved_memory_gb: float = 0.0
-    # In use by tasks that are being killed.
+    # Resources in use by tasks that are being killed.
     terminating_cpus: float = 0.0
     terminating_gpus: float = 0.0
     terminating_memory_gb: float = 0.0
-    # CPUs of placements that are not being killed.
+    # CPUs in use by tasks that are not being killed.
     cpus_by_priority: dict[int, float] = field(default_factory=dict)
     idle_since: MonotonicTime = MONOTONIC_ZERO
-    is_unschedulable: bool = False  # notice, cordon or deletion: nothing new starts
+    # No new task may start: cordoned, being deleted, or under a preemption notice.
+    is_unschedulable: bool = False
     is_cordoned: bool = False
     cordoned_at: MonotonicTime = MONOTONIC_ZERO
-    reclaim_at: MonotonicTime | None = None  # when the cloud takes the spot machine back
-    cached_images: dict[str, float] = field(default_factory=dict)  # name -> GB, least recent first
+    reclaim_at: MonotonicTime | None = None  # when the cloud reclaims the spot machine
+    cached_images: dict[str, float] = field(default_factory=dict)  # GB by name, least recent first
     failed_job_ids: set[JobId] = field(default_factory=set)
-    run_time_ratios: list[RunTimeRatio] = field(default_factory=list)  # of the last tasks done here
+    # One entry for each of the last tasks that completed on the machine.
+    run_time_ratios: list[RunTimeRatio] = field(default_factory=list)
     successes_since_failure: int = 0
     launch_backoff_until: MonotonicTime = DISTANT_PAST
-    # Evidence that it does not carry out commands; see `health.Responsiveness`.
+    # Evidence that the machine does not carry out commands; see `health.Responsiveness`.
     ignored_responses: int = 0
     ignored_since: MonotonicTime = MONOTONIC_ZERO
-    # Heartbeats in a row that showed an older fencing token.
+    # Number of consecutive heartbeats with an older fencing token.
     stale_token_heartbeats: int = 0
-    is_response_undelivered: bool = False  # the last response came too late
-    # Direct probes, sent because its heartbeats are overdue.
+    # The last response may not have reached the worker in time.
+    is_response_undelivered: bool = False
+    # Direct probes are sent while heartbeats of the machine are overdue.
     last_probe_at: MonotonicTime = DISTANT_PAST
     last_probe_success_at: MonotonicTime = DISTANT_PAST
-    # Direct kills: when the last one was sent, and the agent epoch that the worker showed then.
     last_direct_kill_at: MonotonicTime = DISTANT_PAST
+    # The highest agent epoch in the worker's responses to direct kills.
     agent_epoch: AgentEpoch = NO_AGENT_EPOCH
     needs_command: bool = False  # its next heartbeat should be forwarded to the leader
 
@@ -137,25 +141,25 @@
 
 
 class MachineInventory:
-    """Owns the machines and the sums over them.
+    """Owns the machines and the totals over them.
 
-    Resources count as in use as long as the task may still run.
+    A task's resources count as in use as long as the task may still run.
     """
 
     def __init__(self) -> None:
         """Start without machines."""
         self.machines: dict[MachineId, Machine] = {}
-        # A late list or heartbeat may still name a deleted machine.
+        # Oldest first. A delayed machine list or heartbeat may still name a deleted machine.
         self._deleted_machines: dict[MachineId, None] = {}
-        self._peak_size = 0  # the most machines there have been at once
+        self._peak_size = 0  # the largest number of machines so far, sampled at each deletion
         self.cpus_by_team: dict[str, float] = {}
         self.gpus_by_team: dict[str, float] = {}
         self.cpus_by_priority: dict[int, float] = {}  # CPUs of all placements
-        # CPUs on on-demand machines, of jobs that may not use spot machines.
+        # CPUs in use on on-demand machines by jobs that may not use spot machines.
         self.on_demand_only_cpus = 0.0
         self.machines_with_prelaunch_queue: dict[MachineId, Machine] = {}
         self._machines_with_reservations: list[Machine] = []
-        # Caches of machines as an earlier leader recorded them.
+        # Cached images that an earlier leader recorded, for machines that are not added yet.
         self._restored_images: dict[MachineId, dict[str, float]] = {}
 
     def get(self, machine_id: MachineId) -> Machine | None:
@@ -163,7 +167,7 @@
         return self.machines.get(machine_id)
 
     def is_deleted(self, machine_id: MachineId) -> bool:
-        """Return whether the machine was deleted, as far back as is remembered."""
+        """Return whether the machine is among the deleted machines that are remembered."""
         return machine_id in self._deleted_machines
 
     def add(
@@ -176,9 +180,9 @@
         provisioned_at: MonotonicTime,
         last_heartbeat_at: MonotonicTime,
     ) -> Machine:
-        """Add a machine that was created, listed or reported; it is idle and empty.
+        """Add an idle, empty machine that was created, listed, or reported by a heartbeat.
 
-        `last_heartbeat_at` is the time from which its silence counts.
+        `last_heartbeat_at` is the time from which the heartbeat timeout counts.
         """
         machine = Machine(
             machine_id,
@@ -198,16 +202,16 @@
         return machine
 
     def restore_images(self, machine_id: MachineId, images: dict[str, float]) -> None:
-        """Take over the cached images that an earlier leader recorded, until the machine is added.
+        """Keep the cached images that an earlier leader recorded, for when the machine is added.
 
-        `images` maps names to sizes in GB, least recently used first.
+        `images` maps image names to sizes in GB, least recently used first.
         """
         self._restored_images[machine_id] = images
 
     def update_description(
         self, machine: Machine, machine_type: MachineType, zone: str, is_spot: bool
     ) -> None:
-        """Correct type, zone and kind from a heartbeat, a list or a new catalogue."""
+        """Update type, zone and spot flag from a heartbeat, a machine list or a new catalog."""
         machine.free_cpus += machine_type.cpus - machine.type.cpus
         machine.free_gpus += machine_type.gpus - machine.type.gpus
         machine.free_memory_gb += machine_type.memory_gb - machine.type.memory_gb
@@ -224,9 +228,9 @@
         machine.is_spot = is_spot
 
     def allocate(self, machine: Machine, placement: Placement) -> None:
-        """Let the placement take its resources on the machine from now on."""
+        """Add the placement to the machine and count its resources as in use."""
         spec = placement.job.spec
-        # The job's priority may change meanwhile; the priority that the sums use must not.
+        # The job's priority may change before `release`; both must use the same one in the totals.
         priority = placement.priority_at_placement = placement.job.priority
         machine.placements[placement.key] = placement
         machine.live_task_count += 1
@@ -244,7 +248,7 @@
             self.on_demand_only_cpus += spec.cpus
 
     def release(self, machine: Machine, placement: Placement, now: MonotonicTime) -> None:
-        """Give the placement's resources back; it may still be listed as ended."""
+        """Count the placement's resources as free again, without removing the placement."""
         spec = placement.job.spec
         priority = placement.priority_at_placement
         machine.live_task_count -= 1
@@ -263,7 +267,7 @@
         machine.idle_since = now
 
     def mark_terminating(self, machine: Machine | None, placement: Placement) -> None:
-        """Record that the task is being killed, or is about to be; ignored if it already is."""
+        """Record that the task is being killed or is about to be; idempotent."""
         if placement.is_terminating:
             return
         placement.is_terminating = True
@@ -281,13 +285,16 @@
         machine.terminating_memory_gb += sign * spec.memory_gb
 
     def enqueue(self, machine: Machine, placement: Placement) -> None:
-        """Add a recorded placement to wait on the machine until a heartbeat shows room for it."""
+        """Add a recorded placement to the machine's prelaunch queue.
+
+        It waits there until a heartbeat shows that the machine has room for it.
+        """
         machine.prelaunch_queue[placement.key] = placement
         machine.prelaunch_cpus += placement.job.spec.cpus
         self.machines_with_prelaunch_queue[machine.id] = machine
 
     def dequeue(self, machine: Machine, placement: Placement) -> None:
-        """Remove the placement from the prelaunch queue. Does nothing if it is not in it."""
+        """Remove the placement from the prelaunch queue, if it is in it."""
         if machine.prelaunch_queue.pop(placement.key, None) is None:
             return
         machine.prelaunch_cpus -= placement.job.spec.cpus
@@ -302,7 +309,7 @@
         self._machines_with_reservations.clear()
 
     def reserve(self, machine: Machine, spec: JobSpec, task_count: int) -> None:
-        """Reserve resources for `task_count` tasks of the job until `clear_reservations`."""
+        """Reserve resources for `task_count` tasks until `clear_reservations` is called."""
         if (
             not machine.reserved_cpus
             and not machine.reserved_memory_gb
@@ -314,12 +321,12 @@
         machine.reserved_memory_gb += spec.memory_gb * task_count
 
     def remove_placement(self, machine: Machine, placement: Placement) -> None:
-        """Remove the placement from its machine, unless a later one has replaced it."""
+        """Remove the placement from its machine, unless a later attempt has replaced it."""
         if machine.placements.get(placement.key) is placement:
             del machine.placements[placement.key]
 
     def mark_deleted(self, machine: Machine) -> None:
-        """Remove a machine whose deletion the cloud has confirmed: all its tasks have ended."""
+        """Remove a machine whose deletion the cloud has confirmed; all its tasks have ended."""
         machine.state = MachineState.DELETED
         self.machines.pop(machine.id, None)
         self.machines_with_prelaunch_queue.pop(machine.id, None)
@@ -332,7 +339,7 @@
             del self._deleted_machines[next(iter(self._deleted_machines))]
 
     def record_image_use(self, machine: Machine, image: str, size_gb: float) -> None:
-        """Record that the machine uses the image; evict the images that its cache can't hold."""
+        """Mark the image as most recently used; evict the oldest ones that the cache can't hold."""
         machine.cached_images.pop(image, None)
         machine.cached_images[image] = size_gb
         total = sum(machine.cached_images.values())
--- a/src/eldercart/cluster/pending_commands.py
+++ b/src/eldercart/cluster/pending_commands.py
@@ -1,26 +1,30 @@
-"""Machines that wait for a command, in their next heartbeat response or sent directly."""
+"""Machines for which commands are pending: in a heartbeat response or sent directly."""
 
 from eldercart.cluster.inventory import Machine, MachineState
 from eldercart.units import MachineId, NodeId
 
 
 class PendingCommands:
-    """Owns which machines need a command, and which need kills sent straight to their workers."""
+    """Owns the set of machines that need a command and the set that needs direct kills."""
 
     def __init__(self) -> None:
-        """Start with no machine waiting."""
+        """Start with both sets empty."""
         self._machines_needing_command: dict[MachineId, Machine] = {}
         self._direct_kills: dict[MachineId, None] = {}
 
     def mark_needs_command(self, machine: Machine) -> None:
-        """Record that the machine's next heartbeat should come here, to be given a command."""
-        # Also if it waits for its deletion: the cloud may be down, and a cancelled task be there.
+        """Request that relays forward the machine's next heartbeat, to answer it with a command."""
+        # This includes machines that are being deleted: while the cloud is unavailable, a cancelled
+        # task may still run on one of them.
         if not machine.needs_command and machine.state in (MachineState.UP, MachineState.DELETING):
             machine.needs_command = True
             self._machines_needing_command[machine.id] = machine
 
     def take_machines_needing_command(self) -> dict[NodeId, list[MachineId]]:
-        """Return the machines marked since the last call, by the relay of their heartbeats."""
+        """Return the machines marked since the last call, by the node that relays for them.
+
+        Machines without a relay are left out.
+        """
         machine_ids_by_relay: dict[NodeId, list[MachineId]] = {}
         for machine in self._machines_needing_command.values():
             machine.needs_command = False
@@ -30,13 +34,16 @@
         return machine_ids_by_relay
 
     def request_direct_kill(self, machine_id: MachineId) -> None:
-        """Request that kills of cancelled tasks are sent straight to the machine's worker."""
+        """Request direct kills of the cancelled tasks on the machine; idempotent."""
         self._direct_kills[machine_id] = None
 
     def remove_direct_kill(self, machine_id: MachineId) -> None:
-        """Drop the request made by `request_direct_kill`."""
+        """Remove the request that `request_direct_kill` made.
+
+        Raises `KeyError` if there is none.
+        """
         del self._direct_kills[machine_id]
 
     def direct_kills(self) -> list[MachineId]:
-        """Return the machines with a request for direct kills, the oldest request first."""
+        """Return the machines for which direct kills are requested, the oldest request first."""
         return list(self._direct_kills)
--- a/src/eldercart/cluster/reconciliation.py
+++ b/src/eldercart/cluster/reconciliation.py
@@ -1,6 +1,6 @@
 """Reconciliation of the tasks in a heartbeat with the recorded placements.
 
-It updates the placements and collects the commands that answer the heartbeat.
+It updates the placements and collects the commands for the heartbeat's response.
 """
 
 import logging
@@ -17,49 +17,50 @@
 
 log = logging.getLogger("eldercart.controller")
 
-# Looked up once, as they are compared with each task of each heartbeat.
+# Module globals spare an attribute lookup for each task of each heartbeat.
 RUNNING, SAVING, EXITED = TaskState.RUNNING, TaskState.SAVING, TaskState.EXITED
-# heartbeat intervals for which a machine that rejected a start gets no other
+# Number of heartbeat intervals without new launches for a machine that rejected a start.
 REJECTED_START_BACKOFF_HEARTBEATS = 2
 
 
 @dataclass(slots=True)
 class ReconciliationResult:
-    """What one heartbeat showed, and the commands that answer it."""
+    """Findings from one heartbeat and the commands for its response."""
 
     commands: list[workers.Command] = field(default_factory=list)
-    has_unknown_tasks: bool = False  # the machine has live tasks that no record knows
-    has_command_effect: bool = False  # an earlier command has had its effect
-    has_ignored_command: bool = False  # an earlier command has had none
+    has_unknown_tasks: bool = False  # the heartbeat lists live attempts not placed here
+    has_command_effect: bool = False  # an earlier command has taken effect
+    has_ignored_command: bool = False  # an earlier command has had no effect
 
 
 class Reconciler:
     """Reconciles the recorded placements with heartbeats.
 
-    The heartbeats must carry the current token, and each of a machine must be newer than its last.
+    Each heartbeat must carry the current fencing token and be newer than the machine's last one.
     """
 
     def __init__(self, cluster_state: ClusterState, planner: Planner) -> None:
-        """Share the recorded state with the planner, whose unplaced jobs keep their room."""
+        """Read the planner's unplaced jobs to decide which room must be kept."""
         self._cluster_state = cluster_state
         self._planner = planner
-        self._heartbeat_number = 0  # of this heartbeat; the placements that it lists carry it
+        # Number of the current heartbeat; it is stored in each placement that the heartbeat lists.
+        self._heartbeat_number = 0
 
     def reconcile(
         self, machine: Machine, heartbeat: workers.Heartbeat, now: MonotonicTime
     ) -> ReconciliationResult:
-        """Handle the listed tasks, then the missing ones, then launch what has room."""
-        found = ReconciliationResult()
+        """Handle the listed tasks, then the absent ones, then launch enqueued tasks that fit."""
+        result = ReconciliationResult()
         self._heartbeat_number += 1
-        self._reconcile_listed(machine, heartbeat, found, now)
-        if machine.has_unknown_tasks and not found.has_unknown_tasks:
+        self._reconcile_listed(machine, heartbeat, result, now)
+        if machine.has_unknown_tasks and not result.has_unknown_tasks:
             self._cluster_state.request_planning()
-        machine.has_unknown_tasks = found.has_unknown_tasks
+        machine.has_unknown_tasks = result.has_unknown_tasks
         if machine.live_task_count:
-            self._reconcile_absent(machine, found, now)
+            self._reconcile_absent(machine, result, now)
         if machine.prelaunch_queue:
-            self._launch_enqueued(machine, found, now)
-        return found
+            self._launch_enqueued(machine, result, now)
+        return result
 
     # -- tasks that the heartbeat lists
 
@@ -67,7 +68,7 @@
         self,
         machine: Machine,
         heartbeat: workers.Heartbeat,
-        found: ReconciliationResult,
+        result: ReconciliationResult,
         now: MonotonicTime,
     ) -> None:
         heartbeat_number = self._heartbeat_number
@@ -76,63 +77,65 @@
             key, attempt, state, cause = task
             placement = placements.get(key)
             if placement is None or placement.attempt != attempt:
-                self._reject_unplaced_task(machine, placement, task, found)
+                self._reject_unplaced_task(machine, placement, task, result)
                 continue
             placement.last_heartbeat_number = heartbeat_number
             placement.may_have_launched = True
             if placement.phase is PlacementPhase.ENDED:
-                continue  # done, not yet durable: not cleared yet
+                continue  # The task is cleared once its end is durable.
             if state == EXITED:
-                found.has_command_effect = True
+                result.has_command_effect = True
                 self._on_exited(machine, placement, cause, now)
                 if key not in placements:
-                    # A done task is not cleared: until that is durable, this is the record.
-                    found.commands.append(workers.Clear(key, attempt))
+                    # A done task is not cleared yet: until its end is durable, the worker's list is
+                    # the only record of it.
+                    result.commands.append(workers.Clear(key, attempt))
                 continue
             if not placement.has_been_reported:
-                self._on_first_listed(machine, placement, found)
-            # Of most tasks there is nothing new to note.
+                self._on_first_listed(machine, placement, result)
+            # Skip the call for the usual case of a task that keeps running.
             if placement.phase is not PlacementPhase.RUNNING or state != RUNNING:
                 self._update_phase(placement, state, now)
             if placement.is_terminating:
-                self._repeat_kill(placement, state, found)
+                self._repeat_kill(placement, state, result)
 
     def _reject_unplaced_task(
         self,
         machine: Machine,
         placement: Placement | None,
         task: workers.TaskStatus,
-        found: ReconciliationResult,
+        result: ReconciliationResult,
     ) -> None:
-        """Clear or kill a task that is not placed here, or of which another attempt is.
+        """Clear or kill a task attempt that is not placed on this machine.
 
-        `placement` is that other attempt.
+        `placement` is another attempt of the task that is placed here, or None.
         """
         if task.state == EXITED:
-            found.commands.append(workers.Clear(task.key, task.attempt))
+            result.commands.append(workers.Clear(task.key, task.attempt))
         else:
-            found.commands.append(workers.Kill(task.key, task.attempt, 0.0))
-            found.has_unknown_tasks = True
+            result.commands.append(workers.Kill(task.key, task.attempt, 0.0))
+            result.has_unknown_tasks = True
             if placement is None:
                 log.debug("unknown task machine=%s task=%s", machine.id, task.key)
         if placement is not None:
-            # A launch beside it would be rejected: wait until it is cleared.
+            # The worker would reject a launch beside the old attempt: count the placement as listed
+            # so that it is not launched before the old attempt is cleared.
             placement.last_heartbeat_number = self._heartbeat_number
 
     def _on_first_listed(
-        self, machine: Machine, placement: Placement, found: ReconciliationResult
+        self, machine: Machine, placement: Placement, result: ReconciliationResult
     ) -> None:
-        """Note that the launch has had its effect, and that the image is there or on its way."""
+        """Record that the launch took effect and that the machine has or fetches the image."""
         placement.has_been_reported = True
         self._cluster_state.inventory.record_image_use(
             machine, placement.job.spec.image, placement.job.spec.image_gb
         )
         if placement.unacknowledged_commands:
-            found.has_command_effect = True
+            result.has_command_effect = True
             placement.unacknowledged_commands = 0
 
     def _update_phase(self, placement: Placement, state: str, now: MonotonicTime) -> None:
-        """Follow the state of a listed task, unless it was running and still is."""
+        """Set the placement's phase from the listed state; not for a task that keeps running."""
         jobs = self._cluster_state.jobs
         if state == RUNNING:
             self._cluster_state.add_start_latency(now - placement.job.ready_at)
@@ -142,16 +145,16 @@
         elif placement.phase is not PlacementPhase.FETCHING:
             jobs.set_phase(placement, PlacementPhase.FETCHING, now)
 
-    def _repeat_kill(self, placement: Placement, state: str, found: ReconciliationResult) -> None:
-        """Repeat the kill in every answer until a newer heartbeat lacks the task."""
+    def _repeat_kill(self, placement: Placement, state: str, result: ReconciliationResult) -> None:
+        """Send the kill again, as in every response until a newer heartbeat lacks the task."""
         if state == SAVING:
-            found.has_command_effect = True
+            result.has_command_effect = True
         elif placement.unacknowledged_commands:
-            found.has_ignored_command = True
+            result.has_ignored_command = True
         placement.unacknowledged_commands += 1
-        # A cancelled job's work is of no use; otherwise let the task save.
+        # A task of a cancelled job needs no checkpoint; any other gets the time to save one.
         grace_s = 0.0 if placement.job.is_cancelled else placement.job.spec.checkpoint_save_s
-        found.commands.append(workers.Kill(placement.key, placement.attempt, grace_s))
+        result.commands.append(workers.Kill(placement.key, placement.attempt, grace_s))
 
     # -- tasks that have exited
 
@@ -162,8 +165,9 @@
         if job.is_runnable and cause == ExitCause.DONE:
             self._on_done(machine, placement, now)
             return
-        # If its job isn't runnable, its end is decided or even durable (a new leader may load such
-        # a job before its records are deleted); to end it once more would be rejected for ever.
+        # The end of a job that isn't runnable is decided or even durable: a new leader may load
+        # such a job before its records are deleted. A second end of the job would be
+        # rejected on every retry.
         if job.is_runnable:
             self._on_failed(machine, placement, cause, now)
         self._cluster_state.cancel_placement(placement, now)
@@ -188,9 +192,10 @@
     def _on_failed(
         self, machine: Machine, placement: Placement, cause: str | None, now: MonotonicTime
     ) -> None:
-        """Handle a task that was killed, failed or was rejected.
+        """Handle a task that was killed or failed, or whose start was rejected.
 
-        That may be evidence against the machine or the job.
+        A failure may be evidence against the machine or the job. A rejected start delays further
+        launches on the machine.
         """
         cluster_state = self._cluster_state
         if cause == ExitCause.ERROR and not placement.is_terminating:
@@ -214,7 +219,7 @@
     # -- tasks that the heartbeat lacks
 
     def _reconcile_absent(
-        self, machine: Machine, found: ReconciliationResult, now: MonotonicTime
+        self, machine: Machine, result: ReconciliationResult, now: MonotonicTime
     ) -> None:
         absent = [
             placement
@@ -224,48 +229,49 @@
         for placement in absent:
             if placement.phase is PlacementPhase.ENDED or placement.phase is PlacementPhase.PLANNED:
                 continue
-            if self._is_given_up(machine, placement):
+            if self._should_cancel_absent(machine, placement):
                 self._cluster_state.cancel_placement(placement, now)
             else:
-                self._relaunch(placement, found)
+                self._relaunch(placement, result)
 
-    def _is_given_up(self, machine: Machine, placement: Placement) -> bool:
-        """Return whether a task that a newer heartbeat lacks is given up instead of launched."""
+    def _should_cancel_absent(self, machine: Machine, placement: Placement) -> bool:
+        """Return whether an absent task's placement is cancelled instead of launched again."""
         if placement.is_terminating or not placement.job.is_runnable:
             return True
         if placement.has_been_reported:
-            # It was there and a newer heartbeat lacks it: its agent epoch has ended.
+            # An earlier heartbeat listed the task and this one lacks it: its agent epoch has ended.
             _log_task_event("task lost", machine, placement)
             return True
         if machine.state is not MachineState.UP or machine.is_unschedulable:
             return True
         if min(machine.free_cpus, machine.free_gpus, machine.free_memory_gb) < -RESOURCE_EPSILON:
-            # Enqueued by an earlier leader for room that is not there: not launched.
+            # An earlier leader enqueued the task for room that the machine doesn't have.
             return True
-        # Enqueued by an earlier leader, which would have counted it when it was launched: this one
-        # has counted all of them, and together they may be more than the team's quota.
+        # An earlier leader may have enqueued the task, and would have counted it against the team's
+        # quota only at its launch. This leader has counted all such tasks, and together they may
+        # exceed the quota.
         return feasibility.exceeds_quota(
             placement.job.spec, self._cluster_state.inventory, self._cluster_state.settings.teams
         )
 
-    def _relaunch(self, placement: Placement, found: ReconciliationResult) -> None:
-        """Launch a task, once more if need be.
+    def _relaunch(self, placement: Placement, result: ReconciliationResult) -> None:
+        """Launch a task that was never launched or whose launch was dropped.
 
-        Its absence from a newer heartbeat shows that an earlier launch was dropped.
+        The task's absence from a newer heartbeat shows that an earlier launch was dropped.
         """
         if placement.unacknowledged_commands > 0:
-            found.has_ignored_command = True
+            result.has_ignored_command = True
         placement.is_start_known = True
         placement.may_have_launched = True
         placement.unacknowledged_commands += 1
-        found.commands.append(workers.Launch(placement.key, placement.attempt))
+        result.commands.append(workers.Launch(placement.key, placement.attempt))
 
     # -- the prelaunch queue
 
     def _launch_enqueued(
-        self, machine: Machine, found: ReconciliationResult, now: MonotonicTime
+        self, machine: Machine, result: ReconciliationResult, now: MonotonicTime
     ) -> None:
-        """Launch enqueued tasks for which the heartbeat has shown that there is room."""
+        """Launch the enqueued tasks for which the machine has room after this heartbeat."""
         if not machine.is_schedulable:
             return
         inventory, teams = self._cluster_state.inventory, self._cluster_state.settings.teams
@@ -284,12 +290,13 @@
                 continue
             if feasibility.quota_headroom(spec, inventory, teams) < 1:
                 continue
-            self._launch(machine, placement, found, now)
+            self._launch(machine, placement, result, now)
 
     def _fits_beside_waiting_jobs(self, machine: Machine, job: Job) -> bool:
-        """Return whether a task fits without breaking up room for waiting jobs.
+        """Return whether a task of the job fits beside the room kept for unplaced jobs.
 
-        Room for a waiting task of higher priority is kept; the rest may be used.
+        Room is kept for the tasks of unplaced jobs of higher priority. A starving job may use that
+        room, so the result is then True.
         """
         if job.is_starving:
             return True
@@ -307,7 +314,7 @@
         self,
         machine: Machine,
         placement: Placement,
-        found: ReconciliationResult,
+        result: ReconciliationResult,
         now: MonotonicTime,
     ) -> None:
         cluster_state = self._cluster_state
@@ -317,7 +324,7 @@
         placement.may_have_launched = True
         placement.unacknowledged_commands = 1
         placement.job.last_placed_at = now
-        found.commands.append(workers.Launch(placement.key, placement.attempt))
+        result.commands.append(workers.Launch(placement.key, placement.attempt))
 
 
 def _launch_order(placement: Placement) -> tuple[bool, int, int, MonotonicTime]:
