--- a/src/eldercart/election/__init__.py
+++ b/src/eldercart/election/__init__.py
@@ -1,1 +1,1 @@
-"""Leader election over a lease in the state store."""
+"""Leader election based on a lease in the state store."""
--- a/src/eldercart/election/actions.py
+++ b/src/eldercart/election/actions.py
@@ -1,6 +1,6 @@
-"""What a node asks of the state service to become and stay the holder of a key.
+"""Requests to the state service with which a node acquires and keeps a key on a lease.
 
-The lease actions are shared by the election and the candidates for named leases.
+The leader election and the candidates for named leases share the lease actions.
 """
 
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantLease:
-    """Open a lease that expires after `ttl_s` seconds unless it is kept alive."""
+    """Grant a lease that expires after `ttl_s` seconds unless it is kept alive."""
 
     ttl_s: float
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RevokeLease:
-    """End the lease, and with it the keys on it."""
+    """End the lease, which deletes the keys attached to it."""
 
     lease_id: LeaseId
 
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Campaign:
-    """Create the leader key on this node's lease, if the key is absent."""
+    """Create the leader key, attached to this node's lease, if the key is absent."""
 
     transaction: Transaction
 
--- a/src/eldercart/election/state_machine.py
+++ b/src/eldercart/election/state_machine.py
@@ -1,8 +1,8 @@
 """Leader election as a state machine without I/O or clock.
 
-Creating the leader key in the state service is the election. The key hangs on a short lease, and
-its version is the fencing token: workers compare it, and every write of the leader is conditional
-on it. Versions only grow, so a later leader's token is always higher.
+The node that creates the leader key in the state service is elected. The key is attached to a short
+lease, and its version is the fencing token: workers compare tokens, and every write of the leader
+is conditional on the version. Versions only grow, so a later leader's token is always higher.
 """
 
 import math
@@ -31,25 +31,25 @@
 from eldercart.wire.leader_key import LEADER_KEY, LeaderRecord, leader_value, parse_leader
 from eldercart.wire.state import Item, Put, Transaction
 
-# Intervals, as parts of the lease's time to live.
-RETRIES_PER_LEASE = 16  # pauses after a failed action
+# The first three give intervals: the lease's time to live is divided by them.
+RETRIES_PER_LEASE = 16  # sets the delay after a failed action
 KEEP_ALIVES_PER_LEASE = 5
-READS_PER_LEASE = 2  # reads of the leader key, beside the watch on it
-RESIGNATION_BACKOFF_LEASES = 3  # time to live spans without a campaign after a resignation
+READS_PER_LEASE = 2  # sets the interval of leader key reads, which back up the watch on the key
+RESIGNATION_BACKOFF_LEASES = 3  # lease lifetimes without a campaign after a resignation
 
 
 class Role(Enum):
-    """What this node is, as far as it knows."""
+    """Role that this node believes it has."""
 
     FOLLOWER = "follower"
     LEADER = "leader"
 
 
 class Election:
-    """One node's part in the election of the leader.
+    """Leader election as seen by one node.
 
-    One action is in flight at a time: take it from `next_action`, carry it out, and hand its
-    result in to the `on_...` method for that action, or to `on_action_failed`. All times are
+    At most one action is in flight. The caller takes it from `next_action`, carries it out, and
+    passes its result to the `on_...` method for that action or to `on_action_failed`. All times are
     monotonic.
     """
 
@@ -60,9 +60,12 @@
         drift_margin: float,
         incarnation: IncarnationId = DEFAULT_INCARNATION,
     ) -> None:
-        """A follower. The leader's lease lasts for `lease_ttl_s` seconds, of which the share
-        `drift_margin` is left to clock drift. `incarnation` tells this start of the process from
-        earlier ones, whose campaigns may still be carried out."""
+        """Start as a follower.
+
+        The leader's lease lasts for `lease_ttl_s` seconds, of which the share `drift_margin` is
+        reserved for clock drift. `incarnation` distinguishes this start of the process from earlier
+        ones, whose campaigns may still be carried out.
+        """
         self.node_id = node_id
         self.incarnation = incarnation
         self.role = Role.FOLLOWER
@@ -72,8 +75,8 @@
         self._retry_delay_s = lease_ttl_s / RETRIES_PER_LEASE
         self._action_sent_at = MonotonicTime(0)
         self._next_read_at = DISTANT_PAST
-        self._is_key_absent = False  # the last read found no leader key
-        self._stale_lease_id: LeaseId | None = None  # to be revoked
+        self._is_key_absent = False  # The last read found no leader key.
+        self._stale_lease_id: LeaseId | None = None  # The lease is to be revoked.
         self._next_revoke_at = DISTANT_PAST
         self._action_in_flight: ElectionAction | None = None
         self._candidacy_deferred_until = DISTANT_PAST
@@ -86,21 +89,22 @@
 
     @property
     def lease_expires_at(self) -> MonotonicTime:
-        """When the lease expires; until then no other node can be elected."""
+        """Time at which the lease expires; until then no other node can be elected."""
         return self._lease.expires_at
 
     @property
     def lease_confirmed_at(self) -> MonotonicTime:
-        """When the keep-alive was sent that the state service confirmed last."""
+        """Send time of the keep-alive that the state service confirmed last."""
         return self._lease.confirmed_at
 
     def may_call_cloud(self, now: MonotonicTime, refused_at: MonotonicTime) -> bool:
-        """Return whether the cloud may be asked for machines or deletions.
+        """Return whether this node may request new machines or deletions from the cloud.
 
-        No token fences those calls as it fences a write, so a leader that slept past its lease must
-        not carry out what it had decided before: another one may run tasks there by now. In an
-        outage of the state service, which answers and refuses (last at `refused_at`), nobody else
-        is elected; if it refuses this node alone, the peers soon report the new token.
+        Unlike a write, a request to the cloud is not fenced by the token. So a leader that was
+        suspended past its lease must not carry out earlier decisions: another leader may run tasks
+        on those machines by now. In an outage in which the state service responds but refuses
+        requests (last at `refused_at`), no other node can be elected. If it refuses only this node,
+        peers soon report the new token.
         """
         is_store_refusing = self.role is Role.LEADER and refused_at >= now - self._lease.ttl_s
         return is_store_refusing or self.is_within_lease(now)
@@ -108,12 +112,15 @@
     # -- events
 
     def on_leader_key_changed(self, now: MonotonicTime) -> None:
-        """The watch reports a change of the leader key."""
+        """Handle a watch event for the leader key: the key is read next."""
         self._next_read_at = now
 
     def observe_token(self, token: FencingToken, now: MonotonicTime) -> bool:
-        """Take the token of a peer's message or a worker's heartbeat; a higher one means that
-        another node leads. Return whether this node has stepped down."""
+        """Process the token in a peer's message or a worker's heartbeat.
+
+        A higher token means that another node has been elected. Return whether this node has
+        stepped down because of it.
+        """
         if token <= self.token:
             return False
         if self.role is Role.LEADER:
@@ -123,19 +130,24 @@
         return False
 
     def observe_leader(self, leader: NodeId, token: FencingToken) -> None:
-        """Take the leader's own word that it leads under `token`. As good as a read of the key,
-        and sooner."""
+        """Record that `leader` itself has reported that it leads under `token`.
+
+        The report is as reliable as a read of the leader key, and arrives sooner.
+        """
         if self.role is Role.FOLLOWER and token >= self.token:
             self.token = token
             self.leader = leader
 
     def on_write_fenced(self, now: MonotonicTime) -> None:
-        """A write failed because the leader key had another version."""
+        """Step down after a write that failed because the leader key had another version."""
         if self.role is Role.LEADER:
             self._step_down(now)
 
     def resign(self, now: MonotonicTime) -> None:
-        """Give the leadership up, and leave it to other nodes for a while."""
+        """Step down, have the lease revoked, and let other nodes campaign.
+
+        This node does not campaign for `RESIGNATION_BACKOFF_LEASES` lease lifetimes.
+        """
         if self.role is not Role.LEADER:
             return
         lease_id = self._lease.lease_id
@@ -150,20 +162,21 @@
         self._candidacy_deferred_until = max(self._candidacy_deferred_until, until)
 
     def resign_permanently(self, now: MonotonicTime) -> None:
-        """Give the leadership up for good, as this node is about to shut down."""
+        """Step down and never campaign again, because this node is about to shut down."""
         self.resign(now)
         if self._stale_lease_id is None:
-            # A campaign on it may be in flight, or be applied later although it had no answer.
+            # A campaign on this lease may be in flight, or may be applied later although it got no
+            # response.
             self._stale_lease_id = self._lease.lease_id
         self._candidacy_deferred_until = MonotonicTime(math.inf)
 
     @property
     def is_handing_over(self) -> bool:
-        """Whether a lease that was given up may still hold the leader key."""
+        """Whether the leader key may be on a lease to be revoked, or a campaign is in flight."""
         return self._stale_lease_id is not None or isinstance(self._action_in_flight, Campaign)
 
     def next_action(self, now: MonotonicTime) -> ElectionAction | None:
-        """Return the action to carry out now; None while one is in flight or none is due."""
+        """Return the action to carry out now, or None while one is in flight or none is due."""
         if self._action_in_flight is not None:
             return None
         action = self._choose_action(now)
@@ -202,7 +215,10 @@
     # -- results of actions
 
     def on_action_failed(self, action: ElectionAction, now: MonotonicTime) -> None:
-        """The action was refused for now (429, 503) or had no answer; it may have been applied."""
+        """Schedule a retry of an action that was refused (429, 503) or got no response.
+
+        The action may have been applied all the same.
+        """
         self._action_in_flight = None
         retry_at = MonotonicTime(now + self._retry_delay_s)
         if isinstance(action, KeepLeaseAlive):
@@ -210,17 +226,17 @@
             return
         self._next_read_at = retry_at
         if isinstance(action, RevokeLease):
-            # Tried again until it is answered; reads of the key go on in between.
+            # The revocation is retried until it succeeds; the key is read between the retries.
             self._next_revoke_at = MonotonicTime(now + 2 * self._retry_delay_s)
         else:
-            # A campaign may have been applied, or may be yet: only a read of the key can tell.
+            # A campaign may have been applied, or may still be: only a read of the key shows that.
             self._is_key_absent = False
 
     def on_leader_key_read(self, item: Item | None, now: MonotonicTime) -> None:
-        """The leader key as a read found it; None: it is absent."""
+        """Handle a successful read of the leader key; `item` is None if the key is absent."""
         self._action_in_flight = None
         self._is_key_absent = item is None
-        # The watch on the key is the usual alarm; this is the backstop if it hangs.
+        # The watch normally reports changes of the key; this read covers a watch that hangs.
         self._next_read_at = MonotonicTime(now + self._lease.ttl_s / READS_PER_LEASE)
         if item is None:
             self.leader = None
@@ -235,20 +251,23 @@
     def _on_own_key_read(self, item: Item, holder: LeaderRecord, now: MonotonicTime) -> None:
         is_on_own_lease = self._lease.is_usable(now) and item.lease == self._lease.lease_id
         if holder.incarnation == self.incarnation and is_on_own_lease:
-            # A campaign whose response was lost.
+            # This node's campaign succeeded, but its response was lost.
             self._become_leader(FencingToken(item.version), now)
         elif item.lease is not None:
-            # Left by an earlier incarnation of this process: nobody leads under it any more.
+            # The key is left from an earlier incarnation of this process, or is attached to a lease
+            # that it no longer uses. No node leads under it.
             self._stale_lease_id = item.lease
 
     def on_lease_granted(self, lease_id: LeaseId, now: MonotonicTime) -> None:
-        """The lease was opened."""
+        """Record the lease that the state service has granted."""
         self._action_in_flight = None
         self._lease.on_granted(lease_id, self._action_sent_at)
 
     def on_keep_alive(self, alive: bool, now: MonotonicTime) -> bool:
-        """The keep-alive was answered: the lease is still `alive`, or has ended. Return whether
-        this node has stepped down."""
+        """Handle the response to a keep-alive: the lease is still `alive`, or has ended.
+
+        Return whether this node has stepped down.
+        """
         self._action_in_flight = None
         if alive:
             self._lease.on_extended(self._action_sent_at)
@@ -257,7 +276,7 @@
         return True
 
     def on_lease_revoked(self, now: MonotonicTime) -> None:
-        """The stale lease has ended."""
+        """Handle the end of the stale lease, which the state service has confirmed."""
         self._action_in_flight = None
         if self._lease.lease_id == self._stale_lease_id:
             self._lease.on_lost()
@@ -267,8 +286,11 @@
     def on_campaign_result(
         self, revision: Revision | None, now: MonotonicTime, *, lease_lost: bool = False
     ) -> None:
-        """The campaign was answered: won at `revision`, or (None) lost, as another node holds the
-        key or, with `lease_lost`, as the lease has ended."""
+        """Handle the response to a campaign.
+
+        `revision` is the version of the leader key if this node has won. It is None if the campaign
+        has failed, because the key exists already or, with `lease_lost`, the lease has ended.
+        """
         self._action_in_flight = None
         self._is_key_absent = False
         if revision is None:
