--- a/src/eldercart/cluster/direct_kills.py
+++ b/src/eldercart/cluster/direct_kills.py
@@ -51,7 +51,7 @@
         cluster_state = self._cluster_state
         pending = cluster_state.pending_commands
         kills: list[DirectKill] = []
-        machine_ids = pending.direct_kills()
+        machine_ids = pending.machines_for_direct_kill()
         if not machine_ids:
             return kills
         budget = self._send_budget(now)
--- a/src/eldercart/cluster/pending_commands.py
+++ b/src/eldercart/cluster/pending_commands.py
@@ -44,6 +44,6 @@
         """
         del self._direct_kills[machine_id]
 
-    def direct_kills(self) -> list[MachineId]:
+    def machines_for_direct_kill(self) -> list[MachineId]:
         """Return the machines for which direct kills are requested, the oldest request first."""
         return list(self._direct_kills)
