--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -1,4 +1,4 @@
-"""Several elections against the simulated store: late requests, nodes that are back at once."""
+"""Elections of several nodes on a simulated store, with late requests and quick restarts."""
 
 import random
 from typing import Any
@@ -22,7 +22,7 @@
 
 
 class ElectionWorld:
-    """Nodes, their requests under way, and leases that end when nobody renews them."""
+    """Several nodes, their requests in flight, and leases that expire without a keep-alive."""
 
     def __init__(self, seed: int, nodes: int) -> None:
         self.rng = random.Random(seed)
@@ -41,24 +41,28 @@
         )
 
     def restart(self, i: int) -> None:
-        """Back within a fraction of a second; what the old process asked for is still under way."""
+        """Replace the node's process at once; requests of the old process remain in flight."""
         self.nodes[i] = self.start(i)
 
-    def schedule(self, seconds: float, what: Any) -> None:
+    def schedule(self, seconds: float, callback: Any) -> None:
         self.event_number += 1
-        self.scheduled.append((self.now + seconds, self.event_number, what))
+        self.scheduled.append((self.now + seconds, self.event_number, callback))
 
     def run(self, seconds: float) -> None:
         end = self.now + seconds
         while self.now < end:
             self.now += 0.05
-            for lease in [h for h, t in self.lease_expires_at.items() if t < self.now]:
+            for lease in [
+                lease_id
+                for lease_id, expires_at in self.lease_expires_at.items()
+                if expires_at < self.now
+            ]:
                 del self.lease_expires_at[lease]
                 self.store.end_lease(lease)
-            due = sorted(x for x in self.scheduled if x[0] <= self.now)
-            self.scheduled = [x for x in self.scheduled if x[0] > self.now]
-            for _, _, what in due:
-                what()
+            due = sorted(event for event in self.scheduled if event[0] <= self.now)
+            self.scheduled = [event for event in self.scheduled if event[0] > self.now]
+            for _, _, callback in due:
+                callback()
             for election in self.nodes:
                 action = election.next_action(MonotonicTime(self.now))
                 if action is not None:
@@ -71,27 +75,27 @@
             assert len(leaders) <= 1, "two leaders within their leases"
 
     def send(self, election: Election, action: Any) -> None:
-        lost = self.rng.random() < 0.15
-        there = self.rng.choice([0.01, 0.05, 0.3, 1.5 if lost else 0.1])
-        answered = [False]
+        is_response_lost = self.rng.random() < 0.15
+        request_delay_s = self.rng.choice([0.01, 0.05, 0.3, 1.5 if is_response_lost else 0.1])
+        is_finished = [False]
 
         def arrive() -> None:
-            done = self.carry_out(action)
-            if not lost:
-                self.schedule(self.rng.uniform(0.005, 0.2), lambda: answer(done))
-
-        def answer(done: Any) -> None:
-            if not answered[0]:
-                answered[0] = True
-                self.deliver_result(election, action, done)
-
-        def give_up() -> None:
-            if not answered[0]:
-                answered[0] = True
+            result = self.carry_out(action)
+            if not is_response_lost:
+                self.schedule(self.rng.uniform(0.005, 0.2), lambda: respond(result))
+
+        def respond(result: Any) -> None:
+            if not is_finished[0]:
+                is_finished[0] = True
+                self.deliver_result(election, action, result)
+
+        def time_out() -> None:
+            if not is_finished[0]:
+                is_finished[0] = True
                 election.on_action_failed(action, MonotonicTime(self.now))
 
-        self.schedule(there, arrive)
-        self.schedule(1.0, give_up)
+        self.schedule(request_delay_s, arrive)
+        self.schedule(1.0, time_out)
 
     def carry_out(self, action: Any) -> Any:
         match action:
@@ -114,29 +118,29 @@
                 return self.store.txn(txn.body())
         raise AssertionError(action)
 
-    def deliver_result(self, election: Election, action: Any, done: Any) -> None:
+    def deliver_result(self, election: Election, action: Any, result: Any) -> None:
         now = MonotonicTime(self.now)
         match action:
             case ReadLeaderKey():
                 election.on_leader_key_read(
-                    None if done is None else parse_item(orjson.dumps(done)), now
+                    None if result is None else parse_item(orjson.dumps(result)), now
                 )
             case GrantLease():
-                election.on_lease_granted(LeaseId(done), now)
+                election.on_lease_granted(LeaseId(result), now)
             case KeepLeaseAlive():
-                election.on_keep_alive(done, now)
+                election.on_keep_alive(result, now)
             case RevokeLease():
                 election.on_lease_revoked(now)
             case Campaign():
-                status, answer = done
+                status, response = result
                 if status == 200:
-                    election.on_campaign_result(Revision(answer["ledgerRev"]), now)
+                    election.on_campaign_result(Revision(response["ledgerRev"]), now)
                 else:
                     election.on_campaign_result(None, now, lease_lost=status == 400)
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_nodes_that_restart_in_turn_end_with_one_leader(seed: int) -> None:
+def test_restarting_nodes_converge_to_one_leader(seed: int) -> None:
     world = ElectionWorld(seed, 2 + seed % 2 * 3)
     for _ in range(12):
         world.run(world.rng.uniform(0.1, 1.5))
@@ -149,8 +153,11 @@
     assert item["v"]["life"] == leaders[0].incarnation
 
 
-def test_claim_of_an_earlier_start_is_not_taken_for_ones_own() -> None:
-    """Its response was lost with the process; the record carries its label, not its start."""
+def test_leader_key_of_an_earlier_incarnation_is_revoked() -> None:
+    """The earlier process died before it got the response to its campaign.
+
+    The leader key names this node, but another incarnation of it: its lease is revoked.
+    """
     election = Election(NodeId("n0"), LEADER_LEASE_S, 0.02, IncarnationId("new"))
     now = MonotonicTime(0.0)
     election.next_action(now)
@@ -160,16 +167,19 @@
 
 
 @pytest.mark.parametrize(("incarnation", "role"), [("new", Role.LEADER), ("old", Role.FOLLOWER)])
-def test_own_lease_under_another_start_does_not_make_a_leader(incarnation: str, role: Role) -> None:
+def test_key_on_own_lease_makes_a_leader_only_of_the_same_incarnation(
+    incarnation: str, role: Role
+) -> None:
+    """The response to the campaign is lost; then a read finds the key on this node's lease."""
     election = Election(NodeId("n0"), LEADER_LEASE_S, 0.02, IncarnationId("new"))
     now = MonotonicTime(0.0)
     election.next_action(now)
     election.on_leader_key_read(None, now)
     election.next_action(now)
     election.on_lease_granted(LeaseId(4), now)
-    claim = election.next_action(now)
-    assert isinstance(claim, Campaign)
-    election.on_action_failed(claim, now)
+    campaign = election.next_action(now)
+    assert isinstance(campaign, Campaign)
+    election.on_action_failed(campaign, now)
     later = MonotonicTime(0.5)
     election.next_action(later)
     value = {"path": "lead", "v": {"node": "n0", "life": incarnation}, "stamp": 9, "tether": 4}
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -1,8 +1,9 @@
-"""A node that is asked to end (SIGTERM), as a real process on loopback: it hands over, answers what
-it holds or refuses it, and takes nothing new.
+"""Graceful shutdown (SIGTERM) of a node that runs as a real process on loopback.
 
-Each wait ends when its condition holds; only what the node still answers must come within the time
-for which it waits (`DRAIN_S`)."""
+The node hands over the leadership, answers or refuses its pending requests, and accepts no new
+ones. Each wait ends when its condition holds; only the answers that the node still sends must
+arrive within the time for which it drains (`DRAIN_TIMEOUT_S`).
+"""
 
 import http.client
 import signal
@@ -30,17 +31,17 @@
 
 
 class SlowRegion(Region):
-    """The state service keeps the records of new jobs waiting until `go`."""
+    """A region whose state service delays the records of new jobs until `may_answer` is set."""
 
     def __init__(self) -> None:
-        self.go = threading.Event()
-        self.held = threading.Event()
+        self.may_answer = threading.Event()
+        self.has_delayed_request = threading.Event()
         super().__init__()
 
     def state(self, method: str, path: str, body: bytes) -> tuple[int, Any]:
         if path == "/txn" and b'"put":"job/' in body:
-            self.held.set()
-            self.go.wait(LIMIT_S)
+            self.has_delayed_request.set()
+            self.may_answer.wait(LIMIT_S)
         return super().state(method, path, body)
 
 
@@ -48,7 +49,7 @@
 def region() -> Iterator[SlowRegion]:
     region = SlowRegion()
     yield region
-    region.go.set()
+    region.may_answer.set()
     region.stop.set()
     for server in region.servers:
         server.shutdown()
@@ -64,8 +65,8 @@
     node.process.wait()
 
 
-class Kept:
-    """A connection that is kept open, as users and load balancers do."""
+class PersistentConnection:
+    """A keep-alive HTTP connection, as users and load balancers hold it."""
 
     def __init__(self, server: str) -> None:
         self.connection = http.client.HTTPConnection(server, timeout=LIMIT_S)
@@ -81,13 +82,14 @@
 def submit_in_background(
     region: SlowRegion, node: Service, job: str, answers: list[Any]
 ) -> threading.Thread:
-    kept = Kept(node.front)
+    connection = PersistentConnection(node.front)
 
     def run() -> None:
         body = orjson.dumps(submission(job))
-        answer = kept.ask("POST", "/work", body)
-        while not region.held.is_set():  # refused before it was held, as a busy node may
-            answer = kept.ask("POST", "/work", body)
+        answer = connection.ask("POST", "/work", body)
+        # A busy node may refuse the submission before it reaches the state service.
+        while not region.has_delayed_request.is_set():
+            answer = connection.ask("POST", "/work", body)
         answers.append(answer)
 
     thread = threading.Thread(target=run, daemon=True)
@@ -99,53 +101,57 @@
     return process.wait(LIMIT_S)
 
 
-def ask_to_end(node: Service) -> None:
-    """Until it opens no new connection."""
+def terminate(node: Service) -> None:
+    """Send SIGTERM and wait until the node accepts no new connection."""
     node.process.send_signal(signal.SIGTERM)
     until(lambda: call(node.front, "GET", "/healthz")[0] == 0)
 
 
-def test_what_is_held_is_answered(region: SlowRegion, node: Service) -> None:
+def test_pending_submission_is_answered_before_the_node_exits(
+    region: SlowRegion, node: Service
+) -> None:
     answers: list[http.client.HTTPResponse] = []
     thread = submit_in_background(region, node, "wk-000001", answers)
-    assert region.held.wait(LIMIT_S)
-    ask_to_end(node)
+    assert region.has_delayed_request.wait(LIMIT_S)
+    terminate(node)
     assert node.process.poll() is None
-    region.go.set()
+    region.may_answer.set()
     thread.join(LIMIT_S)
-    assert answers[0].status == 201, "the record was written, and its user is told so"
+    assert answers[0].status == 201, "the record was written, so the user must get 201"
     assert answers[0].getheader("connection") == "close"
     assert exit_code(node.process) == 0
     assert region.store.item("job/wk-000001") is not None
 
 
-def test_the_hold_is_dropped_before_what_is_held_is_answered(
+def test_leader_key_is_released_before_pending_requests_are_answered(
     region: SlowRegion, node: Service
 ) -> None:
-    """So that another node leads while this one still waits."""
+    """Another node must be able to lead while this one still waits for the state service."""
     answers: list[http.client.HTTPResponse] = []
     thread = submit_in_background(region, node, "wk-000001", answers)
-    assert region.held.wait(LIMIT_S)
+    assert region.has_delayed_request.wait(LIMIT_S)
     assert region.store.item("lead") is not None
     node.process.send_signal(signal.SIGTERM)
     until(lambda: region.store.item("lead") is None)
     assert not answers
-    region.go.set()
+    region.may_answer.set()
     thread.join(LIMIT_S)
     assert exit_code(node.process) == 0
 
 
-def test_what_comes_on_kept_connections_is_refused(region: SlowRegion, node: Service) -> None:
-    """Another node can answer it, so each connection is closed with the refusal."""
-    asking = [Kept(node.front) for _ in range(3)]
-    assert [kept.ask("GET", "/healthz").status for kept in asking] == [200] * 3
+def test_requests_on_open_connections_are_refused_during_shutdown(
+    region: SlowRegion, node: Service
+) -> None:
+    """Another node can serve the client, so the refusal also closes the connection."""
+    connections = [PersistentConnection(node.front) for _ in range(3)]
+    assert [connection.ask("GET", "/healthz").status for connection in connections] == [200] * 3
     submit_in_background(region, node, "wk-000001", [])
-    assert region.held.wait(LIMIT_S)
-    ask_to_end(node)
+    assert region.has_delayed_request.wait(LIMIT_S)
+    terminate(node)
     refused = [
-        asking[0].ask("GET", "/healthz"),
-        asking[1].ask("POST", "/work", orjson.dumps(submission("wk-000002"))),
-        asking[2].ask("POST", "/v1/report", b"{}"),
+        connections[0].ask("GET", "/healthz"),
+        connections[1].ask("POST", "/work", orjson.dumps(submission("wk-000002"))),
+        connections[2].ask("POST", "/v1/report", b"{}"),
     ]
     assert [r.status for r in refused] == [503, 503, 421]
     assert [r.getheader("retry-after") is not None for r in refused] == [True, True, False]
@@ -154,29 +160,31 @@
     assert region.store.item("job/wk-000002") is None
 
 
-def test_what_can_not_be_answered_is_refused(region: SlowRegion, node: Service) -> None:
+def test_pending_submission_is_refused_if_the_store_does_not_respond(
+    region: SlowRegion, node: Service
+) -> None:
     answers: list[http.client.HTTPResponse] = []
     thread = submit_in_background(region, node, "wk-000001", answers)
-    assert region.held.wait(LIMIT_S)
+    assert region.has_delayed_request.wait(LIMIT_S)
     node.process.send_signal(signal.SIGTERM)
-    thread.join(LIMIT_S)  # the state service says nothing all the while
+    thread.join(LIMIT_S)  # the state service does not respond meanwhile
     assert answers[0].status == 503 and answers[0].getheader("retry-after") is not None
     assert exit_code(node.process) == 0
 
 
-def test_a_node_without_requests_ends_at_once(region: SlowRegion, node: Service) -> None:
+def test_idle_node_exits_and_releases_the_leader_key(region: SlowRegion, node: Service) -> None:
     node.process.send_signal(signal.SIGTERM)
     assert exit_code(node.process) == 0
     assert region.store.item("lead") is None
 
 
-# -- the election's part
+# -- the election state machine
 
 
 NOW = MonotonicTime(100.0)
 
 
-def elected() -> Election:
+def election_with_campaign_in_flight() -> Election:
     election = Election(NodeId("n"), 3.0, 0.02)
     election.on_leader_key_read(None, NOW)
     assert isinstance(election.next_action(NOW), GrantLease)
@@ -185,8 +193,8 @@
     return election
 
 
-def test_a_retired_leader_drops_its_hold_and_claims_no_more() -> None:
-    election = elected()
+def test_leader_revokes_its_lease_and_never_campaigns_after_permanent_resignation() -> None:
+    election = election_with_campaign_in_flight()
     election.on_campaign_result(Revision(9), NOW)
     election.resign_permanently(NOW)
     assert election.role is Role.FOLLOWER and election.is_handing_over
@@ -201,23 +209,23 @@
 
 
 @pytest.mark.parametrize("answered", [True, False])
-def test_a_claim_under_way_makes_no_leader_that_stays(answered: bool) -> None:
-    """Its answer may come after the node was asked to end, or be lost and the key be read."""
-    election = elected()
+def test_campaign_won_after_resignation_is_revoked(answered: bool) -> None:
+    """The campaign's response arrives after the resignation, or is lost and the key is read."""
+    election = election_with_campaign_in_flight()
     election.resign_permanently(NOW)
     if answered:
         election.on_campaign_result(Revision(9), NOW)
     else:
-        claim = {"node": "n", "life": election.incarnation}
-        election.on_leader_key_read(Item("lead", claim, Revision(9), LeaseId(4)), NOW)
+        record = {"node": "n", "life": election.incarnation}
+        election.on_leader_key_read(Item("lead", record, Revision(9), LeaseId(4)), NOW)
     assert election.role is Role.LEADER
     election.resign_permanently(NOW)
     assert election.next_action(NOW) == RevokeLease(LeaseId(4))
 
 
-def test_a_retired_leader_waits_for_its_renewal() -> None:
-    """One action is under way at a time; then the lease goes."""
-    election = elected()
+def test_lease_is_revoked_after_the_keep_alive_in_flight() -> None:
+    """Only one action is in flight at a time, so the revocation follows the keep-alive."""
+    election = election_with_campaign_in_flight()
     election.on_campaign_result(Revision(9), NOW)
     assert isinstance(election.next_action(NOW), KeepLeaseAlive)
     election.resign_permanently(NOW)
@@ -227,10 +235,9 @@
 
 
 @pytest.mark.parametrize("under_way", ["a claim", "a revocation that was refused"])
-def test_hands_over_until_the_key_is_surely_gone(under_way: str) -> None:
-    """A process that ends while its key may be there leaves the nodes without a leader until the
-    lease has run out."""
-    election = elected()
+def test_hand_over_lasts_as_long_as_the_leader_key_may_exist(under_way: str) -> None:
+    """No node could lead until the lease expires if the process exited while its key may exist."""
+    election = election_with_campaign_in_flight()
     if under_way == "a claim":
         election.resign_permanently(NOW)
     else:
@@ -242,9 +249,9 @@
     assert election.is_handing_over
 
 
-def test_a_retired_node_revokes_the_lease_of_a_claim_without_an_answer() -> None:
-    """The claim may be carried out after the process has ended, unless its lease is gone first."""
-    election = elected()
+def test_resigned_node_revokes_the_lease_of_an_unanswered_campaign() -> None:
+    """The campaign may be applied after the process has exited, unless its lease is revoked."""
+    election = election_with_campaign_in_flight()
     election.resign_permanently(NOW)
     election.on_action_failed(Campaign(Transaction({})), NOW)
     assert election.is_handing_over
@@ -253,15 +260,15 @@
     assert not election.is_handing_over
 
 
-def test_a_refused_revocation_is_repeated_with_reads_between() -> None:
-    """What the key holds meanwhile may be another node's."""
-    election = elected()
+def test_refused_revocation_is_retried_with_key_reads_in_between() -> None:
+    """Another node may become the holder of the leader key between the retries."""
+    election = election_with_campaign_in_flight()
     election.on_campaign_result(Revision(9), NOW)
     election.resign_permanently(NOW)
     revocation = election.next_action(NOW)
     assert isinstance(revocation, RevokeLease)
     election.on_action_failed(revocation, NOW)
-    assert election.next_action(NOW) is None, "after a pause"
+    assert election.next_action(NOW) is None, "the retry must wait for the delay"
     later = MonotonicTime(NOW + 0.3)
     assert isinstance(election.next_action(later), ReadLeaderKey)
     election.on_leader_key_read(None, later)
