--- a/src/eldercart/autoscaling/__init__.py
+++ b/src/eldercart/autoscaling/__init__.py
@@ -1,1 +1,1 @@
-"""Scaling out and in: how many machines are needed, and the requests to the cloud."""
+"""Autoscaling: computes how many machines are needed and makes the requests to the cloud."""
--- a/src/eldercart/autoscaling/autoscaler.py
+++ b/src/eldercart/autoscaling/autoscaler.py
@@ -1,4 +1,4 @@
-"""How many machines to have: which to ask for, and which to return."""
+"""Decides which machines to request from the cloud and which idle machines to return."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
@@ -21,35 +21,36 @@
 from eldercart.units import MonotonicTime
 from eldercart.wire.cloud import MachineType
 
-QUIET_GAPS = 12.0  # usual gaps without a submission after which submissions count as stopped
-GAP_DECAY, GAP_WEIGHT = 0.9, 0.1  # of the earlier gaps and of the last one in the usual one
-QUIET_IDLE_DIVISOR = 3.0  # idle machines are returned so much sooner when submissions have stopped
+QUIET_AFTER_MEAN_GAPS = 12.0  # mean gaps without a submission until submissions count as stopped
+GAP_DECAY, GAP_WEIGHT = 0.9, 0.1  # weights of the old mean gap and of the latest gap
+QUIET_IDLE_DIVISOR = 3.0  # divides the idle time before a return once submissions have stopped
 
 
 @dataclass(slots=True)
 class Autoscaler:
-    """The demand figures, the refusals of the cloud, and the requests that have no answer yet."""
+    """Holds the demand forecasts, the offerings that the cloud refused, and the scale-out requests
+    without an answer. The leader's `CloudRequestQueue` calls it to plan each change."""
 
     tuning: Tuning
     teams: dict[str, Team]
-    on_demand_forecast: DemandForecast = field(init=False)  # of jobs that may use nothing else
+    on_demand_forecast: DemandForecast = field(init=False)  # demand for on-demand machines
     total_forecast: DemandForecast = field(init=False)
     refused_until: dict[MachineOffering, MonotonicTime] = field(default_factory=dict)
     outstanding_requests: dict[str, ScaleOutRequest] = field(default_factory=dict)  # by name
     _request_numbers: Iterator[int] = field(default_factory=lambda: count(1))
     _last_arrival_at: MonotonicTime | None = None
-    _mean_gap_s: float = 0.0  # between submissions, recent ones weighing more
-    is_quiet: bool = False  # submissions have stopped
+    _mean_gap_s: float = 0.0  # moving average of the gaps between submissions
+    is_quiet: bool = False  # whether submissions have stopped
 
     def __post_init__(self) -> None:
-        """Make the two forecasts from the settings."""
+        """Create the two forecasts from the settings."""
         self.on_demand_forecast = DemandForecast(self.tuning.ordinary_spread)
         self.total_forecast = DemandForecast(self.tuning.demand_spread)
 
     # -- demand
 
     def record_arrival(self, now: MonotonicTime) -> None:
-        """Record that a job has come: the usual gap between submissions is learned from it."""
+        """Record the arrival of a job, and update the mean gap between submissions."""
         if self._last_arrival_at is not None:
             gap_s = now - self._last_arrival_at
             if self._mean_gap_s == 0.0:
@@ -58,15 +59,17 @@
                 self._mean_gap_s = GAP_DECAY * self._mean_gap_s + GAP_WEIGHT * gap_s
         self._last_arrival_at = now
 
-    def excuse_pause(self, now: MonotonicTime) -> None:
-        """Count the pause in submissions from now on only: none could be accepted before."""
+    def restart_pause(self, now: MonotonicTime) -> None:
+        """Measure the pause in submissions from `now`, because none could be accepted before."""
         if self._last_arrival_at is not None:
             self._last_arrival_at = now
 
     def update_demand(
         self, jobs: Iterable[Job], reserved: ReservedCpus, now: MonotonicTime
     ) -> None:
-        """Measure the demand of now; `reserved`: CPUs of soft reservations."""
+        """Measure the current demand and update both forecasts.
+
+        `reserved` holds the CPUs that soft reservations add to the demand."""
         on_demand_cpus, reserved_cpus = reserved
         cpus_by_team: dict[str, float] = {}
         for job in jobs:
@@ -79,17 +82,20 @@
                 on_demand_cpus += cpus
             elif job.prefers_on_demand:
                 on_demand_cpus += waiting_cpus(job)
-        # Peaks are remembered because more work like it will come. When submissions have stopped,
-        # by their own usual gap, it will not: the cluster shrinks to what is left to do.
-        pause_s = max(self.tuning.pause_s, QUIET_GAPS * self._mean_gap_s)
+        # Recent peaks count because similar work is expected to follow. Once submissions have
+        # stopped, judged by their own mean gap, none is expected: the cluster shrinks to the
+        # remaining work.
+        pause_s = max(self.tuning.pause_s, QUIET_AFTER_MEAN_GAPS * self._mean_gap_s)
         self.is_quiet = self._last_arrival_at is None or now - self._last_arrival_at > pause_s
         window_s = 0.0 if self.is_quiet else self.tuning.demand_memory_s
         self.on_demand_forecast.update(on_demand_cpus, now, window_s)
         self.total_forecast.update(sum(cpus_by_team.values()) + reserved_cpus, now, window_s)
 
     def _demanded_cpus(self, job: Job, team_cpus: float) -> float:
-        """Return the CPUs that the job asks for, within what its team's quota leaves beside the
-        `team_cpus` that its other jobs ask for."""
+        """Return the CPUs that the job demands.
+
+        The result is capped at what the team's quota leaves after the `team_cpus` that the team's
+        jobs counted so far demand."""
         spec = job.spec
         waiting = job.unplaced_count + job.enqueued_count
         placed = spec.task_count - job.done_count - waiting
@@ -100,7 +106,7 @@
         return cpus
 
     def target_cpus(self) -> CpuTargets:
-        """Return the CPUs to have."""
+        """Return the CPUs that the cluster should have, with headroom in the total."""
         share = 1.0 + self.tuning.headroom_share
         return CpuTargets(
             self.on_demand_forecast.expected_cpus, self.total_forecast.expected_cpus * share
@@ -109,7 +115,7 @@
     # -- scaling out and in
 
     def record_refusal(self, offering: MachineOffering, now: MonotonicTime) -> None:
-        """Record that the cloud had no more of the offering: it is not asked again for a while."""
+        """Exclude the offering, which the cloud refused, from requests for `refusal_s` seconds."""
         self.refused_until[offering] = MonotonicTime(now + self.tuning.refusal_s)
 
     def plan_scale_out(
@@ -120,9 +126,9 @@
         name_prefix: str,
         now: MonotonicTime,
     ) -> list[ScaleOutRequest]:
-        """Return the requests to send now, under names that begin with `name_prefix`.
+        """Return the requests to send now, with names that begin with `name_prefix`.
 
-        `constrained`: waiting jobs that not every machine suits."""
+        `constrained` lists the waiting jobs that can run only on some machines."""
         scale_out = ScaleOutRound(
             types=types,
             machines=[machine for machine in machines if is_serving(machine)],
@@ -137,8 +143,8 @@
         return scale_out.requests
 
     def plan_scale_in(self, machines: Iterable[Machine], now: MonotonicTime) -> list[Machine]:
-        """Return the idle machines that neither demand nor reservations need, the dearest
-        first."""
+        """Return the idle machines that neither demand nor reservations need, in descending order
+        of price per CPU."""
         targets = self.target_cpus()
         supply = Supply()
         idle_s = self.tuning.idle_return_s / (QUIET_IDLE_DIVISOR if self.is_quiet else 1.0)
@@ -162,7 +168,7 @@
 
 
 def _is_idle(machine: Machine) -> bool:
-    """Return whether the machine is up and nothing runs there, as its heartbeats confirm."""
+    """Return whether the machine is up and, as its heartbeats confirm, runs no task."""
     return (
         machine.state is MachineState.UP
         and machine.is_confirmed
--- a/src/eldercart/autoscaling/cloud_requests.py
+++ b/src/eldercart/autoscaling/cloud_requests.py
@@ -1,4 +1,4 @@
-"""The leader's requests to the cloud: which is due next, and what its answer means."""
+"""The leader's queue of requests to the cloud: selects the next request and applies each answer."""
 
 import logging
 from enum import Enum
@@ -24,27 +24,28 @@
 log = logging.getLogger("eldercart.controller")
 
 MAX_CONCURRENT_SCALE_OUTS = 3
-RETRY_DELAY_S = 1.0  # before the next request of any kind when the cloud is in trouble
+RETRY_DELAY_S = 1.0  # pause of all requests after an error of the cloud
 CATALOG_INTERVAL_S = 60.0
 MIN_LIST_INTERVAL_S = 1.0
 
 HTTP_OK = 200
 HTTP_BAD_REQUEST = 400
 HTTP_TOO_MANY_REQUESTS = 429
-HTTP_SERVER_ERRORS = 500  # and above
+HTTP_MIN_SERVER_ERROR = 500
 HTTP_UNAVAILABLE = 503
 
 
 class RequestAdmission(Enum):
-    """Which requests of a kind may be handed out."""
+    """Selects the queued requests of one kind that may be sent."""
 
     OPEN = "open"
-    OVERDUE_ONLY = "overdue"  # deletions of machines whose cancelled tasks must have ended by now
+    # Only deletions of machines that hold a cancelled task past its kill deadline may be sent.
+    OVERDUE_ONLY = "overdue"
     BLOCKED = "held"
 
 
 class _ExclusiveRequest(Enum):
-    """Kinds of requests of which at most one is in flight."""
+    """Kinds of request of which at most one may be in flight at a time."""
 
     DELETION = "delete"
     CATALOG = "catalog"
@@ -52,25 +53,32 @@
 
 
 def is_capacity_refusal(body: bytes) -> bool:
-    """Return whether a 503 says that the cloud has no such machine, and not that it is in
-    trouble."""
+    """Return whether the body of a 503 response reports missing capacity, and not an outage."""
     return b"no capacity" in body
 
 
-def _is_trouble(status: int | None, body: bytes) -> bool:
-    """Return whether the cloud should be left alone for a moment."""
+def _should_back_off(status: int | None, body: bytes) -> bool:
+    """Return whether to pause all requests: no answer, a rate limit, or a server error other than
+    missing capacity."""
     if status is None or status == HTTP_TOO_MANY_REQUESTS:
         return True
-    return status >= HTTP_SERVER_ERRORS and not is_capacity_refusal(body)
+    return status >= HTTP_MIN_SERVER_ERROR and not is_capacity_refusal(body)
 
 
 class CloudRequestQueue:
-    """The requests that are in flight and those that wait."""
+    """Holds the leader's cloud requests, both waiting and in flight.
+
+    The scheduler runs `autoscale`, takes each request from `next_request`, and passes its answer to
+    `on_answer`.
+    """
 
     def __init__(self, cluster: ClusterState, name_prefix: str) -> None:
-        """`name_prefix`: of the requests' names; no other start of any node has the same."""
+        """Create an empty queue.
+
+        `name_prefix` begins the name of each scale-out request. It is unique to this start of this
+        node."""
         self.cluster = cluster
-        self.catalog_changed = False  # since it was stored
+        self.catalog_changed = False  # whether the catalog differs from the stored one
         self.scale_out_admission = RequestAdmission.OPEN
         self.deletion_admission = RequestAdmission.OPEN
         self._name_prefix = name_prefix
@@ -79,23 +87,23 @@
         self._paused_until = DISTANT_PAST
         self._waiting_scale_outs: list[ScaleOutRequest] = []
         self._list_due_at = cluster.started_at
-        self._list_after: MachineId | None = None  # the last machine of the page before
+        self._list_after: MachineId | None = None  # the last machine of the previous page
         self._has_full_list = False
         self._catalog_due_at = cluster.started_at
 
-    # -- what to ask for
+    # -- decisions
 
     def autoscale(self, now: MonotonicTime) -> None:
-        """Reserve for successors, measure the demand, and decide which machines to ask for and
-        which to return."""
+        """Reserve capacity for successor jobs, measure the demand, and decide which machines to
+        request and which to return."""
         cluster = self.cluster
         if not cluster.types:
             return
         reserve_for_successors(cluster, now)
         autoscaler = cluster.autoscaler
         if cluster.is_store_unavailable:
-            # Nothing can be accepted: that no submission comes tells nothing.
-            autoscaler.excuse_pause(now)
+            # No submission can be accepted, so their absence says nothing about the demand.
+            autoscaler.restart_pause(now)
         reserved = cluster.predictor.reserved_cpus(lambda job_id: held_cpus(cluster, job_id))
         autoscaler.update_demand(cluster.jobs.jobs.values(), reserved, now)
         machines = cluster.inventory.machines.values()
@@ -109,13 +117,14 @@
             cluster.request_deletion(machine, now)
 
     def _is_inventory_known(self, now: MonotonicTime) -> bool:
-        """Return whether the machines of the leader before must be known by now: asking for more
-        before that would double them."""
+        """Return whether all machines that earlier leaders created are known by now.
+
+        Scaling out sooner would create machines for the same demand twice."""
         cluster = self.cluster
         return now - cluster.started_at > 2 * cluster.settings.list_lag_s or self._has_full_list
 
     def _constrained_jobs(self) -> list[ConstrainedJob]:
-        """Return the waiting jobs that not every machine suits."""
+        """Return the waiting jobs that can run only in one zone or only on some machine types."""
         cluster = self.cluster
         constrained = []
         for job in cluster.jobs.jobs.values():
@@ -129,14 +138,15 @@
         return constrained
 
     def resume_scale_out(self, request: ScaleOutRequest) -> None:
-        """Repeat a request that an earlier leader may have sent: the same name gets the same
-        answer."""
+        """Queue a request that an earlier leader may have sent.
+
+        Sending it twice is safe: the cloud gives the same answer to the same name."""
         self._waiting_scale_outs.append(request)
         if request.offering.type in self.cluster.types:
             self.cluster.autoscaler.outstanding_requests[request.name] = request
 
     def resume_deletion(self, machine_id: MachineId, now: MonotonicTime) -> None:
-        """Repeat a deletion that an earlier leader may have asked for: nothing new starts on the
+        """Queue a deletion that an earlier leader may have requested, and start no new task on the
         machine."""
         machine = self.cluster.inventory.get(machine_id)
         if machine is None:
@@ -146,8 +156,9 @@
     # -- requests
 
     def next_request(self, now: MonotonicTime) -> CloudRequest | None:
-        """Return the next request to send, if one is due; deletions first, since only they prove
-        that a place is empty."""
+        """Return the next request to send, or None if none is due.
+
+        Deletions come first, because only they prove that no task runs on a machine any more."""
         if now < self._paused_until:
             return None
         machine_ids = self._next_deletions(now)
@@ -165,7 +176,7 @@
         return None
 
     def requeue_unsent(self, request: ScaleOut | DeleteMachines) -> None:
-        """Take back a request that was handed out and not sent: it is due again."""
+        """Make a request due again that was handed out but not sent."""
         if isinstance(request, DeleteMachines):
             self._in_flight.discard(_ExclusiveRequest.DELETION)
         else:
@@ -179,19 +190,21 @@
             return []
         pending = list(self.cluster.pending_deletions)
         if self.deletion_admission is RequestAdmission.OVERDUE_ONLY:
-            pending = [machine_id for machine_id in pending if self._holds_overdue(machine_id, now)]
+            pending = [
+                machine_id for machine_id in pending if self._has_overdue_kill(machine_id, now)
+            ]
         if len(pending) > cloud.MAX_DELETED_MACHINES:
-            # Time is short where a cancelled task may still be.
-            pending.sort(key=lambda machine_id: not self._holds_cancelled(machine_id))
+            # Cancelled tasks have a deadline, so machines that may still run one go first.
+            pending.sort(key=lambda machine_id: not self._has_cancelled_task(machine_id))
         return pending[: cloud.MAX_DELETED_MACHINES]
 
-    def _holds_cancelled(self, machine_id: MachineId) -> bool:
+    def _has_cancelled_task(self, machine_id: MachineId) -> bool:
         machine = self.cluster.inventory.get(machine_id)
         return machine is not None and any(
             placement.job.is_cancelled for placement in machine.placements.values()
         )
 
-    def _holds_overdue(self, machine_id: MachineId, now: MonotonicTime) -> bool:
+    def _has_overdue_kill(self, machine_id: MachineId, now: MonotonicTime) -> bool:
         machine = self.cluster.inventory.get(machine_id)
         return machine is not None and any(
             placement.job.is_cancelled and now > placement.job.kill_deadline_at
@@ -221,7 +234,9 @@
     def on_answer(
         self, request: CloudRequest, status: int | None, body: bytes, now: MonotonicTime
     ) -> None:
-        """Apply the answer; `status` None: there was none. A malformed answer counts as none."""
+        """Apply the answer to a request. `status` is None if there was no answer.
+
+        A malformed answer is logged and handled like a missing one."""
         try:
             self._apply_answer(request, status, body, now)
         except MalformedMessageError as err:
@@ -231,11 +246,12 @@
     def _apply_answer(
         self, request: CloudRequest, status: int | None, body: bytes, now: MonotonicTime
     ) -> None:
-        if _is_trouble(status, body):
+        if _should_back_off(status, body):
             self._paused_until = MonotonicTime(now + RETRY_DELAY_S)
         match request:
             case DeleteMachines(machine_ids):
-                if status == HTTP_OK:  # nothing else frees a place there, however long it takes
+                if status == HTTP_OK:
+                    # Only this proves that the tasks have ended, however long it takes.
                     for machine_id in machine_ids:
                         inventory_updates.apply_deletion(self.cluster, machine_id, now)
                 self._in_flight.discard(_ExclusiveRequest.DELETION)
@@ -287,7 +303,8 @@
             self._apply_refusal(request, now)
             log.error("scale-out invalid request=%s", request.name)
         else:
-            # Nobody knows whether it was carried out: the same name gets the same answer.
+            # The request may have been executed. A retry is safe: the cloud gives the same answer
+            # to the same name.
             self._waiting_scale_outs.append(request)
 
     def _apply_refusal(self, request: ScaleOutRequest, now: MonotonicTime) -> None:
@@ -298,7 +315,7 @@
     def _apply_created(
         self, request: ScaleOutRequest, machine_ids: list[MachineId], now: MonotonicTime
     ) -> None:
-        """Apply that the cloud has created machines: as many as were asked for, or fewer."""
+        """Add the machines that the cloud created, which may be fewer than requested."""
         cluster, offering = self.cluster, request.offering
         cluster.autoscaler.outstanding_requests.pop(request.name, None)
         inventory_updates.add_created_machines(cluster, request, machine_ids, now)
--- a/src/eldercart/autoscaling/inventory_updates.py
+++ b/src/eldercart/autoscaling/inventory_updates.py
@@ -1,4 +1,4 @@
-"""What the cloud's answers change in the inventory of machines."""
+"""Applies the cloud's answers to the inventory of machines."""
 
 import logging
 
@@ -13,11 +13,13 @@
 
 log = logging.getLogger("eldercart.controller")
 
-UNKNOWN_TYPE = "?"  # of a machine that is known by its name alone
+UNKNOWN_TYPE = "?"  # type of a machine of which only the id is known
 
 
 def placeholder_type(name: str) -> MachineType:
-    """Return a stand-in for a type that the catalog does not hold: nothing is placed there."""
+    """Return a stand-in for a type that is not in the catalog.
+
+    It has no capacity, so that no task is placed on machines of this type."""
     return MachineType(
         name=name,
         cpus=0.0,
@@ -33,7 +35,7 @@
 
 
 def apply_catalog(cluster: ClusterState, types: dict[str, MachineType], now: MonotonicTime) -> None:
-    """Take over the machine types, also for the machines that there are."""
+    """Replace the machine types, and update the inventory's machines of these types."""
     is_first = not cluster.types
     cluster.types = types
     inventory = cluster.inventory
@@ -47,7 +49,7 @@
 
 
 def apply_deletion(cluster: ClusterState, machine_id: MachineId, now: MonotonicTime) -> None:
-    """Remove a machine that the cloud has deleted; its tasks are proven to have ended."""
+    """Remove a machine that the cloud has deleted, which proves that its tasks have ended."""
     cluster.pending_deletions.pop(machine_id, None)
     machine = cluster.inventory.get(machine_id)
     if machine is None:
@@ -55,15 +57,15 @@
     placements = [*machine.placements.values(), *machine.prelaunch_queue.values()]
     log.info("machine deleted machine=%s tasks=%d", machine_id, len(placements))
     for placement in placements:
-        if machine.is_spot and _is_long_lost_work(cluster, placement, now):
+        if machine.is_spot and _was_long_task_running(cluster, placement, now):
             job = placement.job
             job.prefers_on_demand = job.next_unplaced_index >= job.spec.task_count
         cluster.cancel_placement(placement, now)
     cluster.inventory.mark_deleted(machine)
 
 
-def _is_long_lost_work(cluster: ClusterState, placement: Placement, now: MonotonicTime) -> bool:
-    """Return whether the task was running and is of a job whose tasks take long."""
+def _was_long_task_running(cluster: ClusterState, placement: Placement, now: MonotonicTime) -> bool:
+    """Return whether the task was running and its job's expected run time is `shy_s` or longer."""
     return bool(
         placement.run_time_s(now) > 0
         and cluster.predictor.expected_run_s(placement.job) >= cluster.tuning.shy_s
@@ -76,7 +78,7 @@
     machine_ids: list[MachineId],
     now: MonotonicTime,
 ) -> None:
-    """Add the machines that the cloud has created for the request."""
+    """Add the machines that the cloud created for the request, unless they are known already."""
     inventory, offering = cluster.inventory, request.offering
     for machine_id in machine_ids:
         if inventory.get(machine_id) is None and not inventory.is_deleted(machine_id):
@@ -98,9 +100,9 @@
     now: MonotonicTime,
     last_heartbeat_at: MonotonicTime,
 ) -> Machine:
-    """Add a machine of which nothing but its id is known.
+    """Add a machine of which only the id is known, and return it.
 
-    A `last_heartbeat_at` ahead of `now` gives it time to send one.
+    A `last_heartbeat_at` later than `now` gives the machine more time to send a heartbeat.
     """
     return cluster.inventory.add(
         machine_id,
@@ -116,7 +118,9 @@
 def apply_listed_machines(
     cluster: ClusterState, listed: list[ListedMachine], now: MonotonicTime
 ) -> None:
-    """Add the machines of a page of the cloud's list, or complete what is known of them."""
+    """Add the machines on one page of the cloud's list, or complete the data of known machines.
+
+    Machines that the cloud lists as failed are deleted."""
     for item in listed:
         if cluster.inventory.is_deleted(item.id):
             continue
@@ -124,7 +128,8 @@
         if machine is None:
             machine = _add_listed_machine(cluster, item, now)
         elif machine.zone == UNKNOWN_ZONE:
-            # Known from its tasks alone: the list says what it is before it sends a heartbeat.
+            # The machine is known only from its tasks. The list gives its type and zone before the
+            # first heartbeat does.
             machine_type = cluster.types.get(item.type) or placeholder_type(item.type)
             cluster.inventory.update_description(machine, machine_type, item.zone, item.spot)
         if item.address and not machine.address:
@@ -138,7 +143,7 @@
     machine_type = cluster.types.get(item.type) or placeholder_type(item.type)
     state = MachineState.UP if item.state == cloud.RUNNING else MachineState.BOOTING
     provisioned_at = MonotonicTime(now - item.age_s)
-    # It may send heartbeats to another node, or be new: it has the full time to show itself.
+    # It may be new, or send heartbeats to another node, so it gets the full grace period.
     last_heartbeat_at = MonotonicTime(now + cluster.tuning.takeover_grace_s)
     machine = cluster.inventory.add(
         item.id, machine_type, item.zone, item.spot, state, provisioned_at, last_heartbeat_at
--- a/src/eldercart/autoscaling/request_types.py
+++ b/src/eldercart/autoscaling/request_types.py
@@ -1,4 +1,4 @@
-"""What the leader may ask of the cloud."""
+"""The requests that the leader sends to the cloud."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineOffering:
-    """What the cloud rents: machines of a type, in a zone, spot or on-demand."""
+    """A kind of machine that the cloud offers: a type in a zone, spot or on-demand."""
 
     type: str
     zone: str
@@ -16,38 +16,38 @@
 
 @dataclass(slots=True)
 class ScaleOutRequest:
-    """A number of machines of an offering; the name makes the request idempotent."""
+    """A request for a number of machines of one offering. Its name makes it idempotent."""
 
     name: str
     offering: MachineOffering
     machine_count: int
-    sent_at: MonotonicTime = MONOTONIC_ZERO  # zero: not yet
+    sent_at: MonotonicTime = MONOTONIC_ZERO  # zero until it is sent
 
 
 @dataclass(frozen=True, slots=True)
 class ScaleOut:
-    """Rent machines."""
+    """Create the machines of a scale-out request."""
 
     request: ScaleOutRequest
 
 
 @dataclass(frozen=True, slots=True)
 class DeleteMachines:
-    """Return machines."""
+    """Delete machines, which returns them to the cloud."""
 
     machines: tuple[MachineId, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ListMachines:
-    """List one page of machines, after the one named or from the beginning."""
+    """List one page of machines: those after the machine `after`, or the first page if None."""
 
     after: MachineId | None
 
 
 @dataclass(frozen=True, slots=True)
 class GetCatalog:
-    """Read the machine types."""
+    """Read the catalog of machine types."""
 
 
 CloudRequest = ScaleOut | DeleteMachines | ListMachines | GetCatalog
--- a/src/eldercart/autoscaling/scale_out.py
+++ b/src/eldercart/autoscaling/scale_out.py
@@ -1,4 +1,4 @@
-"""One round of scaling out: which offerings to ask for, and how many machines of each."""
+"""Plans one scale-out: which offerings to request, and how many machines of each."""
 
 import math
 from collections.abc import Callable, Iterator
@@ -13,69 +13,72 @@
 from eldercart.units import DISTANT_PAST, MonotonicTime
 from eldercart.wire.cloud import MAX_CREATED_MACHINES, MachineType
 
-REUSE_WAIT_S = 20.0  # that a job waits for machines in use that suit it before others are rented
+REUSE_WAIT_S = 20.0  # wait for suitable machines in use before others are requested
 
 
 class ConstrainedJob(NamedTuple):
-    """A waiting job that not every machine suits, and the zone that it is bound to, if any."""
+    """A waiting job that can run only on some machines, and the zone that it is bound to."""
 
     job: Job
-    zone: str | None
+    zone: str | None  # None if the job may run in any zone
 
 
 @dataclass(slots=True)
 class Supply:
-    """CPUs of the machines that there are, or that are asked for."""
+    """CPUs of the existing and the requested machines."""
 
     on_demand_cpus: float = 0.0
     total_cpus: float = 0.0
 
     def add(self, cpus: float, *, is_spot: bool) -> None:
-        """Add the CPUs of more machines; take them away if negative."""
+        """Add the CPUs of more machines. A negative number subtracts."""
         self.total_cpus += cpus
         if not is_spot:
             self.on_demand_cpus += cpus
 
 
 class _PricedOffering(NamedTuple):
-    """An offering that may be asked for now, by what its CPUs cost."""
+    """An offering that may be requested now, with its cost per CPU."""
 
-    cost_per_cpu: float  # price, and more for a late boot
+    cost_per_cpu: float  # price per CPU, raised by the boot time
     machines_in_zone: int
     offering: MachineOffering
-    cpus: float  # of one machine
+    cpus: float  # CPUs of one machine
 
 
 def is_serving(machine: Machine) -> bool:
-    """Return whether the machine runs tasks, or soon will."""
+    """Return whether the machine is up or booting, and accepts new tasks."""
     return machine.state in (MachineState.BOOTING, MachineState.UP) and not machine.is_unschedulable
 
 
 def waiting_cpus(job: Job) -> float:
-    """Return the CPUs of the job's tasks that are not launched."""
+    """Return the CPUs of the job's tasks that are not launched yet."""
     return job.spec.cpus * (job.unplaced_count + job.enqueued_count)
 
 
 @dataclass(slots=True)
 class ScaleOutRound:
-    """The state of one round. New requests are also added to the outstanding ones."""
+    """State of one planning run of the autoscaler for scaling out.
+
+    New requests are collected in `requests` and also added to `outstanding_requests`."""
 
     types: dict[str, MachineType]
-    machines: list[Machine]  # that are serving
+    machines: list[Machine]  # serving machines only
     outstanding_requests: dict[str, ScaleOutRequest]
     refused_until: dict[MachineOffering, MonotonicTime]
-    boot_weight_s: float  # a boot time that doubles the cost of a machine
+    boot_weight_s: float  # boot time that doubles the cost of a machine
     name_prefix: str
-    numbers: Iterator[int]  # of requests, for their names
+    numbers: Iterator[int]  # sequence numbers for the names of requests
     now: MonotonicTime
-    requests: list[ScaleOutRequest] = field(default_factory=list)  # that this round makes
-    _machines_per_zone: dict[tuple[str, bool], int] = field(default_factory=dict)  # zone, is spot
+    requests: list[ScaleOutRequest] = field(default_factory=list)  # made by this run
+    # The key is the zone and whether the machines are spot machines.
+    _machines_per_zone: dict[tuple[str, bool], int] = field(default_factory=dict)
 
     def run(self, targets: CpuTargets, constrained: list[ConstrainedJob]) -> None:
-        """Make the requests that the targets need.
+        """Make the requests that the targets and the constrained jobs need.
 
-        Those for constrained jobs come first: the targets may be met by machines of which none
-        suits them."""
+        Constrained jobs come first, because the supply may reach the targets with machines on
+        which none of these jobs can run."""
         supply = self._count_supply()
         for job, zone in constrained:
             cpus = self._request_for_job(job, zone)
@@ -90,7 +93,7 @@
             self._request_cheapest(missing_cpus, is_spot=False)
 
     def _count_supply(self) -> Supply:
-        """Count the CPUs of all machines and requests, and the machines of each zone."""
+        """Return the CPUs of all machines and outstanding requests; count the machines per zone."""
         supply = Supply()
         for machine in self.machines:
             supply.add(machine.type.cpus, is_spot=machine.is_spot)
@@ -101,7 +104,7 @@
         return supply
 
     def _request_for_job(self, job: Job, zone: str | None) -> float:
-        """Request what the job misses of machines that suit it; return the CPUs requested."""
+        """Request the suitable machines that the job lacks; return the CPUs requested."""
         spec = job.spec
 
         def is_suitable(offering: MachineOffering) -> bool:
@@ -124,8 +127,9 @@
         return requested_cpus
 
     def _subtract_suitable(self, cpus: float, job: Job, zone: str | None) -> float:
-        """Return the CPUs less those of machines that suit the job."""
-        # What is in use comes free, mostly soon. Long tasks may hold all of a zone, though.
+        """Return `cpus` minus the CPUs of the machines that the job can use."""
+        # Machines in use mostly become free soon, so they count at first. Long tasks may occupy a
+        # whole zone, though, so later only free CPUs count.
         is_recent = self.now - max(job.ready_at, job.last_placed_at) < REUSE_WAIT_S
         for machine in self.machines:
             if (
@@ -144,8 +148,9 @@
         is_spot: bool,
         is_suitable: Callable[[MachineOffering], bool] | None = None,
     ) -> float:
-        """Request so many CPUs of the cheapest offerings, in equal parts of those of equal cost;
-        return the CPUs requested."""
+        """Request `cpus` CPUs from the cheapest offerings; return the CPUs requested.
+
+        Offerings of equal cost get equal shares."""
         offerings = self._available_offerings(is_spot=is_spot, is_suitable=is_suitable)
         requested_cpus = 0.0
         for position, priced in enumerate(offerings):
@@ -164,14 +169,16 @@
     def _available_offerings(
         self, *, is_spot: bool, is_suitable: Callable[[MachineOffering], bool] | None
     ) -> list[_PricedOffering]:
-        """Return the offerings that were not refused lately and are not asked for already, the
-        cheapest first and of these the zone with the fewest machines."""
+        """Return the offerings that may be requested, in ascending order of cost per CPU.
+
+        Offerings that were refused recently or have an outstanding request are left out. Among
+        equal costs, zones with fewer machines come first."""
         available = []
         for machine_type in self.types.values():
             price = machine_type.spot_price if is_spot else machine_type.price
             if price <= 0 or machine_type.cpus <= 0:
                 continue
-            # A machine that boots late is worth less to those who wait.
+            # Jobs wait while a machine boots, so a longer boot time raises its cost.
             boot_factor = 1 + machine_type.boot_s / self.boot_weight_s
             cost_per_cpu = price / machine_type.cpus * boot_factor
             for zone in machine_type.zones:
--- a/src/eldercart/autoscaling/successor_reservations.py
+++ b/src/eldercart/autoscaling/successor_reservations.py
@@ -1,6 +1,6 @@
-"""Soft reservations for the successors of jobs that end soon.
+"""Makes soft reservations for the successors of jobs that end soon.
 
-A machine that is asked for about one boot before the successor comes is up when it is needed.
+A machine that is requested about one boot time before the successor becomes ready is up in time.
 """
 
 from eldercart.cluster.inventory import MachineState
@@ -11,14 +11,14 @@
 
 
 def reserve_for_successors(cluster: ClusterState, now: MonotonicTime) -> None:
-    """Reserve for predicted and submitted successors of the jobs that end within about one boot,
-    and return what expected jobs have not come for in time."""
+    """Reserve capacity for the predicted and submitted successors of jobs that end within one boot
+    time, and remove the reservations that no job used in time."""
     predictor = cluster.predictor
     predictor.expire(now)
     boot_s = min(machine_type.boot_s for machine_type in cluster.types.values())
     window = ReservationWindow(boot_s=boot_s, load=_load(cluster), now=now)
     ending = _jobs_ending_within(cluster, boot_s, now)
-    if not cluster.autoscaler.is_quiet:  # else no predicted successor of a stream will come
+    if not cluster.autoscaler.is_quiet:  # submissions go on, so a stream may bring a successor
         for job_id, ends_in_s in ending.items():
             predictor.reserve_for_stream(cluster.jobs.jobs[job_id], ends_in_s, window)
     for job_id in ending:
@@ -30,7 +30,7 @@
 
 
 def held_cpus(cluster: ClusterState, job_id: JobId) -> float:
-    """Return the CPUs that a job holds until it ends, which come free for its successor."""
+    """Return the CPUs that a job uses until it ends and then leaves to its successor."""
     job = cluster.jobs.get(job_id)
     if job is None or not job.is_runnable:
         return 0.0
@@ -40,7 +40,7 @@
 def _reserve_for_submitted(
     cluster: ClusterState, successor: Job, ending: dict[JobId, float], window: ReservationWindow
 ) -> None:
-    """Reserve for a successor that is submitted already, if all that it waits for ends soon."""
+    """Reserve for a submitted successor if all its unmet dependencies are in `ending`."""
     upstream = successor.unmet_dependencies
     if successor.outcome is not None or not all(job_id in ending for job_id in upstream):
         return
@@ -51,7 +51,7 @@
 
 
 def _load(cluster: ClusterState) -> float:
-    """Return the share of the machines' CPUs that is placed or reserved."""
+    """Return the share of the CPUs of up machines that is used by placements or reserved."""
     all_cpus = sum(
         machine.type.cpus
         for machine in cluster.inventory.machines.values()
@@ -65,7 +65,7 @@
 def _jobs_ending_within(
     cluster: ClusterState, boot_s: float, now: MonotonicTime
 ) -> dict[JobId, float]:
-    """Return the jobs that end within so many seconds, and in how many."""
+    """Return the jobs expected to end within `boot_s` seconds, each with the seconds remaining."""
     ending: dict[JobId, float] = {}
     for job in cluster.jobs.jobs.values():
         if not job.is_runnable or job.unplaced_count or job.enqueued_count:
@@ -83,6 +83,6 @@
 
 
 def _cap_at_team_quota(cluster: ClusterState, team_name: str, cpus: float) -> float:
-    """Return how much of that the team may use at once."""
+    """Return `cpus`, limited to the quota of the team."""
     team = cluster.settings.teams.get(team_name)
     return min(cpus, team.cpus_max) if team is not None and team.cpus_max > 0 else cpus
