--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -1,6 +1,8 @@
-"""Two troubles at once: each meeting that has broken a rule somewhere, brought about here. The
-rules themselves are looked at in every step, see `World.check`; the table in `docs/design.md`
-says for each meeting what could break and which guard holds."""
+"""Tests of two faults or events that coincide, each of which has violated an invariant before.
+
+`World.check` checks the invariants in every step. The table in `docs/design.md` lists for each case
+what could break and which guard prevents it.
+"""
 
 from types import SimpleNamespace
 from typing import Any
@@ -36,7 +38,7 @@
 from world import PLATFORM, World, submission
 
 ONE, TWO = JobId("wk-000001"), JobId("wk-000002")
-WAIT_S = 90.0  # for which no job waits beside room that fits
+WAIT_S = 90.0  # longest wait of a job beside free capacity that fits it
 
 
 def leader(w: World) -> Any:
@@ -48,81 +50,89 @@
     return [m for m in w.cloud.machines.values() if m.on()]
 
 
-def gone_within_cancel_s(w: World, job: str = ONE) -> None:
-    """`World.check` fails if a task outlives the cancellation; at the end none is left at all."""
+def assert_gone_within_cancel_s(w: World, job: str = ONE) -> None:
+    """Check that the job is cancelled in time and that none of its tasks still runs.
+
+    `World.check` fails meanwhile if a task outlives the limit."""
     w.run(w.settings.cancel_s + 3.0)
     assert w.told[job] == "aborted"
     assert not [k for m in w.cloud.machines.values() for k in m.on() if k.startswith(job)]
 
 
-# -- workers reach no controller, direct commands reach them
+# -- workers reach no node, but direct commands reach the workers
 
 
-@pytest.mark.parametrize(("for_s", "deleted"), [(8.0, False), (60.0, True)])
-def test_workers_that_reach_no_node(for_s: float, deleted: bool) -> None:
-    """They show themselves when asked, so a short while costs no machine; a long one lets their
-    leases run out, and the work goes elsewhere, but not before they are deleted."""
+@pytest.mark.parametrize(("silence_s", "deleted"), [(8.0, False), (60.0, True)])
+def test_silent_workers_are_deleted_only_after_a_long_silence(
+    silence_s: float, deleted: bool
+) -> None:
+    """Workers that reach no node still answer probes, so a short silence deletes no machine. During
+    a long one, their leases expire, and the tasks move, but only after the machines are deleted."""
     w = RelayWorld(41, capacity=6)
     w.submit(ONE, run_s=40.0, parcels=12)
     w.run(16)
-    silenced = busy(w)[:2]
-    w.silent = {m.id for m in silenced}
-    w.run(for_s)
+    silent_machines = busy(w)[:2]
+    w.silent = {m.id for m in silent_machines}
+    w.run(silence_s)
     w.silent.clear()
-    assert [m.deleted for m in silenced] == [deleted, deleted]
+    assert [m.deleted for m in silent_machines] == [deleted, deleted]
     w.run(5)
     w.left_waiting_s = WAIT_S
     finish(w)
     assert w.told[ONE] == "done"
 
 
-@pytest.mark.parametrize("at", [-2.0, 0.0, 5.0])
-def test_cancelled_on_workers_that_reach_no_node(at: float) -> None:
+@pytest.mark.parametrize("cancel_after_s", [-2.0, 0.0, 5.0])
+def test_cancelled_tasks_end_on_workers_that_reach_no_node(cancel_after_s: float) -> None:
+    """A cancellation is requested before, at or after the start of the silence."""
     w = RelayWorld(42, capacity=6)
     w.submit(ONE, run_s=200.0, parcels=12)
     w.run(16)
-    silenced = {m.id for m in busy(w)}
-    if at < 0:
+    silent_machine_ids = {m.id for m in busy(w)}
+    if cancel_after_s < 0:
         w.cancel(ONE)
-        w.run(-at)
-    w.silent = silenced
-    w.run(max(0.0, at))
+        w.run(-cancel_after_s)
+    w.silent = silent_machine_ids
+    w.run(max(0.0, cancel_after_s))
     w.cancel(ONE)
-    gone_within_cancel_s(w)
+    assert_gone_within_cancel_s(w)
 
 
-# -- leaders change again and again
+# -- the leader changes repeatedly
 
 
-@pytest.mark.parametrize("every", [2.0, 4.0, 9.0, 12.0, 17.0])
-@pytest.mark.parametrize("recorded", [True, False])
-def test_cancelled_on_a_hanging_machine_while_leaders_change(every: float, recorded: bool) -> None:
-    """Each leader counted the time for the kill from its own take-over, so while they changed
-    every dozen seconds the machine was never deleted. Without the time in the record, as earlier
-    releases left it, a leader that stays has to be as quick as ever."""
+@pytest.mark.parametrize("leader_interval_s", [2.0, 4.0, 9.0, 12.0, 17.0])
+@pytest.mark.parametrize("time_is_recorded", [True, False])
+def test_leader_changes_do_not_delay_cancellation_on_hanging_machines(
+    leader_interval_s: float, time_is_recorded: bool
+) -> None:
+    """Guards against a kill timeout that each leader counted from its own failover: with a new
+    leader every dozen seconds, the machine was never deleted. Records of earlier releases lack the
+    time of the cancellation: then a leader that stays must meet the limit, counted from its
+    election."""
     w = RelayWorld(43, capacity=4)
     w.submit(ONE, run_s=300.0, parcels=8)
     w.run(14)
     for m in busy(w):
         m.hangs_until = w.now + 1000.0
     w.cancel(ONE)
-    if not recorded:
+    if not time_is_recorded:
         w.run(1)
         for item in w.store.range("gone/"):
             w.store.keys[item["path"]][0].pop("t")
         w.elect()
         w.cancelled_at[ONE] = w.now
-        gone_within_cancel_s(w)
+        assert_gone_within_cancel_s(w)
         return
-    for _ in range(int(60.0 / every)):
-        w.run(every)
+    for _ in range(int(60.0 / leader_interval_s)):
+        w.run(leader_interval_s)
         w.elect()
-    gone_within_cancel_s(w)
+    assert_gone_within_cancel_s(w)
 
 
 @pytest.mark.parametrize("outage", [0.0, 40.0])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_ten_leaders_in_two_minutes(seed: int, outage: float) -> None:
+def test_jobs_finish_despite_ten_leader_changes(seed: int, outage: float) -> None:
     w = RelayWorld(seed, txn_lost=0.1, mesh_lost=0.05, mesh_delay=0.5)
     submit_all(w)
     w.submit("wk-000090", run_s=200.0)
@@ -154,15 +164,15 @@
         ("", {"spread": True, "parcels": 23}),
     ],
 )
-def test_jobs_bound_to_a_zone_lose_machines(zone: str, changes: dict[str, Any]) -> None:
+def test_zone_bound_jobs_finish_after_losing_machines(zone: str, changes: dict[str, Any]) -> None:
     w = RelayWorld(44, capacity=14)
     w.submit(ONE, run_s=12.0, cpus=4.0, **changes)
     w.submit(TWO, run_s=12.0, cpus=2.0, parcels=30)
     w.run(14)
     assert busy(w)
-    held = {m.zone for m in busy(w) if any(k.startswith(ONE) for k in m.on())}
+    used_zones = {m.zone for m in busy(w) if any(k.startswith(ONE) for k in m.on())}
     for m in list(w.cloud.machines.values()):
-        if m.zone in (zone or held):
+        if m.zone in (zone or used_zones):
             m.hangs_until = 1e9
     w.crash(w.leader)
     w.run(20)
@@ -171,72 +181,85 @@
     assert set(w.told.values()) == {"done"}
 
 
-def test_room_is_rented_in_the_zone_that_the_other_tasks_leave() -> None:
-    """All idle machines stand in the other zone: by the sums there is enough."""
+def test_scale_out_uses_the_only_zone_that_the_other_tasks_allow() -> None:
+    """All idle machines are in the other zone, so the total supply alone looks sufficient."""
     w = World(45, capacity=12)
     w.submit(ONE, run_s=200.0, cpus=8.0, parcels=1, together=True, breeds=["small"])
     w.run(12)
-    (held,) = busy(w)
+    (first_machine,) = busy(w)
     w.submit(TWO, run_s=200.0, cpus=8.0, parcels=2, together=True, breeds=["small"])
     w.run(12)
     c = leader(w)
     job = c.jobs.jobs[TWO]
-    at = next(m for m in busy(w) if any(k.startswith(TWO) for k in m.on()))
-    other = "b" if at.zone == "a" else "a"
-    lost = next(m for m in busy(w) if m is not at and any(k.startswith(TWO) for k in m.on()))
+    remaining_machine = next(m for m in busy(w) if any(k.startswith(TWO) for k in m.on()))
+    other_zone = "b" if remaining_machine.zone == "a" else "a"
+    deleted_machine = next(
+        m for m in busy(w) if m is not remaining_machine and any(k.startswith(TWO) for k in m.on())
+    )
     for m in list(w.cloud.machines.values()):
-        if m.zone == at.zone and m is not at and m is not held:
+        if (
+            m.zone == remaining_machine.zone
+            and m is not remaining_machine
+            and m is not first_machine
+        ):
             w.cloud.delete(b'{"wagons":["%s"]}' % m.id.encode())
-    # What stands in the other zone is as much as is asked for.
-    name = b'{"hire":"x","breed":"small","yard":"%s","loaners":false,"number":3}' % other.encode()
-    assert lost.deleted and w.cloud.rent(name, w.now - 60.0)[0] == 200
+    # The other zone has as many CPUs as are requested.
+    create_request = (
+        b'{"hire":"x","breed":"small","yard":"%s","loaners":false,"number":3}' % other_zone.encode()
+    )
+    assert deleted_machine.deleted and w.cloud.rent(create_request, w.now - 60.0)[0] == 200
     w.run(40)
-    where = {w.cloud.machines[p.machine_id].zone for p in job.placements()}
-    assert where == {at.zone} and job.unplaced_count == 0, "no room was rented where it may run"
+    zones = {w.cloud.machines[p.machine_id].zone for p in job.placements()}
+    assert zones == {remaining_machine.zone} and job.unplaced_count == 0, (
+        "no machine was created in the zone where the job may run"
+    )
 
 
-# -- a leader ends while machines can't be reached, or don't hear the new one
+# -- a leader fails while machines are unreachable, or do not receive the new leader's answers
 
 
 @pytest.mark.parametrize("how", ["hang", "unresponsive", "unresponsive for good", "silent"])
-def test_take_over_while_machines_are_out_of_reach(how: str) -> None:
-    """Long tasks stay where they are as long as nothing disproves them; the unresponsive are
-    replaced."""
+def test_failover_keeps_tasks_on_briefly_unreachable_machines(how: str) -> None:
+    """Long tasks stay on their machines until they are proven to have ended. Machines that stay
+    unresponsive are replaced."""
     w = RelayWorld(46, capacity=5)
     w.submit(ONE, run_s=60.0, parcels=12)
     w.run(18)
-    out = busy(w)[:2]
-    names = {m.id for m in out}
-    w.unresponsive = names if how.startswith("unresponsive") else set()
-    w.silent = names if how == "silent" else set()
-    for m in out:
+    unreachable = busy(w)[:2]
+    unreachable_ids = {m.id for m in unreachable}
+    w.unresponsive = unreachable_ids if how.startswith("unresponsive") else set()
+    w.silent = unreachable_ids if how == "silent" else set()
+    for m in unreachable:
         m.hangs_until = w.now + 7.0 if how == "hang" else -1.0
     w.crash(w.leader)
     w.run(7)
     if how == "unresponsive for good":
         w.run(60)
-        assert all(m.deleted for m in out)
+        assert all(m.deleted for m in unreachable)
     else:
         w.unresponsive, w.silent = set(), set()
-        assert not any(m.deleted for m in out)
+        assert not any(m.deleted for m in unreachable)
     finish(w)
     if how == "hang":
-        assert all(w.starts[key] == 1 for key in w.starts), "a task was moved for nothing"
+        assert all(w.starts[key] == 1 for key in w.starts), "a task was started again without need"
 
 
-# -- a zone is cut off with a controller
+# -- a zone is partitioned together with a node
 
 
-@pytest.mark.parametrize("leads", [True, False])
+@pytest.mark.parametrize("cut_node_leads", [True, False])
 @pytest.mark.parametrize("cloud_down", [False, True])
-def test_zone_cut_off_with_a_controller(leads: bool, cloud_down: bool) -> None:
-    """For longer than a lease, and jobs are called off meanwhile. If the cloud is out, too, no
-    machine can be deleted: only that the node inside lets go ends what was cancelled."""
+def test_jobs_end_after_a_zone_is_partitioned_with_one_node(
+    cut_node_leads: bool, cloud_down: bool
+) -> None:
+    """The partition lasts longer than a lease, and a job is cancelled meanwhile. If the cloud is
+    down too, no machine can be deleted: cancelled tasks end only because the node inside the
+    partition stops acknowledging their workers."""
     w = RelayWorld(47, capacity=8)
     w.submit(ONE, run_s=200.0, parcels=20)
     w.submit(TWO, run_s=30.0, parcels=20)
     w.run(18)
-    node = w.leader if leads else next(i for i in range(w.nodes) if i != w.leader)
+    node = w.leader if cut_node_leads else next(i for i in range(w.nodes) if i != w.leader)
     w.shared_out = False
     w.cut, w.cut_zone = {node}, "a"
     for m in w.cloud.machines.values():
@@ -245,7 +268,7 @@
     if cloud_down:
         w.cloud_down_until = w.now + 60.0
     w.run(3)
-    if leads:
+    if cut_node_leads:
         w.elect()
     w.cancel(ONE)
     w.run(45)
@@ -254,32 +277,36 @@
     assert w.told == {ONE: "aborted", TWO: "done"}
 
 
-# -- controllers hand over and back, end, and return at once
+# -- nodes stop and return
 
 
 @pytest.mark.parametrize("gap", [0.0, 0.4, 1.0, 14.0])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_all_controllers_end_and_one_returns(gap: float, seed: int) -> None:
-    """At once, and (14 s) after all leases have run out: what was on the machines has ended then,
-    and only their own newer reports say so."""
+def test_jobs_end_after_all_nodes_stop_and_one_returns(gap: float, seed: int) -> None:
+    """One node returns at once, or after 14 s, when all leases have expired. In that case the tasks
+    have ended, and only newer heartbeats of their machines show it."""
     w = RelayWorld(seed, capacity=8, txn_twice=0.3, txn_lost=0.1, report_twice=0.3)
     submit_all(w)
     w.submit("wk-000090", run_s=300.0)
     w.run(14)
     w.cancel("wk-000090")
     w.run(1)
-    ever = set(w.cloud.machines)
+    machine_ids_before = set(w.cloud.machines)
     w.asleep, w.unreachable_nodes = w.leader, set(range(w.nodes))
     w.run(gap)
     w.asleep, w.unreachable_nodes = None, set()
     for i in range(w.nodes):
         w.crash(i)
-    w.unreachable_nodes = {i for i in range(w.nodes) if i != w.leader}  # the others come later
+    w.unreachable_nodes = {i for i in range(w.nodes) if i != w.leader}  # the others return later
     w.run(4)
     w.unreachable_nodes = set()
     w.run(4)
     c = leader(w)
-    assert not [n for n in ever & set(w.cloud.machines) if c.inventory.is_deleted(MachineId(n))]
+    assert not [
+        n
+        for n in machine_ids_before & set(w.cloud.machines)
+        if c.inventory.is_deleted(MachineId(n))
+    ]
     w.run(10)
     w.left_waiting_s = WAIT_S
     finish(w)
@@ -288,20 +315,21 @@
 
 
 @pytest.mark.parametrize("late_s", [0.0, 0.5, 3.0])
-def test_node_back_within_a_second_and_its_old_claim(late_s: float) -> None:
-    """The claim of the earlier start is carried out after the return: under it nobody leads."""
+def test_late_campaign_of_an_earlier_incarnation_elects_nobody(late_s: float) -> None:
+    """The campaign transaction of a node's earlier incarnation commits after the node restarted. No
+    incarnation may lead under it."""
     store = StoreSim()
-    claim: bytes | None = None
+    old_campaign: bytes | None = None
     node, now = Election(NodeId("n0"), 2.0, 0.02, IncarnationId("old")), 0.0
     for incarnation in ("old", "new"):
         node = Election(NodeId("n0"), 2.0, 0.02, IncarnationId(incarnation))
-        began = now
-        while now < began + 8.0:
+        started_at = now
+        while now < started_at + 8.0:
             now = round(now + 0.1, 3)
             at = MonotonicTime(now)
-            if incarnation == "new" and claim is not None and now >= began + late_s:
-                store.txn(claim)
-                claim = None
+            if incarnation == "new" and old_campaign is not None and now >= started_at + late_s:
+                store.txn(old_campaign)
+                old_campaign = None
             action = node.next_action(at)
             if isinstance(action, ReadLeaderKey):
                 found = store.item("lead")
@@ -317,8 +345,8 @@
                 node.on_lease_revoked(at)
             elif isinstance(action, Campaign):
                 if incarnation == "old":
-                    claim = action.transaction.body()
-                    break  # killed while it is under way
+                    old_campaign = action.transaction.body()
+                    break  # the node is killed while the transaction is in flight
                 status, answer = store.txn(action.transaction.body())
                 node.on_campaign_result(
                     Revision(answer["ledgerRev"]) if status == 200 else None, at
@@ -330,12 +358,12 @@
     assert node.role is Role.LEADER
 
 
-# -- a transaction without an answer, carried out late
+# -- a transaction without an answer commits late
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_transactions_carried_out_late(seed: int) -> None:
-    """A third of them, 2 to 12 s later, after newer ones of the same leader."""
+def test_jobs_finish_when_transactions_commit_late(seed: int) -> None:
+    """Three in ten transactions commit 2 to 12 s late, after newer ones of the same leader."""
     w = World(seed, capacity=5, txn_late=0.3)
     submit_all(w)
     w.submit("wk-000090", run_s=100.0)
@@ -351,14 +379,17 @@
     assert not w.store.range("job/")
 
 
-@pytest.mark.parametrize("what", ["an empty placement record", "a marker that nobody misses"])
-@pytest.mark.parametrize("carried_out", [True, False])
-def test_last_write_without_an_answer_stops_nothing(what: str, carried_out: bool) -> None:
-    """There was nothing left to write, so nothing ever told that the store is back, and nothing
-    was placed any more: the next job waited beside an idle fleet."""
+@pytest.mark.parametrize(
+    "last_write", ["an empty placement record", "a cleanup marker without a job record"]
+)
+@pytest.mark.parametrize("is_committed", [True, False])
+def test_unanswered_last_write_does_not_stop_placement(last_write: str, is_committed: bool) -> None:
+    """Guards against a stop of all placement after a write without an answer. With nothing left to
+    write, no answer showed that the store was available again, and the next job waited although
+    all machines were idle."""
     w = World(48)
     w.submit(ONE, run_s=3.0)
-    if what != "an empty placement record":
+    if last_write != "an empty placement record":
         finish(w)
         w.run(5)
         w.store.txn(state.Transaction({}, [state.Put("gone/wk-000077", {"e": "done"})]).body())
@@ -386,7 +417,7 @@
             )
     assert pending is not None and (pending.deleted_records or pending.orphaned_keys)
     w.told.update(c.take_finished_jobs())
-    if carried_out:
+    if is_committed:
         w.store.txn(pending.transaction.body())
     else:
         w.late.append((w.now + 5.0, pending.transaction.body()))
@@ -399,11 +430,12 @@
     assert w.told[TWO] == "done"
 
 
-# -- requests that meet the end of the last task
+# -- requests race with the end of the last task
 
 
-def last_task_done(w: World, job: str) -> Any:
-    """The leader has just heard of it, and nothing is written yet."""
+def run_until_last_task_is_done(w: World, job: str) -> Any:
+    """Run until the leader has received the heartbeat that reports the job's last task as done, and
+    has written nothing since. Return the leader's scheduler."""
     c = leader(w)
     while not c.jobs.jobs[JobId(job)].is_complete:
         for body in [m for m in w.cloud.machines.values() if m.boots_at <= w.now]:
@@ -415,7 +447,7 @@
 
 
 @pytest.mark.parametrize(
-    ("moment", "asked", "cancelled", "end"),
+    ("moment", "expected_status", "cancel_result", "outcome"),
     [
         ("running", JobStatus, LookupFailure.UNDECIDED, "aborted"),
         ("complete", JobStatus, LookupFailure.UNDECIDED, "done"),
@@ -425,9 +457,11 @@
         ("end durable", "done", "done", "done"),
     ],
 )
-def test_requests_meet_the_end(moment: str, asked: Any, cancelled: Any, end: str) -> None:
-    """At each moment around a job's end: what a question and a cancellation get, and which end
-    the user is told, once."""
+def test_status_and_cancellation_requests_around_the_end_of_a_job(
+    moment: str, expected_status: Any, cancel_result: Any, outcome: str
+) -> None:
+    """Checks, at each moment around a job's end, the answers to a status request and to a
+    cancellation, and that the user gets a single outcome."""
     w = World(49, capacity=3)
     w.submit(ONE, run_s=3.0, parcels=2)
     if moment == "running":
@@ -435,7 +469,7 @@
         while not busy(w):
             w.step(0.1)
     else:
-        c = last_task_done(w, ONE)
+        c = run_until_last_task_is_done(w, ONE)
     now = MonotonicTime(w.now)
     pending = None
     if moment.startswith("end"):
@@ -449,41 +483,45 @@
     elif pending is not None and moment == "end durable":
         version = Revision(w.store.txn(pending.transaction.body())[1]["ledgerRev"])
         c.on_transaction_result(pending, TransactionOutcome.COMMITTED, version, (), now)
-    state_now = c.job_status(ONE)
-    if isinstance(asked, str):
-        assert state_now is LookupFailure.UNKNOWN_JOB or state_now.state == asked
-        # What ended is dropped at once; the node tells it from the ends it has just taken.
-        assert c.take_finished_jobs() == [(ONE, asked)]
-        w.tell(ONE, asked)
-        assert c.cancel_job(ONE, now) in (cancelled, LookupFailure.UNKNOWN_JOB)
-    elif asked is JobStatus:
-        assert isinstance(state_now, JobStatus) and state_now.state in ("pending", "running")
-        assert c.cancel_job(ONE, now) is cancelled
+    status = c.job_status(ONE)
+    if isinstance(expected_status, str):
+        assert status is LookupFailure.UNKNOWN_JOB or status.state == expected_status
+        # The scheduler drops a finished job at once. The node answers from the outcomes that it has
+        # just taken.
+        assert c.take_finished_jobs() == [(ONE, expected_status)]
+        w.tell(ONE, expected_status)
+        assert c.cancel_job(ONE, now) in (cancel_result, LookupFailure.UNKNOWN_JOB)
+    elif expected_status is JobStatus:
+        assert isinstance(status, JobStatus) and status.state in ("pending", "running")
+        assert c.cancel_job(ONE, now) is cancel_result
     else:
-        assert state_now is asked
-        assert c.cancel_job(ONE, now) is cancelled
+        assert status is expected_status
+        assert c.cancel_job(ONE, now) is cancel_result
     if pending is not None and moment == "end sent":
         version = Revision(w.store.txn(pending.transaction.body())[1]["ledgerRev"])
         c.on_transaction_result(pending, TransactionOutcome.COMMITTED, version, (), now)
     w.run(30)
-    assert w.told == {ONE: end}
-    assert w.store.keys[f"end/{ONE}"][0]["e"] == end
+    assert w.told == {ONE: outcome}
+    assert w.store.keys[f"end/{ONE}"][0]["e"] == outcome
 
 
 @pytest.mark.parametrize(
     ("meanwhile", "expected"), [("nothing", "pending"), ("told here", "done"), ("ended", "done")]
 )
-def test_repeated_submission_meets_the_end(meanwhile: str, expected: str) -> None:
-    """The store's answer to it is on its way when the job ends, and this node tells so."""
+def test_repeated_submission_returns_an_end_that_came_meanwhile(
+    meanwhile: str, expected: str
+) -> None:
+    """The job ends while the store's answer to the repeated submission is in flight. The reply must
+    give the outcome, whether this node has recorded it or only the store has."""
     store = StoreSim()
     body = orjson.dumps(submission(ONE))
-    held: list[Any] = []
-    kinds = cloud.parse_catalog(CATALOG)
+    delayed_answers: list[Any] = []
+    types = cloud.parse_catalog(CATALOG)
 
     def txn(sent: Any, done: Any) -> None:
         status, answer = store.txn(sent.body())
         failed = tuple(answer.get("failed", ()))
-        held.append(lambda: done(status, Revision(answer["ledgerRev"]), failed))
+        delayed_answers.append(lambda: done(status, Revision(answer["ledgerRev"]), failed))
 
     def get(key: str, done: Any) -> None:
         found = store.item(key)
@@ -495,7 +533,7 @@
     node: Any = SimpleNamespace(
         clock=lambda: MonotonicTime(0.0),
         loop_lag_s=0.0,
-        machine_types=kinds,
+        machine_types=types,
         settings=World(0).settings,
         tuning=World(0).tuning,
         store=SimpleNamespace(commit=txn, get=get, writes=bucket, requests=bucket),
@@ -503,17 +541,17 @@
             scheduler=None, job_record_watch=SimpleNamespace(add_record=lambda _: None)
         ),
     )
-    front = UserService(node)
+    user_service = UserService(node)
     replies: list[tuple[int, Any]] = []
 
     def submit() -> None:
         request: Any = SimpleNamespace(
             body=lambda: body, reply=lambda status, data, *_: replies.append((status, data))
         )
-        front._submit(request)
+        user_service._submit(request)
 
     submit()
-    held.pop()()
+    delayed_answers.pop()()
     if meanwhile == "ended":
         store.txn(
             state.Transaction(
@@ -522,36 +560,37 @@
         )
     submit()
     if meanwhile == "told here":
-        front.record_outcome(ONE, "done")
-    held.pop()()
+        user_service.record_outcome(ONE, "done")
+    delayed_answers.pop()()
     assert [status for status, _ in replies] == [201, 200]
     assert orjson.loads(replies[1][1])["standing"] == expected
 
 
-# -- reports held back, of earlier sessions and attempts
+# -- heartbeats are delayed, or belong to earlier sessions and attempts
 
 
-@pytest.mark.parametrize("first", [True, False])
-def test_report_held_back_until_a_new_leader_acted(first: bool) -> None:
-    """It lacks what the old leader launched since. As the `first` that the new one hears of the
-    machine its epoch gives it away, later the machine's newer reports."""
+@pytest.mark.parametrize("is_first", [True, False])
+def test_new_leader_rejects_a_heartbeat_delayed_since_before_its_election(is_first: bool) -> None:
+    """The delayed heartbeat lacks the tasks that the old leader launched since. If it is the first
+    heartbeat of the machine that the new leader receives, its old fencing token shows that it is
+    outdated; otherwise, the machine's newer heartbeats do."""
     w = World(50, capacity=2)
     w.submit(ONE, run_s=60.0, parcels=4, cpus=4.0)
     w.run(8)
     m = next(m for m in w.cloud.machines.values() if m.boots_at <= w.now and not m.tasks)
-    old = workers.parse_heartbeat(m.report())
+    delayed = workers.parse_heartbeat(m.report())
     while not m.on():
         w.step(0.1)
     w.elect()
-    if not first:
+    if not is_first:
         w.run(4)
     c = leader(w)
     machine = c.inventory.get(MachineId(m.id))
-    placed, heard = dict(machine.placements), machine.last_heartbeat_at
-    assert placed
-    assert not c.on_heartbeat(old, MonotonicTime(w.now))
-    assert machine.placements == placed and machine.last_heartbeat_at == heard
-    assert not any(p.phase is PlacementPhase.ENDED for p in placed.values())
+    placements_before, heartbeat_at = dict(machine.placements), machine.last_heartbeat_at
+    assert placements_before
+    assert not c.on_heartbeat(delayed, MonotonicTime(w.now))
+    assert machine.placements == placements_before and machine.last_heartbeat_at == heartbeat_at
+    assert not any(p.phase is PlacementPhase.ENDED for p in placements_before.values())
     finish(w)
     assert all(n == 1 for n in w.starts.values())
 
@@ -567,15 +606,16 @@
         ("earlier attempt, still running", {}, -1, "running", "kill"),
     ],
 )
-def test_old_report_after_newer_ones(
+def test_outdated_heartbeat_changes_no_placement(
     name: str, older: dict[str, int], attempt: int | None, standing: str | None, answer: str | None
 ) -> None:
-    """Nothing moves, and nothing counts as done, by what an earlier session or attempt was."""
+    """A heartbeat that is repeated or from an earlier session, or that reports an earlier attempt,
+    neither moves a task nor marks one as done."""
     w = World(51, capacity=1)
     w.submit(ONE, run_s=200.0, parcels=2, cpus=4.0)
     w.run(12)
     sim = busy(w)[0]
-    sim.answered = -1e9  # its lease runs out: the next session begins, the tasks are started anew
+    sim.answered = -1e9  # its lease expires: the next session begins, and the tasks restart
     w.run(6)
     assert sim.agent_epoch == 2 and len(sim.on()) == 2
     c = leader(w)
@@ -605,11 +645,11 @@
     ) == before, name
 
 
-# -- more work than room
+# -- more work than capacity
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_overload_over_slow_links(seed: int) -> None:
+def test_jobs_finish_under_overload_with_slow_peer_links(seed: int) -> None:
     w = RelayWorld(seed, capacity=3, mesh_delay=2.5, mesh_lost=0.05, answer_slow=0.1)
     w.left_waiting_s = WAIT_S
     for i in range(30):
@@ -630,19 +670,20 @@
 
 
 @pytest.mark.parametrize(
-    ("how", "within"),
+    ("how", "within_s"),
     [
         ("a larger one waits", 70.0),
         ("kept", 70.0),
-        ("kept from its like", 20.0),
+        ("kept, job prefers on-demand", 20.0),
         ("avoided", 70.0),
         ("quarantine", 110.0),
     ],
 )
-def test_nobody_waits_beside_room(how: str, within: float) -> None:
-    """Room that is kept for others in vain (but not from one that lost work to the cloud, `kept
-    from its like`), that the job itself avoids, or that a machine in quarantine has while long
-    tasks keep it from being replaced."""
+def test_wait_beside_free_capacity_is_bounded(how: str, within_s: float) -> None:
+    """A job fits into free capacity that is kept for other jobs in vain, that is on a machine that
+    the job avoids, or that is on a cordoned machine that long tasks keep from being replaced.
+    Capacity is not kept from a job that prefers on-demand machines because it lost work to the
+    cloud."""
     w = World(52, capacity=1)
     w.submit(ONE, run_s=500.0, parcels=1, cpus=5.0, loaners=how[:4] != "kept", breeds=["small"])
     w.run(16)
@@ -654,54 +695,56 @@
         w.submit("wk-000008", run_s=5.0, parcels=4, cpus=5.0, breeds=["small"])
     elif how[:4] == "kept":
         w.submit("wk-000009", run_s=5.0, parcels=1, cpus=6.0, loaners=False, breeds=["small"])
-        w.run(2)  # until it is asked for
+        w.run(2)  # until capacity for it is requested
     elif how == "quarantine":
         c.cluster_state.cordon(m, "slow", MonotonicTime(w.now))
-    # More than is written ahead of room, which would pass by what is kept.
-    mine = {"run_s": 5.0, "parcels": 1, "cpus": 3.0, "urgency": "idle", "breeds": ["small"]}
-    if how == "kept from its like":
-        w.submit("wk-000000", **mine)
-    w.submit(TWO, **mine)
-    c.jobs.jobs[TWO].prefers_on_demand = how == "kept from its like"
+    # 3 CPUs exceed the limit of a prelaunch queue: an enqueued task would bypass what is kept.
+    changes = {"run_s": 5.0, "parcels": 1, "cpus": 3.0, "urgency": "idle", "breeds": ["small"]}
+    if how == "kept, job prefers on-demand":
+        w.submit("wk-000000", **changes)
+    w.submit(TWO, **changes)
+    c.jobs.jobs[TWO].prefers_on_demand = how == "kept, job prefers on-demand"
     if how == "avoided":
         c.jobs.jobs[TWO].avoid_machine(m.id, MonotonicTime(w.now))
     w.left_waiting_s = WAIT_S
-    w.run(within)
+    w.run(within_s)
     assert w.starts[f"{TWO}/0"] == 1
 
 
 # -- tasks that end far apart
 
 
-@pytest.mark.parametrize("loss", [0.0, 0.3])
-@pytest.mark.parametrize("tasks", [2, 3])
-def test_tasks_end_far_apart_across_changes_of_leader(tasks: int, loss: float) -> None:
-    """What is done stays known to its machine until the store knows it: no task runs again, and
-    the job is done only when the last is."""
-    w = RelayWorld(53, capacity=4, txn_lost=loss)
-    w.submit(ONE, run_s=99.0, parcels=tasks, cpus=8.0, breeds=["small"])
+@pytest.mark.parametrize("loss_rate", [0.0, 0.3])
+@pytest.mark.parametrize("task_count", [2, 3])
+def test_finished_tasks_do_not_rerun_across_leader_changes(
+    task_count: int, loss_rate: float
+) -> None:
+    """A machine keeps reporting a finished task until the store has recorded it: no task runs
+    again, and the job is done only when its last task is."""
+    w = RelayWorld(53, capacity=4, txn_lost=loss_rate)
+    w.submit(ONE, run_s=99.0, parcels=task_count, cpus=8.0, breeds=["small"])
     w.run(30)
-    assert len(busy(w)) == tasks
+    assert len(busy(w)) == task_count
     for i, m in enumerate(busy(w)):
         for task in m.tasks.values():
             task.left = 4.0 + 9.0 * i
-    ends = [w.now + 4.0 + 9.0 * i for i in range(tasks)]
-    for at in ends[:-1]:
-        w.run(at + 1.5 - w.now)
+    ends = [w.now + 4.0 + 9.0 * i for i in range(task_count)]
+    for end_at in ends[:-1]:
+        w.run(end_at + 1.5 - w.now)
         assert f"end/{ONE}" not in w.store.keys
         w.crash(w.leader)
     finish(w)
     assert w.told == {ONE: "done"} and w.now > ends[-1]
-    assert dict(w.starts) == {f"{ONE}/{i}": 1 for i in range(tasks)}
+    assert dict(w.starts) == {f"{ONE}/{i}": 1 for i in range(task_count)}
 
 
-# -- a command or its answer is held up, and the machine goes on
+# -- commands or answers are delayed, or a machine recovers before its deletion
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_commands_held_up_for_seconds(seed: int) -> None:
-    """For longer than the worker waits, or not; the machine hangs meanwhile, and jobs end, are
-    called off and move."""
+def test_jobs_end_correctly_when_commands_are_delayed_for_seconds(seed: int) -> None:
+    """Some delays are longer than the worker waits for a response, some are not. The machine hangs
+    during the delay, and jobs end, are cancelled and move to other machines."""
     w = RelayWorld(seed, capacity=5, answer_slow=0.25, mesh_delay=1.0, report_twice=0.1)
     submit_all(w)
     w.submit("wk-000090", run_s=100.0, parcels=10)
@@ -719,10 +762,15 @@
     assert {j for j, how in w.told.items() if how == "aborted"} == {"wk-000090", "wk-000091"}
 
 
-@pytest.mark.parametrize(("cancel_at", "word_lost"), [(4.0, False), (9.0, False), (9.0, True)])
-def test_machine_that_goes_on_while_its_deletion_waits(cancel_at: float, word_lost: bool) -> None:
-    """It hung for a while and was given up; the cloud is out, so it stays. Its relay sees nothing
-    new in its reports: unless it is told that the leader wants them, no kill ever goes out."""
+@pytest.mark.parametrize(
+    ("cancel_at", "peer_message_lost"), [(4.0, False), (9.0, False), (9.0, True)]
+)
+def test_cancelled_tasks_end_on_a_recovered_machine_with_a_pending_deletion(
+    cancel_at: float, peer_message_lost: bool
+) -> None:
+    """The machines hung and are to be deleted, but the cloud is down, so they stay and recover.
+    Their relays see no change in their heartbeats: unless the leader requests the next ones, no
+    kill command is ever sent."""
     w = RelayWorld(54, capacity=3)
     w.submit(ONE, run_s=300.0, parcels=6)
     w.run(16)
@@ -738,16 +786,17 @@
         )
         w.run(4)
     w.cancel(ONE)
-    if word_lost:
+    if peer_message_lost:
         w.faults["mesh_lost"] = 1.0
         w.run(3)
         w.faults["mesh_lost"] = 0.0
-    gone_within_cancel_s(w)
+    assert_gone_within_cancel_s(w)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_tasks_stay_where_a_deletion_was_asked_for(seed: int) -> None:
-    """The machine hung and goes on before the cloud has answered; there is room elsewhere."""
+def test_tasks_stay_on_a_recovered_machine_until_its_deletion(seed: int) -> None:
+    """The machine hangs and recovers before the cloud has answered the request to delete it. Other
+    machines have free capacity."""
     w = RelayWorld(seed, capacity=6)
     w.submit(ONE, run_s=60.0, parcels=8)
     w.submit(TWO, run_s=2.0, parcels=12)
@@ -765,8 +814,8 @@
     assert w.told == {ONE: "done", TWO: "done"}
 
 
-def test_cancelled_tasks_are_deleted_first() -> None:
-    """A zone's machines are given up at once, more than a request takes."""
+def test_machines_with_cancelled_tasks_are_deleted_first() -> None:
+    """More machines are to be deleted at once than one request holds, as when a zone fails."""
     w = World(55, capacity=1)
     w.submit(ONE, run_s=300.0, parcels=1)
     w.run(14)
@@ -780,29 +829,30 @@
         c.cluster_state.request_deletion(other, now)
     w.cancel(ONE)
     c.cluster_state.request_deletion(m, now)
-    call = c.next_cloud_request(now)
-    assert isinstance(call, DeleteMachines) and call.machines[0] == m.id
+    request = c.next_cloud_request(now)
+    assert isinstance(request, DeleteMachines) and request.machines[0] == m.id
 
 
-# -- a team at its limit
+# -- a team uses its whole quota
 
 
 @pytest.mark.parametrize("how", ["hang", "unresponsive", "silent"])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_team_at_its_limit_when_the_leader_changes(how: str, seed: int) -> None:
-    """Some of its machines can't be asked and its job is called off: all that may run there
-    counts until it is disproved, so the next job gets only what the others set free."""
-    limit = next(t for t in PLATFORM["settings"]["teams"] if t["name"] == "t1")["cpus_max"]
+def test_team_quota_holds_across_leader_changes(how: str, seed: int) -> None:
+    """Some machines of the team are unreachable, and its job is cancelled. All tasks that may still
+    run there count against the quota until they are proven to have ended, so the next job gets only
+    the capacity that the others free."""
+    quota_cpus = next(t for t in PLATFORM["settings"]["teams"] if t["name"] == "t1")["cpus_max"]
     w = RelayWorld(seed, capacity=10)
     w.submit(ONE, run_s=100.0, parcels=30, crew="t1")
     w.run(20)
-    on = sum(len(m.on()) for m in w.cloud.machines.values())
-    assert on * 2.0 == limit
-    out = busy(w)[:2]
-    names = {m.id for m in out}
-    w.unresponsive = names if how == "unresponsive" else set()
-    w.silent = names if how == "silent" else set()
-    for m in out:
+    running_count = sum(len(m.on()) for m in w.cloud.machines.values())
+    assert running_count * 2.0 == quota_cpus
+    unreachable = busy(w)[:2]
+    unreachable_ids = {m.id for m in unreachable}
+    w.unresponsive = unreachable_ids if how == "unresponsive" else set()
+    w.silent = unreachable_ids if how == "silent" else set()
+    for m in unreachable:
         m.hangs_until = w.now + 30.0 if how == "hang" else -1.0
     w.submit(TWO, run_s=5.0, parcels=30, crew="t1")
     w.crash(w.leader)
