--- a/src/eldercart/prediction/chain_predictor.py
+++ b/src/eldercart/prediction/chain_predictor.py
@@ -1,12 +1,12 @@
-"""Which job follows along a chain, when its user has not submitted it yet.
+"""Predicts the next job of a dependency chain before its user submits it.
 
-The sequence table of the paper (V-A), applied to job dependencies. A stage is a team's class and an
-image; the path of a job is its own stage after those of its recent ancestors. There are statistics
-for each path, with counted outcomes (done, aborted) and, per outcome, counted successors; that a
-chain ended there is counted like a successor.
+This is the sequence table of the paper (V-A), applied to job dependencies. A stage consists of a
+team, a job class and an image. The path of a job is the stages of its recent ancestors, followed by
+its own stage. The statistics of a path count the outcomes of its jobs (done, aborted) and, for each
+outcome, the successors; the end of a chain is counted like a successor.
 
-Submitting a job costs as much as it has dependencies; its end costs the same however many jobs
-there are. Nothing is stored: a new leader learns anew.
+The cost of submitting a job is proportional to the number of its dependencies. The cost of its end
+doesn't depend on the number of jobs. Nothing is persisted: a new leader starts without statistics.
 """
 
 from collections import deque
@@ -20,26 +20,26 @@
 from eldercart.settings import Tuning
 from eldercart.units import MONOTONIC_ZERO, JobId, MonotonicTime
 
-MAX_PATHS = 4096  # beyond, the path counted longest ago is forgotten
-SETTLE_DELAY_S = 60.0  # after a job's end: a successor submitted later is no longer expected
-MAX_FAN_IN = 16  # paths that a successor is known to await together
-MIN_ROOT_JOBS = 3  # jobs counted before one that awaits nothing is expected to begin a chain
-SIZE_DECAY = 0.7  # weight of the earlier sizes in the usual size of a successor
+MAX_PATHS = 4096  # the table then evicts the least recently counted path
+SUCCESSOR_TIMEOUT_S = 60.0  # after a job's end; if no successor is submitted, the chain has ended
+MAX_FAN_IN = 16  # dependencies' paths that are recorded for one successor
+MIN_ROOT_JOBS = 3  # jobs to count on a path before a job without dependencies gets a prediction
+SIZE_DECAY = 0.7  # weight of the earlier sizes in the average size of a successor
 
 
 @dataclass(slots=True)
 class Successor:
-    """What is known of the jobs of one pipeline that followed a path."""
+    """Statistics of the jobs of one pipeline that followed a path."""
 
-    cpus: float  # usual size, in all of its tasks
-    spot: bool = True  # the last of them may use spot machines
+    cpus: float  # average size of a job, summed over its tasks
+    spot: bool = True  # whether the latest of these jobs may use spot machines
     count: int = 0
     image_counts: dict[str, int] = field(default_factory=dict)
-    # The paths of other jobs that it awaited as well: those expect the same job.
+    # Paths of other jobs that the successor also depended on. They predict the same job.
     fan_in: set[Path] = field(default_factory=set)
 
     def add(self, job: Job, fan_in: set[Path]) -> None:
-        """Count one more of them."""
+        """Count one more job."""
         self.cpus = SIZE_DECAY * self.cpus + (1.0 - SIZE_DECAY) * _total_cpus(job)
         self.spot = job.spec.allows_spot
         self.count += 1
@@ -48,13 +48,13 @@
             self.fan_in |= fan_in
 
     def most_likely_image(self) -> str:
-        """Return the image that most of them had."""
+        """Return the most frequent image."""
         return max(self.image_counts, key=lambda image: (self.image_counts[image], image))
 
 
 @dataclass(slots=True)
 class SuccessorCounts:
-    """The successors counted for one outcome of a path."""
+    """Counts of the successors for one outcome of a path."""
 
     chain_end_count: int = 0  # jobs without a successor
     by_pipeline: dict[Pipeline, Successor] = field(default_factory=dict)
@@ -66,8 +66,10 @@
         successor.add(job, fan_in)
 
     def most_likely_pipeline(self) -> Pipeline | None:
-        """Return the usual successor's pipeline; None if most chains ended here, or as many as went
-        on."""
+        """Return the most frequent successor's pipeline.
+
+        Return None unless it was counted more often than the end of the chain.
+        """
         if not self.by_pipeline:
             return None
         best = max(
@@ -78,10 +80,10 @@
 
 @dataclass(slots=True)
 class Chain:
-    """Jobs that depend on each other."""
+    """A set of jobs that are connected by dependencies."""
 
     chain_id: ChainId
-    unfinished_jobs: int = 0  # of its submitted jobs
+    unfinished_jobs: int = 0  # submitted jobs that have not ended
 
 
 @dataclass(slots=True)
@@ -94,15 +96,16 @@
     chain: Chain
     has_dependencies: bool
     outcome: str | None = None
-    settles_at: MonotonicTime = MONOTONIC_ZERO
-    successor: Job | None = None  # the first that was submitted
-    fan_in: set[Path] = field(default_factory=set)  # of that successor
+    successor_deadline: MonotonicTime = MONOTONIC_ZERO
+    successor: Job | None = None  # the first one submitted
+    # Paths of the other jobs that this successor depends on.
+    fan_in: set[Path] = field(default_factory=set)
     is_counted: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class SuccessorPrediction:
-    """A successor to expect once `upstream` has ended."""
+    """The successor that is expected once the `upstream` job has ended."""
 
     chain_id: ChainId
     upstream: JobId
@@ -116,26 +119,30 @@
 
 
 class ChainPredictor:
-    """The statistics of paths, and the chains that are under way."""
+    """Owns the statistics of paths and the state of the chains that are in progress."""
 
     def __init__(self, tuning: Tuning) -> None:
-        """Nothing is known at first."""
+        """Create a predictor without statistics."""
         self._tuning = tuning
         self._table: PathTable[SuccessorCounts] = PathTable(MAX_PATHS, SuccessorCounts)
         self._jobs: dict[JobId, ChainJob] = {}
-        self._ended_jobs: deque[ChainJob] = deque()  # in the order of `settles_at`
+        self._ended_jobs: deque[ChainJob] = deque()  # sorted by `successor_deadline`
         self._next_chain_ids = count()
 
     # -- inputs
 
     def on_job_submitted(self, job: Job, dependents: Iterable[Job] = ()) -> set[ChainId]:
-        """Record a job that was accepted, whether it waits for others or not; after a failover it
-        may be learned of after its `dependents`. Return the chains that it continues."""
+        """Record an accepted job, with or without dependencies; return the chains it continues.
+
+        After a failover, a job may be recorded later than the jobs that depend on it
+        (`dependents`).
+        """
         if job.id in self._jobs:
             return set()
         upstream = self._known_jobs(job.spec.dependencies)
         self._record_successor(job, upstream)
-        deepest = max(upstream, key=lambda known: known.depth, default=None)  # of equals the first
+        # If several upstream jobs have the same depth, this is the first of them.
+        deepest = max(upstream, key=lambda upstream_job: upstream_job.depth, default=None)
         chain = deepest.chain if deepest is not None else Chain(next(self._next_chain_ids))
         chain.unfinished_jobs += 1
         path = (*(deepest.path if deepest is not None else ()), _stage(job))
@@ -147,25 +154,31 @@
             has_dependencies=bool(job.spec.dependencies),
             successor=next(iter(dependents), None),
         )
-        return {known.chain.chain_id for known in upstream}
+        return {upstream_job.chain.chain_id for upstream_job in upstream}
 
     def on_job_ended(self, job_id: JobId, outcome: str, now: MonotonicTime) -> ChainId | None:
-        """Record the durable end of a job and return its chain, if it is known. Its successor may
-        still be submitted for a while."""
+        """Record the persisted end of a job and return its chain.
+
+        Return None if the job is unknown or its end was recorded before. The job is kept for
+        `SUCCESSOR_TIMEOUT_S`, since its successor may still be submitted.
+        """
         job = self._jobs.get(job_id)
         if job is None or job.outcome is not None:
             return None
         job.outcome = outcome
         job.chain.unfinished_jobs -= 1
-        job.settles_at = MonotonicTime(now + SETTLE_DELAY_S)
+        job.successor_deadline = MonotonicTime(now + SUCCESSOR_TIMEOUT_S)
         self._ended_jobs.append(job)
         if job.successor is not None:
             self._count(job)
         return job.chain.chain_id
 
     def settle_ended_chains(self, now: MonotonicTime) -> None:
-        """Count the chains that nobody went on with as ended where they are."""
-        while self._ended_jobs and self._ended_jobs[0].settles_at <= now:
+        """Remove the ended jobs whose successor timeout has passed.
+
+        A job without a successor is counted as the end of its chain.
+        """
+        while self._ended_jobs and self._ended_jobs[0].successor_deadline <= now:
             job = self._ended_jobs.popleft()
             del self._jobs[job.job_id]
             self._count(job)
@@ -173,8 +186,12 @@
     # -- predictions
 
     def predict_successors(self, ending: dict[JobId, float]) -> list[SuccessorPrediction]:
-        """Return one prediction for each chain of which all unfinished jobs are `ending`, by the
-        seconds left, if a successor is likely. Of a fan-in only the job that ends last counts."""
+        """Return the successors that are likely to follow soon, at most one for each chain.
+
+        `ending` has the jobs that end soon, with the seconds until their expected ends. A chain
+        gets a prediction only if all of its unfinished jobs are among them, and the prediction
+        follows the job that ends last.
+        """
         last_jobs: dict[ChainId, ChainJob] = {}
         ending_counts: dict[ChainId, int] = {}
         for job_id, ends_in_s in ending.items():
@@ -195,8 +212,11 @@
         return predictions
 
     def predict(self, path: Path) -> tuple[Pipeline, Successor] | None:
-        """Return what follows the path; None if nothing does, if nothing is known, or if its
-        outcome is between the two thresholds."""
+        """Return the most likely successor of the path and its pipeline.
+
+        Return None if chains usually end there, if there are no statistics, or if the success ratio
+        is between the two thresholds.
+        """
         statistics = self._find_statistics(path)
         successors = statistics.expected_successors(self._tuning) if statistics else None
         pipeline = successors.most_likely_pipeline() if successors is not None else None
@@ -209,7 +229,7 @@
         if statistics is None:
             return None
         if statistics.job_count < MIN_ROOT_JOBS and not job.has_dependencies:
-            return None  # one that awaits nothing may well be independent
+            return None  # a job without dependencies may be independent of any chain
         predicted = self.predict(job.path)
         if predicted is None:
             return None
@@ -232,18 +252,18 @@
         return [self._jobs[job_id] for job_id in job_ids if job_id in self._jobs]
 
     def _record_successor(self, job: Job, upstream: list[ChainJob]) -> None:
-        """Record the job as the successor of those that it awaits."""
-        paths = {known.path for known in upstream}
+        """Record the job as the successor of the jobs that it depends on, unless they have one."""
+        paths = {upstream_job.path for upstream_job in upstream}
         if len(paths) > MAX_FAN_IN:
             paths.clear()
-        for known in upstream:
-            if known.successor is None:
-                known.successor = job
-                known.fan_in = paths - {known.path}
-                self._count(known)
+        for upstream_job in upstream:
+            if upstream_job.successor is None:
+                upstream_job.successor = job
+                upstream_job.fan_in = paths - {upstream_job.path}
+                self._count(upstream_job)
 
     def _find_statistics(self, path: Path) -> PathStatistics[SuccessorCounts] | None:
-        """Return the statistics of the path or, if it is new, of its longest known end."""
+        """Return the statistics of the longest suffix of the path that has any."""
         for start in range(len(path)):
             statistics = self._table.get(path[start:])
             if statistics is not None:
@@ -251,8 +271,10 @@
         return None
 
     def _count(self, job: ChainJob) -> None:
-        """Count once what the job's end and its successor were, for all ends of its path; nothing
-        before its end."""
+        """Count the job's outcome and successor for every suffix of its path.
+
+        A job is counted only once, and not before it has ended.
+        """
         if job.is_counted or job.outcome is None:
             return
         job.is_counted = True
--- a/src/eldercart/prediction/soft_reservations.py
+++ b/src/eldercart/prediction/soft_reservations.py
@@ -1,7 +1,7 @@
-"""Soft reservations: capacity that counts as demand until the job that it is meant for comes.
+"""Soft reservations: capacity that counts as demand until the expected job claims it.
 
-The paper calls them soft bookings. A soft reservation reserves no machine, and any waiting task may
-use the capacity meanwhile; it only makes the leader rent, or keep, that many CPUs.
+The paper calls them soft bookings. A soft reservation isn't bound to a machine, and any waiting
+task may use the capacity meanwhile. It only makes the leader rent, or keep, that many CPUs.
 """
 
 from collections.abc import Callable, Collection
@@ -18,40 +18,40 @@
 
 
 class ReservationOrigin(Enum):
-    """Why capacity was reserved."""
+    """The reason for a reservation."""
 
-    STREAM = "stream"  # the next job of a team's class, as the stream predictor expects it
-    CHAIN = "chain"  # a successor along a chain that is not submitted yet
-    SUBMITTED = "submitted"  # a successor that is submitted and waits: nothing was predicted
+    STREAM = "stream"  # the stream predictor expects the next job of a team and class
+    CHAIN = "chain"  # the chain predictor expects a successor that is not submitted yet
+    SUBMITTED = "submitted"  # a submitted successor waits for its dependencies; not a prediction
 
 
 @dataclass(slots=True)
 class ReservationOutcomes:
-    """How many reservations of one origin their job took, another job replaced, or nobody took in
-    time."""
+    """Numbers of the reservations of one origin that were removed, by the cause of removal."""
 
-    hits: int = 0
-    misses: int = 0
-    expired: int = 0
+    hits: int = 0  # the expected job claimed the reservation
+    misses: int = 0  # another job arrived instead, or the expected job was ruled out
+    expired: int = 0  # no job claimed the reservation in time
 
     def __str__(self) -> str:
-        """The counts as the log shows them."""
+        """Return the counts in the form of the log: hits, misses, expired."""
         return f"{self.hits}/{self.misses}/{self.expired}"
 
 
 @dataclass(slots=True)
 class SoftReservation:
-    """Capacity for one expected job, of `pipeline` and most likely with `image`."""
+    """Capacity for one expected job of a pipeline; `image` is the job's most likely image."""
 
     pipeline: Pipeline
     upstream: JobId
     image: str
     cpus: float
-    spot: bool  # the job may use spot machines
+    spot: bool  # whether the job may use spot machines
     expires_at: MonotonicTime
     origin: ReservationOrigin = ReservationOrigin.STREAM
-    successor: JobId | None = None  # known if the job is submitted already
-    # The chains that the job is expected to continue, and the path of each. A fan-in has several.
+    successor: JobId | None = None  # the expected job, if it is submitted already
+    # The chains that the job is expected to continue, each with its path. A job that depends on
+    # several chains (fan-in) has several entries.
     chains: dict[ChainId, Path] = field(default_factory=dict)
 
 
@@ -63,16 +63,16 @@
 
 
 class SoftReservations:
-    """All soft reservations, the limit on their number, and what became of them."""
+    """Owns all soft reservations, limits their number, and counts their outcomes."""
 
     def __init__(self, tuning: Tuning) -> None:
-        """There are no reservations at first."""
+        """Create the collection without reservations."""
         self._tuning = tuning
         self.active: list[SoftReservation] = []
         self.outcomes = {origin: ReservationOutcomes() for origin in ReservationOrigin}
 
     def max_per_pipeline(self, load: float) -> int:
-        """Return how many reservations a pipeline may have at that load of the machines."""
+        """Return how many reservations a pipeline may have at this load (share of all CPUs)."""
         tuning = self._tuning
         if load > tuning.load_much:
             return int(tuning.depth_full)
@@ -81,19 +81,19 @@
     def for_pipeline(
         self, pipeline: Pipeline, origin: ReservationOrigin | None = None
     ) -> list[SoftReservation]:
-        """Return the pipeline's reservations, oldest first; of all origins unless one is named."""
+        """Return the pipeline's reservations, oldest first; all of them if `origin` is None."""
         return [
             reservation
             for reservation in self.active
             if reservation.pipeline == pipeline and origin in (None, reservation.origin)
         ]
 
-    def has_capacity(self, pipeline: Pipeline, load: float) -> bool:
-        """Return whether the load allows one more reservation for the pipeline."""
+    def is_below_limit(self, pipeline: Pipeline, load: float) -> bool:
+        """Return whether the pipeline may have one more reservation at this load."""
         return len(self.for_pipeline(pipeline)) < self.max_per_pipeline(load)
 
     def for_chains(self, chains: Collection[ChainId]) -> list[SoftReservation]:
-        """Return those for the successor of one of these chains."""
+        """Return the reservations for jobs that are expected to continue one of these chains."""
         return [
             reservation
             for reservation in self.active
@@ -105,24 +105,26 @@
         self.active.append(reservation)
 
     def record_hit(self, reservation: SoftReservation) -> None:
-        """Remove a reservation whose job has come and takes the capacity."""
+        """Remove a reservation that the expected job has claimed."""
         self.outcomes[reservation.origin].hits += 1
         self.active.remove(reservation)
 
     def record_miss(self, reservation: SoftReservation) -> None:
-        """Remove a reservation in whose place another job came, or none will."""
+        """Remove a reservation because another job arrived instead, or the job was ruled out."""
         self.outcomes[reservation.origin].misses += 1
         self.active.remove(reservation)
 
     def expire(self, now: MonotonicTime) -> None:
-        """Remove the reservations that no job took in time."""
-        for reservation in [one for one in self.active if one.expires_at <= now]:
+        """Remove the reservations that no job claimed in time."""
+        for reservation in [entry for entry in self.active if entry.expires_at <= now]:
             self.outcomes[reservation.origin].expired += 1
             self.active.remove(reservation)
 
     def reserved_cpus(self, held_cpus: Callable[[JobId], float]) -> ReservedCpus:
-        """Return the CPUs reserved beyond what the upstream jobs hold (`held_cpus`), which comes
-        free for their successors."""
+        """Return the reserved CPUs in excess of those that the upstream jobs hold.
+
+        The CPUs that an upstream job holds (`held_cpus`) become free for its successor.
+        """
         on_demand = total = 0.0
         for reservation in self.active:
             cpus = max(0.0, reservation.cpus - held_cpus(reservation.upstream))
--- a/src/eldercart/prediction/stream_predictor.py
+++ b/src/eldercart/prediction/stream_predictor.py
@@ -1,8 +1,8 @@
-"""Which job follows in a stream of independent jobs.
+"""Predicts the next job in a stream of independent jobs.
 
-After the paper's sequence table (V-A): a pipeline is the stream of one team's jobs of one class,
-its nodes are images, and a branch is whether the upstream job is done or aborted. There are
-statistics for each path of recent images, with counted outcomes and, per outcome, the counted
+This follows the paper's sequence table (V-A). A pipeline is the stream of one team's jobs of one
+class. Its nodes are images, and its branches are the outcomes of the upstream job (done or
+aborted). The statistics of a path of recent images count the outcomes and, for each outcome, the
 images that followed.
 """
 
@@ -15,16 +15,16 @@
 from eldercart.settings import Tuning
 from eldercart.units import JobId
 
-MAX_PATHS = 512  # of a pipeline; beyond, the path counted longest ago is forgotten
-MAX_RECENT_JOBS = 64  # of a pipeline, whose successor may still be unknown
-SIZE_DECAY = 0.7  # weight of the earlier sizes in the usual size of an image's jobs
+MAX_PATHS = 512  # each pipeline's table then evicts the least recently counted path
+MAX_RECENT_JOBS = 64  # latest jobs of each pipeline; the end of an older job is not counted
+SIZE_DECAY = 0.7  # weight of the earlier sizes in the average size of an image's jobs
 
-ImageCounts = dict[str, int]  # how many jobs with an image followed a path
+ImageCounts = dict[str, int]  # by image: how many jobs with it followed a path
 
 
 @dataclass(slots=True)
 class StreamJob:
-    """One job of a stream: its path, and what is known of its end and its successor."""
+    """One job of a stream: its path, its outcome, and its successor's image once known."""
 
     job_id: JobId
     path: Path
@@ -39,13 +39,13 @@
 
 @dataclass(slots=True)
 class Stream:
-    """The independent jobs of one team's class."""
+    """Statistics and recent jobs of one team and class, for independent jobs only."""
 
     table: PathTable[ImageCounts] = field(default_factory=_new_table)
     recent_images: deque[str] = field(default_factory=deque)
     recent_jobs: deque[StreamJob] = field(default_factory=deque)
-    usual_cpus: dict[str, float] = field(default_factory=dict)  # of a job with that image
-    spot: bool = True  # the last job may use spot machines
+    average_cpus: dict[str, float] = field(default_factory=dict)  # size of a job, by its image
+    spot: bool = True  # whether the latest job may use spot machines
 
     def count(self, job: StreamJob) -> None:
         """Count the job once both its outcome and its successor are known."""
@@ -58,23 +58,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ExpectedJob:
-    """The next job to expect in a stream."""
+    """The next job that is expected in a stream."""
 
     image: str
     cpus: float
-    spot: bool  # it may use spot machines
+    spot: bool  # whether the job may use spot machines
 
 
 class StreamPredictor:
-    """The streams of all teams and classes."""
+    """Owns the streams of all teams and classes."""
 
     def __init__(self, tuning: Tuning) -> None:
-        """Nothing is known at first."""
+        """Create a predictor without statistics."""
         self._tuning = tuning
         self._streams: dict[Pipeline, Stream] = {}
 
     def on_job_ready(self, job: Job) -> None:
-        """Record a job without dependencies as the next of its stream."""
+        """Record that a job without dependencies may start: it is the next one of its stream."""
         spec = job.spec
         stream = self._streams.setdefault((spec.team, spec.job_class), Stream())
         if stream.recent_jobs:
@@ -88,12 +88,12 @@
         while len(stream.recent_jobs) > MAX_RECENT_JOBS:
             stream.recent_jobs.popleft()
         cpus = spec.cpus * spec.task_count
-        usual_cpus = stream.usual_cpus.get(spec.image, cpus)
-        stream.usual_cpus[spec.image] = SIZE_DECAY * usual_cpus + (1.0 - SIZE_DECAY) * cpus
+        average_cpus = stream.average_cpus.get(spec.image, cpus)
+        stream.average_cpus[spec.image] = SIZE_DECAY * average_cpus + (1.0 - SIZE_DECAY) * cpus
         stream.spot = spec.allows_spot
 
     def on_job_ended(self, job: Job, outcome: str) -> None:
-        """Record the durable end of a job of a stream."""
+        """Record the persisted end of a job of a stream."""
         stream = self._streams.get((job.spec.team, job.spec.job_class))
         if stream is None:
             return
@@ -104,8 +104,11 @@
                 return
 
     def predict_image(self, pipeline: Pipeline, path: Path) -> str | None:
-        """Return the image that most likely follows the path; None if nothing is known or the
-        path's outcome is between the two thresholds."""
+        """Return the image that most likely follows the path.
+
+        Return None if there are no statistics, or if the path's success ratio is between the two
+        thresholds.
+        """
         stream = self._streams.get(pipeline)
         statistics = stream.table.get(path) if stream is not None else None
         if statistics is None:
@@ -116,7 +119,7 @@
         return max(image_counts, key=lambda image: (image_counts[image], image))
 
     def predict_successor(self, job: Job) -> ExpectedJob | None:
-        """Return what follows the job in its stream, if it is one of the recent jobs there."""
+        """Return the job expected after this one; None if it isn't recent or nothing is likely."""
         pipeline = (job.spec.team, job.spec.job_class)
         stream = self._streams.get(pipeline)
         if stream is None:
@@ -125,4 +128,4 @@
         image = self.predict_image(pipeline, path) if path is not None else None
         if image is None:
             return None
-        return ExpectedJob(image, stream.usual_cpus.get(image, 0.0), stream.spot)
+        return ExpectedJob(image, stream.average_cpus.get(image, 0.0), stream.spot)
--- a/src/eldercart/units.py
+++ b/src/eldercart/units.py
@@ -7,22 +7,22 @@
 from typing import NamedTuple, NewType
 
 JobId = NewType("JobId", str)
-TaskKey = NewType("TaskKey", str)  # "<job id>/<index>"
+TaskKey = NewType("TaskKey", str)  # "<job ID>/<task index>"
 MachineId = NewType("MachineId", str)
 NodeId = NewType("NodeId", str)
 LeaseId = NewType("LeaseId", int)
-IncarnationId = NewType("IncarnationId", str)  # one start of one process
+IncarnationId = NewType("IncarnationId", str)  # identifies one start of a process
 
 FencingToken = NewType("FencingToken", int)  # the leader's term; workers obey the highest one seen
-Revision = NewType("Revision", int)  # a key's version in the state service; 0: absent
-LeaseToken = NewType("LeaseToken", int)  # of a named lease's holder: the version of its key
+Revision = NewType("Revision", int)  # a key's version in the state service; 0 if it is absent
+LeaseToken = NewType("LeaseToken", int)  # fencing token of a named lease: its holder key's version
 Attempt = NewType("Attempt", int)
-AgentEpoch = NewType("AgentEpoch", int)  # rises each time a worker's lease has run out
+AgentEpoch = NewType("AgentEpoch", int)  # incremented each time the worker's lease expires
 
-MonotonicTime = NewType("MonotonicTime", float)  # seconds of this process's monotonic clock
-WallTime = NewType("WallTime", float)  # seconds of the time of day
+MonotonicTime = NewType("MonotonicTime", float)  # seconds on this process's monotonic clock
+WallTime = NewType("WallTime", float)  # seconds since the Unix epoch
 
-DEFAULT_INCARNATION = IncarnationId("0")  # for processes that are never started twice, as in tests
+DEFAULT_INCARNATION = IncarnationId("0")  # for processes that start only once, as in tests
 ABSENT_REVISION = Revision(0)
 NO_FENCING_TOKEN = FencingToken(0)
 NO_LEASE_TOKEN = LeaseToken(0)
@@ -30,7 +30,7 @@
 NO_AGENT_EPOCH = AgentEpoch(0)
 MONOTONIC_ZERO = MonotonicTime(0)
 DISTANT_FUTURE = MonotonicTime(float("inf"))
-DISTANT_PAST = MonotonicTime(-1e9)  # longer ago than any timeout or lease: "has not happened yet"
+DISTANT_PAST = MonotonicTime(-1e9)  # means "has not happened yet"; older than any timeout or lease
 
 
 class HeartbeatSequence(NamedTuple):
@@ -40,12 +40,12 @@
     number: int
 
 
-# For each machine the last heartbeat that a relay has acknowledged by itself.
+# For each machine, the last heartbeat that a relay acknowledged without forwarding it.
 AcknowledgedHeartbeats = tuple[tuple[MachineId, HeartbeatSequence], ...]
 
 NO_HEARTBEAT = HeartbeatSequence(AgentEpoch(0), -1)
 
 
 def task_key(job: JobId, index: int) -> TaskKey:
-    """Return the key by which workers know the task."""
+    """Return the key that identifies the task to workers."""
     return TaskKey(f"{job}/{index}")
