--- a/src/eldercart/persistence/commit_effects.py
+++ b/src/eldercart/persistence/commit_effects.py
@@ -1,4 +1,4 @@
-"""Applying committed transactions to the leader's state."""
+"""Applies committed transactions to the leader's state in memory."""
 
 import logging
 
@@ -13,11 +13,11 @@
 
 log = logging.getLogger("eldercart.controller")
 
-LOGGED_RUN_TIMES = 8  # of a job, about, spread over all of them in ascending order
+LOGGED_RUN_TIMES = 8  # approximate number per job, evenly spaced in ascending order
 
 
 class CommitEffects:
-    """Makes the leader's state follow what has become durable."""
+    """Updates the leader's state when writes have become durable."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         placement_records: PlacementRecords,
         cleanup: CleanupBacklog,
     ) -> None:
-        """Share the backlog with the builder of transactions."""
+        """Create the effects; `cleanup` is shared with the transaction builder."""
         self._cluster_state = cluster_state
         self._placement_records = placement_records
         self._cleanup = cleanup
@@ -48,7 +48,7 @@
             self._cleanup.dependency_list_keys.pop(key, None)
 
     def end_job(self, job: Job, outcome: str, now: MonotonicTime) -> None:
-        """Note that the end of the job is durable, and let its records be cleaned up."""
+        """Record that the end of the job is durable, and queue its records for deletion."""
         cluster_state = self._cluster_state
         job.outcome = outcome
         cluster_state.predictor.on_stream_job_ended(job, outcome)
@@ -63,7 +63,7 @@
         self._cleanup.jobs[job.id] = job
 
     def _apply_chunk_update(self, update: ChunkUpdate) -> None:
-        """Let planned placements be launched, and forget those that have ended."""
+        """Allow planned placements to be launched, and remove those that have ended."""
         for placement in update.planned:
             if placement.phase is PlacementPhase.PLANNED:
                 placement.phase = PlacementPhase.COMMITTED
@@ -71,24 +71,27 @@
         for placement in update.ended:
             if update.chunk.placements.get(placement.index) is placement:
                 del update.chunk.placements[placement.index]
-            self._forget_placement(placement)
+            self._remove_from_machine(placement)
 
     def _remove_job(self, job: Job) -> None:
-        """Remove a job whose record is deleted, and what other records say of it."""
+        """Remove a job whose record is deleted, with its parts in placement records.
+
+        Its dependency list is queued for deletion.
+        """
         self._cleanup.dependency_list_keys |= dict.fromkeys(dependency_list_keys_of(job))
         self._cleanup.jobs.pop(job.id, None)
         self._placement_records.remove_job(job)
         self._cluster_state.jobs.remove(job)
         for placement in job.placements():
-            self._forget_placement(placement)
+            self._remove_from_machine(placement)
 
     def _mark_needs_command(self, placement: Placement) -> None:
         machine = self._cluster_state.inventory.get(placement.machine_id)
         if machine is not None:
             self._cluster_state.mark_needs_command(machine)
 
-    def _forget_placement(self, placement: Placement) -> None:
-        """Let a task that is recorded as done or over be cleared on its machine."""
+    def _remove_from_machine(self, placement: Placement) -> None:
+        """Remove a placement whose end is recorded from its machine, which needs a command then."""
         machine = self._cluster_state.inventory.get(placement.machine_id)
         if machine is not None:
             self._cluster_state.inventory.remove_placement(machine, placement)
--- a/src/eldercart/persistence/invalid_transactions.py
+++ b/src/eldercart/persistence/invalid_transactions.py
@@ -1,4 +1,4 @@
-"""Finding the record at fault after the store called a transaction invalid."""
+"""Isolates the job or record that makes a transaction invalid."""
 
 import logging
 
@@ -10,14 +10,14 @@
 
 log = logging.getLogger("eldercart.controller")
 
-MIN_OPERATIONS = 2  # an end and its clean-up can't be separated
+MIN_OPERATIONS = 2  # the end of a job and its clean-up can't be separated
 
 
 class InvalidTransactionSplitter:
-    """Makes the next transactions smaller until the job at fault stands alone.
+    """Makes the next transactions smaller until the invalid job is isolated.
 
-    A transaction that is invalid, by its size or by one bad key, would hold everything back for
-    ever if it were repeated as it is.
+    A transaction that is invalid because of its size or one bad key would block all other writes
+    forever if it were retried unchanged.
     """
 
     def __init__(
@@ -27,14 +27,14 @@
         cleanup: CleanupBacklog,
         limits: WriteLimits,
     ) -> None:
-        """Share the backlog and the limits with the builder of transactions."""
+        """Create a splitter; `cleanup` and `limits` are shared with the transaction builder."""
         self._cluster_state = cluster_state
         self._placement_records = placement_records
         self._cleanup = cleanup
         self._limits = limits
 
     def split(self, pending: PendingTransaction, now: MonotonicTime) -> None:
-        """Take the next step: fewer units, then smaller ones, at last leave the job alone."""
+        """Take the next step: fewer units, then smaller units, finally set the job aside."""
         if len(pending.split_units) > 1:
             self._limits.max_units = len(pending.split_units) // 2
             return
@@ -45,10 +45,10 @@
             return
         if self._halve_chunk(pending):
             return
-        self._give_up(pending, now)
+        self._set_aside(pending, now)
 
     def _split_shared_record(self, pending: PendingTransaction, now: MonotonicTime) -> bool:
-        """Give each part of a placement record a record of its own, if it has several."""
+        """Give each part of a placement record its own record; return whether it had several."""
         if not pending.placement_records or len(pending.placement_records[0].parts) <= 1:
             return False
         for job, chunk in self._placement_records.split_record(pending.placement_records[0]):
@@ -56,7 +56,10 @@
         return True
 
     def _halve_chunk(self, pending: PendingTransaction) -> bool:
-        """Divide the only chunk, whose size may be the reason, so that each half stands alone."""
+        """Divide the only chunk, whose size may be the cause; return whether that was possible.
+
+        Each half gets its own record.
+        """
         if not pending.placement_records or not self._placement_records.may_subdivide:
             return False
         part = next(iter(pending.placement_records[0].parts.values()), None)
@@ -70,10 +73,10 @@
         self._cluster_state.mark_dirty(job)
         return True
 
-    def _give_up(self, pending: PendingTransaction, now: MonotonicTime) -> None:
-        """Leave alone what can't be made smaller, so that the others go on."""
+    def _set_aside(self, pending: PendingTransaction, now: MonotonicTime) -> None:
+        """Set aside jobs and records that can't be made smaller, so that other writes continue."""
         if not pending.split_units:
-            # Nobody misses them; a later leader may try again.
+            # Nothing depends on these deletions; a later leader may retry them.
             self._cleanup.orphaned_keys.clear()
             self._cleanup.dependency_list_keys.clear()
         for record in pending.deleted_records:
--- a/src/eldercart/persistence/transaction_builder.py
+++ b/src/eldercart/persistence/transaction_builder.py
@@ -1,4 +1,4 @@
-"""Building the leader's transactions: ends of jobs, placement records, and clean-ups."""
+"""Builds the leader's transactions: ends of jobs, placement records, and clean-ups."""
 
 from eldercart.jobs.job import Chunk, Job, PlacementPhase
 from eldercart.persistence.placement_records import PlacementRecord, PlacementRecords, RecordPart
@@ -24,9 +24,10 @@
 )
 from eldercart.wire.stored_placements import max_tasks_per_chunk
 
-OPERATIONS_PER_JOB = 2  # for an end with its clean-up or marker, or for a later clean-up
-END_BYTES = 250  # that the end of a job takes in a transaction, at most
-WRITE_OVERHEAD_BYTES = 60  # that a condition and a put take beside the key, which both hold
+# The end of a job with its clean-up or marker needs two operations, and so does a later clean-up.
+OPERATIONS_PER_JOB = 2
+END_BYTES = 250  # the end of a job needs no more in a transaction
+WRITE_OVERHEAD_BYTES = 60  # a condition and a put need this in addition to the key in each
 
 
 class TransactionBuilder:
@@ -39,7 +40,7 @@
         cleanup: CleanupBacklog,
         limits: WriteLimits,
     ) -> None:
-        """Share the backlog and the limits with those who handle the results."""
+        """Create a builder; `cleanup` and `limits` are shared with the handlers of results."""
         self._cluster_state = cluster_state
         self._placement_records = placement_records
         self._cleanup = cleanup
@@ -56,8 +57,8 @@
         pending = PendingTransaction(Transaction({LEADER_KEY: Revision(cluster_state.token)}))
         if self._add_ends(pending, cluster_state.finalizing_jobs, max_operations):
             self._add_chunk_updates(pending, max_operations, now)
-            # Nobody waits for these: they are told by the end of the job before them, and a wide
-            # fan-out would hold back all placements for as long as its ends take to write.
+            # These are not urgent: status requests are answered from the end of the upstream job,
+            # and a wide fan-out would delay all placements until all its ends are written.
             self._add_ends(pending, cluster_state.upstream_cancelled_jobs, max_operations)
             self._add_permitted_cleanups(pending, max_operations, cleanup_permit)
         return pending
@@ -67,10 +68,10 @@
     def _add_ends(
         self, pending: PendingTransaction, jobs: dict[JobId, Job], max_operations: int
     ) -> bool:
-        """Add the ends of these jobs; return whether anything of less urgency may follow.
+        """Add the ends of these jobs; return whether less urgent writes may follow.
 
-        It may not while an end waits for more operations, or each operation would go to a placement
-        as it came.
+        They may not while an end waits for more operations. Otherwise placements would use up each
+        operation as soon as it is available.
         """
         for job in jobs.values():
             key = END_PREFIX + job.id
@@ -92,13 +93,13 @@
         pending.split_units.add(job.id)
         pending.size_bytes += END_BYTES
         if job.has_live_placements:
-            # The marker tells a later leader that this job only waits to be cleaned up.
+            # The marker shows a later leader that this job only waits to be cleaned up.
             cancelled_at = round(job.cancelled_at + self._cluster_state.wall_clock_offset_s, 2)
             marker = encode_cleanup_marker(outcome, cancelled_at)
             transaction.operations.append(Put(CLEANUP_PREFIX + job.id, marker))
         else:
-            # Nothing of it is anywhere: its record goes at once, and with it what placement
-            # records say.
+            # The job has no live placements, so its record is deleted at once. That makes its
+            # parts in placement records obsolete.
             transaction.operations.append(DeleteKey(JOB_PREFIX + job.id))
             pending.cleaned_up_jobs.append(job)
 
@@ -107,17 +108,17 @@
     def _add_chunk_updates(
         self, pending: PendingTransaction, max_operations: int, now: MonotonicTime
     ) -> None:
-        """Add placements in the order of the last pass, then batches of completed tasks."""
+        """Add placements in the order of the last planning pass, then batched task completions."""
         changed = self._changed_chunks(now)
         if pending.operation_count >= max_operations:
             return
-        # All of them find their placement records first, so that what is new is on few.
+        # All chunks are assigned to records first, so that the changes are in few records.
         keys = list(
             dict.fromkeys(
                 self._placement_records.record_for(part.job, part.chunk).key for part in changed
             )
         )
-        for key in keys:  # which grows meanwhile
+        for key in keys:  # the loop may append to it
             record = self._placement_records.by_key[key]
             if record.is_closed:
                 continue
@@ -130,7 +131,7 @@
         urgent: list[tuple[tuple[bool, int, int, int], RecordPart]] = []
         waiting: list[tuple[MonotonicTime, RecordPart]] = []
         for job in list(cluster_state.dirty_jobs.values()):
-            self._clean_chunks_of_ending_job(job)
+            self._discard_changes_of_ending_job(job)
             is_dirty = False
             for chunk in job.chunks.values():
                 if not chunk.is_dirty:
@@ -146,10 +147,11 @@
         waiting.sort(key=lambda entry: entry[0])
         return [part for _, part in urgent] + [part for _, part in waiting]
 
-    def _clean_chunks_of_ending_job(self, job: Job) -> None:
-        """Let no chunk of a job be written whose end is durable or about to be.
+    def _discard_changes_of_ending_job(self, job: Job) -> None:
+        """Let no chunk be written of a job whose end is durable or is about to be.
 
-        The end covers the record; what that still lists is checked against heartbeats.
+        The end makes the placement records obsolete. Placements that they still list are checked
+        against heartbeats.
         """
         if (
             job.outcome is not None
@@ -168,8 +170,8 @@
     ) -> bool:
         """Add a placement record; return whether the transaction may take more.
 
-        What has outgrown the record moves to other records; of those, the ones that are not yet
-        among `keys` are appended there.
+        If the record has become too large, parts of it move to other records. The keys of those
+        that are not yet in `keys` are appended there.
         """
         key = record.key
         if pending.operation_count >= max_operations:
@@ -183,7 +185,7 @@
         if pending.size_bytes + size > MAX_TRANSACTION_BYTES:
             return not pending.size_bytes
         pending.size_bytes += size
-        # A copy of this write that comes late finds another version.
+        # A delayed duplicate of this write fails, because the version has changed by then.
         pending.transaction.conditions[key] = record.version
         pending.transaction.operations.append(Put(key, value))
         pending.placement_records.append(record)
@@ -199,16 +201,16 @@
         )
 
     def _shrink_record(self, record: PlacementRecord, keys: list[str]) -> bool:
-        """Make a record smaller that has become too large; return whether that was possible.
+        """Shrink a record that has become too large; return whether that was possible.
 
-        What is new on it moves to other records, and a part that is too large by itself is
-        subdivided. The keys of the other records are appended to `keys`.
+        Changed parts move to other records, and a part that alone is too large is subdivided.
+        The keys of the other records are appended to `keys`.
         """
         parts = [part for part in record.parts.values() if part.chunk.is_dirty]
         if len(record.parts) == 1:
             ((job, chunk),) = record.parts.values()
             if not self._placement_records.may_subdivide or chunk.task_count == 1:
-                return False  # as large as it was written before
+                return False  # it is written at the same size as before
             self._cluster_state.mark_dirty(job)
             max_tasks = min(self._max_part_tasks, (chunk.task_count + 1) // 2)
             subchunks = self._placement_records.subdivide_chunk(
@@ -226,10 +228,10 @@
     def _add_permitted_cleanups(
         self, pending: PendingTransaction, max_operations: int, permit: CleanupPermit
     ) -> None:
-        """Add clean-ups beside what is urgent.
+        """Add clean-ups to a transaction with urgent writes.
 
-        In transactions of their own they would wait for as long as there is something to place, and
-        ended jobs would fill the placement records.
+        In separate transactions they would wait as long as there is anything to place, and ended
+        jobs would fill the placement records.
         """
         if not permit.is_allowed:
             return
@@ -245,7 +247,7 @@
             return
         self._add_orphaned_keys(pending, max_operations)
         if pending.operation_count or self._cluster_state.dirty_jobs:
-            return  # an empty placement record may be of use yet
+            return  # an empty placement record may still be used for new parts
         self._add_empty_records(pending, max_operations)
 
     def _add_job_cleanups(self, pending: PendingTransaction, max_operations: int) -> bool:
@@ -284,15 +286,15 @@
             pending.split_units.add(key)
 
     def _add_dependency_lists(self, pending: PendingTransaction, max_operations: int) -> None:
-        """Delete dependency lists with their job's record or after it.
+        """Delete dependency lists together with their job's record or after it.
 
-        They are never deleted before: a record whose list is missing could not be read by the next
-        leader. With the job's end there, no late copy of the acceptance can be carried out any
-        more, so nothing refers to them again.
+        They are never deleted earlier, because the next leader could not read a record whose list
+        is missing. Once the job's end is stored, no delayed duplicate of the acceptance can be
+        applied, so nothing refers to the lists again.
 
-        Lists that no record refers to are left alone: they were written for an acceptance that may
-        still be under way, and neither its node nor its nonce is known here. So are those of
-        which an earlier leader deleted the record only.
+        Lists that no record refers to are kept: they were written for an acceptance that may still
+        be in progress, and neither its node nor its nonce is known here. Lists whose record was
+        deleted by an earlier leader, which left the list, are kept too.
         """
         keys = [
             *self._cleanup.dependency_list_keys,
@@ -314,7 +316,7 @@
 
 
 def _start_chunk_update(part: RecordPart) -> ChunkUpdate:
-    """Return the update of a dirty chunk that is being written, which is not dirty any more."""
+    """Mark a dirty chunk as clean and return its update for the transaction."""
     chunk = part.chunk
     placements = chunk.placements.values()
     chunk.is_dirty = chunk.is_urgent = False
--- a/src/eldercart/persistence/transaction_writer.py
+++ b/src/eldercart/persistence/transaction_writer.py
@@ -1,7 +1,7 @@
 """The leader's writes to the state store, one transaction at a time.
 
-Only one transaction is in flight at any time, because a record's version is needed for its next
-write.
+Only one transaction is in flight at any time, because the next write of a record needs the version
+that the previous write gave it.
 """
 
 import logging
@@ -25,7 +25,7 @@
 
 log = logging.getLogger("eldercart.controller")
 
-WRITE_RETRY_DELAY_S = 0.25  # after a write that was not carried out
+WRITE_RETRY_DELAY_S = 0.25  # applies if a write was rejected or its result is unknown
 
 
 class TransactionWriter:
@@ -48,7 +48,7 @@
         self._in_flight: PendingTransaction | None = None
         self._paused_until = DISTANT_PAST
 
-    # -- what waits to be written
+    # -- pending writes
 
     @property
     def jobs_to_clean_up(self) -> dict[JobId, Job]:
@@ -62,12 +62,12 @@
 
     @property
     def dependency_list_keys(self) -> dict[str, None]:
-        """Keys of dependency lists to be deleted whose job's record is deleted already."""
+        """Keys of dependency lists to be deleted; the records of their jobs are already deleted."""
         return self._cleanup.dependency_list_keys
 
     @property
     def pending_cleanup_count(self) -> int:
-        """About how many records wait to be deleted."""
+        """The approximate number of records that wait to be deleted."""
         return self._cleanup.size + len(self.placement_records.empty_records())
 
     @property
@@ -77,7 +77,7 @@
 
     @property
     def subchunks_supported(self) -> bool:
-        """Whether every node reads parts of subchunks, so that they may be written."""
+        """Whether every node can read parts of subchunks, so that they may be written."""
         return self.placement_records.subchunks_supported
 
     @subchunks_supported.setter
@@ -85,7 +85,7 @@
         self.placement_records.subchunks_supported = supported
 
     def unwritten_record_count(self) -> int:
-        """Return the number of records with placements that wait to be written."""
+        """Return the number of placement records with urgent changes that wait to be written."""
         return len(
             {
                 chunk.record_key
@@ -102,13 +102,14 @@
     ) -> PendingTransaction | None:
         """Return the next transaction of at most `max_operations` operations, if there is one.
 
-        Its result must be passed to `on_transaction_result`; there is no other one until then.
+        Its result must be passed to `on_transaction_result`; until then there is no other
+        transaction.
         """
         if self._in_flight is not None or max_operations < 1 or now < self._paused_until:
             return None
         if not self._has_work():
-            # The last write had no answer and yet nothing is left of it: only a new one can tell
-            # whether the store is back, and only a pass of placing makes one.
+            # Planning is suspended while the store is unavailable. Only another write can show that
+            # the store is available again, and only a planning pass can produce one now.
             self.cluster_state.is_store_unavailable = False
             return None
         pending = self._builder.build(now, max_operations, self.cleanup_permit)
@@ -137,12 +138,13 @@
         failed_keys: tuple[str, ...],
         now: MonotonicTime,
     ) -> bool:
-        """Handle the result of the transaction in flight; return whether to step down.
+        """Handle the result of the transaction in flight; return whether the leader must step down.
 
-        `revision` counts if it was committed; `failed_keys` are those whose conditions failed.
+        `revision` is valid only if the transaction was committed. `failed_keys` are the keys whose
+        conditions failed.
         """
         self._in_flight = None
-        self._note_availability(outcome, now)
+        self._update_store_availability(outcome, now)
         if outcome is TransactionOutcome.COMMITTED:
             self._limits.raise_limits()
             self._commit_effects.apply(pending, revision, now)
@@ -158,13 +160,13 @@
                 self._splitter.split(pending, now)
             return False
         if outcome is TransactionOutcome.CONFLICT and _has_lost_permit(pending, failed_keys):
-            # Nothing tells that they are deleted.
+            # The conflict does not show whether they are deleted.
             self._cleanup.orphaned_keys += pending.orphaned_keys
         self._refresh_keys_of(pending)
         return False
 
-    def _note_availability(self, outcome: TransactionOutcome, now: MonotonicTime) -> None:
-        """Note whether the store is out, and pause the writes then."""
+    def _update_store_availability(self, outcome: TransactionOutcome, now: MonotonicTime) -> None:
+        """Record whether the store is unavailable, and if so pause writes."""
         is_store_unavailable = outcome in (
             TransactionOutcome.REJECTED,
             TransactionOutcome.INDETERMINATE,
@@ -174,24 +176,25 @@
             self._paused_until = MonotonicTime(now + WRITE_RETRY_DELAY_S)
 
     def _requeue_uncommitted(self, pending: PendingTransaction) -> None:
-        """Let ends and deletions be written again that were surely not carried out."""
+        """Queue the ends and deletions of a transaction again that was certainly not applied."""
         for end in pending.ends:
             if end.job.end_write is EndWrite.SENT:
                 end.job.end_write = EndWrite.NOT_SENT
         self._cleanup.orphaned_keys += pending.orphaned_keys
 
     def _refresh_keys_of(self, pending: PendingTransaction) -> None:
-        """Let the keys of a transaction be read again that may have been carried out.
+        """Request a fresh read of the keys of a transaction that may have been applied.
 
-        An earlier try of one of these writes was applied, or this one may be: only the keys
-        themselves can tell their versions. An orphaned key's conflict means that it is deleted.
+        An earlier attempt of one of these writes was applied, or this one may be, so only a read
+        shows the versions of the keys. A conflict on an orphaned key means that it is deleted.
         """
         uncertain_keys = self._limits.uncertain_keys
         uncertain_keys.update(
             record.key for record in (*pending.placement_records, *pending.deleted_records)
         )
         for end in pending.ends:
-            # It may yet be applied, whatever a fresh read finds, and then be told elsewhere.
+            # The write may still be applied after the fresh read, and other nodes may then report
+            # the end.
             end.job.end_write = EndWrite.INDETERMINATE
             uncertain_keys.add(END_PREFIX + end.job.id)
         self.keys_to_refresh |= uncertain_keys - self.refreshes_in_flight
--- a/src/eldercart/persistence/transactions.py
+++ b/src/eldercart/persistence/transactions.py
@@ -1,4 +1,4 @@
-"""A transaction in flight, with what is true once it is committed, and what may become of it."""
+"""Transactions in flight, their effects once they are committed, and their possible outcomes."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -11,20 +11,20 @@
 
 
 class TransactionOutcome(Enum):
-    """What became of a transaction."""
+    """The result of a transaction."""
 
     COMMITTED = "committed"
     CONFLICT = "conflict"
-    REJECTED = "rejected"  # surely not carried out
-    INVALID = "invalid"  # not carried out, and never will be as it is
-    INDETERMINATE = "indeterminate"  # may have been carried out, or may be later
+    REJECTED = "rejected"  # certainly not applied
+    INVALID = "invalid"  # not applied; the same transaction would be invalid again
+    INDETERMINATE = "indeterminate"  # may have been applied, or may be applied later
 
 
 @dataclass(frozen=True, slots=True)
 class CleanupPermit:
     """Whether the records of ended jobs may be deleted.
 
-    `conditions` are what those deletions depend on beside the leader key.
+    Transactions with such deletions have `conditions` in addition to the one on the leader key.
     """
 
     is_allowed: bool = True
@@ -39,7 +39,7 @@
 
 
 class ChunkUpdate(NamedTuple):
-    """A chunk that a transaction writes, with the placements that it makes or takes away."""
+    """A chunk that a transaction writes, with the placements that it adds or removes."""
 
     job: Job
     chunk: Chunk
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class PendingTransaction:
-    """A transaction in flight, and what is true once it is committed."""
+    """A transaction in flight, and its effects once it is committed."""
 
     transaction: Transaction
     ends: list[JobEnd] = field(default_factory=list)
@@ -57,11 +57,12 @@
     placement_records: list[PlacementRecord] = field(default_factory=list)
     deleted_records: list[PlacementRecord] = field(default_factory=list)
     cleaned_up_jobs: list[Job] = field(default_factory=list)
-    orphaned_keys: list[tuple[str, Revision]] = field(default_factory=list)  # to be deleted
-    dependency_list_keys: list[str] = field(default_factory=list)  # to be deleted
+    orphaned_keys: list[tuple[str, Revision]] = field(default_factory=list)  # deleted by it
+    dependency_list_keys: list[str] = field(default_factory=list)  # deleted by it
     cleanup_permit: CleanupPermit = CleanupPermit()
     size_bytes: int = 0
-    # Ending jobs and placement records: an invalid transaction is split along these.
+    # Ids of ended jobs and keys of placement records. An invalid transaction is split into
+    # transactions with fewer of them.
     split_units: set[str] = field(default_factory=set)
 
     @property
--- a/src/eldercart/persistence/write_backlog.py
+++ b/src/eldercart/persistence/write_backlog.py
@@ -1,4 +1,4 @@
-"""What waits to be written or deleted, and what earlier results say about the next transactions."""
+"""Pending deletions, and limits on transactions that follow from earlier results."""
 
 from dataclasses import dataclass, field
 
@@ -8,19 +8,19 @@
 from eldercart.settings import NodeSettings
 from eldercart.units import JobId, MonotonicTime, Revision
 
-UNLIMITED_UNITS = 1000  # ends and placement records, more than a transaction holds
-# for which a job is left alone whose record the store calls invalid
+UNLIMITED_UNITS = 1000  # more ends and placement records than a transaction holds
+# Delay until a job is written again whose record the store rejected as invalid.
 INVALID_RECORD_RETRY_DELAY_S = 20.0
 
 
 @dataclass(slots=True)
 class CleanupBacklog:
-    """Keys of ended jobs that wait to be deleted."""
+    """Ended jobs and other keys whose records wait to be deleted."""
 
     jobs: dict[JobId, Job] = field(default_factory=dict)
     orphaned_keys: list[tuple[str, Revision]] = field(default_factory=list)
-    # Dependency lists of which the job's record is deleted already. They are lost with the leader;
-    # what then stays in the store is read by nobody.
+    # Dependency lists whose job's record is already deleted. A new leader does not know these keys;
+    # lists that then stay in the store are never read.
     dependency_list_keys: dict[str, None] = field(default_factory=dict)
 
     @property
@@ -30,14 +30,14 @@
 
 
 class WriteLimits:
-    """Limits on the next transactions that follow from the results of earlier ones."""
+    """Limits on the next transactions, set by the results of earlier ones."""
 
     def __init__(self, settings: NodeSettings) -> None:
-        """Create limits that allow all that the settings allow."""
+        """Create limits as wide as the settings allow."""
         self._settings = settings
         self.max_operations: int = settings.txn_ops
         self.max_units = UNLIMITED_UNITS
-        self.uncertain_keys: set[str] = set()  # whose version only a fresh read can tell
+        self.uncertain_keys: set[str] = set()  # version unknown until they are read again
         self._rejected_until: dict[JobId, MonotonicTime] = {}
 
     def raise_limits(self) -> None:
@@ -46,25 +46,25 @@
         self.max_units = min(UNLIMITED_UNITS, self.max_units * 2)
 
     def reject_job(self, job: Job, now: MonotonicTime) -> None:
-        """Leave the job alone for a while, because the store calls its record invalid."""
+        """Stop writing the job for a while, because the store rejected its record as invalid."""
         self._rejected_until[job.id] = MonotonicTime(now + INVALID_RECORD_RETRY_DELAY_S)
 
     def expire_rejections(self, now: MonotonicTime) -> None:
-        """Forget the rejected jobs whose time is over."""
+        """Remove the rejections whose delay is over."""
         if self._rejected_until:
             self._rejected_until = {
                 job_id: until for job_id, until in self._rejected_until.items() if until > now
             }
 
     def is_rejected(self, job_id: JobId) -> bool:
-        """Return whether the job is left alone for now."""
+        """Return whether the job must not be written for now."""
         return job_id in self._rejected_until
 
     def is_held_back(self, pending: PendingTransaction, unit: str, key: str) -> bool:
         """Return whether a unit must not join the transaction.
 
-        One job's trouble must not hold back the others: it alone waits for the fresh read of its
-        key.
+        It must not if its key has to be read again or if the transaction has enough units. A failed
+        write of one job thus delays no other job.
         """
         if key in self.uncertain_keys:
             return True
@@ -72,6 +72,6 @@
 
 
 def requeue_chunk(cluster_state: ClusterState, job: Job, chunk: Chunk, now: MonotonicTime) -> None:
-    """Let a chunk be written again soon."""
+    """Mark a chunk to be written again soon."""
     cluster_state.jobs.mark_dirty(job, chunk, now, is_urgent=True)
     cluster_state.mark_dirty(job)
