--- a/src/eldercart/persistence/placement_record_loader.py
+++ b/src/eldercart/persistence/placement_record_loader.py
@@ -1,10 +1,11 @@
-"""Loading the placement records of earlier leaders.
-
-A part that is on two placement records was moved: the copy with the higher attempt counts, and of
-equal ones the newer. (The record's version alone may mislead: a copy of the first write of a
-placement record that was deleted since may come late, and makes it again.) Of parts of different
-sizes the smallest that covers a task counts, see `jobs.job`, whatever the versions are: a late copy
-of a write of the chunk may come after the subchunks were written, and knows less than they do.
+"""Loads the placement records of earlier leaders.
+
+A part that is in two placement records was moved. The copy with the higher attempt prevails; if the
+attempts are equal, the newer copy does. (The record's version alone may mislead: a delayed
+duplicate of the first write of a placement record that was deleted since may create that record
+again.) Among parts of different sizes, the smallest that covers a task prevails, see `jobs.job`,
+whatever the versions are: a delayed duplicate of a write of the chunk may be applied after the
+subchunks were written, although its content is older.
 """
 
 import logging
@@ -35,7 +36,7 @@
 
 
 class TaskRange(NamedTuple):
-    """A run of a job's tasks."""
+    """A contiguous range of a job's tasks."""
 
     first_index: int
     end_index: int  # the task after the last
@@ -58,8 +59,9 @@
 ) -> list[Placement]:
     """Load the records of earlier leaders into `placement_records` and the jobs.
 
-    Returns the placements; each of them may be on its machine. Of jobs with an unreadable record
-    no task may start, as `Job.has_unreadable_record` says.
+    Returns the placements; the task of each of them may be on its machine. Sets
+    `Job.has_unreadable_record` for jobs with an unreadable record, so that none of their tasks
+    starts.
     """
     return _PlacementRecordLoader(placement_records, jobs).load(items)
 
@@ -79,13 +81,14 @@
         self._placement_records.reopen_stored_records()
         return loaded
 
-    # -- finding the copies that count
+    # -- selecting the copy of each part that prevails
 
     def _read_record(self, item: Item) -> None:
         single_part = decode_single_job_record(item.key, item.value)
         parts = decode_placement_record(item.value) if single_part is None else [single_part]
         if parts is None:
-            # Whose parts were here nobody knows; none may start anything until it is mended.
+            # It is unknown which jobs have parts here, so no job may start tasks until the record
+            # is repaired.
             log.error("placement record unreadable key=%s error=no parts", item.key)
             self._mark_all_jobs_unreadable()
             return
@@ -93,7 +96,7 @@
             item.key, item.version, is_exclusive=single_part is not None
         )
         if len(orjson.dumps(item.value)) > self._placement_records.max_bytes:
-            self._placement_records.close(record)  # of the time when values might be larger
+            self._placement_records.close(record)  # written under a larger value limit
         for part in parts:
             try:
                 self._collect_part(record, part)
@@ -107,7 +110,7 @@
             job.has_unreadable_record = True
 
     def _collect_part(self, record: PlacementRecord, part: Any) -> None:
-        """Keep the part if it counts more than the copy of it that was found before."""
+        """Keep the part if it prevails over the copy of it that was found before."""
         job_id, number, value = part
         job = self._jobs.get(JobId(str(job_id)))
         if job is None:
@@ -119,21 +122,25 @@
             copies[task_range] = PartCopy(record, value)
 
     def _range_of(self, job: Job, number: int, value: Any) -> TaskRange:
-        """Return the tasks that a part covers."""
+        """Return the tasks that a part covers.
+
+        `number` is the number of the chunk, or of a subchunk's first task.
+        """
         task_count = subchunk_task_count(value)
         if task_count is None:
             return TaskRange(*job.chunk_range(number))
         if type(task_count) is not int or not 0 < task_count <= job.spec.task_count - number:
-            raise ValueError(task_count)
+            max_count = job.spec.task_count - number
+            raise ValueError(f"task count {task_count!r} of a subchunk, expected 1 to {max_count}")
         self._placement_records.found_subchunks = True
         return TaskRange(number, number + task_count)
 
-    # -- loading them into the jobs
+    # -- loading the selected copies into the jobs
 
     def _load_job(self, job: Job, copies: dict[TaskRange, PartCopy]) -> list[Placement]:
         """Load the parts of a job, the smallest first."""
         loaded: list[Placement] = []
-        covered: dict[int, TaskRange] = {}  # by the parts loaded so far, by first task
+        covered: dict[int, TaskRange] = {}  # ranges loaded so far, by first task
         for task_range in sorted(
             copies, key=lambda task_range: (task_range.task_count, task_range)
         ):
@@ -141,8 +148,8 @@
             try:
                 self._load_part(job, task_range, copy, covered, loaded)
             except (MalformedMessageError, KeyError, TypeError, ValueError) as error:
-                # Where its tasks may be is not known, so none may start; it stays known, and the
-                # others are loaded all the same.
+                # The machines of the job's tasks are unknown, so none may start. The job itself
+                # stays registered, and its other parts and the other jobs are loaded.
                 log.error(
                     "placement record unreadable key=%s job=%s error=%s",
                     copy.record.key,
@@ -164,9 +171,9 @@
         covered: dict[int, TaskRange],
         loaded: list[Placement],
     ) -> None:
-        """Load what of a part is not covered by smaller ones."""
+        """Load the tasks of a part that no smaller part covers."""
         if not 0 <= task_range.first_index < task_range.end_index:
-            raise ValueError(task_range)
+            raise ValueError(f"task range {tuple(task_range)} is empty or starts below 0")
         smaller = sorted(
             other
             for other in covered.values()
@@ -192,8 +199,8 @@
     ) -> None:
         """Load the gaps between smaller parts as subchunks.
 
-        They are written when they change, and until then the part's record has the only record of
-        them.
+        Each is written to another record when it changes. Until then its tasks are stored only in
+        the record of this part.
         """
         for gap in _gaps_between(task_range, smaller):
             chunk = Chunk(*gap, is_subchunk=True)
@@ -207,12 +214,12 @@
 
 
 def _is_whole_chunk(job: Job, task_range: TaskRange) -> bool:
-    """Return whether the range is that of a chunk of the job's own size."""
+    """Return whether the range is one of the job's chunks, undivided."""
     return task_range == job.chunk_range(task_range.first_index // job.tasks_per_chunk)
 
 
 def _gaps_between(task_range: TaskRange, smaller: list[TaskRange]) -> list[TaskRange]:
-    """Return the ranges within `task_range` that none of the smaller ones, in order, covers."""
+    """Return the ranges within `task_range` that none of the sorted smaller ranges covers."""
     starts = [task_range.first_index, *(other.end_index for other in smaller)]
     ends = [*(other.first_index for other in smaller), task_range.end_index]
     return [TaskRange(first, end) for first, end in zip(starts, ends, strict=True) if first < end]
--- a/src/eldercart/persistence/placement_records.py
+++ b/src/eldercart/persistence/placement_records.py
@@ -1,16 +1,16 @@
 """Placement records, which several jobs share.
 
-The state store limits the number of operations, not bytes. With a record for each job, a burst of
-small jobs would need more operations than there are, and machines would stand idle for placements
-that wait to be written. So the parts of several jobs, each a chunk as `jobs.job` says, share a
-record as large as a value may be, and one operation writes whatever is new in all of them. The part
-of a job that has ended simply is not written again.
-
-How much a part will come to take is an estimate; what counts is what a record is measured to take.
-A placement record that would become larger than a value may be, or was written when values might be
-larger, is closed: it is never written again. What changes on it moves to other placement records,
-and it stays in the store until all jobs are over that it still tells of, since of tasks that have
-not changed since, it may hold the only record.
+The state store limits the number of operations, not bytes. With one record per job, a burst of
+small jobs would need more operations than the store allows, and machines would be idle while
+placements wait to be written. So several jobs share a record, which may be as large as a value. It
+holds one part for each of their chunks (see `jobs.job`), and one operation writes all changes in
+these parts. The part of a job that has ended is left out of the next write.
+
+The final size of a part is estimated in advance, but the limit applies to the measured size of the
+record. A placement record that would exceed the value limit, or was written under a larger limit,
+is closed, which means that it is never written again. Parts of it that change move to other
+placement records. It stays in the store until all jobs that it still lists have ended, because it
+may hold the only copy of parts that have not changed since.
 """
 
 from dataclasses import dataclass, field
@@ -23,22 +23,23 @@
 from eldercart.units import ABSENT_REVISION, FencingToken, JobId, Revision
 from eldercart.wire.stored_placements import PLACEMENT_PREFIX, encode_placement_record
 
-PART_OVERHEAD_BYTES = 48  # of a part, beside its entries
-# of a placement with a machine's name of the usual length, beside the task's number
+PART_OVERHEAD_BYTES = 48  # a part needs this in addition to its entries
+# A placement needs this with a machine id of the usual length, in addition to the task's number.
 ESTIMATED_PLACEMENT_BYTES = 21
-# without which a placement record is not considered for further parts
+# A placement record with less free space takes no further parts.
 MIN_FREE_BYTES = PART_OVERHEAD_BYTES + 2 * ESTIMATED_PLACEMENT_BYTES
 MAX_RECORD_BYTES = 26_000  # two of them fit into a transaction
-RECORD_OVERHEAD_BYTES = 12  # of a record without parts
-SEPARATOR_BYTES = 1  # after each part
-# Shares of a value's size: up to which records are filled, above which a record is closed.
+RECORD_OVERHEAD_BYTES = 12  # a record needs this in addition to its parts
+SEPARATOR_BYTES = 1  # a comma follows each part
+# Shares of the value limit: records are filled up to the first and closed above the second.
 TARGET_FILL_RATIO, MAX_FILL_RATIO = 0.8, 0.9
-# records considered for a new part, the ones last used: what is placed together stays together
+# Only the records opened last are considered for a new part, so that parts that are placed together
+# share a record.
 MAX_OPEN_CANDIDATES = 6
 
 
 class RecordPart(NamedTuple):
-    """A chunk of a job that a placement record holds."""
+    """A chunk of a job, stored as a part of a placement record."""
 
     job: Job
     chunk: Chunk
@@ -46,27 +47,29 @@
 
 @dataclass(slots=True, eq=False)
 class PlacementRecord:
-    """One record of placements."""
+    """A record with the placements of one or more chunks."""
 
     key: str
-    free_bytes: int  # that are left for further parts
+    free_bytes: int  # space for further parts
     version: Revision = ABSENT_REVISION
-    parts: dict[tuple[JobId, int], RecordPart] = field(default_factory=dict)  # by first task
-    unreadable_parts: list[Any] = field(default_factory=list)  # kept as they were found
-    is_exclusive: bool = False  # takes no other part
-    is_closed: bool = False  # never written again: what changes moves to another record
-    jobs_with_moved_parts: set[JobId] = field(default_factory=set)  # if it is closed
+    # By job and first task of the chunk.
+    parts: dict[tuple[JobId, int], RecordPart] = field(default_factory=dict)
+    unreadable_parts: list[Any] = field(default_factory=list)  # written back unchanged
+    is_exclusive: bool = False  # no other part may be added
+    is_closed: bool = False  # never written again; changed parts move elsewhere
+    # Jobs whose moved parts the stored value of a closed record still holds.
+    jobs_with_moved_parts: set[JobId] = field(default_factory=set)
 
     @property
     def is_empty(self) -> bool:
-        """Whether it tells of no open job."""
+        """Whether it lists no open job."""
         return not self.parts and not self.unreadable_parts and not self.jobs_with_moved_parts
 
 
 def estimate_part_bytes(job: Job, chunk: Chunk) -> int:
-    """Return about how many bytes the part will come to take.
+    """Return the estimated final size of the part in bytes.
 
-    If that was too little, the part moves, and what it was measured to take counts.
+    If the estimate was too low, the part moves, and its measured size is used from then on.
     """
     bytes_per_task = ESTIMATED_PLACEMENT_BYTES + len(str(job.spec.task_count))
     estimate = PART_OVERHEAD_BYTES + chunk.task_count * bytes_per_task
@@ -74,44 +77,47 @@
 
 
 class PlacementRecords:
-    """Owns the placement records and which part is on which."""
+    """Owns the placement records and the assignment of parts to them."""
 
     def __init__(self, value_bytes: int, token: FencingToken) -> None:
         """Create an empty collection for the leader with this token.
 
         `value_bytes` is the limit of a value in the store.
         """
-        self.max_bytes = int(value_bytes * MAX_FILL_RATIO)  # measured, above it a record is closed
-        self.found_subchunks = False  # an earlier leader knew that all nodes read subchunks
-        self.subchunks_supported = False  # every node reads parts of subchunks
+        self.max_bytes = int(value_bytes * MAX_FILL_RATIO)  # a larger record is closed
+        self.found_subchunks = False  # an earlier leader wrote parts of subchunks
+        self.subchunks_supported = False  # every node can read parts of subchunks
         self.by_key: dict[str, PlacementRecord] = {}
         self._target_bytes = min(int(value_bytes * TARGET_FILL_RATIO), MAX_RECORD_BYTES)
-        self._key_prefix = f"{PLACEMENT_PREFIX}{token}-"  # no other leader's records begin so
+        self._key_prefix = f"{PLACEMENT_PREFIX}{token}-"  # unique to this leader
         self._record_count = 0
-        # Records with room, the one last used at the end.
+        # Records with free space, the one opened last at the end.
         self._open_records: dict[str, PlacementRecord] = {}
         self._closed_records: dict[str, PlacementRecord] = {}
 
     def get(self, key: str) -> PlacementRecord | None:
-        """Return the placement record with this key, if it is still there."""
+        """Return the placement record with this key, or None if there is none."""
         return self.by_key.get(key)
 
     @property
     def may_subdivide(self) -> bool:
         """Whether parts of subchunks may be written.
 
-        Every node must be able to read them. That an earlier leader wrote one shows it, too.
+        Every node must be able to read them. If an earlier leader wrote one, every node can.
         """
         return self.subchunks_supported or self.found_subchunks
 
     def empty_records(self) -> list[PlacementRecord]:
-        """Return the placement records in the store that nobody needs any more."""
+        """Return the placement records in the store that no job needs any more."""
         return [record for record in self.by_key.values() if record.is_empty and record.version]
 
-    # -- which part is on which record
+    # -- assignment of parts to records
 
     def record_for(self, job: Job, chunk: Chunk) -> PlacementRecord:
-        """Return the placement record that the part is on; it gets one if it has none."""
+        """Return the placement record of the part.
+
+        A part that has none, or a closed one, is assigned to another first.
+        """
         if chunk.record_key is not None:
             old_record = self.by_key[chunk.record_key]
             if not old_record.is_closed:
@@ -127,7 +133,7 @@
         return record
 
     def _open_record_with(self, needed_bytes: int) -> PlacementRecord | None:
-        """Return the newest open record with so much room, if there is one."""
+        """Return the last opened record with enough free space, if there is one."""
         candidates = list(self._open_records.values())[-MAX_OPEN_CANDIDATES:]
         for record in reversed(candidates):
             if record.free_bytes >= needed_bytes:
@@ -144,22 +150,22 @@
     def attach_part(
         self, record: PlacementRecord, job: Job, chunk: Chunk, needed_bytes: int
     ) -> None:
-        """Put the part on the record, where it takes `needed_bytes`."""
+        """Assign the part to the record and reserve `needed_bytes` for it."""
         record.parts[job.id, chunk.first_index] = RecordPart(job, chunk)
         record.free_bytes -= needed_bytes
         chunk.record_key, chunk.reserved_bytes = record.key, needed_bytes
 
     def _detach_part(self, record: PlacementRecord, job: Job, chunk: Chunk) -> None:
-        """Take the part off the closed record, while the store still has it there."""
+        """Remove the part from the closed record, whose stored value still holds it."""
         record.parts.pop((job.id, chunk.first_index), None)
         record.jobs_with_moved_parts.add(job.id)
         chunk.record_key = None
 
     def close(self, record: PlacementRecord) -> None:
-        """Write the record no more; its parts move as they change.
+        """Never write the record again; its parts move to other records as they change.
 
-        The order of the two records does not matter to a later leader: the moved part has the same
-        attempts, or more, and is the newer.
+        A later leader may load the two records in either order: the copy in the other record has
+        the same or a higher attempt, and is newer.
         """
         record.is_closed = True
         self._closed_records[record.key] = record
@@ -168,10 +174,10 @@
     def subdivide_chunk(
         self, jobs: JobRegistry, job: Job, chunk: Chunk, max_tasks: int, *, is_exclusive: bool
     ) -> list[Chunk]:
-        """Divide a chunk whose part is too large by itself; return the subchunks.
+        """Divide a chunk whose part alone is too large; return the subchunks.
 
-        The old part stays where it is, since until the subchunks are written it is all that the
-        store has. With `is_exclusive`, each subchunk gets a record of its own.
+        The old part stays in its record, because until the subchunks are written the store has no
+        other copy. With `is_exclusive`, each subchunk gets a record of its own.
         """
         record = self.by_key.get(chunk.record_key or "")
         if record is not None:
@@ -180,38 +186,38 @@
         subchunks = jobs.subdivide_chunk(job, chunk, max_tasks)
         if is_exclusive:
             for subchunk in subchunks:
-                self._attach_alone(job, subchunk)
+                self._attach_to_new_record(job, subchunk)
         return subchunks
 
-    def _attach_alone(self, job: Job, chunk: Chunk) -> None:
-        """Put the part on a new record that takes no other part."""
+    def _attach_to_new_record(self, job: Job, chunk: Chunk) -> None:
+        """Assign the part to a new record that takes no other part."""
         record = self._create_record(is_exclusive=True)
         self.attach_part(record, job, chunk, estimate_part_bytes(job, chunk))
 
     def split_record(self, record: PlacementRecord) -> list[RecordPart]:
-        """Give each part a placement record of its own, since the store calls this one invalid.
+        """Give each part its own placement record, because the store rejected this one as invalid.
 
-        So one job's trouble holds back no other. All of them must be written before the old record
-        may go; until then it holds what is known of them, and later what is older, which
-        `placement_record_loader` takes into account. Returns the parts.
+        An invalid part then delays no other job. All parts must be written to their new records
+        before the old record may be deleted. Until then it holds the only copy of a part, later an
+        outdated one, which `placement_record_loader` takes into account. Returns the parts.
         """
         parts = list(record.parts.values())
         for part in parts:
-            self._attach_alone(part.job, part.chunk)
+            self._attach_to_new_record(part.job, part.chunk)
         record.parts.clear()
         self.isolate(record)
         return parts
 
     def isolate(self, record: PlacementRecord) -> None:
-        """Let no other part join a record that the store calls invalid.
+        """Add no other part to a record that the store rejected as invalid.
 
-        It can wait then without holding back anybody.
+        The record can then wait without delaying other jobs.
         """
         record.is_exclusive = True
         self._open_records.pop(record.key, None)
 
     def remove_job(self, job: Job) -> None:
-        """Remove the parts of a job whose own record is deleted: they count no more."""
+        """Remove the parts of a job whose own record is deleted, since readers ignore them."""
         for chunk in job.chunks.values():
             record = self.by_key.get(chunk.record_key or "")
             chunk.record_key = None
@@ -227,7 +233,7 @@
                 self.remove_record(record)  # it was never written
 
     def remove_record(self, record: PlacementRecord) -> None:
-        """Forget a record that is not in the store any more."""
+        """Remove a record from this collection; this does not change the store."""
         self.by_key.pop(record.key, None)
         self._open_records.pop(record.key, None)
         self._closed_records.pop(record.key, None)
@@ -252,13 +258,13 @@
     def add_stored_record(
         self, key: str, version: Revision, *, is_exclusive: bool
     ) -> PlacementRecord:
-        """Add a record as the store has it, without its parts."""
+        """Add a record that is in the store, without its parts."""
         record = PlacementRecord(key, self._target_bytes, version, is_exclusive=is_exclusive)
         self.by_key[key] = record
         return record
 
     def reopen_stored_records(self) -> None:
-        """Let loaded records with enough room take further parts."""
+        """Allow further parts in loaded records with enough free space."""
         for record in self.by_key.values():
             if record.unreadable_parts or record.is_exclusive or record.is_closed:
                 continue
