--- a/src/eldercart/persistence/__init__.py
+++ b/src/eldercart/persistence/__init__.py
@@ -1,1 +1,1 @@
-"""What the leader writes to the state store and reads back."""
+"""Storage of the leader's state in the state store: transactions, records and checkpoints."""
--- a/src/eldercart/persistence/learned_state.py
+++ b/src/eldercart/persistence/learned_state.py
@@ -1,7 +1,8 @@
-"""Checkpoints of what a leader has learned and the next one would have to learn again.
+"""Checkpoints of state that a leader collects over time, so that the next leader can restore it.
 
-That is which machines hold which images, and how run times compare with estimates. It is written to
-the state store now and then, in few records. Nothing depends on it, so it may be old, or lost.
+This learned state is which machines hold which images, and how run times compare with estimates. It
+is written to the state store now and then, in few records. Nothing depends on it, so it may be
+outdated or lost.
 """
 
 from collections.abc import Iterator
@@ -23,13 +24,14 @@
     run_time_ratios_key,
 )
 
-VALUE_FILL_RATIO = 0.8  # of a value's size: how the service counts bytes is its own affair
-SIZE_CACHE_ENTRIES = 8192  # names whose encoded sizes are remembered
-SEPARATOR_BYTES = 1  # after each encoded value
+# Records use this share of the value limit, because how the store counts bytes is not specified.
+VALUE_FILL_RATIO = 0.8
+SIZE_CACHE_ENTRIES = 8192  # names whose encoded sizes are cached
+SEPARATOR_BYTES = 1  # a comma or colon follows each encoded value
 EMPTY_RECORD_BYTES = 2
 EMPTY_IMAGES_RECORD_BYTES = 30
-MACHINE_OVERHEAD_BYTES = 3  # of a machine in a record of images, beside its name
-IMAGE_INDEX_BYTES = 5  # that the number of an image takes, at most
+MACHINE_OVERHEAD_BYTES = 3  # a record of images needs this per machine, plus the name
+IMAGE_INDEX_BYTES = 5  # the index of an image needs no more
 
 
 def learned_state_records(cluster_state: ClusterState) -> dict[str, Any]:
@@ -47,10 +49,10 @@
 def next_learned_state_writes(
     records: dict[str, Any], start: int, max_operations: int
 ) -> list[Put]:
-    """Return the writes of the records that come next, from the one numbered `start`.
+    """Return the next writes of a checkpoint, beginning with the record numbered `start`.
 
-    They are as many as there are operations for and as fit into one transaction; the others follow
-    in later transactions.
+    There are at most `max_operations` of them, and they fit into one transaction. The other records
+    follow in later transactions.
     """
     keys = list(records)
     start %= len(keys)
@@ -65,7 +67,7 @@
 
 
 def restore_learned_state(cluster_state: ClusterState, key: str, value: Any) -> None:
-    """Restore one record of a checkpoint; one that makes no sense is skipped."""
+    """Restore one record of a checkpoint; a malformed record is skipped."""
     try:
         if is_run_time_ratios_key(key):
             cluster_state.predictor.restore_run_time_sums(decode_run_time_sums(value))
@@ -89,7 +91,10 @@
 
 @lru_cache(maxsize=SIZE_CACHE_ENTRIES)
 def _image_bytes(name: str, size_gb: float) -> int:
-    """Return the size of an image in a record; all machines hold the same few."""
+    """Return the size of an image in a record.
+
+    The sizes are cached because all machines hold the same few images.
+    """
     return _encoded_bytes(name) + _encoded_bytes(size_gb)
 
 
@@ -123,7 +128,7 @@
         return not self._image_indexes
 
     def has_room_for(self, machine_id: str, image_bytes: dict[str, int]) -> bool:
-        """Return whether the machine fits with all its images, given by their sizes."""
+        """Return whether the machine fits with all its images; `image_bytes` has their sizes."""
         needed = _machine_id_bytes(machine_id) + MACHINE_OVERHEAD_BYTES
         needed += IMAGE_INDEX_BYTES * len(image_bytes)
         needed += sum(size for image, size in image_bytes.items() if image not in self._indexes)
@@ -149,7 +154,10 @@
 
 
 def _image_records(cluster_state: ClusterState, max_bytes: int) -> Iterator[dict[str, Any]]:
-    """Yield records of images; what of a single machine does not fit into one is left out."""
+    """Yield records of images, each with whole machines.
+
+    If the images of a single machine do not fit into a record, those that don't are left out.
+    """
     record = _ImagesRecord(max_bytes)
     for machine in cluster_state.inventory.machines.values():
         images = machine.cached_images
