--- a/tests/memory_units.py
+++ b/tests/memory_units.py
@@ -1,7 +1,7 @@
-"""What a machine, a task, a job and a connection take in memory.
+"""Measures the memory of a machine, a task, a job and a connection.
 
-Counts what Python allocates for thousands of each, by the real code without sockets. Run from the
-root of the repository:
+Creates thousands of each with the production code, without sockets, and counts what Python
+allocates for them. Run from the root of the repository:
 
     PYTHONPATH=.:src:target/deps:tests python3 -m memory_units
 """
@@ -18,15 +18,15 @@
 from simulators import CATALOG
 from world import World, submission
 
-NUMBER = 2000
+SAMPLE_COUNT = 2000
 
 
-def bytes_each(make: Callable[[int], Any]) -> float:
-    """Bytes that stay allocated for each of what `make` makes."""
+def bytes_per_object(make: Callable[[int], Any]) -> float:
+    """Return how many bytes stay allocated for each object that `make` creates."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    kept = [make(number) for number in range(NUMBER)]
+    kept = [make(number) for number in range(SAMPLE_COUNT)]
     gc.collect()
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
@@ -34,41 +34,43 @@
 
 
 def main() -> None:
-    """Prints the sizes."""
-    controller = World(1).scheduler
-    assert controller is not None
+    """Print the sizes."""
+    scheduler = World(1).scheduler
+    assert scheduler is not None
     now = MonotonicTime(100.0)
-    kind = cloud.parse_catalog(CATALOG)["small"]
+    machine_type = cloud.parse_catalog(CATALOG)["small"]
 
     def machine(number: int) -> Any:
-        name = MachineId(f"n-{number:06d}")
-        return controller.inventory.add(name, kind, "a", True, MachineState.UP, now, now)
+        machine_id = MachineId(f"n-{number:06d}")
+        return scheduler.inventory.add(
+            machine_id, machine_type, "a", True, MachineState.UP, now, now
+        )
 
     def job(number: int) -> Any:
         spec = users.parse_submission(submission(f"wk-{number:06d}", parcels=20))
-        controller.add_job(spec, 50, WallTime(100.0), now)
+        scheduler.add_job(spec, 50, WallTime(100.0), now)
 
-    print(f"machine: {bytes_each(machine):.0f} bytes")
-    print(f"job of 20 tasks that wait: {bytes_each(job):.0f} bytes")
-    jobs = list(controller.jobs.jobs.values())
-    machines = list(controller.inventory.machines.values())
+    print(f"machine: {bytes_per_object(machine):.0f} bytes")
+    print(f"job of 20 tasks that wait: {bytes_per_object(job):.0f} bytes")
+    jobs = list(scheduler.jobs.jobs.values())
+    machines = list(scheduler.inventory.machines.values())
 
     def task(number: int) -> Any:
-        index = controller.jobs.take_unplaced_tasks(jobs[number], 1)[0]
-        placement = controller.jobs.add_placement(jobs[number], index, machines[number].id, now)
-        controller.inventory.allocate(machines[number], placement)
+        index = scheduler.jobs.take_unplaced_tasks(jobs[number], 1)[0]
+        placement = scheduler.jobs.add_placement(jobs[number], index, machines[number].id, now)
+        scheduler.inventory.allocate(machines[number], placement)
         return placement
 
-    print(f"placed task: {bytes_each(task):.0f} bytes")
+    print(f"placed task: {bytes_per_object(task):.0f} bytes")
     node = relay_node()
-    node._http_factory.max_connections = NUMBER
+    node._http_factory.max_connections = SAMPLE_COUNT
 
     def connection(number: int) -> Any:
-        connected = WorkerConnection(node)
-        connected.send(heartbeat_request(f"n-{number}", 1))
-        return connected
+        worker = WorkerConnection(node)
+        worker.send(heartbeat_request(f"n-{number}", 1))
+        return worker
 
-    print(f"connection after a report of 4 tasks: {bytes_each(connection):.0f} bytes")
+    print(f"connection after a report of 4 tasks: {bytes_per_object(connection):.0f} bytes")
 
 
 if __name__ == "__main__":
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -1,7 +1,7 @@
-"""What frequent events cost, in counts that repeat exactly: no clock is looked at.
+"""Costs of frequent events, as counts that repeat exactly and don't depend on a clock.
 
-Each bound is a little above what was counted when it was set, and fails when the work that was
-saved comes back."""
+Each bound is slightly above the count at the time when it was set. A test fails if work that was
+optimized away returns."""
 
 from typing import Any
 
@@ -24,17 +24,19 @@
 from simulators import CATALOG
 from test_limits import leading_node
 
-# Of 222 calls, 58 went to addresses that nobody read, to headers that nobody read, to timers that
-# were stopped and started again, and to a proxy in front of a table.
-MOST_CALLS_PER_REPORT = 167
+# Of 222 calls before an optimization, 58 served unused addresses, unused headers, timers that were
+# restarted, and a proxy in front of a table.
+MAX_CALLS_PER_HEARTBEAT = 167
 
 
-def test_an_unchanged_report_takes_few_calls() -> None:
-    assert measure_unchanged_heartbeat(relay_node(), 200).python_calls <= MOST_CALLS_PER_REPORT
+def test_unchanged_heartbeat_takes_few_python_calls() -> None:
+    assert measure_unchanged_heartbeat(relay_node(), 200).python_calls <= MAX_CALLS_PER_HEARTBEAT
 
 
-def test_an_unchanged_report_goes_nowhere(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It writes nothing, asks nobody and plans nothing: the relay answers it by itself."""
+def test_unchanged_heartbeat_is_answered_by_the_relay_alone(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The relay answers it without a store write, a request to another node or a planning pass."""
     node = relay_node()
     forwarded: list[Any] = []
 
@@ -52,21 +54,21 @@
 
 
 def idle_connection() -> tuple[Clock, WorkerConnection]:
-    """A connection whose timers run by the clock that is returned."""
+    """Return a connection and the clock that runs its timers."""
     clock = Clock()
     node = relay_node()
-    made = node._http_factory.buildProtocol
+    build_protocol = node._http_factory.buildProtocol
 
-    def build(address: Any) -> Any:
-        channel = made(address)
+    def build_with_clock(address: Any) -> Any:
+        channel = build_protocol(address)
         channel.callLater = clock.callLater
         return channel
 
-    node._http_factory.buildProtocol = build  # type: ignore[method-assign]
+    node._http_factory.buildProtocol = build_with_clock  # type: ignore[method-assign]
     return clock, WorkerConnection(node)
 
 
-def test_one_timer_ends_an_idle_connection() -> None:
+def test_idle_connection_is_closed_by_a_single_timer() -> None:
     clock, connection = idle_connection()
     for sequence in range(1, 4):
         clock.advance(IDLE_TIMEOUT_S - 1.0)
@@ -84,18 +86,18 @@
 
 
 @pytest.mark.parametrize(
-    ("header", "stays"),
+    ("header", "stays_open"),
     [(b"Connection: close", False), (b"CONNECTION: Close", False), (b"X: y", True)],
 )
-def test_headers_that_matter_are_read(header: bytes, stays: bool) -> None:
+def test_connection_close_header_closes_the_connection(header: bytes, stays_open: bool) -> None:
     connection = WorkerConnection(relay_node())
-    answer = connection.send(b"GET /nowhere HTTP/1.1\r\nhost: a\r\n" + header + b"\r\n\r\n")
-    assert answer.startswith(b"HTTP/1.1 404 ")
-    assert (b"connection: close" not in answer) is stays
-    assert connection.transport.disconnecting is not stays
+    response = connection.send(b"GET /nowhere HTTP/1.1\r\nhost: a\r\n" + header + b"\r\n\r\n")
+    assert response.startswith(b"HTTP/1.1 404 ")
+    assert (b"connection: close" not in response) is stays_open
+    assert connection.transport.disconnecting is not stays_open
 
 
-def test_a_body_in_pieces_is_read_whole() -> None:
+def test_request_body_received_in_pieces_is_reassembled() -> None:
     connection = WorkerConnection(relay_node())
     whole = heartbeat_request("n-1", 1).replace(b'"whip":7', b'"whip":6')
     for byte in range(len(whole) - 1):
@@ -103,8 +105,8 @@
     assert b'"whip":7' in connection.send(whole[-1:]), "it learns the epoch"
 
 
-def test_a_request_of_this_node_is_written_at_once() -> None:
-    """Neither a name is looked up nor a turn of the loop waited for."""
+def test_outgoing_request_is_written_without_delay() -> None:
+    """Neither a name lookup nor a reactor iteration delays it."""
     written: list[bytes] = []
 
     class Consumer:
@@ -118,20 +120,28 @@
     assert (endpoint._host, endpoint._port, endpoint._timeout) == ("10.2.0.1", 2379, 1.0)
 
 
-def test_sizes_of_what_machines_hold_are_worked_out_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_encoded_sizes_of_machines_and_images_are_cached(monkeypatch: pytest.MonkeyPatch) -> None:
     node, _, _ = leading_node(None, cloud.parse_catalog(CATALOG))
-    controller = node.leader_service.scheduler
-    assert controller is not None
-    kind = cloud.parse_catalog(CATALOG)["small"]
+    scheduler = node.leader_service.scheduler
+    assert scheduler is not None
+    machine_type = cloud.parse_catalog(CATALOG)["small"]
     for number in range(300):
-        name = MachineId(f"n-costs-{number}")
-        machine = controller.inventory.add(
-            name, kind, "a", True, MachineState.UP, MonotonicTime(0.0), MonotonicTime(0.0)
+        machine_id = MachineId(f"n-costs-{number}")
+        machine = scheduler.inventory.add(
+            machine_id,
+            machine_type,
+            "a",
+            True,
+            MachineState.UP,
+            MonotonicTime(0.0),
+            MonotonicTime(0.0),
         )
         machine.cached_images = {f"image-{number % 7}": 1.25}
-    first = learned_state.learned_state_records(controller.cluster_state)
+    first = learned_state.learned_state_records(scheduler.cluster_state)
     encoded: list[Any] = []
     dumps = learned_state.orjson.dumps
-    monkeypatch.setattr(learned_state.orjson, "dumps", lambda v: (encoded.append(v), dumps(v))[1])
-    assert learned_state.learned_state_records(controller.cluster_state) == first
-    assert len(encoded) <= len(controller.cluster_state.predictor.run_time_sums()) * 2
+    monkeypatch.setattr(
+        learned_state.orjson, "dumps", lambda value: (encoded.append(value), dumps(value))[1]
+    )
+    assert learned_state.learned_state_records(scheduler.cluster_state) == first
+    assert len(encoded) <= len(scheduler.cluster_state.predictor.run_time_sums()) * 2
