--- a/src/eldercart/wire/__init__.py
+++ b/src/eldercart/wire/__init__.py
@@ -1,4 +1,7 @@
-"""The wire formats: names and validation. Nothing here does I/O, so clients can use it too."""
+"""Encoding, parsing and validation of all wire formats and stored records.
+
+The package does no I/O, so clients can use it too.
+"""
 
 from eldercart.wire.checks import MalformedMessageError
 
--- a/src/eldercart/wire/checks.py
+++ b/src/eldercart/wire/checks.py
@@ -1,4 +1,7 @@
-"""Checks of JSON messages and their fields, shared by all formats."""
+"""Functions that parse JSON messages and validate their fields, shared by all formats.
+
+The functions raise `MalformedMessageError`; for a bad field, its text is the name of the field.
+"""
 
 import math
 from typing import Any
@@ -6,18 +9,18 @@
 import orjson
 
 MAX_BODY_BYTES = 64 * 1024
-MAX_COUNT = 2**64
+INTEGER_LIMIT = 2**64  # exclusive
 MAX_AMOUNT = 1e12
 
 
 class MalformedMessageError(Exception):
-    """A message that breaks the protocol; the text names the field."""
+    """Raised for a message that breaks the protocol; the text names the field."""
 
 
 def load_object(body: bytes) -> dict[str, Any]:
     """Parse the body of a request or a frame.
 
-    Raises MalformedMessageError if it is too long or not an object.
+    Raises `MalformedMessageError` if the body is too long or not a JSON object.
     """
     if len(body) > MAX_BODY_BYTES:
         raise MalformedMessageError("body over 64 KiB")
@@ -27,12 +30,13 @@
 def load_nested_object(body: bytes) -> dict[str, Any]:
     """Parse an object that is forwarded inside a frame.
 
-    Nested as deeply as the parser just allows, it would make the whole frame unreadable, and with
-    it what others sent; so it is refused here.
+    The parser limits the depth of nesting. An object that just meets the limit would exceed it
+    inside a frame and make the whole frame unreadable, with the messages of others that it holds.
+    Deeply nested objects are therefore rejected.
     """
     value = load_object(body)
     try:
-        orjson.dumps(value)  # allows far fewer levels than the parser
+        orjson.dumps(value)  # the encoder allows far fewer levels than the parser
     except orjson.JSONEncodeError:
         raise MalformedMessageError("nested too deeply") from None
     return value
@@ -50,7 +54,7 @@
 
 
 def require_text(obj: dict[str, Any], field: str, max_length: int = 200) -> str:
-    """Return a text that is not empty."""
+    """Return a string that is not empty and has at most `max_length` characters."""
     value = obj.get(field)
     if not isinstance(value, str) or not 0 < len(value) <= max_length:
         raise MalformedMessageError(field)
@@ -58,9 +62,9 @@
 
 
 def require_number(obj: dict[str, Any], field: str, minimum: float = 0.0) -> float:
-    """Return a finite number within bounds, whole or not, as a float."""
+    """Return an integer or a finite float between `minimum` and `MAX_AMOUNT`, as a float."""
     value = obj.get(field)
-    # bool is an int in Python; JSON true is no number
+    # `isinstance` would accept JSON true, since bool is a subclass of int.
     if type(value) is not float and type(value) is not int:
         raise MalformedMessageError(field)
     if not math.isfinite(value) or value < minimum or value > MAX_AMOUNT:
@@ -74,17 +78,17 @@
 
 
 def require_integer(
-    obj: dict[str, Any], field: str, minimum: int = 0, maximum: int = MAX_COUNT - 1
+    obj: dict[str, Any], field: str, minimum: int = 0, maximum: int = INTEGER_LIMIT - 1
 ) -> int:
-    """Return a whole number; 2.0 is malformed."""
+    """Return an integer between `minimum` and `maximum`; 2.0 is malformed."""
     value = obj.get(field)
-    if type(value) is not int or not minimum <= value <= maximum:  # JSON true is no number
+    if type(value) is not int or not minimum <= value <= maximum:  # excludes bool
         raise MalformedMessageError(field)
     return value
 
 
 def require_boolean(obj: dict[str, Any], field: str) -> bool:
-    """Return true or false."""
+    """Return a boolean."""
     value = obj.get(field)
     if not isinstance(value, bool):
         raise MalformedMessageError(field)
@@ -92,7 +96,7 @@
 
 
 def require_texts(obj: dict[str, Any], field: str) -> tuple[str, ...]:
-    """Return a list of texts, none of them empty."""
+    """Return a list of strings that are not empty."""
     value = obj.get(field)
     if not isinstance(value, list) or not all(isinstance(text, str) and text for text in value):
         raise MalformedMessageError(field)
--- a/src/eldercart/wire/cloud.py
+++ b/src/eldercart/wire/cloud.py
@@ -1,4 +1,4 @@
-"""The messages of the cloud that machines are created in."""
+"""The messages exchanged with the cloud, which provides the machines."""
 
 from dataclasses import dataclass
 from typing import Any, NamedTuple
@@ -20,12 +20,13 @@
 MAX_CREATED_MACHINES = 50
 MAX_DELETED_MACHINES = 100
 LIST_PAGE_MACHINES = 500
+# States of a listed machine.
 STARTING, RUNNING, FAILED = "starting", "running", "failed"
 
 
 @dataclass(frozen=True, slots=True)
 class MachineType:
-    """A type of machine as the cloud offers it; prices are per hour."""
+    """A machine type that the cloud offers; prices are per hour."""
 
     name: str
     cpus: float
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedMachine:
-    """A machine as the cloud lists it."""
+    """A machine in the cloud's list of machines."""
 
     id: MachineId
     address: str
@@ -53,7 +54,7 @@
 
 
 def parse_catalog(obj: dict[str, Any]) -> dict[str, MachineType]:
-    """Parse the machine types by name, from the cloud's catalogue or the stored one."""
+    """Return the machine types by name, from the cloud's catalogue or the stored one."""
     types = {}
     for item in require_objects(obj, "breeds"):
         machine_type = MachineType(
@@ -70,25 +71,25 @@
         )
         types[machine_type.name] = machine_type
     if not types:
-        raise MalformedMessageError("breeds")
+        raise MalformedMessageError("breeds: empty, expected at least one machine type")
     return types
 
 
 def catalog_record(types: dict[str, MachineType], max_bytes: int | None = None) -> dict[str, Any]:
     """Return the catalogue as the state service stores it.
 
-    If it were larger than `max_bytes`, it is without the fields that only a leader uses, which
-    soon has them from the cloud itself: every reader takes defaults for them, and the fields by
-    which submissions are judged stay.
+    If the catalogue would exceed `max_bytes`, the fields that only a leader uses are left out.
+    Every reader uses defaults for them, and a leader soon reads them from the cloud itself. The
+    fields that submissions are checked against are always included.
     """
-    breeds = [_machine_type_object(machine_type) for machine_type in types.values()]
-    if max_bytes is not None and len(orjson.dumps({"breeds": breeds})) > max_bytes:
-        for breed in breeds:
+    type_objects = [_machine_type_object(machine_type) for machine_type in types.values()]
+    if max_bytes is not None and len(orjson.dumps({"breeds": type_objects})) > max_bytes:
+        for type_object in type_objects:
             for field in _LEADER_ONLY_FIELDS:
-                del breed[field]
-            if not breed["accelerators"]:
-                del breed["accelerators"]
-    return {"breeds": breeds}
+                del type_object[field]
+            if not type_object["accelerators"]:
+                del type_object["accelerators"]
+    return {"breeds": type_objects}
 
 
 _LEADER_ONLY_FIELDS = ("localGb", "pullGbPerS", "readyS")
@@ -112,9 +113,10 @@
 def create_machines_body(
     request_name: str, machine_type: str, zone: str, spot: bool, count: int
 ) -> bytes:
-    """Return the body of a request for machines.
+    """Return the body of a request to create machines.
 
-    `request_name` makes it idempotent: repeated under the same name, it creates no more machines.
+    `request_name` makes the request idempotent: a repetition under the same name creates no more
+    machines.
     """
     return orjson.dumps(
         {
@@ -138,12 +140,12 @@
 
 
 def machines_path(after: str | None) -> str:
-    """Return the path of a page of the machine list, after that machine or from the start."""
+    """Return the path of the page that follows the machine `after`; None: of the first page."""
     return f"/machines?most={LIST_PAGE_MACHINES}" + (f"&from={after}" if after else "")
 
 
 class MachinePage(NamedTuple):
-    """One page of the cloud's list."""
+    """One page of the cloud's list of machines."""
 
     machines: list[ListedMachine]
     has_more: bool  # whether another page follows
--- a/src/eldercart/wire/leader_key.py
+++ b/src/eldercart/wire/leader_key.py
@@ -1,6 +1,6 @@
-"""The stored leader key: who leads, on a lease of the state service.
+"""Codec of the leader key, whose value names the node that leads.
 
-The key's version is the leader's fencing token.
+The key is attached to a lease of the state service. Its version is the leader's fencing token.
 """
 
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderRecord:
-    """The holder of the leader key; a field that can't be read is None."""
+    """The holder of the leader key. A field that could not be read is None."""
 
     node: NodeId | None
     incarnation: IncarnationId | None
@@ -25,7 +25,10 @@
 
 
 def parse_leader(value: Any) -> LeaderRecord:
-    """Decode the value of the leader key. Never fails: whoever wrote it, the key is held."""
+    """Decode the value of the leader key.
+
+    It never raises an error: the key is held even if its value can't be read.
+    """
     fields = value if isinstance(value, dict) else {}
     node, incarnation = fields.get("node"), fields.get("life")
     return LeaderRecord(
--- a/src/eldercart/wire/named_leases.py
+++ b/src/eldercart/wire/named_leases.py
@@ -1,11 +1,12 @@
 """Codecs of named leases: stored keys and records, and operators' requests.
 
-The holder key of a named lease hangs on a lease of the state service; its version is the fencing
-token of the holder. Pauses, hand-overs and intents hang on none: they outlive every process.
+The holder key of a named lease is attached to a lease of the state service; the key's version is
+the holder's fencing token. The keys of pauses, hand-overs and intents are attached to no lease, so
+they outlive every process.
 
 Stored fields of an intent: `n` name, `t` created at, `k` machine type, `z` zone, `s` spot,
-`c` machine count; of an intent record: `i` intents. Elsewhere `t` is the time of the record, `life`
-the incarnation of a node and `why` the reason of a pause.
+`c` machine count. Field of an intent record: `i` intents. In the other records, `t` is the time of
+the record, `life` the incarnation of a node and `why` the reason of a pause.
 """
 
 from dataclasses import dataclass
@@ -26,28 +27,31 @@
 )
 from eldercart.wire.state import Item
 
-LEASE_PREFIX = "duty/"  # of all keys but the intents
+LEASE_PREFIX = "duty/"  # of all keys except those of intent records
 HOLDER_PREFIX = LEASE_PREFIX + "holder/"
 PAUSE_PREFIX = LEASE_PREFIX + "pause/"
 HAND_OVER_PREFIX = LEASE_PREFIX + "hand-over/"
 INTENT_PREFIX = "intent/"
 
-FEATURE_PREFIX = "duty."  # of the features that nodes announce to their peers
+FEATURE_PREFIX = "duty."  # of the names of features that nodes announce to their peers
 
-MAX_REASON_LENGTH = 200  # characters of the reason of a pause
+MAX_REASON_LENGTH = 200  # characters
 
 
 class LeaseName(StrEnum):
-    """The work that one node does at a time; the values are stored and on the command line."""
+    """The kinds of work that only one node does at a time.
 
-    SCALE_OUT = "rental"  # rents machines
-    SCALE_IN = "return"  # returns machines
-    CLEANUP = "cleanup"  # deletes what is left of ended jobs
+    The values are stored, and are used on the command line.
+    """
+
+    SCALE_OUT = "rental"  # requests machines from the cloud
+    SCALE_IN = "return"  # deletes machines
+    CLEANUP = "cleanup"  # deletes the remaining records of ended jobs
     CATALOG = "catalog"  # keeps the stored machine types up to date
 
 
 def holder_key(lease_name: LeaseName) -> str:
-    """Return the key that the holder of the lease has created."""
+    """Return the key that the holder of the lease creates."""
     return HOLDER_PREFIX + lease_name
 
 
@@ -76,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HolderRecord:
-    """Who holds a lease."""
+    """The holder of a lease."""
 
     node: NodeId
     incarnation: IncarnationId
@@ -101,9 +105,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ScaleOutIntent:
-    """Machines that may be requested from the cloud, any number of times, under one name."""
+    """An intent to request machines from the cloud.
+
+    The request may be sent any number of times, always under the same name.
+    """
 
-    name: str  # of the request to the cloud
+    name: str  # names the request to the cloud and makes it idempotent
     created_at: WallTime
     machine_type: str
     zone: str
@@ -113,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScaleInIntent:
-    """A machine that may be deleted, any number of times."""
+    """An intent to delete a machine; the request may be sent any number of times."""
 
     name: MachineId
     created_at: WallTime
@@ -177,11 +184,11 @@
 
 
 def intent_bytes(intent: Intent) -> int:
-    """Return the bytes that one intent adds to its record."""
+    """Return how many bytes one intent adds to its record."""
     return len(orjson.dumps(intent_value(intent))) + 1
 
 
-EMPTY_RECORD_BYTES = 16  # of a record without intents, and more than it takes
+EMPTY_RECORD_BYTES = 16  # upper bound for a record without intents
 
 
 def intents_value(intents: list[Intent]) -> dict[str, Any]:
@@ -212,12 +219,15 @@
 
 def _require_object(value: Any) -> dict[str, Any]:
     if not isinstance(value, dict):
-        raise MalformedMessageError("not an object")
+        raise MalformedMessageError("stored value is not a JSON object")
     return value
 
 
 def lease_of_key(key: str) -> LeaseName | None:
-    """Return the lease that a stored key is about, or None for a key of a later version."""
+    """Return the lease that a stored key belongs to.
+
+    None means that only a later version has a lease of that name.
+    """
     name = key.rpartition("/")[2]
     return LeaseName(name) if name in _LEASE_NAMES else None
 
@@ -244,7 +254,7 @@
 
 
 def parse_pause_request(body: bytes) -> str:
-    """Decode a pause request into its reason, "" if left out; raises MalformedMessageError."""
+    """Decode a pause request into its reason, "" if it has none; raises MalformedMessageError."""
     reason = load_object(body).get("reason")
     if reason is None:
         return ""
@@ -253,9 +263,9 @@
     return reason
 
 
-def encode_hand_over_request(to: str) -> bytes:
-    """Encode a request to hand a lease over to a node."""
-    return orjson.dumps({"to": to})
+def encode_hand_over_request(receiver: str) -> bytes:
+    """Encode a request to hand a lease over to the node `receiver`."""
+    return orjson.dumps({"to": receiver})
 
 
 def encode_pause_request(reason: str) -> bytes:
--- a/src/eldercart/wire/peers.py
+++ b/src/eldercart/wire/peers.py
@@ -1,12 +1,12 @@
 """The messages between controller nodes: frames of one JSON object each.
 
-A node keeps a connection to every other one. It sends heartbeats, and when the other node leads it
-forwards the heartbeats of its workers and the requests of its users; the other node answers on the
-same connection. A frame belongs to its connection, and so to one start of each of the two
-processes: what an earlier start was sent can't reach a later one.
+A node keeps a connection to every other node and sends heartbeats over it. If the other node leads,
+the node also forwards the heartbeats of its workers and the requests of its users to it. The other
+node replies on the same connection. A frame belongs to one connection, and so to one incarnation of
+each of the two processes: a frame that was sent to an earlier incarnation can't reach a later one.
 
-This module is the only one that knows the words of the frames. `parse_request` and `parse_reply`
-turn a frame into one of the types below.
+No other module uses the field names of the frames. `parse_request` and `parse_reply` turn a frame
+into one of the types below.
 """
 
 from collections.abc import Callable, Iterator
@@ -34,46 +34,49 @@
 
 MAX_FRAME_BYTES = 4 * 1024 * 1024
 
-# All workers may send heartbeats in the same moment, each up to 64 KiB, and be answered as much: a
-# frame that is too long would end the connection, and again with each retry.
+# All workers may send heartbeats at the same moment, each of up to 64 KiB, and each response may be
+# as long. A frame that is too long would close the connection, and would do so again at each retry.
 MAX_BATCH_BYTES, MAX_BATCH_ITEMS = 1024 * 1024, 40
-MAX_POLL_ITEMS = 1000  # a submission may ask about thousands; their answers must fit as well
+# A submission may poll thousands of jobs; the replies to one frame must fit into a frame, too.
+MAX_POLL_ITEMS = 1000
 
-# Kinds of frames that the connecting side sends …
+# Kinds of frames that the connecting side sends.
 PEER_HEARTBEAT = "greet"
 FORWARDED_HEARTBEATS = "reports"
 POLLS = "polls"
 CANCEL = "cancel"
 UNDELIVERED = "dropped"
-# … and of those that the accepting side sends.
+# Kinds of frames that the accepting side sends.
 PEER_HEARTBEAT_ACK = "greeted"
 HEARTBEAT_REPLIES = "answers"
 JOB_STATES = "states"
 CANCEL_REPLIES = "cancelled"
 NEXT_HEARTBEAT_REQUESTS = "want"
 
-RECHUNKING = "recut"  # reads parts of placement chunks that were split anew
-SUPPORTED_FEATURES = (RECHUNKING,)  # what this version reads that an earlier one does not
+RECHUNKING = "recut"  # the node can read placement records with parts of subchunks
+SUPPORTED_FEATURES = (RECHUNKING,)  # features that earlier versions may lack
 
-# In place of a job's state when it can't be told: no such job is known, its outcome is being
+# Sent in place of a job's state if the node can't give it: the job is unknown, its outcome is being
 # written, or the node does not lead.
 UNKNOWN, UNDECIDED, NOT_LEADER = "unknown", "undecided", "not_leader"
 
 
 @dataclass(frozen=True, slots=True)
 class PeerHeartbeat:
-    """The heartbeat that each node sends to every other one at a fixed interval."""
+    """The heartbeat that each node sends to every other node at a fixed interval."""
 
     sender: NodeId
-    request_id: int  # repeated in the acknowledgement, which counts from when this was sent
-    token: FencingToken  # the highest that the sender knows
+    # Repeated in the acknowledgement; a lease that it grants starts when this heartbeat was sent.
+    request_id: int
+    token: FencingToken  # the highest that the sender has seen
     store_ok: bool  # whether the state service answers the sender
     machine_count: int  # machines whose workers report to the sender
-    missing_rate_tokens: int  # that the sender lacks for admitting jobs
-    acknowledged: AcknowledgedHeartbeats  # of workers, by the sender itself
-    # Earlier versions send neither of these: a frame without them has the defaults.
+    missing_rate_tokens: int  # state service tokens that the sender lacks to admit jobs
+    acknowledged: AcknowledgedHeartbeats  # workers' heartbeats that the sender acknowledged itself
+    # Earlier versions do not send the following fields; the defaults apply to their frames.
     supported_features: tuple[str, ...] = ()
-    # For how long the sender keeps to the store's reduced rates, by rejections it met itself.
+    # How long the sender will keep to the store's reduced rates because of rejections that it
+    # received itself.
     backoff_remaining_ms: int = 0
 
 
@@ -83,28 +86,29 @@
 
     request_id: int
     token: FencingToken
-    grants_lease: bool  # whether the receiver may answer workers under `token`
+    grants_lease: bool  # whether the recipient may answer workers under `token`
     store_ok: bool
-    max_machines: int  # share of machines that should report to the receiver
-    redirect_target: NodeId | None  # where to send those beyond the share
-    lent_rate_tokens: int  # of the leader's state service tokens, for admitting jobs
-    # As in a heartbeat.
+    max_machines: int  # how many machines should send their heartbeats to the recipient
+    redirect_target: NodeId | None  # node for the machines in excess of `max_machines`
+    lent_rate_tokens: int  # state service tokens that the leader lends to admit jobs
+    # These two fields have the same meaning as in `PeerHeartbeat`.
     supported_features: tuple[str, ...] = ()
     backoff_remaining_ms: int = 0
-    # Whether the sender has read the leader key since its start. One that was elected, confirmed a
-    # cancellation and is back within a second knows nothing of it and vouches for nothing.
+    # Whether the sender has read the leader key since its start. A node that was elected, confirmed
+    # a cancellation and restarted within a second has lost that knowledge, so until the read its
+    # acknowledgement is no evidence that no other node leads.
     is_ready: bool = True
 
 
 class EncodedHeartbeat(NamedTuple):
-    """A worker's heartbeat as it came, to be forwarded to the leader."""
+    """A worker's heartbeat that is to be forwarded to the leader, with its body as received."""
 
     request_id: int
     body: bytes
 
 
 class ForwardedHeartbeat(NamedTuple):
-    """A worker's heartbeat as the leader gets it from a relay."""
+    """A worker's heartbeat that the leader received from a relay."""
 
     request_id: int  # repeated in the reply
     body: dict[str, Any]
@@ -113,7 +117,7 @@
 class ForwardedHeartbeats(NamedTuple):
     """The heartbeats of one frame."""
 
-    token: FencingToken  # of the lease that the sender holds
+    token: FencingToken  # under which the sender holds its relay lease
     heartbeats: list[ForwardedHeartbeat]
 
 
@@ -122,8 +126,10 @@
     """The leader's reply to one forwarded heartbeat."""
 
     request_id: int
-    commands: list[dict[str, Any]] | None  # for the worker; None: the heartbeat is stale
-    wants_next: bool  # whether the machine's next heartbeat must be forwarded, too
+    commands: (
+        list[dict[str, Any]] | None
+    )  # for the worker; None: the heartbeat is rejected as stale
+    wants_next: bool  # whether the machine's next heartbeat must also be forwarded
 
 
 class JobRequest(NamedTuple):
@@ -138,10 +144,10 @@
     """The leader's reply about one job."""
 
     request_id: int
-    state: str  # the job's, or UNKNOWN, UNDECIDED or NOT_LEADER
+    state: str  # state of the job, or UNKNOWN, UNDECIDED or NOT_LEADER
     done_count: int  # tasks
     running_count: int  # tasks
-    unmet_dependencies: tuple[str, ...] = ()  # some of them
+    unmet_dependencies: tuple[str, ...] = ()  # a selection if there are many
 
 
 class Polls(NamedTuple):
@@ -157,7 +163,7 @@
 
 
 class UndeliveredResponses(NamedTuple):
-    """The machines whose responses came too late to be passed on."""
+    """The machines whose responses from the leader came too late to be delivered."""
 
     machines: list[MachineId]
 
@@ -169,7 +175,7 @@
 
 
 class NextHeartbeatRequests(NamedTuple):
-    """The machines whose next heartbeats the leader wants to be forwarded."""
+    """The machines whose next heartbeats the leader requests to be forwarded."""
 
     machines: list[MachineId]
 
@@ -185,28 +191,28 @@
 
 
 def parse_frame(data: bytes) -> dict[str, Any]:
-    """Return the JSON object of a frame. Raises `MalformedMessageError` if it is none."""
+    """Return the JSON object of a frame. Raises `MalformedMessageError` if there is none."""
     return load_response(data)
 
 
 def frame_kind(frame: dict[str, Any]) -> str:
-    """Return the kind of a frame, one of the constants above if it is well-formed."""
+    """Return the kind of a frame. It is not checked against the kinds defined above."""
     return require_text(frame, "k")
 
 
 def parse_request(frame: dict[str, Any]) -> Request:
-    """Return what the connecting side sent. Raises `MalformedMessageError`, also for a reply."""
+    """Parse a frame from the connecting side. Raises `MalformedMessageError`, also for a reply."""
     parse = _REQUEST_PARSERS.get(frame_kind(frame))
     if parse is None:
-        raise MalformedMessageError("k")
+        raise MalformedMessageError("k: not the kind of a request")
     return parse(frame)
 
 
 def parse_reply(frame: dict[str, Any]) -> Reply:
-    """Return what the accepting side sent. Raises `MalformedMessageError`, also for a request."""
+    """Parse a frame from the accepting side. Raises `MalformedMessageError`, also for a request."""
     parse = _REPLY_PARSERS.get(frame_kind(frame))
     if parse is None:
-        raise MalformedMessageError("k")
+        raise MalformedMessageError("k: not the kind of a reply")
     return parse(frame)
 
 
@@ -248,18 +254,18 @@
 
 
 def parse_peer_heartbeat(frame: dict[str, Any]) -> PeerHeartbeat:
-    """Return the heartbeat in a frame, also of an earlier version."""
+    """Return the heartbeat in a frame, which may be of an earlier version."""
     items = frame.get("heard")
     if not isinstance(items, list):
-        raise MalformedMessageError("heard")
+        raise MalformedMessageError("heard: not a list")
     try:
-        # The additions fail for what is no number.
+        # Adding 0 raises TypeError for values that are not numbers.
         acknowledged = tuple(
             (MachineId(machine), HeartbeatSequence(AgentEpoch(agent_epoch + 0), number + 0))
             for machine, agent_epoch, number in items
         )
     except (TypeError, ValueError):
-        raise MalformedMessageError("heard") from None
+        raise MalformedMessageError("heard: items must be [machine, epoch, number]") from None
     return PeerHeartbeat(
         NodeId(require_text(frame, "from")),
         require_integer(frame, "n"),
@@ -293,7 +299,7 @@
 
 
 def parse_peer_heartbeat_ack(frame: dict[str, Any]) -> PeerHeartbeatAck:
-    """Return the acknowledgement in a frame, also of an earlier version."""
+    """Return the acknowledgement in a frame, which may be of an earlier version."""
     redirect_target = frame.get("spare")
     return PeerHeartbeatAck(
         require_integer(frame, "n"),
@@ -328,13 +334,13 @@
 
 
 def encode_forwarded_heartbeats(token: FencingToken, heartbeats: list[EncodedHeartbeat]) -> bytes:
-    """Return the frame of heartbeats, which go on as they came, without being encoded anew."""
+    """Return the frame that forwards heartbeats, whose bodies are copied as received."""
     items = b",".join(b"[%d,%b]" % (request_id, body) for request_id, body in heartbeats)
     return b'{"k":"%b","epoch":%d,"i":[%b]}' % (FORWARDED_HEARTBEATS.encode(), token, items)
 
 
 def parse_forwarded_heartbeats(frame: dict[str, Any]) -> ForwardedHeartbeats:
-    """Return the heartbeats of a frame; items that can't be heartbeats are dropped."""
+    """Return the heartbeats in a frame; items whose bodies are not objects are dropped."""
     token = FencingToken(require_integer(frame, "epoch"))
     heartbeats = [
         ForwardedHeartbeat(request_id, body)
@@ -345,13 +351,13 @@
 
 
 def _parse_items(frame: dict[str, Any]) -> list[tuple[int, Any]]:
-    """Return the items of a frame by their request ids."""
+    """Return the items of a frame as pairs of request id and content."""
     items = frame.get("i")
     if not isinstance(items, list):
-        raise MalformedMessageError("i")
+        raise MalformedMessageError("i: not a list")
     for item in items:
         if not isinstance(item, list) or len(item) != 2 or type(item[0]) is not int:
-            raise MalformedMessageError("i")
+            raise MalformedMessageError("i: items must be [request id, content]")
     return [(item[0], item[1]) for item in items]
 
 
@@ -365,28 +371,28 @@
     """Return the replies to forwarded heartbeats."""
     items = frame.get("i")
     if not isinstance(items, list):
-        raise MalformedMessageError("i")
+        raise MalformedMessageError("i: not a list")
     replies = []
     for item in items:
         if not isinstance(item, list) or len(item) != 3 or type(item[0]) is not int:
-            raise MalformedMessageError("i")
+            raise MalformedMessageError("i: items must be [request id, commands, wants next]")
         request_id, commands, wants_next = item
         if commands is not None and not isinstance(commands, list):
-            raise MalformedMessageError("i")
+            raise MalformedMessageError("i: commands must be a list or null")
         replies.append(HeartbeatReply(request_id, commands, wants_next is True))
     return replies
 
 
 def encode_machines(kind: str, machine_ids: list[MachineId]) -> bytes:
-    """Return the frame of a kind that only names machines."""
+    """Return a frame of the given kind that holds only machine ids."""
     return orjson.dumps({"k": kind, "m": machine_ids})
 
 
 def parse_machines(frame: dict[str, Any]) -> list[MachineId]:
-    """Return the machines that such a frame names."""
+    """Return the machine ids in a frame that holds nothing else."""
     names = frame.get("m")
     if not isinstance(names, list):
-        raise MalformedMessageError("m")
+        raise MalformedMessageError("m: not a list")
     return [MachineId(name) for name in names if isinstance(name, str)]
 
 
@@ -419,7 +425,7 @@
 
 
 def _job_reply_object(reply: JobReply) -> dict[str, Any]:
-    """Return a reply as it is sent. Earlier versions ignore the unmet dependencies."""
+    """Return the JSON object of a reply. Earlier versions ignore the unmet dependencies."""
     value: dict[str, Any] = {
         "n": reply.request_id,
         "v": reply.state,
--- a/src/eldercart/wire/state.py
+++ b/src/eldercart/wire/state.py
@@ -16,8 +16,9 @@
     require_texts,
 )
 
-RANGE_PAGE_KEYS = 1000  # keys in one page of a range
-# Of values; the limit is 64 KiB, and keys and conditions take the rest.
+RANGE_PAGE_KEYS = 1000  # keys in one page
+# Limit for the values of a transaction. The state service limits a whole transaction to 64 KiB; the
+# remainder is left for keys and conditions.
 MAX_TRANSACTION_BYTES = 56 * 1024
 
 
@@ -49,22 +50,24 @@
 
     def body(self) -> bytes:
         """Return the request's body."""
-        writes: list[dict[str, Any]] = []
+        operation_objects: list[dict[str, Any]] = []
         for operation in self.operations:
             if isinstance(operation, Put):
                 item: dict[str, Any] = {"put": operation.key, "v": operation.value}
                 if operation.lease is not None:
                     item["tether"] = operation.lease
-                writes.append(item)
+                operation_objects.append(item)
             else:
-                writes.append({"delete": operation.key})
-        guards = [{"path": key, "stamp": version} for key, version in self.conditions.items()]
-        return orjson.dumps({"guards": guards, "writes": writes})
+                operation_objects.append({"delete": operation.key})
+        condition_objects = [
+            {"path": key, "stamp": version} for key, version in self.conditions.items()
+        ]
+        return orjson.dumps({"guards": condition_objects, "writes": operation_objects})
 
 
 @dataclass(frozen=True, slots=True)
 class Item:
-    """A key with its value and version, as it was read."""
+    """A key with its value and version, as read from the state service."""
 
     key: str
     value: Any
@@ -78,13 +81,20 @@
 
 
 def range_path(prefix: str, after: str | None) -> str:
-    """Return the path of a page of the keys with a prefix, those after the given key."""
+    """Return the path of a page of the keys with a prefix.
+
+    The page holds the keys after `after`; None: it is the first page.
+    """
     path = f"/keys?prefix={quote(prefix, safe='')}&most={RANGE_PAGE_KEYS}"
     return path + (f"&from={quote(after, safe='')}" if after else "")
 
 
 def watch_path(prefix: str, after: Revision, wait_ms: int) -> str:
-    """Return the path that waits for changes under a prefix after the given revision."""
+    """Return the path of a watch on the keys with a prefix.
+
+    The service responds to it with the changes after the revision `after`, and waits for `wait_ms`
+    at most if there are none.
+    """
     return f"/follow?prefix={quote(prefix, safe='')}&from={after}&waitMs={wait_ms}"
 
 
@@ -105,7 +115,7 @@
 
     items: list[Item]
     has_more: bool  # whether another page follows
-    revision: Revision  # of the store, as of which the page was read
+    revision: Revision  # of the store when the page was read
 
 
 def parse_range(body: bytes) -> RangePage:
@@ -120,25 +130,25 @@
 
 
 def parse_revision(body: bytes) -> Revision:
-    """Parse the revision of a transaction that was applied."""
+    """Parse the response to an applied transaction: the revision that it created."""
     return Revision(require_integer(load_response(body), "ledgerRev"))
 
 
 def parse_failed_conditions(body: bytes) -> tuple[str, ...]:
-    """Parse the keys of the conditions that did not hold."""
+    """Parse the response to a rejected transaction: the keys whose conditions did not hold."""
     return require_texts(load_response(body), "failed")
 
 
 def parse_lease(body: bytes) -> LeaseId:
-    """Parse the id of the lease that was opened."""
+    """Parse the response to a request for a lease: the id of the new lease."""
     return LeaseId(require_integer(load_response(body), "tether"))
 
 
 class WatchResult(NamedTuple):
-    """The changes that a watch has seen."""
+    """The response to a watch: the changes since the watched revision."""
 
-    revision: Revision  # from which to watch on
-    events: list[Item | DeleteKey]  # in their order
+    revision: Revision  # the next watch starts from it
+    events: list[Item | DeleteKey]  # in the order of the response
 
 
 def parse_watch(body: bytes) -> WatchResult:
@@ -157,5 +167,5 @@
         elif "delete" in event:
             events.append(DeleteKey(require_text(event, "delete")))
         else:
-            raise MalformedMessageError("log")
+            raise MalformedMessageError("log: entry without 'put' or 'delete'")
     return WatchResult(Revision(require_integer(obj, "ledgerRev")), events)
--- a/src/eldercart/wire/stored_jobs.py
+++ b/src/eldercart/wire/stored_jobs.py
@@ -1,7 +1,7 @@
 """Codec of the stored records of jobs: submission, end, cleanup marker and dependency lists.
 
-This is the only place that knows the keys and the one-letter fields of these records. What a job's
-submission looks like inside its record is the business of `wire.users`.
+No other module uses the keys and the one-letter fields of these records. `wire.users` encodes and
+decodes the submission inside a job's record.
 """
 
 from collections.abc import Iterable
@@ -23,18 +23,18 @@
 )
 
 JOB_PREFIX, END_PREFIX, CLEANUP_PREFIX = "job/", "end/", "gone/"
-DEPENDENCY_LIST_PREFIX = "needs/"  # lists of dependencies that are too long for their job's record
+DEPENDENCY_LIST_PREFIX = "needs/"  # dependency lists that are too long for their job's record
 
-# In a resolved record, never in a stored one: where its dependency list was read.
+# Field of a resolved record, never of a stored one: the reference that was resolved.
 _RESOLVED_LIST_FIELD = "l"
-_VALUE_FILL_RATIO = 0.8  # of a value's size: how the store counts bytes is its own affair
-_INLINE_LIST_SHARE = 4  # a job record leaves one part in so many of its size to the dependencies
-_LIST_ENTRY_OVERHEAD_BYTES = 3  # quotes and a comma
-_LIST_OVERHEAD_BYTES = 2  # brackets
+_VALUE_FILL_RATIO = 0.8  # of the value limit; how the store counts bytes is not known
+_INLINE_LIST_DIVISOR = 4  # a job record holds a dependency list of up to 1/4 of the value limit
+_LIST_ENTRY_OVERHEAD_BYTES = 3  # two quotes and a comma for each job id
+_LIST_OVERHEAD_BYTES = 2  # two brackets around the list
 
 
 class StoredJob(NamedTuple):
-    """What a job record holds."""
+    """The decoded content of a job record."""
 
     spec: JobSpec
     tasks_per_chunk: int
@@ -59,10 +59,10 @@
 
 
 def decode_job_record(job_id: JobId, value: Any) -> StoredJob:
-    """Return what a job record holds.
+    """Return the decoded content of a job record.
 
-    Raises `MalformedMessageError`, `KeyError`, `TypeError` or `ValueError` for a record that can't
-    be read, also for one that refers to a dependency list: that must be resolved before.
+    Raises `MalformedMessageError`, `KeyError`, `TypeError` or `ValueError` for a malformed record,
+    and also for one that refers to a dependency list: call `resolve_dependency_list` first.
     """
     if not isinstance(value, dict):
         raise MalformedMessageError("job record")
@@ -82,7 +82,7 @@
 
 
 def encode_cleanup_marker(outcome: str, cancelled_at: float) -> dict[str, Any]:
-    """Return the marker of an ended job whose other records still have to be deleted.
+    """Return the cleanup marker of an ended job, whose other records still have to be deleted.
 
     `cancelled_at` is a time of day in seconds.
     """
@@ -92,24 +92,24 @@
 def decode_cancellation_time(value: Any) -> float | None:
     """Return the time of day of the cancellation that a cleanup marker holds.
 
-    Markers of earlier releases hold none.
+    Returns None for the markers of earlier releases, which hold no time.
     """
     at = value.get("t") if isinstance(value, dict) else None
     return float(at) if isinstance(at, int | float) else None
 
 
 def decode_dependency_list_reference(value: Any) -> DependencyListReference | None:
-    """Return where the dependencies of a job record must be read before the record can be.
+    """Return the reference to the dependency list that must be read to decode a job record.
 
-    None means that the record holds them itself.
+    None means that the record holds its dependencies itself.
     """
     return parse_list_reference(value.get("s")) if isinstance(value, dict) else None
 
 
 def resolved_list_reference(value: Any) -> DependencyListReference | None:
-    """Return where `resolve_dependency_list` read the list that it put into this record.
+    """Return the reference that `resolve_dependency_list` replaced in this record.
 
-    None means that the record held its own list.
+    None means that the stored record held its dependencies itself.
     """
     found = value.get(_RESOLVED_LIST_FIELD) if isinstance(value, dict) else None
     return found if isinstance(found, DependencyListReference) else None
@@ -121,18 +121,18 @@
 
 
 def dependency_list_keys(job_id: JobId, reference: DependencyListReference) -> list[str]:
-    """Return the keys of the job's dependency list, as the node that accepted it wrote them."""
+    """Return the keys under which the accepting node stored the parts of the dependency list."""
     prefix = dependency_list_prefix(job_id, reference)
     return [f"{prefix}{number}" for number in range(reference.part_count)]
 
 
 def split_dependency_list(dependencies: tuple[JobId, ...], value_bytes: int) -> list[list[JobId]]:
-    """Return the parts of a dependency list, each within the limit `value_bytes` of a value.
+    """Split a dependency list into parts that each fit into a value of `value_bytes`.
 
-    The result is empty if the job's own record has room for the list.
+    The result is empty if the list fits into the job's own record.
     """
     sizes = [len(job_id) + _LIST_ENTRY_OVERHEAD_BYTES for job_id in dependencies]
-    if sum(sizes) + _LIST_OVERHEAD_BYTES <= value_bytes // _INLINE_LIST_SHARE:
+    if sum(sizes) + _LIST_OVERHEAD_BYTES <= value_bytes // _INLINE_LIST_DIVISOR:
         return []
     max_part_bytes = int(value_bytes * _VALUE_FILL_RATIO)
     parts: list[list[JobId]] = []
@@ -147,9 +147,10 @@
 
 
 def resolve_dependency_list(job_id: JobId, item: Item, lists: Iterable[Item]) -> Item | None:
-    """Return the job's record as if its dependencies were in it, from a read of the lists.
+    """Return the job's record with its dependencies in place of the reference to their list.
 
-    None means that a list is missing: it is not known then which dependencies the job has.
+    `lists` holds the parts of the list as read. None means that a part is missing, so the job's
+    dependencies are unknown.
     """
     reference = decode_dependency_list_reference(item.value)
     if reference is None:
--- a/src/eldercart/wire/stored_learned_state.py
+++ b/src/eldercart/wire/stored_learned_state.py
@@ -1,6 +1,6 @@
-"""Codec of the stored records of learned state: run time ratios and images of machines.
+"""Codec of the stored records of learned state: run time ratios and the images on machines.
 
-This is the only place that knows the keys and the one-letter fields of these records.
+No other module uses the keys and the one-letter fields of these records.
 """
 
 from collections.abc import Iterator
@@ -11,27 +11,30 @@
 LEARNED_STATE_PREFIX = "memo/"
 RUN_TIME_RATIOS_KEY = LEARNED_STATE_PREFIX + "paces"
 
-# Of each job class, the seconds that its tasks ran and the seconds that were estimated for them.
+# For each job class, the seconds that its tasks ran and the seconds that were estimated for them.
 RunTimeSums = dict[str, tuple[float, float]]
 
 
 def run_time_ratios_key(number: int) -> str:
-    """Return the key of one of the records of run time ratios."""
+    """Return the key of the run time ratio record with this number, counted from 0."""
     return f"{RUN_TIME_RATIOS_KEY}/{number}" if number else RUN_TIME_RATIOS_KEY
 
 
 def is_run_time_ratios_key(key: str) -> bool:
-    """Return whether a key of learned state is that of run time ratios."""
+    """Return whether a key of learned state belongs to a run time ratio record."""
     return key == RUN_TIME_RATIOS_KEY or key.startswith(RUN_TIME_RATIOS_KEY + "/")
 
 
 def images_key(number: int) -> str:
-    """Return the key of one of the records of images."""
+    """Return the key of the image record with this number."""
     return f"{LEARNED_STATE_PREFIX}images/{number}"
 
 
 def decode_run_time_sums(value: Any) -> RunTimeSums:
-    """Return the sums of a record; raises `AttributeError`, `TypeError` or `ValueError`."""
+    """Return the sums in a run time ratio record.
+
+    Raises `AttributeError`, `TypeError` or `ValueError` for a malformed record.
+    """
     return {
         str(job_class): (float(ran_s), float(estimated_s))
         for job_class, (ran_s, estimated_s) in value.items()
@@ -41,19 +44,19 @@
 def encode_images(
     sizes_gb: dict[str, float], image_indexes: dict[str, list[int]]
 ) -> dict[str, Any]:
-    """Return a record of images.
+    """Return an image record.
 
-    `sizes_gb` holds the images by name, `image_indexes` by machine which of these it holds, counted
-    in the order of `sizes_gb`.
+    `sizes_gb` holds the size of each image by its name. `image_indexes` holds, for each machine,
+    the positions in `sizes_gb` of the images on that machine.
     """
     return {"n": list(sizes_gb), "g": list(sizes_gb.values()), "m": image_indexes}
 
 
 def decode_images(value: Any) -> Iterator[tuple[MachineId, dict[str, float]]]:
-    """Yield each machine of a record with the sizes in GB of its images, by name.
+    """Yield each machine of an image record with the sizes in GB of its images by name.
 
-    Raises `AttributeError`, `IndexError`, `KeyError`, `TypeError` or `ValueError` where the record
-    makes no sense; what came before that may be used.
+    Raises `AttributeError`, `IndexError`, `KeyError`, `TypeError` or `ValueError` at the first
+    malformed entry; the machines yielded before it may be used.
     """
     images = [
         (str(name), float(size_gb)) for name, size_gb in zip(value["n"], value["g"], strict=True)
--- a/src/eldercart/wire/stored_placements.py
+++ b/src/eldercart/wire/stored_placements.py
@@ -1,8 +1,8 @@
 """Codec of the stored placement records and their parts.
 
-This is the only place that knows the keys and the one-letter fields of these records. A placement
-record holds parts of several jobs. A part holds the state of a run of one job's tasks: the highest
-attempt used, the done tasks as ranges, and the placements.
+No other module uses the keys and the one-letter fields of these records. A placement record holds
+parts of several jobs. A part holds the state of consecutive tasks of one job: the highest attempt
+used, the done tasks as ranges, and the placements.
 """
 
 from collections.abc import Iterable
@@ -12,17 +12,17 @@
 from eldercart.wire.checks import MalformedMessageError
 
 PLACEMENT_PREFIX = "place/"
-MAX_PLACEMENT_ENTRY_BYTES = 48  # that one placement takes in a record
+MAX_PLACEMENT_ENTRY_BYTES = 48  # upper bound for one placement in a record
 MIN_TASKS_PER_CHUNK, MAX_TASKS_PER_CHUNK = 8, 500
-_VALUE_FILL_RATIO = 0.8  # of a value's size: how the store counts bytes is its own affair
+_VALUE_FILL_RATIO = 0.8  # of the value limit; how the store counts bytes is not known
 
 
 class EncodablePlacement(Protocol):
-    """What the codec needs of a placement to be stored."""
+    """The attributes of a placement that the codec stores."""
 
     @property
     def index(self) -> int:
-        """The task."""
+        """The index of the task in its job."""
 
     @property
     def attempt(self) -> Attempt:
@@ -30,7 +30,7 @@
 
     @property
     def machine_id(self) -> MachineId:
-        """The machine on which it is."""
+        """The machine on which the task is placed."""
 
 
 class StoredPlacement(NamedTuple):
@@ -42,28 +42,28 @@
 
 
 class StoredPart(NamedTuple):
-    """The content of a part."""
+    """The decoded content of a part."""
 
     highest_attempt: Attempt
-    done_ranges: list[tuple[int, int]]  # first and last task of each run of done tasks
+    done_ranges: list[tuple[int, int]]  # indexes of the first and last task of each range
     placements: list[StoredPlacement]
 
 
 def max_tasks_per_chunk(value_bytes: int) -> int:
-    """Return how many tasks a part may cover to fit a value with a placement for each."""
+    """Return how many tasks a part may cover so that it fits into a value if all are placed."""
     fitting = int(value_bytes * _VALUE_FILL_RATIO) // MAX_PLACEMENT_ENTRY_BYTES
     return max(MIN_TASKS_PER_CHUNK, min(MAX_TASKS_PER_CHUNK, fitting))
 
 
 def encode_part(job_id: JobId, chunk_number: int, content: dict[str, Any]) -> list[Any]:
-    """Return the part of a chunk of the job's own size, as all versions know it."""
+    """Return the part of a chunk of the job's regular size, in a format that all versions read."""
     return [job_id, chunk_number, content]
 
 
 def encode_subchunk_part(
     job_id: JobId, first_index: int, task_count: int, content: dict[str, Any]
 ) -> list[Any]:
-    """Return the part of a subchunk, which says where it begins and how many tasks it covers."""
+    """Return the part of a subchunk, with the index of its first task and its number of tasks."""
     return [job_id, first_index, content | {"n": task_count}]
 
 
@@ -72,7 +72,7 @@
     done_ranges: list[tuple[int, int]],
     placements: Iterable[EncodablePlacement],
 ) -> dict[str, Any]:
-    """Return the content of a part; see `StoredPart` for the fields."""
+    """Return the encoded content of a part; `StoredPart` describes the arguments."""
     return {
         "a": highest_attempt,
         "d": [list(done_range) for done_range in done_ranges],
@@ -83,7 +83,7 @@
 
 
 def decode_part_content(value: Any) -> StoredPart:
-    """Return the content of a part; raises `MalformedMessageError` if it can't be read."""
+    """Return the decoded content of a part; raises `MalformedMessageError` if it is malformed."""
     try:
         return StoredPart(
             decode_highest_attempt(value),
@@ -94,7 +94,9 @@
             ],
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise MalformedMessageError(f"place record: {error}") from None
+        raise MalformedMessageError(
+            f"part of a placement record: missing or malformed field: {error}"
+        ) from None
 
 
 def decode_highest_attempt(value: Any) -> Attempt:
@@ -103,9 +105,9 @@
 
 
 def attempt_precedence(value: Any) -> float:
-    """Return the highest attempt of a part, by which copies of a part are compared.
+    """Return the highest attempt of a part: of several copies, the one with the highest is used.
 
-    A part that can't be read outranks all others, so that it is found out.
+    A malformed part takes precedence over all others, so that it is detected.
     """
     attempt = value.get("a") if isinstance(value, dict) else None
     return attempt if type(attempt) is int else float("inf")
@@ -114,7 +116,7 @@
 def subchunk_task_count(value: Any) -> Any:
     """Return the number of tasks that a part claims to cover, unchecked.
 
-    None means that the part is of a chunk of the job's own size.
+    None means that the part belongs to a chunk of the job's regular size.
     """
     return value.get("n") if isinstance(value, dict) else None
 
@@ -125,7 +127,7 @@
 
 
 def decode_placement_record(value: Any) -> list[Any] | None:
-    """Return the encoded parts of a record; None if it has none to be read."""
+    """Return the encoded parts of a record; None if the record is malformed."""
     parts = value.get("p") if isinstance(value, dict) else None
     return parts if isinstance(parts, list) else None
 
@@ -134,7 +136,7 @@
     """Return the only part of a record that belongs to a single job.
 
     Releases before 0.2 wrote such records, under `place/<job>/<chunk number>`. None means that the
-    key is that of a record which several jobs share.
+    key belongs to a record with parts of several jobs.
     """
     job_id, _, chunk_number = key[len(PLACEMENT_PREFIX) :].rpartition("/")
     return [job_id, chunk_number, value] if job_id else None
--- a/src/eldercart/wire/users.py
+++ b/src/eldercart/wire/users.py
@@ -1,7 +1,7 @@
 """The messages of users, and the stored form of the jobs that they submit.
 
-This module maps the words of submissions and answers, and the order of the fields in a job's stored
-record, to the attributes of `JobSpec`.
+This module maps the field names of submissions, and the order of the values in a job's stored
+record, to the attributes of `JobSpec`. It also encodes the responses.
 """
 
 import re
@@ -21,8 +21,8 @@
 )
 
 MAX_TASKS = 100_000
-MAX_LIST_PARTS = 100_000  # of a list of dependencies; a submission's 64 KiB fill far fewer
-MAX_LISTED_DEPENDENCIES = 20  # unmet dependencies that an answer names
+MAX_LIST_PARTS = 100_000  # of a dependency list; a submission of 64 KiB needs far fewer
+MAX_LISTED_DEPENDENCIES = 20  # unmet dependencies that a response lists
 SHAPES = ("sweep",)
 PRIORITIES = {"prod": 3, "urgent": 2, "standard": 1, "idle": 0}
 JOB_ID_PATTERN = re.compile(r"wk-[A-Za-z0-9_.:-]{1,80}\Z")
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobSpec:
-    """A job as its user submitted it: an array of equal tasks. Resources are those of one task."""
+    """A job as submitted by its user: an array of equal tasks. Resources are those of one task."""
 
     id: JobId
     job_class: str
@@ -50,28 +50,28 @@
     single_zone: bool  # all tasks must be in the same zone
     spread: bool  # at most half of the tasks, rounded up, may be in one zone
     allows_spot: bool
-    estimated_run_time_s: float  # of a task, without the fetch of its image
-    checkpoint_interval_s: float  # of progress; 0: the tasks never save
-    checkpoint_save_s: float  # that a task needs to save when it is stopped
-    deadline_s: float | None  # from the submission; None: no deadline
-    dependencies: tuple[JobId, ...] = ()  # jobs that must be done before a task of it starts
+    estimated_run_time_s: float  # of one task, excluding the fetch of its image
+    checkpoint_interval_s: float  # progress between two checkpoints; 0: the tasks save none
+    checkpoint_save_s: float  # time that a task needs to save when it is stopped
+    deadline_s: float | None  # time after the submission; None: no deadline
+    dependencies: tuple[JobId, ...] = ()  # jobs that must be done before this one starts
 
 
 @dataclass(frozen=True, slots=True)
 class DependencyListReference:
-    """Where the dependencies of a job are stored that are too many for its record."""
+    """Reference to a stored dependency list that is too long for its job's record."""
 
-    nonce: str  # of the one submission that wrote them
-    part_count: int
+    nonce: str  # unique to the submission that wrote the list
+    part_count: int  # values over which the list is split
 
 
 def is_valid_job_id(value: str) -> bool:
-    """Return whether a text has the form of a job id."""
+    """Return whether a string has the format of a job id."""
     return JOB_ID_PATTERN.match(value) is not None
 
 
 def parse_job_id(message: dict[str, Any]) -> JobId:
-    """Return the job id of a submission that may be malformed otherwise."""
+    """Return the job id of a submission. Its other fields are not checked."""
     value = message.get("nameId")
     if not isinstance(value, str) or not is_valid_job_id(value):
         raise MalformedMessageError("nameId")
@@ -79,7 +79,7 @@
 
 
 def _parse_dependencies(message: dict[str, Any]) -> tuple[JobId, ...]:
-    """Return the dependencies of a submission without repetitions, in their order."""
+    """Return the dependencies of a submission without duplicates, in the order given."""
     value = message.get("awaits")
     if value is None:
         return ()
@@ -100,9 +100,9 @@
 
 
 def parse_submission(message: dict[str, Any]) -> JobSpec:
-    """Return the job of a submission; unknown fields are ignored.
+    """Return the job that a submission describes; unknown fields are ignored.
 
-    Raises `MalformedMessageError` with the name of the first bad field.
+    Raises `MalformedMessageError` with the name of the first malformed field.
     """
     job = parse_job_id(message)
     if message.get("shape") not in SHAPES:
@@ -135,7 +135,8 @@
     )
 
 
-# The order of the attributes in a stored record, which can't change; their names are not stored.
+# Attributes of `JobSpec` in the order of a stored record. The record holds values without names, so
+# the order must not change.
 _STORED_FIELDS = (
     "job_class",
     "team",
@@ -163,10 +164,11 @@
 ) -> list[Any]:
     """Return the stored form of a job.
 
-    A job without dependencies is stored as it was before there were any, so that the version
-    before them can read it. For others one more element follows: the list of dependencies, or the
-    reference to it. That version can't read such a record: it knows the job, calls it pending and
-    starts none of its tasks, as it should, since it could not tell when they may start.
+    A job without dependencies is stored in the format of the version that did not support them, so
+    that this version can read it. For other jobs the record has one more element: the list of
+    dependencies, or the reference to it. The earlier version can't decode such a record: it reports
+    the job as pending and starts none of its tasks. That is intended, since it can't determine when
+    they may start.
     """
     record = [getattr(spec, field) for field in _STORED_FIELDS]
     if list_reference is not None:
@@ -177,7 +179,7 @@
 
 
 def parse_list_reference(record: Any) -> DependencyListReference | None:
-    """Return where a record's dependencies are stored; None if they are in the record itself."""
+    """Return a record's reference to its dependency list; None if it has no such reference."""
     if not isinstance(record, list) or len(record) != len(_STORED_FIELDS) + 1:
         return None
     last = record[-1]
@@ -190,15 +192,15 @@
 
 
 def record_with_dependencies(record: list[Any], dependencies: tuple[JobId, ...]) -> list[Any]:
-    """Return a record with these dependencies in place of the reference to them."""
+    """Return a record with these dependencies in place of the reference to their list."""
     return [*record[: len(_STORED_FIELDS)], list(dependencies)]
 
 
 def dependencies_from_record(record: Any) -> tuple[JobId, ...]:
     """Return the dependencies in a record.
 
-    Raises `MalformedMessageError` if they are stored elsewhere, so that a list that was not read is
-    never taken for an empty one.
+    Raises `MalformedMessageError` if the record holds a reference instead, so that a list that was
+    not read is never mistaken for an empty one.
     """
     field_count = len(_STORED_FIELDS)
     if not isinstance(record, list) or not field_count <= len(record) <= field_count + 1:
@@ -212,7 +214,7 @@
 
 
 def spec_from_record(job: JobId, record: Any) -> JobSpec:
-    """Return the job of a stored record that holds its whole list of dependencies."""
+    """Return the job of a stored record, which must hold its dependencies itself."""
     dependencies = dependencies_from_record(record)
     values = dict(zip(_STORED_FIELDS, record[: len(_STORED_FIELDS)], strict=True))
     if values["machine_types"] is not None:
@@ -227,9 +229,9 @@
     running_count: int | None = None,
     unmet_dependencies: tuple[str, ...] = (),
 ) -> bytes:
-    """Return the body of an answer with a job's state.
+    """Return the body of a response with a job's state.
 
-    The counts are those of its tasks. Some of the unmet dependencies are named, if there are any.
+    The counts are numbers of tasks. It lists at most `MAX_LISTED_DEPENDENCIES` unmet dependencies.
     """
     body: dict[str, Any] = {"nameId": job, "standing": state}
     if done_count is not None:
@@ -241,5 +243,5 @@
 
 
 def error_body(message: str) -> bytes:
-    """Return the body of a rejection, with a message for its user."""
+    """Return the body of a rejection, with a message for the user."""
     return orjson.dumps({"error": message})
--- a/src/eldercart/wire/workers.py
+++ b/src/eldercart/wire/workers.py
@@ -17,7 +17,7 @@
     TaskKey,
 )
 from eldercart.wire.checks import (
-    MAX_COUNT,
+    INTEGER_LIMIT,
     MalformedMessageError,
     require_boolean,
     require_integer,
@@ -27,7 +27,10 @@
 
 
 class TaskState(StrEnum):
-    """The states of a task that a worker reports. A report may hold others, which are kept."""
+    """The states of a task that a worker reports.
+
+    A heartbeat may hold others, which are kept as they are.
+    """
 
     FETCHING = "pulling"
     RUNNING = "running"
@@ -46,21 +49,21 @@
     UNKNOWN_TASK = "no_such"
 
 
-_EXITED = TaskState.EXITED  # looked up once
+_EXITED = TaskState.EXITED  # avoids an attribute lookup for each task
 
 
 class TaskStatus(NamedTuple):
-    """One task as a worker lists it."""
+    """One task in a worker's heartbeat."""
 
     key: TaskKey
     attempt: Attempt
-    state: str  # one of `TaskState`, or one that this version does not know
-    exit_cause: str | None  # of an exited task: one of `ExitCause`, or an unknown one
+    state: str  # one of `TaskState`, or a state unknown to this version
+    exit_cause: str | None  # of an exited task: one of `ExitCause`, or an unknown cause
 
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """A worker's periodic report: its machine, and all tasks that it holds."""
+    """A worker's periodic report about its machine and all tasks on it."""
 
     machine: MachineId
     address: str
@@ -69,15 +72,14 @@
     spot: bool
     sequence: HeartbeatSequence
     token: FencingToken  # the highest the worker has seen
-    preemption_notice_s: (
-        float | None
-    )  # seconds until the cloud takes the machine back, if it has said so
+    # Time until the cloud takes the machine back; None: the cloud has not announced it.
+    preemption_notice_s: float | None
     tasks: tuple[TaskStatus, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Launch:
-    """Starts a task."""
+    """Command to start a task."""
 
     key: TaskKey
     attempt: Attempt
@@ -85,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Kill:
-    """Stops a task; it has `grace_s` seconds to save its work."""
+    """Command to stop a task, which has `grace_s` seconds to save its work."""
 
     key: TaskKey
     attempt: Attempt
@@ -94,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Clear:
-    """Forgets a task that has exited."""
+    """Command to drop an exited task from the worker's list of tasks."""
 
     key: TaskKey
     attempt: Attempt
@@ -109,14 +111,14 @@
     machine: MachineId
     sequence: HeartbeatSequence
     token: FencingToken  # the highest the worker has seen
-    has_preemption_notice: bool  # whether the cloud has announced that it takes it back
-    tasks: Any  # the list as it came, only compared
+    has_preemption_notice: bool  # whether the cloud will take the machine back
+    tasks: Any  # the list as received; it is only compared
 
 
 def parse_heartbeat_header(obj: dict[str, Any]) -> HeartbeatHeader:
-    """Parse the header of a heartbeat; its tasks are not checked.
+    """Parse the header of a heartbeat; its tasks are not validated.
 
-    Called for each heartbeat, hundreds of times a second.
+    This is called for each heartbeat, hundreds of times a second.
     """
     return HeartbeatHeader(
         MachineId(require_text(obj, "wagon")),
@@ -130,19 +132,19 @@
 def parse_heartbeat(obj: dict[str, Any]) -> Heartbeat:
     """Parse a whole heartbeat.
 
-    Called hundreds of times a second, so the tasks are checked in place.
+    This is called hundreds of times a second, so the tasks are validated inline.
     """
     tasks: list[TaskStatus] = []
-    parcels = obj.get("parcels")
-    if parcels is not None and not isinstance(parcels, list):
+    task_objects = obj.get("parcels")
+    if task_objects is not None and not isinstance(task_objects, list):
         raise MalformedMessageError("parcels")
-    for item in parcels or ():
+    for item in task_objects or ():
         if not isinstance(item, dict):
             raise MalformedMessageError("parcels")
         key, attempt, state = item.get("parcel"), item.get("try"), item.get("standing")
         if not isinstance(key, str) or not key:
             raise MalformedMessageError("parcel")
-        if type(attempt) is not int or not 0 <= attempt < MAX_COUNT:
+        if type(attempt) is not int or not 0 <= attempt < INTEGER_LIMIT:
             raise MalformedMessageError("try")
         if not isinstance(state, str):
             raise MalformedMessageError("standing")
@@ -168,7 +170,7 @@
 
 
 def command_object(command: Command) -> dict[str, Any]:
-    """Return one command as workers read it."""
+    """Return the JSON object of a command."""
     match command:
         case Launch(key, attempt):
             return {"call": "launch", "parcel": key, "try": attempt}
@@ -178,17 +180,17 @@
             return {"call": "clear", "parcel": key, "try": attempt}
 
 
-# A line of a response holds at most 64 KiB; a command takes under 100 bytes.
+# A line of a response is limited to 64 KiB; a command takes less than 100 bytes.
 MAX_COMMANDS = 500
 
 
 def command_objects(commands: list[Command]) -> list[dict[str, Any]]:
-    """Return the commands of one response, as many as fit into it."""
+    """Return the JSON objects of the first commands, as many as fit into one response."""
     return [command_object(command) for command in commands[:MAX_COMMANDS]]
 
 
 def heartbeat_response_body(token: FencingToken, commands: list[dict[str, Any]]) -> bytes:
-    """Return the response to a heartbeat; `commands` as of `command_objects`."""
+    """Return the response to a heartbeat, with the result of `command_objects` as `commands`."""
     return orjson.dumps({"whip": token, "calls": commands})
 
 
@@ -205,6 +207,6 @@
     return orjson.dumps({"whip": token, "stint": agent_epoch, "calls": calls})
 
 
-def redirect_body(leader: NodeId | None) -> bytes:
-    """Where the worker should report instead, if that is known."""
-    return orjson.dumps({"droverBoss": leader} if leader else {})
+def redirect_body(target: NodeId | None) -> bytes:
+    """Return the body that redirects a worker to the target; None: no target is named."""
+    return orjson.dumps({"droverBoss": target} if target else {})
