--- a/src/eldercart/wire/named_leases.py
+++ b/src/eldercart/wire/named_leases.py
@@ -27,13 +27,13 @@
 )
 from eldercart.wire.state import Item
 
-LEASE_PREFIX = "duty/"  # of all keys except those of intent records
+LEASE_PREFIX = "duty/"  # prefix of all keys except those of intent records
 HOLDER_PREFIX = LEASE_PREFIX + "holder/"
 PAUSE_PREFIX = LEASE_PREFIX + "pause/"
 HAND_OVER_PREFIX = LEASE_PREFIX + "hand-over/"
 INTENT_PREFIX = "intent/"
 
-FEATURE_PREFIX = "duty."  # of the names of features that nodes announce to their peers
+FEATURE_PREFIX = "duty."  # prefix of the features that nodes announce to their peers
 
 MAX_REASON_LENGTH = 200  # characters
 
@@ -84,12 +84,12 @@
 
     node: NodeId
     incarnation: IncarnationId
-    held_since: WallTime  # by the holder's clock; displayed, never compared
+    held_since: WallTime  # the holder's clock; only displayed, never compared
 
 
 @dataclass(frozen=True, slots=True)
 class PauseRecord:
-    """A pause by an operator: nobody holds the lease until it is resumed."""
+    """A pause by an operator: no node holds the lease until it is resumed."""
 
     paused_at: WallTime
     reason: str
--- a/src/eldercart/wire/peers.py
+++ b/src/eldercart/wire/peers.py
@@ -126,9 +126,8 @@
     """The leader's reply to one forwarded heartbeat."""
 
     request_id: int
-    commands: (
-        list[dict[str, Any]] | None
-    )  # for the worker; None: the heartbeat is rejected as stale
+    # Commands for the worker; None: the heartbeat is rejected as stale.
+    commands: list[dict[str, Any]] | None
     wants_next: bool  # whether the machine's next heartbeat must also be forwarded
 
 
--- a/src/eldercart/wire/state.py
+++ b/src/eldercart/wire/state.py
@@ -115,7 +115,7 @@
 
     items: list[Item]
     has_more: bool  # whether another page follows
-    revision: Revision  # of the store when the page was read
+    revision: Revision  # revision of the store when the page was read
 
 
 def parse_range(body: bytes) -> RangePage:
--- a/src/eldercart/wire/stored_jobs.py
+++ b/src/eldercart/wire/stored_jobs.py
@@ -27,7 +27,7 @@
 
 # Field of a resolved record, never of a stored one: the reference that was resolved.
 _RESOLVED_LIST_FIELD = "l"
-_VALUE_FILL_RATIO = 0.8  # of the value limit; how the store counts bytes is not known
+_VALUE_FILL_RATIO = 0.8  # used share of the value limit; how the store counts bytes is unknown
 _INLINE_LIST_DIVISOR = 4  # a job record holds a dependency list of up to 1/4 of the value limit
 _LIST_ENTRY_OVERHEAD_BYTES = 3  # two quotes and a comma for each job id
 _LIST_OVERHEAD_BYTES = 2  # two brackets around the list
--- a/src/eldercart/wire/stored_placements.py
+++ b/src/eldercart/wire/stored_placements.py
@@ -14,7 +14,7 @@
 PLACEMENT_PREFIX = "place/"
 MAX_PLACEMENT_ENTRY_BYTES = 48  # upper bound for one placement in a record
 MIN_TASKS_PER_CHUNK, MAX_TASKS_PER_CHUNK = 8, 500
-_VALUE_FILL_RATIO = 0.8  # of the value limit; how the store counts bytes is not known
+_VALUE_FILL_RATIO = 0.8  # used share of the value limit; how the store counts bytes is unknown
 
 
 class EncodablePlacement(Protocol):
--- a/src/eldercart/wire/users.py
+++ b/src/eldercart/wire/users.py
@@ -21,7 +21,7 @@
 )
 
 MAX_TASKS = 100_000
-MAX_LIST_PARTS = 100_000  # of a dependency list; a submission of 64 KiB needs far fewer
+MAX_LIST_PARTS = 100_000  # parts of a dependency list; a submission of 64 KiB needs far fewer
 MAX_LISTED_DEPENDENCIES = 20  # unmet dependencies that a response lists
 SHAPES = ("sweep",)
 PRIORITIES = {"prod": 3, "urgent": 2, "standard": 1, "idle": 0}
@@ -50,7 +50,7 @@
     single_zone: bool  # all tasks must be in the same zone
     spread: bool  # at most half of the tasks, rounded up, may be in one zone
     allows_spot: bool
-    estimated_run_time_s: float  # of one task, excluding the fetch of its image
+    estimated_run_time_s: float  # for one task, excluding the fetch of its image
     checkpoint_interval_s: float  # progress between two checkpoints; 0: the tasks save none
     checkpoint_save_s: float  # time that a task needs to save when it is stopped
     deadline_s: float | None  # time after the submission; None: no deadline
@@ -164,11 +164,11 @@
 ) -> list[Any]:
     """Return the stored form of a job.
 
-    A job without dependencies is stored in the format of the version that did not support them, so
-    that this version can read it. For other jobs the record has one more element: the list of
-    dependencies, or the reference to it. The earlier version can't decode such a record: it reports
-    the job as pending and starts none of its tasks. That is intended, since it can't determine when
-    they may start.
+    A job without dependencies is stored in the format that was used before dependencies were
+    supported, so the earlier version can read it. For other jobs the record has one more element:
+    the list of dependencies, or the reference to it. The earlier version can't decode such a
+    record: it reports the job as pending and starts none of its tasks. That is intended, since it
+    can't determine when they may start.
     """
     record = [getattr(spec, field) for field in _STORED_FIELDS]
     if list_reference is not None:
--- a/src/eldercart/wire/workers.py
+++ b/src/eldercart/wire/workers.py
@@ -58,7 +58,7 @@
     key: TaskKey
     attempt: Attempt
     state: str  # one of `TaskState`, or a state unknown to this version
-    exit_cause: str | None  # of an exited task: one of `ExitCause`, or an unknown cause
+    exit_cause: str | None  # one of `ExitCause`, or an unknown cause; None: it has none
 
 
 @dataclass(frozen=True, slots=True)
@@ -111,7 +111,7 @@
     machine: MachineId
     sequence: HeartbeatSequence
     token: FencingToken  # the highest the worker has seen
-    has_preemption_notice: bool  # whether the cloud will take the machine back
+    has_preemption_notice: bool  # whether the cloud has announced that it takes the machine back
     tasks: Any  # the list as received; it is only compared
 
 
