--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Validation of what users and workers send, and the answers we read."""
+"""Validation of messages: submissions, heartbeats, frames, and responses of cloud and store."""
 
 import math
 from typing import Any
@@ -49,27 +49,31 @@
         ({"dueS": "soon"}, "dueS"),
     ],
 )
-def test_submission_refused(changes: dict[str, Any], field: str) -> None:
-    with pytest.raises(MalformedMessageError) as err:
+def test_malformed_submission_is_rejected_with_the_field_name(
+    changes: dict[str, Any], field: str
+) -> None:
+    with pytest.raises(MalformedMessageError) as error:
         users.parse_submission(submission("wk-000001", **changes))
-    assert str(err.value) == field
+    assert str(error.value) == field
 
 
 @pytest.mark.parametrize(
     "changes",
     [{}, {"parcels": 100_000}, {"dueS": 10}, {"breeds": ["a"], "yard": "b"}, {"new": {"x": 1}}],
 )
-def test_submission_taken_and_stored(changes: dict[str, Any]) -> None:
+def test_submission_is_unchanged_after_a_round_trip_through_the_store(
+    changes: dict[str, Any],
+) -> None:
     spec = users.parse_submission(submission("wk-000001", **changes))
     record = orjson.loads(orjson.dumps(users.spec_to_record(spec)))
     assert users.spec_from_record(spec.id, record) == spec
 
 
-def test_missing_fields_are_named() -> None:
+def test_submission_without_a_required_field_is_rejected() -> None:
     for field in submission("wk-000001"):
         body = submission("wk-000001")
         del body[field]
-        if field in ("breeds", "yard", "dueS"):  # may be null, so may be left out
+        if field in ("breeds", "yard", "dueS"):  # optional: may be null or absent
             users.parse_submission(body)
             continue
         with pytest.raises(MalformedMessageError):
@@ -77,18 +81,22 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[]", b"null", b'"x"', b"{" + b" " * 70_000 + b"}"])
-def test_bodies_refused(body: bytes) -> None:
+def test_request_body_that_is_too_long_or_no_object_is_rejected(body: bytes) -> None:
     with pytest.raises(MalformedMessageError):
         load_object(body)
 
 
-@pytest.mark.parametrize(("levels", "good"), [(1, True), (100, True), (300, False), (1022, False)])
-def test_what_goes_on_in_a_frame_is_not_nested_too_deeply(levels: int, good: bool) -> None:
-    """The parser takes 1,024 levels. A report with as many, handed on within a frame, would make
-    the frame unreadable: the leader would drop it with other workers' reports, and the link."""
+@pytest.mark.parametrize(
+    ("levels", "is_valid"), [(1, True), (100, True), (300, False), (1022, False)]
+)
+def test_deeply_nested_heartbeat_is_not_forwarded(levels: int, is_valid: bool) -> None:
+    """The parser allows 1,024 levels. A heartbeat with as many would exceed that inside a frame.
+
+    The leader would then drop the whole frame, with the heartbeats of other workers.
+    """
     body = b'{"x":' + b"[" * levels + b"]" * levels + b"}"
     load_object(body)
-    if good:
+    if is_valid:
         batch = [(1, orjson.dumps(load_nested_object(body)))]
         assert peers.parse_forwarded_heartbeats(
             peers.parse_frame(peers.encode_forwarded_heartbeats(workers.FencingToken(3), batch))
@@ -99,7 +107,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "why"),
+    ("changes", "reason"),
     [
         ({}, None),
         ({"crew": "nobody"}, "unknown team"),
@@ -112,13 +120,15 @@
         ({"crew": "t1", "cpus": 12.0}, None),
     ],
 )
-def test_never_runs(changes: dict[str, Any], why: str | None) -> None:
+def test_job_that_can_never_run_is_rejected_with_a_reason(
+    changes: dict[str, Any], reason: str | None
+) -> None:
     spec = users.parse_submission(submission("wk-000001", **changes))
     teams = parse_platform(PLATFORM).teams
-    assert feasibility.rejection_reason(spec, cloud.parse_catalog(CATALOG), teams) == why
+    assert feasibility.rejection_reason(spec, cloud.parse_catalog(CATALOG), teams) == reason
 
 
-def report(**changes: Any) -> dict[str, Any]:
+def heartbeat_object(**changes: Any) -> dict[str, Any]:
     return {
         "wagon": "n-1",
         "address": "10.1.0.1:9",
@@ -134,7 +144,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "good"),
+    ("changes", "is_valid"),
     [
         ({}, True),
         ({"recallS": 12.5, "extra": 1}, True),
@@ -147,33 +157,40 @@
         ({"parcels": [{"parcel": "wk-1/0", "standing": "running"}]}, False),
     ],
 )
-def test_report(changes: dict[str, Any], good: bool) -> None:
-    if good:
-        assert workers.parse_heartbeat(report(**changes)).sequence == (1, 3)
+def test_malformed_heartbeat_is_rejected(changes: dict[str, Any], is_valid: bool) -> None:
+    if is_valid:
+        assert workers.parse_heartbeat(heartbeat_object(**changes)).sequence == (1, 3)
     else:
         with pytest.raises(MalformedMessageError):
-            workers.parse_heartbeat(report(**changes))
+            workers.parse_heartbeat(heartbeat_object(**changes))
 
 
-def test_response_line_is_bounded() -> None:
-    many: list[workers.Command] = [
-        workers.Launch(workers.TaskKey(f"wk-000001/{i}"), workers.Attempt(1)) for i in range(5000)
+def test_response_with_many_commands_stays_below_64_kib() -> None:
+    commands: list[workers.Command] = [
+        workers.Launch(workers.TaskKey(f"wk-000001/{index}"), workers.Attempt(1))
+        for index in range(5000)
     ]
-    assert len(workers.commands_response_body(workers.FencingToken(3), many)) < 64 * 1024
+    assert len(workers.commands_response_body(workers.FencingToken(3), commands)) < 64 * 1024
 
 
-@pytest.mark.parametrize(("number", "size"), [(0, 10), (1, 64_000), (200, 60_000), (5000, 900)])
-def test_batches_of_reports_fit_their_frames(number: int, size: int) -> None:
-    """After a standstill all workers' reports may be handed on in one moment."""
-    body = b'{"a":"%b"}' % (b"x" * size)
-    items = [(i, body) for i in range(number)]
+@pytest.mark.parametrize(
+    ("heartbeat_count", "body_bytes"), [(0, 10), (1, 64_000), (200, 60_000), (5000, 900)]
+)
+def test_batches_of_heartbeats_fit_into_frames(heartbeat_count: int, body_bytes: int) -> None:
+    """After a stall the heartbeats of all workers may be forwarded at the same moment."""
+    body = b'{"a":"%b"}' % (b"x" * body_bytes)
+    heartbeats = [(request_id, body) for request_id in range(heartbeat_count)]
     frames = [
         peers.encode_forwarded_heartbeats(workers.FencingToken(3), batch)
-        for batch in peers.split_batches(items)
+        for batch in peers.split_batches(heartbeats)
+    ]
+    assert all(len(frame) <= peers.MAX_FRAME_BYTES for frame in frames)
+    received_ids = [
+        received_id
+        for frame in frames
+        for received_id, _ in peers.parse_forwarded_heartbeats(peers.parse_frame(frame))[1]
     ]
-    assert all(len(f) <= peers.MAX_FRAME_BYTES for f in frames)
-    got = [n for f in frames for n, _ in peers.parse_forwarded_heartbeats(peers.parse_frame(f))[1]]
-    assert got == list(range(number))
+    assert received_ids == list(range(heartbeat_count))
     assert peers.MAX_BATCH_ITEMS * workers.MAX_COMMANDS * 100 <= peers.MAX_FRAME_BYTES
 
 
@@ -188,6 +205,8 @@
         (state.parse_watch, b'{"ledgerRev":3,"log":[{"moved":"x"}]}'),
     ],
 )
-def test_malformed_answers_are_no_answers(parse: Any, body: bytes) -> None:
+def test_malformed_responses_of_cloud_and_state_service_are_rejected(
+    parse: Any, body: bytes
+) -> None:
     with pytest.raises(MalformedMessageError):
         parse(body)
