--- a/src/eldercart/server/leadership/__init__.py
+++ b/src/eldercart/server/leadership/__init__.py
@@ -1,1 +1,1 @@
-"""What a node does to become, be and stop being the leader."""
+"""Election, failover, and the work that a node does while it is the leader."""
--- a/src/eldercart/server/leadership/catalog_record.py
+++ b/src/eldercart/server/leadership/catalog_record.py
@@ -1,4 +1,4 @@
-"""The stored catalogue of machine types, for nodes that must decide while the cloud is down."""
+"""Writing of the machine type catalogue, which nodes use while the cloud is unavailable."""
 
 import logging
 from typing import NamedTuple, Protocol
@@ -18,11 +18,11 @@
 log = logging.getLogger("eldercart.node")
 
 CATALOG_KEY = "catalog"
-WRITE_RETRY_S = 1.0  # after a write of the catalogue that was not carried out
+WRITE_RETRY_S = 1.0  # delay after a write of the catalogue that was not committed
 
 
 class MachineTypeShape(NamedTuple):
-    """The properties of a machine type whose change is worth a write; prices change too often."""
+    """Properties of a machine type that trigger a write if they change; prices change too often."""
 
     name: str
     cpus: float
@@ -32,7 +32,7 @@
 
 
 def machine_type_shapes(types: dict[str, MachineType]) -> list[MachineTypeShape]:
-    """Return the properties of each type that are compared before the catalogue is written."""
+    """Return the shape of each type, to compare two catalogues."""
     return [
         MachineTypeShape(each.name, each.cpus, each.gpus, each.memory_gb, each.zones)
         for each in types.values()
@@ -57,7 +57,7 @@
         clock: Clock,
         max_value_bytes: int,
     ) -> None:
-        """Assume that what the node knows is stored, until a failover reads otherwise.
+        """Assume that the types this node knows are stored, until a failover finds otherwise.
 
         `max_value_bytes` is the state service's limit on one value.
         """
@@ -67,14 +67,14 @@
         self._clock = clock
         self._max_value_bytes = max_value_bytes
         self.catalog_owner: CatalogOwner | None = None  # None: the leader writes the catalogue
-        self.is_stored = True  # the types that this node knows, as far as it can tell
-        self.has_any_stored = True  # some catalogue is stored, as far as this node can tell
-        self._next_write_at = DISTANT_PAST  # the next write goes out no earlier
+        self.is_stored = True  # whether this node's types are stored, as far as it can tell
+        self.has_any_stored = True  # whether any catalogue is stored, as far as it can tell
+        self._next_write_at = DISTANT_PAST  # earliest time of the next write
 
     def sync(self, scheduler: Scheduler) -> None:
         """Copy the scheduler's types to the node, and write them if they differ from those stored.
 
-        Without a token for a write, the next call tries again.
+        If the retry delay has not passed or no write token is available, a later call writes them.
         """
         known = machine_type_shapes(self._machine_types.by_name)
         self._machine_types.by_name = dict(scheduler.cluster_state.types)
@@ -107,14 +107,14 @@
 
         def done(status: int | None, revision: Revision, failed: tuple[str, ...]) -> None:
             if status in (400, 413):
-                # Too large, say: to repeat it would use up the changes. This node knows the types,
-                # and the others answer with 503 as long as they don't.
+                # The value may be too large, for example. A retry would only use up write tokens.
+                # This node knows the types; other nodes answer 503 while they don't.
                 log.error("catalog rejected by the state store status=%s", status)
             elif status == 200:
                 self.has_any_stored = True
             elif is_current_leadership(self._leadership, scheduler):
-                # Its own submissions go on being judged; a repeat at every turn of the loop would
-                # use up the changes just when there are too few.
+                # This node can still validate submissions, so the retry can wait. A retry at each
+                # pass of the event loop would use up the write tokens just when they are scarce.
                 self.is_stored = False
                 self._next_write_at = MonotonicTime(self._clock() + WRITE_RETRY_S)
                 scheduler.cloud_requests.catalog_changed = True
--- a/src/eldercart/server/leadership/cloud_requests.py
+++ b/src/eldercart/server/leadership/cloud_requests.py
@@ -23,10 +23,10 @@
 
 CloudResponseCallback = Callable[[int | None, bytes], None]
 
-RATE_SHARE = 0.9  # of the cloud's limit that is used
+RATE_SHARE = 0.9  # share of the cloud's rate limit that the leader uses
 CONNECT_TIMEOUT_S = 2.0
 MAX_IDLE_CONNECTIONS = 6
-RESPONSE_TIMEOUT_S = 5.0  # for which an answer is waited for
+RESPONSE_TIMEOUT_S = 5.0
 
 
 class CloudRequestGate(Protocol):
@@ -35,17 +35,17 @@
     def process_events(
         self, scheduler: Scheduler, cloud_requests: "CloudRequests", now: MonotonicTime, /
     ) -> None:
-        """Send, record and read what is due."""
+        """Record, send and check the requests that are due."""
 
     def try_admit(self, scheduler: Scheduler, request: CloudRequest, now: MonotonicTime, /) -> bool:
-        """Return whether the gate takes the request; otherwise it is sent as it is."""
+        """Return whether the gate accepts the request; otherwise the caller sends it directly."""
 
     def direct_answer_callback(self, request: CloudRequest, /) -> CloudResponseCallback | None:
-        """Return the callback for the answer to a request that the gate did not take."""
+        """Return the response callback for a request that the gate did not accept."""
 
 
 class CloudRequests:
-    """Sends the scheduler's requests to the cloud and hands in their answers."""
+    """Sends the scheduler's requests to the cloud and passes the responses to the scheduler."""
 
     def __init__(
         self,
@@ -55,9 +55,9 @@
         settings: NodeSettings,
         clock: Clock,
     ) -> None:
-        """Nothing is connected before the first request.
+        """Connect only when the first request is sent.
 
-        `election` and `store` tell whether this node's lease allows a request now.
+        `election` and `store` determine whether this node's lease allows a request now.
         """
         rate = RATE_SHARE * settings.cloud_rps
         self._leadership = leadership
@@ -93,7 +93,7 @@
         request: CloudRequest,
         on_response: CloudResponseCallback | None = None,
     ) -> None:
-        """Send the request; `on_response` is called before the scheduler gets the answer."""
+        """Send the request; `on_response` is called before the scheduler gets the response."""
 
         def done(status: int | None, body: bytes) -> None:
             if on_response is not None:
--- a/src/eldercart/server/leadership/current_leadership.py
+++ b/src/eldercart/server/leadership/current_leadership.py
@@ -1,4 +1,4 @@
-"""Whether an answer still concerns the leadership that asked for it."""
+"""Check that a response still belongs to the leadership that sent the request."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -8,7 +8,7 @@
 
 
 class Leadership(Protocol):
-    """This node's leadership, as the parts that act in its name see it."""
+    """This node's leadership, as seen by the components that work for it."""
 
     @property
     def scheduler(self) -> Scheduler | None:
@@ -16,21 +16,21 @@
 
     @property
     def process_events_soon(self) -> Callable[[], None]:
-        """Schedules one `process_events` for all events of the next few milliseconds."""
+        """Function that schedules one `process_events` for all events of the next milliseconds."""
 
     def process_events(self) -> None:
-        """Carries out the work that the scheduler has now."""
+        """Carry out the work that the scheduler has now."""
 
     def observe_token(self, token: FencingToken, reason: str, /) -> None:
-        """Ends the leadership if the fencing token is higher than this node's own."""
+        """End the leadership if the fencing token is higher than this node's own."""
 
     def step_down(self, reason: str, /) -> None:
-        """Ends the leadership after a conditional write proved that another node leads."""
+        """End the leadership after a conditional write proved that another node leads."""
 
 
 def is_current_leadership(leadership: Leadership, scheduler: Scheduler) -> bool:
-    """Return whether that scheduler is the one that leads here.
+    """Return whether the scheduler belongs to this node's current leadership.
 
-    An answer that comes after its leadership must change nothing in the next one.
+    A response that arrives after its leadership has ended must not affect the next one.
     """
     return leadership.scheduler is scheduler
--- a/src/eldercart/server/leadership/election_service.py
+++ b/src/eldercart/server/leadership/election_service.py
@@ -21,37 +21,37 @@
 
 reactor: Any = _reactor
 
-WATCH_TIMEOUT_S = 20.0  # for which one request of the watch stays open
-WATCH_RETRY_S = 1.0  # before a watch that failed is tried again
+WATCH_TIMEOUT_S = 20.0  # how long one watch request stays open
+WATCH_RETRY_S = 1.0  # delay after a failed watch request
 
 
-class LeadershipTerms(Protocol):
-    """Receives the beginning and the end of each leadership."""
+class LeadershipLifecycle(Protocol):
+    """Receives the start and the end of each leadership of this node."""
 
     def start_failover(self) -> None:
-        """This node has been elected."""
+        """Start to lead: this node has been elected."""
 
     def end_leadership(self, reason: str, /) -> None:
-        """This node leads no longer, or may not."""
+        """Stop leading: this node is no longer the leader, or may not be."""
 
 
 class ElectionService:
     """Carries out the election's actions; owns the watch on the leader key."""
 
     def __init__(
-        self, election: Election, store: StoreClient, leadership: LeadershipTerms, clock: Clock
+        self, election: Election, store: StoreClient, leadership: LeadershipLifecycle, clock: Clock
     ) -> None:
-        """Nothing has been read yet."""
+        """Send nothing before the first `tick`."""
         self.election = election
         self._store = store
         self._leadership = leadership
         self._clock = clock
-        self.has_read_leader_key = False  # whether the leader key has been read once
+        self.has_read_leader_key = False  # True after the first successful read
         self._watch_revision = Revision(0)
         self._is_watching = False
 
     def tick(self, now: MonotonicTime) -> None:
-        """Carry out the election's next action, and keep the watch on the leader key."""
+        """Carry out the election's next action, and keep a watch on the leader key open."""
         self._run_next_action(now)
         if not self._is_watching and self.has_read_leader_key:
             self._watch()
@@ -64,12 +64,14 @@
                 return
             case ReadLeaderKey():
                 store.get(LEADER_KEY, lambda ok, item: self._on_leader_key_read(action, ok, item))
-            case GrantLease(life_s):
+            case GrantLease(ttl_s):
                 store.grant_lease(
-                    int(life_s * 1000), lambda lease: self._on_lease_opened(action, lease)
+                    int(ttl_s * 1000), lambda lease: self._on_lease_granted(action, lease)
                 )
             case KeepLeaseAlive(lease):
-                store.keep_lease_alive(lease, lambda alive: self._on_lease_renewed(action, alive))
+                store.keep_lease_alive(
+                    lease, lambda is_alive: self._on_keep_alive(action, is_alive)
+                )
             case RevokeLease(lease):
                 store.revoke_lease(lease, lambda ok: self._on_lease_revoked(action, ok))
             case Campaign(transaction):
@@ -77,12 +79,12 @@
                 store.writes.force_take(now)
                 store.commit(
                     transaction,
-                    lambda status, revision, failed: self._on_claim_result(
+                    lambda status, revision, failed: self._on_campaign_result(
                         action, status, revision
                     ),
                 )
 
-    def _on_lease_opened(self, action: ElectionAction, lease: LeaseId | None) -> None:
+    def _on_lease_granted(self, action: ElectionAction, lease: LeaseId | None) -> None:
         election, clock = self.election, self._clock
         if lease is None:
             election.on_action_failed(action, clock())
@@ -90,11 +92,11 @@
             election.on_lease_granted(lease, clock())
             self._run_next_action(clock())
 
-    def _on_lease_renewed(self, action: ElectionAction, alive: bool | None) -> None:
+    def _on_keep_alive(self, action: ElectionAction, is_alive: bool | None) -> None:
         election, clock = self.election, self._clock
-        if alive is None:
+        if is_alive is None:
             election.on_action_failed(action, clock())
-        elif election.on_keep_alive(alive, clock()):
+        elif election.on_keep_alive(is_alive, clock()):
             self._leadership.end_leadership("lease ended")
 
     def _on_lease_revoked(self, action: ElectionAction, ok: bool) -> None:
@@ -118,7 +120,7 @@
             self._leadership.start_failover()
         self._run_next_action(self._clock())
 
-    def _on_claim_result(
+    def _on_campaign_result(
         self, action: ElectionAction, status: int | None, revision: Revision
     ) -> None:
         election, now = self.election, self._clock()
@@ -134,7 +136,7 @@
     def _watch(self) -> None:
         self._is_watching = True
 
-        def changed(status: int | None, revision: Revision, events: list[Any]) -> None:
+        def on_events(status: int | None, revision: Revision, events: list[Any]) -> None:
             if status == 200:
                 self._watch_revision = max(self._watch_revision, revision)
                 if events:
@@ -145,24 +147,24 @@
             if status == 410:
                 self._resync_watch()
                 return
-            reactor.callLater(WATCH_RETRY_S, self._allow_watch)
+            reactor.callLater(WATCH_RETRY_S, self._clear_watching)
 
-        self._store.watch(LEADER_KEY, self._watch_revision, WATCH_TIMEOUT_S, changed)
+        self._store.watch(LEADER_KEY, self._watch_revision, WATCH_TIMEOUT_S, on_events)
 
     def _resync_watch(self) -> None:
-        """Find the revision to watch on from, as the store no longer keeps the changes since.
+        """Resume the watch at the current revision after the store has dropped older changes.
 
-        That is so after a cut of less than a minute. The key's own version may be older still:
-        only a range read gives the present revision.
+        A partition of less than a minute is enough for that. The leader key's own version may be
+        older still, so a range read is needed to get the current revision.
         """
 
-        def listed(items: list[Item] | None, revision: Revision) -> None:
+        def on_range_read(items: list[Item] | None, revision: Revision) -> None:
             if items is not None:
                 self._watch_revision = max(self._watch_revision, revision)
                 self.election.on_leader_key_changed(self._clock())
-            reactor.callLater(0.0 if items is not None else WATCH_RETRY_S, self._allow_watch)
+            reactor.callLater(0.0 if items is not None else WATCH_RETRY_S, self._clear_watching)
 
-        self._store.range(LEADER_KEY, listed)
+        self._store.range(LEADER_KEY, on_range_read)
 
-    def _allow_watch(self) -> None:
+    def _clear_watching(self) -> None:
         self._is_watching = False
--- a/src/eldercart/server/leadership/failover.py
+++ b/src/eldercart/server/leadership/failover.py
@@ -1,4 +1,4 @@
-"""The reads of the stored records by a node that has been elected."""
+"""Failover: a newly elected leader reads the stored records."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
@@ -17,12 +17,12 @@
 
 reactor: Any = _reactor
 
-READ_RETRY_S = 0.5  # before a prefix is read again that could not be read
+READ_RETRY_S = 0.5  # delay after a failed read of a prefix
 
 
 @dataclass(frozen=True, slots=True)
 class StoredRecords:
-    """All records that a new leader takes over."""
+    """All records that a new leader reads from the state service."""
 
     catalog: list[Item]
     jobs: list[Item]
@@ -30,12 +30,12 @@
     cleanup_markers: list[Item]
     learned_state: list[Item]
     dependency_lists: list[Item]  # read only if a job record refers to one
-    jobs_revision: Revision  # as of which the job records were read
-    additional_records: list[Item] = field(default_factory=list)  # of `additional_prefixes`
+    jobs_revision: Revision  # the revision at which the job records were read
+    additional_records: list[Item] = field(default_factory=list)  # under `additional_prefixes`
 
 
 class Failover:
-    """Reads the records prefix by prefix, each until it succeeds, and hands them over once."""
+    """Reads the records prefix by prefix, retries failed reads, and reports all records once."""
 
     def __init__(
         self,
@@ -43,8 +43,11 @@
         on_complete: Callable[[StoredRecords], None],
         additional_prefixes: Sequence[str] = (),
     ) -> None:
-        """`on_complete` is called when everything has been read, unless `cancel` came before;
-        `additional_prefixes` are read beside those that every leader reads."""
+        """Prepare the reads; `read_next` starts them.
+
+        `on_complete` is called when everything has been read, unless `cancel` is called earlier.
+        `additional_prefixes` are read in addition to those that every leader reads.
+        """
         self._store = store
         self._on_complete = on_complete
         self._is_cancelled = False
@@ -61,7 +64,7 @@
         self._jobs_revision = ABSENT_REVISION
 
     def cancel(self) -> None:
-        """Leadership ended before the records were read: drop the responses still to come."""
+        """Stop reading and ignore outstanding responses, as the leadership has ended."""
         self._is_cancelled = True
 
     def read_next(self) -> None:
@@ -84,7 +87,7 @@
         if prefix == JOB_PREFIX:
             self._jobs_revision = revision
             if any(has_dependency_list(item) for item in items):
-                # After the records: a list is there before the record that refers to it.
+                # Read after the records: a list is written before the record that refers to it.
                 self._prefixes.append(DEPENDENCY_LIST_PREFIX)
         self.read_next()
 
--- a/src/eldercart/server/leadership/job_outcomes.py
+++ b/src/eldercart/server/leadership/job_outcomes.py
@@ -1,4 +1,4 @@
-"""What the leadership asks of the job states that this node knows."""
+"""Interfaces through which the leadership uses the job states that this node knows."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -14,10 +14,10 @@
 
 
 class JobStates(JobOutcomes, Protocol):
-    """Job outcomes that are recorded as well, and job states read from the state service."""
+    """Job outcomes that can also be recorded, and job states read from the state service."""
 
     def record_outcome(self, job: JobId, outcome: str, /) -> None:
-        """Remember a durable outcome; it never changes."""
+        """Record a durable outcome, which never changes."""
 
     def read_job_state(
         self,
--- a/src/eldercart/server/leadership/job_record_watch.py
+++ b/src/eldercart/server/leadership/job_record_watch.py
@@ -1,6 +1,6 @@
 """The leader's watch on the job records that all nodes create.
 
-A record may refer to a dependency list, which is stored under keys of its own.
+A record may refer to a dependency list, which is stored under separate keys.
 """
 
 import logging
@@ -27,40 +27,40 @@
 reactor: Any = _reactor
 log = logging.getLogger("eldercart.node")
 
-WATCH_TIMEOUT_S = 10.0  # for which one request of the watch stays open
-WATCH_RETRY_S = 0.5  # before a watch that failed is tried again
-LIST_RETRY_S, MAX_LIST_RETRY_S = 0.5, 10.0  # pauses before a list is read again
+WATCH_TIMEOUT_S = 10.0  # how long one watch request stays open
+WATCH_RETRY_S = 0.5  # delay after a failed watch request or range read
+LIST_RETRY_S, MAX_LIST_RETRY_S = 0.5, 10.0  # first and longest delay before a list is reread
 
 
 class JobRecordWatch:
     """Adds the jobs that any node accepts to the scheduler, while this node leads.
 
-    Each request in flight belongs to the scheduler that it was made for; its response is dropped
-    once another one, or none, is in its place.
+    Each request in flight belongs to one scheduler. Its response is ignored if that scheduler has
+    been replaced or dropped in the meantime.
     """
 
     def __init__(
         self, leadership: Leadership, store: StoreClient, outcomes: JobOutcomes, clock: Clock
     ) -> None:
-        """`outcomes` tells of jobs that have ended, whose records are not added any more."""
+        """`outcomes` knows jobs that have ended; their records are not added any more."""
         self._leadership = leadership
         self._store = store
         self._outcomes = outcomes
         self._clock = clock
-        self._jobs_resolving: set[JobId] = set()  # jobs whose list of dependencies is being read
+        self._jobs_resolving: set[JobId] = set()  # jobs whose dependency list is being read
 
     def reset(self) -> None:
-        """Forget the reads of the leadership before."""
+        """Discard the list reads of the previous leadership."""
         self._jobs_resolving.clear()
 
     # -- the watch
 
     def watch(self, scheduler: Scheduler, after: Revision) -> None:
-        """Add each record that is created after that revision."""
+        """Add each job record that is created after the revision."""
         if not is_current_leadership(self._leadership, scheduler):
             return
 
-        def got(status: int | None, revision: Revision, events: list[Any]) -> None:
+        def on_watch_response(status: int | None, revision: Revision, events: list[Any]) -> None:
             if not is_current_leadership(self._leadership, scheduler):
                 return
             if status == 200:
@@ -71,7 +71,7 @@
             else:
                 reactor.callLater(WATCH_RETRY_S, self.watch, scheduler, after)
 
-        self._store.watch(JOB_PREFIX, after, WATCH_TIMEOUT_S, got)
+        self._store.watch(JOB_PREFIX, after, WATCH_TIMEOUT_S, on_watch_response)
 
     def _on_events(self, events: list[Any]) -> None:
         for event in events:
@@ -81,11 +81,11 @@
             self._leadership.process_events_soon()
 
     def _resync(self, scheduler: Scheduler) -> None:
-        """Read all records and watch on: the state service no longer keeps all the changes."""
+        """Read all records and resume the watch, as the state service has dropped older changes."""
         if not is_current_leadership(self._leadership, scheduler):
             return
 
-        def got(items: list[Item] | None, revision: Revision) -> None:
+        def on_range_read(items: list[Item] | None, revision: Revision) -> None:
             if not is_current_leadership(self._leadership, scheduler):
                 return
             if items is None:
@@ -95,15 +95,15 @@
                 self.add_record(item)
             self.watch(scheduler, revision)
 
-        self._store.range(JOB_PREFIX, got)
+        self._store.range(JOB_PREFIX, on_range_read)
 
     # -- single records
 
     def add_record(self, item: Item) -> None:
         """Add a job to the scheduler, with its dependency list if the record refers to one.
 
-        As long as the list can't be read the job stays unknown to the scheduler: polls read its
-        state from the state service, and no task of it may start.
+        Until the list has been read, the scheduler does not know the job: polls read its state
+        from the state service, and none of its tasks may start.
         """
         scheduler = self._leadership.scheduler
         job = JobId(item.key[len(JOB_PREFIX) :])
@@ -118,7 +118,7 @@
     def _read_dependency_list(
         self, scheduler: Scheduler, job: JobId, item: Item, retry_s: float
     ) -> None:
-        """Read the list that the record refers to, with retries until it is there."""
+        """Read the list that the record refers to, and retry until it is complete."""
         if not is_current_leadership(self._leadership, scheduler):
             return
         reference = decode_dependency_list_reference(item.value)
@@ -127,7 +127,7 @@
             self._jobs_resolving.discard(job)
             return
 
-        def got(lists: list[Item] | None, revision: Revision) -> None:
+        def on_lists_read(lists: list[Item] | None, revision: Revision) -> None:
             if not is_current_leadership(self._leadership, scheduler):
                 return
             record = None if lists is None else resolve_dependency_list(job, item, lists)
@@ -140,7 +140,7 @@
             else:
                 self._add_resolved_record(scheduler, job, record)
 
-        self._store.range(dependency_list_prefix(job, reference), got)
+        self._store.range(dependency_list_prefix(job, reference), on_lists_read)
 
     def _add_resolved_record(self, scheduler: Scheduler, job: JobId, record: Item) -> None:
         self._jobs_resolving.discard(job)
@@ -150,22 +150,22 @@
 
 
 def has_dependency_list(item: Item) -> bool:
-    """Return whether the job's dependencies are stored under keys of their own."""
+    """Return whether the job's dependencies are stored under separate keys."""
     try:
         return decode_dependency_list_reference(item.value) is not None
     except MalformedMessageError:
-        return False  # unreadable in any case; whoever reads it says so
+        return False  # the code that loads the record reports it as unreadable
 
 
 class ResolvedRecords(NamedTuple):
-    """Job records by whether their dependency lists were found."""
+    """Job records, divided by whether their dependency lists were found."""
 
-    resolved: list[Item]  # with their lists in them
-    unresolved: list[Item]  # as they are; their lists are not all there
+    resolved: list[Item]  # records that contain their dependencies
+    unresolved: list[Item]  # unchanged records whose lists are incomplete
 
 
 def resolve_dependency_lists(records: list[Item], lists: list[Item]) -> ResolvedRecords:
-    """Put the dependency lists into the job records that refer to them."""
+    """Insert the dependency lists into the job records that refer to them."""
     lists_by_job: dict[str, list[Item]] = {}
     for item in lists:
         lists_by_job.setdefault(
--- a/src/eldercart/server/leadership/leader_service.py
+++ b/src/eldercart/server/leadership/leader_service.py
@@ -1,6 +1,6 @@
-"""A node's leadership: failover when it is elected, then the scheduler and its work.
+"""A node's leadership: failover after its election, then the scheduler and its work.
 
-The parts beside this module carry that work out.
+The other modules of this package carry out that work.
 """
 
 import gc
@@ -36,15 +36,15 @@
 
 log = logging.getLogger("eldercart.node")
 
-ISOLATION_TIMEOUT_S = 5.0  # without a message from any peer or worker; then the leader resigns
-EVENT_BATCH_DELAY_S = 0.02  # in which events gather before they are processed together
+ISOLATION_TIMEOUT_S = 5.0  # the leader resigns without a message from a peer or worker
+EVENT_BATCH_DELAY_S = 0.02  # events of this period are processed together
 
 
 class HeartbeatResponse(NamedTuple):
     """The leader's response to one heartbeat of a worker."""
 
-    commands: list[dict[str, Any]] | None  # for the worker; None: the heartbeat is outdated
-    wants_next: bool  # whether the machine's next heartbeat is needed even if nothing changes
+    commands: list[dict[str, Any]] | None  # None: the heartbeat is outdated or malformed
+    wants_next: bool  # whether the next heartbeat must be forwarded even if it is unchanged
 
 
 class SingletonTasks(CleanupPolicy, CatalogOwner, Protocol):
@@ -61,10 +61,10 @@
     def on_leadership_gained(
         self, scheduler: Scheduler, records: list[Item], now: MonotonicTime, /
     ) -> None:
-        """Take over what earlier leaders recorded under `stored_prefixes`."""
+        """Start a leadership with the records of earlier leaders under `stored_prefixes`."""
 
     def on_leadership_lost(self) -> None:
-        """Record and send nothing more in this leadership's name."""
+        """Stop recording and sending requests for this leadership."""
 
 
 class RelayLease(Protocol):
@@ -75,11 +75,11 @@
 
 
 class PeerStatus(Protocol):
-    """What the peers have said last."""
+    """State of the peers, as of their last heartbeats."""
 
     @property
     def last_peer_contact_at(self) -> MonotonicTime:
-        """When any peer was heard last."""
+        """Time of the last message from any peer."""
 
     def all_support(self, feature: str, /) -> bool:
         """Return whether every node supports the feature."""
@@ -90,7 +90,7 @@
 
     @property
     def links(self) -> Mapping[NodeId, object]:
-        """The connections to the peers; empty for a node that is alone."""
+        """The connections to the peers; empty for a node without peers."""
 
     @property
     def relay(self) -> RelayLease:
@@ -98,14 +98,14 @@
 
     @property
     def peer_heartbeats(self) -> PeerStatus:
-        """The heartbeats between the nodes."""
+        """The heartbeats between the nodes, and the peer state in them."""
 
     def request_next_heartbeats(self, machines_by_node: dict[NodeId, list[MachineId]], /) -> None:
-        """Ask each node to forward the next heartbeats of these of its machines."""
+        """Ask each node to forward the next heartbeats of its listed machines."""
 
 
 class LeaderService:
-    """Owns the scheduler, which exists while this node leads and has read the records."""
+    """Owns the scheduler, which exists while this node leads and has completed its failover."""
 
     def __init__(
         self,
@@ -115,7 +115,7 @@
         job_states: JobStates,
         machine_types: KnownMachineTypes,
     ) -> None:
-        """Not leading yet; nothing may be called before `connect`."""
+        """Start as a follower; `connect` must be called before any other method."""
         clock, settings = context.clock, context.settings
         self._context = context
         self._clock = clock
@@ -137,10 +137,10 @@
         self._cloud_requests = CloudRequests(self, election, store, settings, clock)
         self._worker_requests = WorkerRequests(self, settings.sockets, clock)
         self._started_at = clock()
-        self.last_heartbeat_at = clock()  # of any worker, received here or by a relay
+        self.last_heartbeat_at = clock()  # from any worker, received here or by a relay
 
     def connect(self, peer_nodes: Peers, singleton_tasks: SingletonTasks | None) -> None:
-        """Set the parts that are built after this one; `singleton_tasks` None: switched off."""
+        """Set the components that are built later; `singleton_tasks` is None if disabled."""
         self._peers = peer_nodes
         self._singleton_tasks = singleton_tasks
         self._store_requests.cleanup_policy = singleton_tasks
@@ -153,10 +153,10 @@
         """Whether this node leads and has completed its failover."""
         return self.scheduler is not None and self._election.role is Role.LEADER
 
-    # -- terms
+    # -- start and end of a leadership
 
     def start_failover(self) -> None:
-        """This node has been elected: read all records, then start the scheduler."""
+        """Read all records after this node's election, then start the scheduler."""
         self._discard_scheduler()
         self.job_record_watch.reset()
         self._store.set_leader(True)
@@ -221,12 +221,12 @@
             self.end_leadership(reason)
 
     def step_down(self, reason: str) -> None:
-        """End the leadership: a conditional write has shown that another node leads."""
+        """End the leadership, as a failed conditional write proves that another node leads."""
         self._election.on_write_fenced(self._clock())
         self.end_leadership(reason)
 
     def end_leadership(self, reason: str) -> None:
-        """Leadership is over, or may be: do nothing more in its name."""
+        """Stop all work of the leader, as the leadership has ended or may have ended."""
         if self._singleton_tasks is not None:
             self._singleton_tasks.on_leadership_lost()
         if self.scheduler is not None:
@@ -238,7 +238,7 @@
         self._peers.relay.revoke_lease()
 
     def tick(self, now: MonotonicTime) -> None:
-        """Run what is due by the clock; resign if neither peers nor workers reach this node."""
+        """Run the periodic work that is due; resign if no peer or worker reaches this node."""
         scheduler = self.scheduler
         if scheduler is None:
             return
@@ -265,17 +265,21 @@
         self._context.metrics.record("plan", duration_s)
 
     def exclude_stall(self, seconds: float) -> None:
-        """Exclude a time in which this process did not run from the silence of machines.
+        """Exclude a stall of this process from the time since the machines' last heartbeats.
 
-        Whether this node still leads only the state service can tell: another may have been
-        elected meanwhile.
+        This does not check the leadership: another node may have been elected during the stall,
+        and only the state service knows that.
         """
         self.last_heartbeat_at = MonotonicTime(self.last_heartbeat_at + seconds)
         if self.scheduler is not None:
             self.scheduler.exclude_stall(seconds)
 
     def _is_isolated(self, scheduler: Scheduler, now: MonotonicTime) -> bool:
-        """Return whether only the state service is reachable: another node would lead better."""
+        """Return whether no peer or worker has reached this leader for `ISOLATION_TIMEOUT_S`.
+
+        Such a leader reaches only the state service, so another node can lead better. A leader
+        without peers or without machines never counts as isolated.
+        """
         if not self._peers.links or not scheduler.inventory.machines:
             return False
         since = max(
@@ -285,7 +289,7 @@
         )
         return now - since > ISOLATION_TIMEOUT_S
 
-    # -- what follows from events
+    # -- the scheduler's work
 
     def process_events(self) -> None:
         """Carry out the work that the scheduler has now, as far as the rate limits allow."""
@@ -315,10 +319,10 @@
     def handle_forwarded_heartbeat(
         self, message: dict[str, Any], token: FencingToken, relay: NodeId, now: MonotonicTime
     ) -> HeartbeatResponse:
-        """Handle a heartbeat as a relay forwarded it under the fencing token."""
+        """Handle a heartbeat that a relay forwarded under the fencing token."""
         scheduler = self.scheduler
         if scheduler is None or not self.is_active or token != scheduler.token:
-            # Nothing is known of the machine here, so its next heartbeat is needed.
+            # This node has no state for the machine, so its next heartbeat is needed.
             return HeartbeatResponse([], True)
         try:
             heartbeat = workers.parse_heartbeat(message)
@@ -330,7 +334,7 @@
     def handle_heartbeat(
         self, heartbeat: workers.Heartbeat, relay: NodeId, now: MonotonicTime
     ) -> HeartbeatResponse:
-        """Handle a heartbeat that came in at `relay`, which may be this node."""
+        """Handle a heartbeat that was received by `relay`, which may be this node."""
         scheduler = self.scheduler
         if scheduler is None or heartbeat.token > scheduler.token:
             return HeartbeatResponse([], True)
@@ -345,16 +349,16 @@
     def record_relayed_heartbeats(
         self, relay: NodeId, heartbeats: AcknowledgedHeartbeats, now: MonotonicTime
     ) -> None:
-        """Record the last heartbeat of each machine that a relay answered by itself."""
+        """Record the heartbeats that a relay acknowledged itself, the last one of each machine."""
         if self.scheduler is not None:
             self.scheduler.record_relayed_heartbeats(relay, heartbeats, now)
 
     def on_relay_lost(self, relay: NodeId) -> None:
-        """The connection from that relay was lost."""
+        """Record that the connection to the relay was lost."""
         if self.scheduler is not None:
             self.scheduler.on_relay_lost(relay)
 
     def on_response_undelivered(self, machine: MachineId) -> None:
-        """The last response to that machine surely came too late."""
+        """Record that the machine did not receive its last response in time."""
         if self.scheduler is not None:
             self.scheduler.on_response_undelivered(machine)
--- a/src/eldercart/server/leadership/state_store_requests.py
+++ b/src/eldercart/server/leadership/state_store_requests.py
@@ -1,4 +1,4 @@
-"""The reads and writes that the leader's scheduler asks of the state service."""
+"""The leader's reads and writes of the state service for its scheduler."""
 
 import logging
 from typing import Protocol
@@ -29,23 +29,23 @@
     413: TransactionOutcome.INVALID,
     429: TransactionOutcome.REJECTED,
     503: TransactionOutcome.REJECTED,
-}  # any other status, or none: unknown
-MAX_OUTCOME_READS = 20  # ends of awaited jobs that are read at once
-MAX_LOGGED_BYTES = 300  # of a transaction that was answered unexpectedly
+}  # any other status, or no response: INDETERMINATE
+MAX_OUTCOME_READS = 20  # end records of dependencies that one pass reads
+MAX_LOGGED_BYTES = 300  # of a transaction that failed unexpectedly
 
 
 class CleanupPolicy(Protocol):
     """Decides whether the leader may delete the remaining records of ended jobs."""
 
     def cleanup_permit(self, scheduler: Scheduler, now: MonotonicTime, /) -> CleanupPermit:
-        """Return the present permit, with the conditions that a cleanup is committed under."""
+        """Return the current permit, with the conditions under which a cleanup is committed."""
 
     def on_write_fenced(self) -> None:
-        """A conditional write failed: the lease that permitted it may be lost."""
+        """Handle a failed conditional write: the lease that permitted it may be lost."""
 
 
 class StateStoreRequests:
-    """Carries out the scheduler's reads and commits as far as the rate limits allow."""
+    """Carries out the scheduler's reads and commits within the rate limits."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         self.cleanup_policy: CleanupPolicy | None = None  # None: cleanup is always permitted
 
     def process_events(self, scheduler: Scheduler, now: MonotonicTime) -> None:
-        """Start the requests that are due, in the order of their urgency."""
+        """Send the requests that are due, most urgent first."""
         if self.cleanup_policy is not None:
             scheduler.transaction_writer.cleanup_permit = self.cleanup_policy.cleanup_permit(
                 scheduler, now
@@ -102,7 +102,7 @@
             self._read_outcome(scheduler, job)
 
     def _read_outcome(self, scheduler: Scheduler, job: JobId) -> None:
-        """Read the outcome of a dependency that is not in the job registry any more."""
+        """Look up the outcome of a dependency that is no longer in the job registry."""
         outcome = self._outcomes.outcome_of(job)
         if outcome is not None:
             scheduler.on_end_lookup_result(job, outcome, self._clock())
@@ -168,6 +168,8 @@
     outcome = OUTCOME_BY_STATUS.get(status, TransactionOutcome.INDETERMINATE)
     if outcome in (TransactionOutcome.INVALID, TransactionOutcome.INDETERMINATE):
         log.error(
-            "transaction answered %d: %s", status, pending.transaction.body()[:MAX_LOGGED_BYTES]
+            "transaction answered status=%d body=%s",
+            status,
+            pending.transaction.body()[:MAX_LOGGED_BYTES],
         )
     return outcome
--- a/src/eldercart/server/leadership/user_answers.py
+++ b/src/eldercart/server/leadership/user_answers.py
@@ -1,4 +1,4 @@
-"""The leader's replies to users' polls and cancellations, whichever node received them."""
+"""The leader's replies to users' polls and cancellations, which any node may receive."""
 
 from collections.abc import Callable
 from typing import Any
@@ -15,7 +15,7 @@
 
 reactor: Any = _reactor
 
-CANCEL_TIMEOUT_S = 1.5  # for which a cancellation waits for its durable end
+CANCEL_TIMEOUT_S = 1.5  # how long a cancellation waits for the job's durable outcome
 
 
 class UserAnswers:
@@ -24,7 +24,7 @@
     def __init__(
         self, leadership: Leadership, election: Election, job_states: JobStates, clock: Clock
     ) -> None:
-        """`election` tells whether this node is within its leader lease."""
+        """`election` determines whether this node is within its leader lease."""
         self._leadership = leadership
         self._election = election
         self._job_states = job_states
@@ -32,16 +32,19 @@
         self._waiters: dict[JobId, list[ReplyOnce]] = {}
 
     def reset(self) -> None:
-        """Leadership ended: the waiting cancellations are answered by their time-outs."""
+        """Drop the waiting cancellations at the end of the leadership; their time-outs reply."""
         self._waiters.clear()
 
     def on_job_finished(self, job: JobId, outcome: str) -> None:
-        """The job's outcome is durable: answer the cancellations that wait for it."""
+        """Reply to the cancellations that wait for the job's outcome, which is now durable."""
         for waiter in self._waiters.pop(job, ()):
             waiter(outcome)
 
     def job_reply(self, request_id: int, job: JobId) -> peers.JobReply:
-        """Return the reply to a poll; a state that may change only within the leader lease."""
+        """Return the reply to a poll.
+
+        A state that may still change is returned only while this node is within its leader lease.
+        """
         outcome = self._job_states.outcome_of(job)
         if outcome is not None:
             return peers.JobReply(request_id, outcome, 0, 0)
@@ -60,7 +63,7 @@
     def cancel(self, job: JobId, on_reply: Callable[[str], None]) -> None:
         """Cancel the job and call `on_reply` once.
 
-        It gets the job's durable outcome, or one of the reply states of `wire.peers`.
+        `on_reply` gets the job's durable outcome or one of the reply states of `wire.peers`.
         """
         scheduler = self._leadership.scheduler
         outcome = self._job_states.outcome_of(job)
@@ -76,9 +79,10 @@
             self._wait_for_outcome(job, on_reply)
 
     def _read_state_and_cancel(self, job: JobId, on_reply: Callable[[str], None]) -> None:
-        """Read the job's state first, which adds its record to the scheduler.
+        """Read the job's state, which adds its record to the scheduler, and then cancel it.
 
-        The watch may lag behind another node's acceptance.
+        The scheduler may not know the job yet: the watch on job records may lag behind a node
+        that has accepted it.
         """
         leadership = self._leadership
 
@@ -97,7 +101,7 @@
         )
 
     def _wait_for_outcome(self, job: JobId, on_reply: Callable[[str], None]) -> None:
-        """Reply once the outcome is durable, which takes one commit."""
+        """Reply when the outcome is durable, which takes one commit."""
         waiter = ReplyOnce(on_reply)
         self._waiters.setdefault(job, []).append(waiter)
         reactor.callLater(CANCEL_TIMEOUT_S, waiter, peers.UNDECIDED)
@@ -105,14 +109,14 @@
 
 
 class ReplyOnce:
-    """Passes on the first reply only: the outcome or the time-out, whichever comes first."""
+    """Forwards only the first reply: the outcome or the time-out, whichever occurs first."""
 
     def __init__(self, on_reply: Callable[[str], None]) -> None:
         """`on_reply` is called at most once."""
         self._on_reply: Callable[[str], None] | None = on_reply
 
     def __call__(self, state: str) -> None:
-        """Reply, unless that has been done before."""
+        """Reply, unless a reply has already been sent."""
         on_reply, self._on_reply = self._on_reply, None
         if on_reply is not None:
             on_reply(state)
--- a/src/eldercart/server/leadership/worker_requests.py
+++ b/src/eldercart/server/leadership/worker_requests.py
@@ -13,16 +13,16 @@
 
 log = logging.getLogger("eldercart.node")
 
-SOCKETS_PER_CONNECTION = 20  # of the node's sockets, for each concurrent request to a worker
+SOCKETS_PER_CONNECTION = 20  # one connection to workers per this many of the node's sockets
 MIN_CONNECTIONS = 4
-EXECUTED, OTHER_AGENT_EPOCH = 200, 409  # the statuses that come with the worker's report
+STATUS_EXECUTED, STATUS_OTHER_AGENT_EPOCH = 200, 409  # statuses whose response contains a heartbeat
 
 
 class WorkerRequests:
-    """Sends requests to workers; a response goes to the scheduler that made the request."""
+    """Sends requests to workers and passes each response to the scheduler that requested it."""
 
     def __init__(self, leadership: Leadership, max_sockets: int, clock: Clock) -> None:
-        """`max_sockets` is the node's limit on open sockets, of which this uses a share."""
+        """`max_sockets` limits the node's open sockets; requests to workers use a share of them."""
         self._leadership = leadership
         self._clock = clock
         self._client = WorkerClient(max(MIN_CONNECTIONS, max_sockets // SOCKETS_PER_CONNECTION))
@@ -35,14 +35,14 @@
             self._send_kill(scheduler, kill)
 
     def _probe(self, scheduler: Scheduler, machine: MachineId, address: str) -> None:
-        """Ask a silent machine by `/show` whether it is alive.
+        """Send a liveness probe (`/show`) to a machine that has been silent.
 
-        The tasks that it lists are not read: the answer may cross the response to a heartbeat and
-        lack what that response launches.
+        The tasks in the response are ignored: it may overlap with the response to a heartbeat and
+        lack the tasks that the latter launches.
         """
 
         def on_heartbeat(status: int, heartbeat: workers.Heartbeat) -> None:
-            if status == EXECUTED:
+            if status == STATUS_EXECUTED:
                 scheduler.record_probe_success(machine, self._clock())
 
         self._request(scheduler, machine, address, "/show", None, on_heartbeat)
@@ -55,7 +55,7 @@
                 self._leadership.observe_token(heartbeat.token, "a worker has seen a higher epoch")
             else:
                 scheduler.on_direct_kill_response(
-                    heartbeat, sent_at, self._clock(), executed=status == EXECUTED
+                    heartbeat, sent_at, self._clock(), executed=status == STATUS_EXECUTED
                 )
                 self._leadership.process_events_soon()
 
@@ -71,12 +71,12 @@
         body: bytes | None,
         on_heartbeat: Callable[[int, workers.Heartbeat], None],
     ) -> None:
-        """Call `on_heartbeat(status, heartbeat)` if that machine answers with its heartbeat."""
+        """Send a request; call `on_heartbeat` if this machine responds with its heartbeat."""
 
-        def got(status: int | None, data: bytes) -> None:
+        def on_response(status: int | None, data: bytes) -> None:
             if not is_current_leadership(self._leadership, scheduler):
                 return
-            if status not in (EXECUTED, OTHER_AGENT_EPOCH):
+            if status not in (STATUS_EXECUTED, STATUS_OTHER_AGENT_EPOCH):
                 return
             try:
                 heartbeat = workers.parse_heartbeat(load_object(data))
@@ -86,4 +86,4 @@
             if heartbeat.machine == machine:
                 on_heartbeat(status, heartbeat)
 
-        self._client.request(address, path, body, got)
+        self._client.request(address, path, body, on_response)
