--- a/tests/test_leading.py
+++ b/tests/test_leading.py
@@ -1,7 +1,8 @@
-"""A leader's calls under way when its leadership ends: what they bring must not reach the next.
+"""Leadership: requests in flight when it ends, failover reads, and replies to users' polls.
 
-A node may lead, lose the leadership and be elected again within a second; the controller of the new
-leadership has read the records anew and knows nothing of the old one's calls."""
+A node may lose the leadership and be elected again within a second. The scheduler of the new
+leadership has read the records again and has no state for the requests of the previous one, so
+their responses must not reach it."""
 
 from collections.abc import Callable
 from types import SimpleNamespace
@@ -47,31 +48,31 @@
 from world import submission
 
 NOW = MonotonicTime(5.0)
-REPORT = (
+HEARTBEAT = (
     b'{"wagon":"n-1","address":"a:1","breed":"b","yard":"z","loaners":false,"stint":1,"tally":2,'
     b'"whip":7,"parcels":[]}'
 )
 
 
-class Place:
-    """A node without sockets that keeps the callbacks of what is asked."""
+class FakeNode:
+    """A node without sockets that keeps the callback of each request."""
 
     def __init__(self) -> None:
-        self.answers: list[Callable[..., Any]] = []
+        self.callbacks: list[Callable[..., Any]] = []
         tokens = SimpleNamespace(
             available=lambda now, reserve=0.0: 10.0,
             try_take=lambda now: True,
             force_take=lambda now, number=1: None,
         )
-        keep = self.answers.append
+        keep_callback = self.callbacks.append
         self.store = SimpleNamespace(
             requests=tokens,
             writes=tokens,
             unavailable_at=MonotonicTime(0.0),
-            get=lambda key, done: keep(done),
-            range=lambda prefix, done: keep(done),
-            commit=lambda txn, done: keep(done),
-            watch=lambda key, after, wait_s, done: keep(done),
+            get=lambda key, done: keep_callback(done),
+            range=lambda prefix, done: keep_callback(done),
+            commit=lambda txn, done: keep_callback(done),
+            watch=lambda key, after, wait_s, done: keep_callback(done),
         )
         self.leader_service = SimpleNamespace(
             scheduler=None,
@@ -100,12 +101,12 @@
             cast(Any, SimpleNamespace(cloud=Mock(), cloud_rps=5.0)),
             lambda: NOW,
         )
-        requests._client = cast(Any, Mock(request=lambda *args: self.answers.append(args[-1])))
+        requests._client = cast(Any, Mock(request=lambda *args: self.callbacks.append(args[-1])))
         return requests
 
     def worker_requests(self) -> WorkerRequests:
         requests = WorkerRequests(cast(Any, self.leader_service), 100, lambda: NOW)
-        requests._client = cast(Any, Mock(request=lambda *args: self.answers.append(args[-1])))
+        requests._client = cast(Any, Mock(request=lambda *args: self.callbacks.append(args[-1])))
         return requests
 
     def job_record_watch(self) -> JobRecordWatch:
@@ -126,89 +127,97 @@
         )
 
     def scheduler(self) -> Any:
-        """One that asks for nothing yet."""
-        controller = Mock(
+        """Return a mock scheduler that requests nothing yet."""
+        scheduler = Mock(
             keys_to_refresh=set(), refreshes_in_flight=set(), token=FencingToken(7), jobs={}
         )
-        controller.take_due_end_lookups.return_value = []
-        controller.next_transaction.return_value = (
-            controller.next_learned_state_transaction.return_value
+        scheduler.take_due_end_lookups.return_value = []
+        scheduler.next_transaction.return_value = (
+            scheduler.next_learned_state_transaction.return_value
         ) = None
-        controller.next_cloud_request.return_value = None
-        controller.take_probes.return_value = controller.take_direct_kills.return_value = []
-        controller.on_transaction_result.return_value = False
-        return controller
+        scheduler.next_cloud_request.return_value = None
+        scheduler.take_probes.return_value = scheduler.take_direct_kills.return_value = []
+        scheduler.on_transaction_result.return_value = False
+        return scheduler
 
 
-def reread(place: Place, controller: Any) -> tuple[Any, tuple[Any, ...]]:
-    controller.keys_to_refresh.add("place/1-1")
-    place.store_requests().process_events(controller, NOW)
-    return controller.on_key_refreshed, (True, None)
+def refresh_key(node: FakeNode, scheduler: Any) -> tuple[Any, tuple[Any, ...]]:
+    scheduler.keys_to_refresh.add("place/1-1")
+    node.store_requests().process_events(scheduler, NOW)
+    return scheduler.on_key_refreshed, (True, None)
 
 
-def end(place: Place, controller: Any) -> tuple[Any, tuple[Any, ...]]:
-    controller.take_due_end_lookups.return_value = [JobId("wk-1")]
-    place.store_requests().process_events(controller, NOW)
-    return controller.on_end_lookup_result, (True, None)
+def read_outcome(node: FakeNode, scheduler: Any) -> tuple[Any, tuple[Any, ...]]:
+    scheduler.take_due_end_lookups.return_value = [JobId("wk-1")]
+    node.store_requests().process_events(scheduler, NOW)
+    return scheduler.on_end_lookup_result, (True, None)
 
 
-def write(place: Place, controller: Any) -> tuple[Any, tuple[Any, ...]]:
-    controller.next_transaction.return_value = SimpleNamespace(transaction=Transaction({}))
-    place.store_requests().process_events(controller, NOW)
-    return controller.on_transaction_result, (200, Revision(3), ())
+def commit(node: FakeNode, scheduler: Any) -> tuple[Any, tuple[Any, ...]]:
+    scheduler.next_transaction.return_value = SimpleNamespace(transaction=Transaction({}))
+    node.store_requests().process_events(scheduler, NOW)
+    return scheduler.on_transaction_result, (200, Revision(3), ())
 
 
-def cloud_call(place: Place, controller: Any) -> tuple[Any, tuple[Any, ...]]:
-    controller.next_cloud_request.side_effect = [GetCatalog(), None]
-    place.cloud_requests().process_events(controller, NOW)
-    return controller.on_cloud_response, (200, b"{}")
+def send_cloud_request(node: FakeNode, scheduler: Any) -> tuple[Any, tuple[Any, ...]]:
+    scheduler.next_cloud_request.side_effect = [GetCatalog(), None]
+    node.cloud_requests().process_events(scheduler, NOW)
+    return scheduler.on_cloud_response, (200, b"{}")
 
 
-def probe(place: Place, controller: Any) -> tuple[Any, tuple[Any, ...]]:
-    controller.take_probes.return_value = [(MachineId("n-1"), "a:1")]
-    place.worker_requests().process_events(controller, NOW)
-    return controller.record_probe_success, (200, REPORT)
+def probe(node: FakeNode, scheduler: Any) -> tuple[Any, tuple[Any, ...]]:
+    scheduler.take_probes.return_value = [(MachineId("n-1"), "a:1")]
+    node.worker_requests().process_events(scheduler, NOW)
+    return scheduler.record_probe_success, (200, HEARTBEAT)
 
 
-def order(place: Place, controller: Any) -> tuple[Any, tuple[Any, ...]]:
-    controller.take_direct_kills.return_value = [
+def send_direct_kill(node: FakeNode, scheduler: Any) -> tuple[Any, tuple[Any, ...]]:
+    scheduler.take_direct_kills.return_value = [
         DirectKill(MachineId("n-1"), "a:1", AgentEpoch(1), ())
     ]
-    place.worker_requests().process_events(controller, NOW)
-    return controller.on_direct_kill_response, (200, REPORT)
+    node.worker_requests().process_events(scheduler, NOW)
+    return scheduler.on_direct_kill_response, (200, HEARTBEAT)
 
 
-def watch(place: Place, controller: Any) -> tuple[Any, tuple[Any, ...]]:
-    place.job_record_watch().watch(controller, Revision(4))
+def watch_job_records(node: FakeNode, scheduler: Any) -> tuple[Any, tuple[Any, ...]]:
+    node.job_record_watch().watch(scheduler, Revision(4))
     item = Item(JOB_PREFIX + "wk-1", {"s": []}, Revision(5))
-    learners = Mock()
-    controller.load_job_record = learners
-    if place.leader_service.scheduler is not None:
-        place.leader_service.scheduler.load_job_record = learners
-    return learners, (200, Revision(5), [item])
-
-
-CALLS = [reread, end, write, cloud_call, probe, order, watch]
-
-
-@pytest.mark.parametrize("start", CALLS, ids=lambda start: start.__name__)
-@pytest.mark.parametrize("later", ["it leads on", "it leads anew", "it leads no more"])
-def test_answers_reach_only_the_controller_that_asked(start: Any, later: str) -> None:
-    place = Place()
-    asked = place.leader_service.scheduler = place.scheduler()
-    taken, answer = start(place, asked)
-    assert len(place.answers) == 1
-    if later != "it leads on":
-        place.leader_service.scheduler = place.scheduler() if later == "it leads anew" else None
-    if place.leader_service.scheduler is not None:
-        place.leader_service.scheduler.load_job_record = asked.load_job_record
-    place.answers.pop()(*answer)
-    assert taken.called is (later == "it leads on")
-    if later != "it leads on":
-        assert not place.answers, "nothing more is asked in its name"
+    load_job_record = Mock()
+    scheduler.load_job_record = load_job_record
+    if node.leader_service.scheduler is not None:
+        node.leader_service.scheduler.load_job_record = load_job_record
+    return load_job_record, (200, Revision(5), [item])
+
+
+REQUESTS = [
+    refresh_key,
+    read_outcome,
+    commit,
+    send_cloud_request,
+    probe,
+    send_direct_kill,
+    watch_job_records,
+]
+
+
+@pytest.mark.parametrize("start", REQUESTS, ids=lambda start: start.__name__)
+@pytest.mark.parametrize("later", ["same leadership", "new leadership", "no leadership"])
+def test_responses_reach_only_the_scheduler_that_sent_the_request(start: Any, later: str) -> None:
+    node = FakeNode()
+    requester = node.leader_service.scheduler = node.scheduler()
+    handler, response = start(node, requester)
+    assert len(node.callbacks) == 1
+    if later != "same leadership":
+        node.leader_service.scheduler = node.scheduler() if later == "new leadership" else None
+    if node.leader_service.scheduler is not None:
+        node.leader_service.scheduler.load_job_record = requester.load_job_record
+    node.callbacks.pop()(*response)
+    assert handler.called is (later == "same leadership")
+    if later != "same leadership":
+        assert not node.callbacks, "the response caused another request"
         assert (
-            not place.leader_service.process_events.called
-            and not place.leader_service.process_events_soon.called
+            not node.leader_service.process_events.called
+            and not node.leader_service.process_events_soon.called
         )
 
 
@@ -225,20 +234,23 @@
         (503, TransactionOutcome.REJECTED),
     ],
 )
-def test_what_a_status_says_of_a_write(status: int | None, outcome: TransactionOutcome) -> None:
-    """Taken for refused, a write that may have been applied would be repeated under its old
-    versions; taken for unknown, a refused one would be looked for."""
-    place = Place()
-    controller = place.leader_service.scheduler = place.scheduler()
-    write(place, controller)
-    place.answers.pop()(status, Revision(3), ())
-    assert controller.on_transaction_result.call_args.args[1] is outcome
+def test_response_status_determines_the_transaction_outcome(
+    status: int | None, outcome: TransactionOutcome
+) -> None:
+    """A write that may have been committed must not count as rejected: it would be repeated under
+    its old versions. A rejected write must not count as indeterminate: the leader would check
+    whether it was committed."""
+    node = FakeNode()
+    scheduler = node.leader_service.scheduler = node.scheduler()
+    commit(node, scheduler)
+    node.callbacks.pop()(status, Revision(3), ())
+    assert scheduler.on_transaction_result.call_args.args[1] is outcome
 
 
 @pytest.mark.parametrize("leads", [True, False])
-def test_refused_catalogue_concerns_only_its_own_leadership(leads: bool) -> None:
-    place = Place()
-    kind = SimpleNamespace(
+def test_rejected_catalog_write_is_retried_only_by_its_own_leadership(leads: bool) -> None:
+    node = FakeNode()
+    machine_type = SimpleNamespace(
         name="b",
         cpus=1.0,
         gpus=0.0,
@@ -250,37 +262,37 @@
         boot_s=1.0,
         zones=("z",),
     )
-    controller = place.scheduler()
-    controller.cluster_state.types = {"b": kind}
-    place.leader_service.scheduler = controller
-    record = place.catalog_record()
-    record.sync(controller)
+    scheduler = node.scheduler()
+    scheduler.cluster_state.types = {"b": machine_type}
+    node.leader_service.scheduler = scheduler
+    record = node.catalog_record()
+    record.sync(scheduler)
     if not leads:
-        place.leader_service.scheduler = place.scheduler()
-    place.answers.pop()(503, Revision(0), ())
-    assert controller.cloud_requests.catalog_changed is leads
+        node.leader_service.scheduler = node.scheduler()
+    node.callbacks.pop()(503, Revision(0), ())
+    assert scheduler.cloud_requests.catalog_changed is leads
     assert record.is_stored is not leads
-    assert place.machine_types.by_name, "this node's own submissions go on being judged"
+    assert node.machine_types.by_name, "this node can still validate submissions"
 
 
-# -- the take-over
+# -- failover
 
 
-class Reading:
-    """A take-over whose reads are answered by hand."""
+class FailoverReads:
+    """A failover whose reads are answered by the test."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.asked: list[tuple[str, Callable[..., Any]]] = []
-        self.later: list[Callable[[], Any]] = []
+        self.pending: list[tuple[str, Callable[..., Any]]] = []
+        self.retries: list[Callable[[], Any]] = []
         self.done: list[StoredRecords] = []
-        reactor = SimpleNamespace(callLater=lambda _, call: self.later.append(call))
+        reactor = SimpleNamespace(callLater=lambda _, call: self.retries.append(call))
         monkeypatch.setattr(failover, "reactor", reactor)
-        store = SimpleNamespace(range=lambda prefix, got: self.asked.append((prefix, got)))
-        self.takeover = Failover(cast(Any, store), self.done.append)
-        self.takeover.read_next()
+        store = SimpleNamespace(range=lambda prefix, got: self.pending.append((prefix, got)))
+        self.failover = Failover(cast(Any, store), self.done.append)
+        self.failover.read_next()
 
     def answer(self, items: list[Item] | None, revision: int = 1) -> str:
-        prefix, got = self.asked.pop()
+        prefix, got = self.pending.pop()
         got(items, Revision(revision))
         return prefix
 
@@ -289,82 +301,87 @@
     return Item(JOB_PREFIX + "wk-1", {}, Revision(3))
 
 
-@pytest.mark.parametrize("listed", [False, True])
-def test_take_over_reads_all_records_once(listed: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The watch goes on from the revision at which the jobs were read: from a later one a job
-    that was accepted between two reads would never be heard of."""
-    monkeypatch.setattr(failover, "has_dependency_list", lambda item: listed)
-    reading = Reading(monkeypatch)
-    wanted = [CATALOG_KEY, JOB_PREFIX, PLACEMENT_PREFIX, CLEANUP_PREFIX, LEARNED_STATE_PREFIX] + (
-        [DEPENDENCY_LIST_PREFIX] if listed else []
-    )
-    for number, prefix in enumerate(wanted):
-        assert not reading.done
+@pytest.mark.parametrize("has_list", [False, True])
+def test_failover_reads_all_records_once(has_list: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The watch on job records starts at the revision of their read. If it started at a later one,
+    it would miss a job that was accepted between two reads."""
+    monkeypatch.setattr(failover, "has_dependency_list", lambda item: has_list)
+    reads = FailoverReads(monkeypatch)
+    expected_prefixes = [
+        CATALOG_KEY,
+        JOB_PREFIX,
+        PLACEMENT_PREFIX,
+        CLEANUP_PREFIX,
+        LEARNED_STATE_PREFIX,
+    ] + ([DEPENDENCY_LIST_PREFIX] if has_list else [])
+    for number, prefix in enumerate(expected_prefixes):
+        assert not reads.done
         items = [job_item()] if prefix == JOB_PREFIX else []
-        assert reading.answer(None) == prefix, "not read"
-        reading.later.pop()()
-        assert reading.answer(items, 10 + number) == prefix
-    (records,) = reading.done
+        assert reads.answer(None) == prefix, "failed read"
+        reads.retries.pop()()
+        assert reads.answer(items, 10 + number) == prefix
+    (records,) = reads.done
     assert records.jobs == [job_item()] and records.jobs_revision == 11
-    assert not reading.asked and not reading.later
+    assert not reads.pending and not reads.retries
 
 
 @pytest.mark.parametrize("answered", [0, 1, 4])
-@pytest.mark.parametrize("last", ["read", "not read", "to be read again"])
-def test_abandoned_take_over_is_never_finished(
+@pytest.mark.parametrize("last", ["read", "read failed", "retry pending"])
+def test_cancelled_failover_never_completes(
     answered: int, last: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its records may be older than what another leader has written since."""
-    reading = Reading(monkeypatch)
+    """The records that it read may be older than what another leader has written since."""
+    reads = FailoverReads(monkeypatch)
     for _ in range(answered):
-        reading.answer([])
-    if last == "to be read again":
-        reading.answer(None)
-        reading.takeover.cancel()
-        reading.later.pop()()
+        reads.answer([])
+    if last == "retry pending":
+        reads.answer(None)
+        reads.failover.cancel()
+        reads.retries.pop()()
     else:
-        reading.takeover.cancel()
-        reading.answer([] if last == "read" else None)
-    assert not reading.done and not reading.asked and not reading.later
+        reads.failover.cancel()
+        reads.answer([] if last == "read" else None)
+    assert not reads.done and not reads.pending and not reads.retries
 
 
-def test_lists_are_read_only_for_the_leadership_that_began_it(
+def test_dependency_lists_are_added_only_by_the_leadership_that_read_them(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A job learned by an old leadership's read would be learned without the new one's own."""
+    """A response to a read of the previous leadership must add the job to neither scheduler; the
+    new leadership reads the list itself."""
     monkeypatch.setattr(job_record_watch, "has_dependency_list", lambda item: True)
     reference = users.DependencyListReference("abc", 2)
     monkeypatch.setattr(
         job_record_watch, "decode_dependency_list_reference", lambda value: reference
     )
     monkeypatch.setattr(job_record_watch, "resolve_dependency_list", lambda job, item, lists: item)
-    place = Place()
-    records = place.job_record_watch()
-    old = place.leader_service.scheduler = place.scheduler()
+    node = FakeNode()
+    records = node.job_record_watch()
+    old = node.leader_service.scheduler = node.scheduler()
     records.add_record(job_item())
-    new = place.leader_service.scheduler = place.scheduler()
-    place.answers.pop()([], Revision(4))
+    new = node.leader_service.scheduler = node.scheduler()
+    node.callbacks.pop()([], Revision(4))
     assert not old.load_job_record.called and not new.load_job_record.called
     records.reset()
     records.add_record(job_item())
-    place.answers.pop()([], Revision(5))
+    node.callbacks.pop()([], Revision(5))
     assert new.load_job_record.called and not old.load_job_record.called
 
 
-# -- what it tells users
+# -- replies to users
 
 RUNNING = JobStatus(users.RUNNING, 3, 1)
 
 
 @pytest.mark.parametrize(
-    ("name", "after", "renewed", "leads", "final", "status", "verdict"),
+    ("name", "after", "renewed", "leads", "outcome", "status", "expected_state"),
     [
-        ("within its lease", 2.9, False, True, None, RUNNING, users.RUNNING),
-        ("does not know it", 2.9, False, True, None, LookupFailure.UNKNOWN_JOB, peers.UNKNOWN),
-        ("can't tell", 2.9, False, True, None, LookupFailure.UNDECIDED, peers.UNDECIDED),
-        ("its lease has ended", 2.95, False, True, None, RUNNING, peers.NOT_LEADER),
+        ("within the lease", 2.9, False, True, None, RUNNING, users.RUNNING),
+        ("unknown job", 2.9, False, True, None, LookupFailure.UNKNOWN_JOB, peers.UNKNOWN),
+        ("undecided", 2.9, False, True, None, LookupFailure.UNDECIDED, peers.UNDECIDED),
+        ("lease expired", 2.95, False, True, None, RUNNING, peers.NOT_LEADER),
         (
-            "ended, and it knows no such job",
+            "lease expired and unknown job",
             2.95,
             False,
             True,
@@ -372,24 +389,33 @@
             LookupFailure.UNKNOWN_JOB,
             peers.NOT_LEADER,
         ),
-        ("its lease is renewed", 2.95, True, True, None, RUNNING, users.RUNNING),
-        ("the renewed one has ended", 5.5, True, True, None, RUNNING, peers.NOT_LEADER),
-        ("does not lead", 1.0, False, False, None, RUNNING, peers.NOT_LEADER),
-        ("an end does not change any more", 9.0, False, True, users.DONE, RUNNING, users.DONE),
-        ("nor where nobody leads", 9.0, False, False, users.CANCELLED, RUNNING, users.CANCELLED),
+        ("lease renewed", 2.95, True, True, None, RUNNING, users.RUNNING),
+        ("renewed lease expired", 5.5, True, True, None, RUNNING, peers.NOT_LEADER),
+        ("not leading", 1.0, False, False, None, RUNNING, peers.NOT_LEADER),
+        ("durable outcome after lease expiry", 9.0, False, True, users.DONE, RUNNING, users.DONE),
+        (
+            "durable outcome without leadership",
+            9.0,
+            False,
+            False,
+            users.CANCELLED,
+            RUNNING,
+            users.CANCELLED,
+        ),
     ],
 )
-def test_a_leader_tells_what_may_change_only_within_its_lease(
+def test_leader_reports_unfinished_states_only_within_its_lease(
     name: str,
     after: float,
     renewed: bool,
     leads: bool,
-    final: str | None,
+    outcome: str | None,
     status: JobStatus | LookupFailure,
-    verdict: str,
+    expected_state: str,
 ) -> None:
-    """Another node may lead afterwards and have told of an end: `running` would go back on that.
-    The lease is one of 3 s, less the drift of 2 %, and counts from when it was asked for."""
+    """After the lease has expired, another node may lead and have reported the job's end, which a
+    reply of `running` would contradict. The lease lasts 3 s, less 2 % for clock drift, and starts
+    when it is requested."""
     election = Election(NodeId("n"), 3.0, 0.02)
     election.on_leader_key_read(None, NOW)
     election.next_action(NOW)
@@ -399,22 +425,23 @@
     if renewed:
         election.next_action(MonotonicTime(NOW + 2.0))
         election.on_keep_alive(True, MonotonicTime(NOW + 2.3))
-    controller = SimpleNamespace(job_status=lambda job: status) if leads else None
+    scheduler = SimpleNamespace(job_status=lambda job: status) if leads else None
     user_answers = UserAnswers(
-        cast(Any, SimpleNamespace(scheduler=controller)),
+        cast(Any, SimpleNamespace(scheduler=scheduler)),
         election,
-        cast(Any, SimpleNamespace(outcome_of=lambda job: final)),
+        cast(Any, SimpleNamespace(outcome_of=lambda job: outcome)),
         lambda: MonotonicTime(NOW + after),
     )
-    told = user_answers.job_reply(7, JobId("wk-1"))
-    assert (told.request_id, told.state) == (7, verdict), name
-    assert (told.done_count, told.running_count) == (
-        (3, 1) if verdict == users.RUNNING else (0, 0)
+    reply = user_answers.job_reply(7, JobId("wk-1"))
+    assert (reply.request_id, reply.state) == (7, expected_state), name
+    assert (reply.done_count, reply.running_count) == (
+        (3, 1) if expected_state == users.RUNNING else (0, 0)
     ), name
 
 
-def test_a_marker_stays_while_the_list_of_its_job_is_not_read() -> None:
-    """Without the marker of an ended job the leader takes it for open when it has its list."""
+def test_cleanup_marker_is_kept_while_the_dependency_list_is_unread() -> None:
+    """The leader would treat an ended job without its cleanup marker as open once it has read the
+    job's dependency list."""
     node, clock, sent = leading_node(None, cloud.parse_catalog(CATALOG))
     spec = users.parse_submission(submission("wk-000001", awaits=["wk-000000"]))
     record = encode_job_record(spec, 50, clock.now, users.DependencyListReference("abc", 1))
@@ -431,8 +458,9 @@
     assert "gone/wk-000001" not in deleted
 
 
-def test_a_job_whose_list_is_read_late_has_ended_as_its_marker_says() -> None:
-    """Its record alone would make it an open job, and its tasks would run once it is ready."""
+def test_job_with_a_late_dependency_list_ends_as_its_cleanup_marker_says() -> None:
+    """From its record alone the job would count as open, and its tasks would run once it is
+    ready."""
     node, clock, _ = leading_node(None, cloud.parse_catalog(CATALOG))
     spec = users.parse_submission(submission("wk-000001", awaits=["wk-000000"]))
     reference = users.DependencyListReference("abc", 1)
@@ -441,9 +469,9 @@
     node.leader_service._complete_failover(
         FencingToken(6), StoredRecords([], [job], [], [marker], [], [], Revision(5))
     )
-    controller = node.leader_service.scheduler
-    assert controller is not None and JobId("wk-000001") not in controller.jobs
-    controller.load_job_record(
+    scheduler = node.leader_service.scheduler
+    assert scheduler is not None and JobId("wk-000001") not in scheduler.jobs
+    scheduler.load_job_record(
         Item(job.key, encode_job_record(spec, 50, clock.now), Revision(3)), clock.now
     )
-    assert controller.job_status(JobId("wk-000001")) == JobStatus(users.CANCELLED, 0, 0)
+    assert scheduler.job_status(JobId("wk-000001")) == JobStatus(users.CANCELLED, 0, 0)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""The watch on the leader key after a cut in which more has changed than the store keeps."""
+"""The watch on the leader key after the store has dropped changes that a node has not seen."""
 
 from types import SimpleNamespace
 from typing import Any, cast
@@ -10,28 +10,30 @@
 from eldercart.units import IncarnationId, MonotonicTime, NodeId, Revision
 
 
-def test_watch_goes_on_from_what_a_list_tells(monkeypatch: Any) -> None:
-    """The leader key's own version may be too old as well: to watch from there is refused at once,
-    again and again, and a change of leader would be seen late."""
-    asked: list[tuple[Revision, Any]] = []
+def test_leader_key_watch_resumes_at_the_revision_of_a_range_read(monkeypatch: Any) -> None:
+    """The leader key's own version may be too old as well. The store would reject each watch from
+    that version at once, and the node would detect a change of leader late."""
+    watches: list[tuple[Revision, Any]] = []
     store = SimpleNamespace(
-        watch=lambda key, after, wait_s, done: asked.append((after, done)),
+        watch=lambda key, after, wait_s, done: watches.append((after, done)),
         range=lambda key, done: done([], Revision(50_000)),
     )
     election = Election(NodeId("n0"), 2.0, 0.02, IncarnationId("x"))
     monkeypatch.setattr(
-        election_service, "reactor", SimpleNamespace(callLater=lambda _, what, *args: what(*args))
+        election_service,
+        "reactor",
+        SimpleNamespace(callLater=lambda _, callback, *args: callback(*args)),
     )
-    leadership = SimpleNamespace()  # neither begins nor ends here
-    e = ElectionService(
+    leadership = SimpleNamespace()  # starts and ends no leadership in this test
+    service = ElectionService(
         election, cast(Any, store), cast(Any, leadership), lambda: MonotonicTime(7.0)
     )
-    e._watch()
-    after, done = asked[-1]
+    service._watch()
+    after, done = watches[-1]
     assert after == 0
     done(410, Revision(0), [])
-    e._watch()
-    assert [after for after, _ in asked] == [0, 50_000]
+    service._watch()
+    assert [after for after, _ in watches] == [0, 50_000]
     assert isinstance(election.next_action(MonotonicTime(7.0)), ReadLeaderKey), (
-        "it asks who leads now"
+        "the node reads the leader key again"
     )
