--- a/src/eldercart/server/leadership/catalog_record.py
+++ b/src/eldercart/server/leadership/catalog_record.py
@@ -108,7 +108,7 @@
         def done(status: int | None, revision: Revision, failed: tuple[str, ...]) -> None:
             if status in (400, 413):
                 # The value may be too large, for example. A retry would only use up write tokens.
-                # This node knows the types; other nodes answer 503 while they don't.
+                # This node knows the types; nodes that don't know them answer submissions with 503.
                 log.error("catalog rejected by the state store status=%s", status)
             elif status == 200:
                 self.has_any_stored = True
--- a/src/eldercart/server/leadership/job_record_watch.py
+++ b/src/eldercart/server/leadership/job_record_watch.py
@@ -42,7 +42,7 @@
     def __init__(
         self, leadership: Leadership, store: StoreClient, outcomes: JobOutcomes, clock: Clock
     ) -> None:
-        """`outcomes` knows jobs that have ended; their records are not added any more."""
+        """`outcomes` gives the jobs that have ended, whose records are no longer added."""
         self._leadership = leadership
         self._store = store
         self._outcomes = outcomes
--- a/src/eldercart/server/leadership/leader_service.py
+++ b/src/eldercart/server/leadership/leader_service.py
@@ -36,7 +36,7 @@
 
 log = logging.getLogger("eldercart.node")
 
-ISOLATION_TIMEOUT_S = 5.0  # the leader resigns without a message from a peer or worker
+ISOLATION_TIMEOUT_S = 5.0  # without any message from a peer or worker, the leader resigns
 EVENT_BATCH_DELAY_S = 0.02  # events of this period are processed together
 
 
@@ -48,7 +48,7 @@
 
 
 class SingletonTasks(CleanupPolicy, CatalogOwner, Protocol):
-    """The named leases of this node, as far as its leadership uses them."""
+    """The part of this node's named leases that its leadership uses."""
 
     @property
     def stored_prefixes(self) -> tuple[str, ...]:
@@ -86,7 +86,7 @@
 
 
 class Peers(Protocol):
-    """The other nodes, as far as the leadership uses them."""
+    """The part of the peer connections that the leadership uses."""
 
     @property
     def links(self) -> Mapping[NodeId, object]:
