--- a/src/eldercart/singleton/__init__.py
+++ b/src/eldercart/singleton/__init__.py
@@ -1,8 +1,9 @@
 """Named leases: work that exactly one controller node does at a time, under a fencing token.
 
-`lease_directory` holds what the state service knows of all named leases; `lease_candidate` is one
-node's part in them, by the rules of `eligibility` and `holder_preference`. `intents` and
-`write_ahead_gate` record what the cloud may be asked for before it is asked. `maintenance_calendar`
-says when work that may wait is done; `operator_commands` and `status_report` serve operators. All
-are state machines or functions without I/O, clock or random numbers.
+`lease_directory` mirrors the keys of all named leases at the state service. `lease_candidate`
+acquires and releases them for one node, by the rules of `eligibility` and `holder_preference`.
+`intents` and `write_ahead_gate` record each change to the cloud's machines before it is requested.
+`maintenance_calendar` schedules work that can be deferred. `operator_commands` and `status_report`
+serve operators. All modules are state machines or pure functions without I/O, clock or random
+numbers.
 """
--- a/src/eldercart/singleton/candidate_actions.py
+++ b/src/eldercart/singleton/candidate_actions.py
@@ -1,4 +1,4 @@
-"""What a candidate for named leases asks of the state service, one action at a time."""
+"""Actions that a `LeaseCandidate` requests from the state service, one at a time."""
 
 from dataclasses import dataclass
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Acquire:
-    """Create the holder key of a named lease, or replace it in the version that was seen."""
+    """Create the holder key of a named lease, or replace it if its version is unchanged."""
 
     lease_name: LeaseName
     transaction: Transaction
--- a/src/eldercart/singleton/eligibility.py
+++ b/src/eldercart/singleton/eligibility.py
@@ -1,4 +1,4 @@
-"""Whether this node may hold a named lease: the rules, and what they judge by."""
+"""Rules that decide whether this node may hold a named lease, and their inputs."""
 
 from collections.abc import Collection
 from dataclasses import dataclass
@@ -11,39 +11,39 @@
 
 
 class IneligibilityReason(Enum):
-    """Why this node may not hold a named lease, or not go on holding it."""
+    """Why this node may not acquire a named lease, or has to release it."""
 
     DISABLED = "disabled"  # switched off on this node, or the node is shutting down
-    NOT_SUPPORTED_BY_ALL = "not_supported_by_all"  # some node does not take part in it
+    NOT_SUPPORTED_BY_ALL = "not_supported_by_all"  # at least one node does not take part in it
     PAUSED = "paused"
     NOT_LEADER = "not_leader"  # only the leader may hold it
-    BEING_HANDED_OVER = "being_handed_over"  # to another node
+    BEING_HANDED_OVER = "being_handed_over"  # an operator hands it over to another node
     LAGGING = "lagging"  # the event loop of this node is late
-    UNBALANCED = "unbalanced"  # another node holds fewer named leases
+    UNBALANCED = "unbalanced"  # its load exceeds another node's too much: see `is_overloaded`
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterView:
-    """What a node knows beside the stored keys, when it decides."""
+    """State of the cluster, apart from the stored keys, as this node sees it at one moment."""
 
     now: MonotonicTime
     wall_time: WallTime
-    leader: NodeId | None = None  # as far as this node knows
-    leader_token: FencingToken = NO_FENCING_TOKEN  # under which this node leads; 0: it does not
-    supported_leases: Collection[LeaseName] = ()  # in which every node takes part
-    candidates: Collection[NodeId] = ()  # nodes that are reachable, this one included
-    busy_leases: Collection[LeaseName] = ()  # with work in flight on this node
+    leader: NodeId | None = None  # None: this node knows of no leader
+    leader_token: FencingToken = NO_FENCING_TOKEN  # of this node's leadership; 0: not the leader
+    supported_leases: Collection[LeaseName] = ()  # every node takes part in these
+    candidates: Collection[NodeId] = ()  # reachable nodes, including this one
+    busy_leases: Collection[LeaseName] = ()  # this node has work in flight under these
     is_lagging: bool = False  # the event loop of this node is late
     is_shutting_down: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class EligibilityRules:
-    """The rules for one node. A lease that was acquired is not given up for balance before
-    `min_hold_s` seconds."""
+    """The rules for one node. It holds a lease for at least `min_hold_s` seconds before it releases
+    the lease to balance load."""
 
     node_id: NodeId
-    lease_names: frozenset[LeaseName]  # in which this node takes part
+    lease_names: frozenset[LeaseName]  # this node takes part in these
     min_hold_s: float
 
     def find_ineligibility(
@@ -56,9 +56,12 @@
         is_reserved: bool,
         held_since: MonotonicTime | None,
     ) -> IneligibilityReason | None:
-        """Return why this node may not hold the lease, or None if it may. `entry`: what is known of
-        it, `snapshot`: of all leases; `is_reserved`: another node is to get it by a hand-over;
-        `held_since`: when this node acquired it, if it did."""
+        """Return why this node may not hold the lease, or None if it may.
+
+        `entry` is the known state of the lease, and `snapshot` that of all leases. `is_reserved`
+        says that the lease is being handed over to another node. `held_since` is when this node
+        acquired the lease, or None if this node does not hold it.
+        """
         if lease_name not in self.lease_names or view.is_shutting_down:
             return IneligibilityReason.DISABLED
         if lease_name not in view.supported_leases:
@@ -71,13 +74,13 @@
         if is_reserved:
             return IneligibilityReason.BEING_HANDED_OVER
         if affinity is Affinity.ANY:
-            return self._find_preference(snapshot, view, held_since)
+            return self._find_load_ineligibility(snapshot, view, held_since)
         return None
 
-    def _find_preference(
+    def _find_load_ineligibility(
         self, snapshot: DirectorySnapshot, view: ClusterView, held_since: MonotonicTime | None
     ) -> IneligibilityReason | None:
-        """Return why another node should hold a lease that any node can hold."""
+        """Return why another node should hold a lease of `Affinity.ANY`, or None if none should."""
         if view.is_lagging:
             return IneligibilityReason.LAGGING
         if held_since is None or view.now - held_since < self.min_hold_s:
--- a/src/eldercart/singleton/holder_preference.py
+++ b/src/eldercart/singleton/holder_preference.py
@@ -1,4 +1,4 @@
-"""Which node should hold a named lease, so that leases are spread over the nodes and stay there."""
+"""Ranks nodes as holders of named leases: spreads the leases evenly and rarely moves them."""
 
 from collections.abc import Collection
 from enum import Enum
@@ -9,10 +9,10 @@
 
 
 class Affinity(Enum):
-    """Which nodes can hold a named lease, by what its holder has to know."""
+    """Which nodes can hold a named lease, by the state that its holder needs."""
 
-    LEADER = "leader"  # what only the leader knows: demand, the machines, what may still run
-    ANY = "any"  # nothing that the cloud and the state service do not tell
+    LEADER = "leader"  # needs state of the leader: demand, machines, tasks that may still run
+    ANY = "any"  # needs only what any node can read from the cloud and the state service
 
 
 AFFINITY = {
@@ -22,12 +22,16 @@
     LeaseName.CATALOG: Affinity.ANY,
 }
 
-MIN_IMBALANCE = 2  # leases that a holder must have beyond another node before it gives one up
+# A holder releases a lease if its load exceeds that of another node by at least this many leases.
+MIN_IMBALANCE = 2
 
 
 def node_load(node: NodeId, leader: NodeId | None, snapshot: DirectorySnapshot) -> int:
-    """Return how many named leases the node holds. Leadership counts as one, or the leader would
-    seem idle before it holds its own leases."""
+    """Return how many leases of `Affinity.ANY` the node holds, plus one for the leader.
+
+    Leadership counts as one lease because the leader would otherwise look idle until it has
+    acquired its own leases.
+    """
     held_leases = sum(
         1
         for lease_name, entry in snapshot.items()
@@ -41,7 +45,7 @@
 def candidate_rank(
     node: NodeId, candidates: Collection[NodeId], leader: NodeId | None, snapshot: DirectorySnapshot
 ) -> int:
-    """Return how many candidates are preferred to the node: those with less load, then by name."""
+    """Return how many candidates rank before the node. They are ordered by load, then by name."""
     own_rank = (node_load(node, leader, snapshot), node)
     return sum(1 for other in candidates if (node_load(other, leader, snapshot), other) < own_rank)
 
@@ -49,8 +53,10 @@
 def is_overloaded(
     node: NodeId, candidates: Collection[NodeId], leader: NodeId | None, snapshot: DirectorySnapshot
 ) -> bool:
-    """Return whether the node should give a lease up to a less loaded one. A difference of one does
-    not count: the lease would only change sides."""
+    """Return whether the node should release a lease so that a less loaded node can acquire it.
+
+    A difference of one lease is ignored: moving a lease would only reverse the imbalance.
+    """
     other_loads = [
         node_load(candidate, leader, snapshot) for candidate in candidates if candidate != node
     ]
--- a/src/eldercart/singleton/lease_candidate.py
+++ b/src/eldercart/singleton/lease_candidate.py
@@ -1,9 +1,10 @@
-"""One node's part in the named leases: when it acquires, holds, drains and releases them.
+"""State machine that acquires, holds, drains and releases named leases for one node.
 
-A named lease is held by the node that created its holder key in the state service last. The key's
-version is the fencing token on which every write of the holder is conditional, so a node that
-wrongly believes to hold a lease writes nothing. The time to live only says when others may take the
-key without asking, and the node's own clock only keeps it from trying in vain.
+A named lease is held by the node that last created or replaced its holder key in the state service.
+The key's version is the fencing token. Every write of the holder is conditional on it, so a node
+that wrongly believes that it holds a lease cannot write. The time to live only determines when the
+key of a holder that no longer renews it is deleted, so that another node can acquire the lease. A
+node checks its own clock only to avoid requests that would be rejected.
 """
 
 from collections.abc import Collection
@@ -38,37 +39,37 @@
 )
 from eldercart.wire.state import DeleteKey, Item, Put, Transaction
 
-# Intervals, as parts of the lease's time to live.
+# Each interval is the lease's time to live divided by one of these.
 KEEP_ALIVES_PER_LEASE = 3
-RETRIES_PER_LEASE = 12  # pauses after a failed action
-RANK_DELAYS_PER_LEASE = 4  # for each better candidate, a node waits for one of them
+RETRIES_PER_LEASE = 12  # delay after a failed action
+RANK_DELAYS_PER_LEASE = 4  # delay of an acquisition for each candidate that ranks before it
 
 
 class LeaseState(Enum):
-    """What a node is for a named lease, as far as it knows."""
+    """The role of a node for a named lease, by the node's own knowledge."""
 
-    OBSERVER = "observer"  # may not hold it now
-    CANDIDATE = "candidate"
+    OBSERVER = "observer"  # does not hold it, and is not eligible now
+    CANDIDATE = "candidate"  # does not hold it, and is eligible
     HOLDER = "holder"
-    DRAINING = "draining"  # still holds it, begins nothing new and gives it up
-    LOST = "lost"  # held it, and cannot know any more whether another node does
+    DRAINING = "draining"  # holds it, starts no new work and releases it once idle
+    LOST = "lost"  # its lease may have expired, so another node may hold it by now
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseTimings:
-    """How long things last for a candidate, in seconds except for the share `drift_margin`."""
+    """Durations of a candidate, in seconds, and the margin for clock drift."""
 
     lease_ttl_s: float
-    drift_margin: float  # the share of `lease_ttl_s` that is left to clock drift
-    hand_over_s: float  # after which a hand-over that its receiver does not take up is void
-    min_hold_s: float  # before which an acquired lease is not given up for balance
+    drift_margin: float  # fraction of `lease_ttl_s` reserved for clock drift
+    hand_over_s: float  # a hand-over expires if its receiver has not acquired the lease by then
+    min_hold_s: float  # minimum time before a lease is released to balance load
 
 
 @dataclass(slots=True)
 class _LeaseStatus:
-    """What this node is for one named lease, and since when."""
+    """The state of one named lease at this node, and when it changed."""
 
-    token: LeaseToken = NO_LEASE_TOKEN  # under which this node holds it
+    token: LeaseToken = NO_LEASE_TOKEN  # of this node as the holder
     state: LeaseState = LeaseState.OBSERVER
     ineligibility: IneligibilityReason | None = None
     candidate_since: MonotonicTime | None = None
@@ -78,10 +79,10 @@
 
 
 class LeaseCandidate:
-    """Acquires and releases the named leases of one node, all on one lease of the state service.
+    """Acquires and releases the named leases of one node, all under one lease of the state service.
 
-    One action is in flight at a time: take it from `next_action`, carry it out, and hand its result
-    in to the `on_...` method for that action, or to `on_action_failed`. All times are monotonic.
+    At most one action is in flight. The caller takes it from `next_action`, runs it, and passes its
+    result to the `on_...` method of that action, or to `on_action_failed`. All times are monotonic.
     """
 
     def __init__(
@@ -91,7 +92,7 @@
         lease_names: Collection[LeaseName],
         timings: LeaseTimings,
     ) -> None:
-        """The candidate of a node that takes part in `lease_names`."""
+        """Create the candidate of a node that takes part in `lease_names`."""
         self.node_id = node_id
         self.incarnation = incarnation
         self.directory = LeaseDirectory()
@@ -100,7 +101,7 @@
         self._hand_over_s = timings.hand_over_s
         self._statuses = {lease_name: _LeaseStatus() for lease_name in LeaseName}
         self._is_read_pending = True
-        self._is_fenced = False  # a token of this node was refused, and nothing was read since
+        self._is_fenced = False  # a token of this node was rejected since the last read
         self._retry_at = DISTANT_PAST
         self._action_in_flight: CandidateAction | None = None
         self._action_sent_at = DISTANT_PAST
@@ -108,8 +109,11 @@
     # -- queries
 
     def usable_token(self, lease_name: LeaseName, now: MonotonicTime) -> LeaseToken | None:
-        """Return the token under which new work may begin, or None while there is none. That the
-        lease has time left proves nothing: the state service compares the token."""
+        """Return the token under which new work may start, or None if there is none.
+
+        An unexpired lease does not prove that this node still holds it. The state service decides,
+        by comparing the token.
+        """
         status = self._statuses[lease_name]
         is_holder = status.state is LeaseState.HOLDER and now < self._lease.expires_at
         return status.token if is_holder and not self._is_fenced else None
@@ -120,7 +124,7 @@
         return status.token if status.state in (LeaseState.HOLDER, LeaseState.DRAINING) else None
 
     def state(self, lease_name: LeaseName) -> LeaseState:
-        """Return what this node is for the lease."""
+        """Return the role of this node for the lease."""
         return self._statuses[lease_name].state
 
     def ineligibility(self, lease_name: LeaseName) -> IneligibilityReason | None:
@@ -128,13 +132,15 @@
         return self._statuses[lease_name].ineligibility
 
     def is_read_pending(self) -> bool:
-        """Return whether the directory has to be read before anything else."""
+        """Return whether the directory has to be read before any other action."""
         return self._is_read_pending
 
     def is_reserved_for_other_node(self, lease_name: LeaseName, now: MonotonicTime) -> bool:
-        """Return whether the lease is being handed over to another node. How long that lasts goes
-        by this node's own clock, which can at worst make it a candidate too early: the state
-        service decides."""
+        """Return whether the lease is being handed over to another node.
+
+        The hand-over expires by this node's own clock. A wrong clock can at worst make
+        this node a candidate too early; the state service decides who acquires the lease.
+        """
         return self._is_reserved(self.directory.entry(lease_name), self._statuses[lease_name], now)
 
     def _is_reserved(self, entry: LeaseEntry, status: _LeaseStatus, now: MonotonicTime) -> bool:
@@ -145,7 +151,7 @@
     # -- decisions
 
     def next_action(self, view: ClusterView) -> CandidateAction | None:
-        """Return the action to carry out now; None while one is in flight or none is due."""
+        """Return the action to run now, or None while one is in flight or none is due."""
         self._update_states(view)
         if self._action_in_flight is not None or view.now < self._retry_at:
             return None
@@ -193,7 +199,7 @@
     # -- states
 
     def _update_states(self, view: ClusterView) -> None:
-        """Bring the state of each lease up to what is known now."""
+        """Derive the state of each lease from the directory and `view`."""
         for lease_name, status in self._statuses.items():
             entry = self.directory.entry(lease_name)
             is_held = self._is_held_by_this_node(entry)
@@ -252,7 +258,7 @@
     def _may_acquire(self, lease_name: LeaseName, view: ClusterView) -> bool:
         entry, status = self.directory.entry(lease_name), self._statuses[lease_name]
         if AFFINITY[lease_name] is Affinity.LEADER:
-            return True  # whoever held it before is not the leader, and writes nothing any more
+            return True  # a previous holder has lost leadership, so its writes are rejected
         if entry.is_held and not self._is_left_by_earlier_incarnation(entry):
             status.candidate_since = view.now
             return False
@@ -266,8 +272,11 @@
         return entry.holder is not None and entry.holder.node == self.node_id
 
     def _acquire(self, lease_name: LeaseName, view: ClusterView) -> Acquire:
-        """Create the key, or replace it in the version that was seen: of two nodes that see the
-        same, one is refused. Nobody acquires a lease that is paused meanwhile."""
+        """Return the action that creates the holder key, or replaces its known version.
+
+        If two nodes try this on the same version, the state service rejects one of them. The
+        transaction also fails if the lease has been paused in the meantime.
+        """
         entry = self.directory.entry(lease_name)
         record = HolderRecord(self.node_id, self.incarnation, view.wall_time)
         transaction = Transaction(
@@ -288,8 +297,10 @@
     # -- results of actions
 
     def on_action_failed(self, now: MonotonicTime) -> None:
-        """The action was refused for now (429, 503) or had no answer. Only a read can tell whether
-        it was applied."""
+        """Handle an action that was temporarily rejected (429, 503) or got no answer.
+
+        Only a read shows whether a transaction was applied.
+        """
         action = self._action_in_flight
         self._action_in_flight = None
         self._retry_at = MonotonicTime(now + self._lease.ttl_s / RETRIES_PER_LEASE)
@@ -297,13 +308,13 @@
             self._is_read_pending = True
 
     def on_lease_granted(self, lease_id: LeaseId) -> None:
-        """The lease was opened."""
+        """Handle the grant of the state service's lease."""
         self._action_in_flight = None
         self._lease.on_granted(lease_id, self._action_sent_at)
 
     def on_keep_alive(self, alive: bool) -> None:
-        """The keep-alive was answered: the lease is still `alive`, or has ended and taken its keys
-        with it."""
+        """Handle the answer to a keep-alive. If the lease is not `alive`, the state service has
+        deleted the keys under it."""
         self._action_in_flight = None
         if alive:
             self._lease.on_extended(self._action_sent_at)
@@ -312,7 +323,7 @@
         self._is_read_pending = True
 
     def on_acquired(self, revision: Revision) -> None:
-        """The holder key was written at `revision`."""
+        """Handle a committed acquisition: the holder key was written at `revision`."""
         action = self._action_in_flight
         self._action_in_flight = None
         if not isinstance(action, Acquire):
@@ -327,22 +338,22 @@
         self.directory.apply_own_writes(events, revision)
 
     def on_released(self, revision: Revision) -> None:
-        """The holder key was deleted at `revision`."""
+        """Handle a committed release: the holder key was deleted at `revision`."""
         action = self._action_in_flight
         self._action_in_flight = None
         if isinstance(action, Release):
             self.directory.apply_own_writes([DeleteKey(holder_key(action.lease_name))], revision)
 
     def on_transaction_rejected(self, *, lease_lost: bool = False) -> None:
-        """A transaction was refused for one of its conditions, or (`lease_lost`) as the lease that
-        it writes under has ended."""
+        """Handle a transaction that was rejected because a condition failed, or (`lease_lost`)
+        because the state service's lease has expired."""
         self._action_in_flight = None
         self._is_read_pending = True
         if lease_lost:
             self._lease.on_lost()
 
     def on_directory_read(self) -> None:
-        """The directory has taken a fresh read."""
+        """Handle a completed read, which the directory has already applied."""
         self._action_in_flight = None
         self._is_read_pending = False
         self._is_fenced = False
@@ -350,6 +361,6 @@
     # -- other events
 
     def on_write_fenced(self) -> None:
-        """A write under a token of this node was refused: another node holds the lease."""
+        """Handle a write rejected for its token: this node no longer holds the lease."""
         self._is_read_pending = True
         self._is_fenced = True
--- a/src/eldercart/singleton/lease_directory.py
+++ b/src/eldercart/singleton/lease_directory.py
@@ -1,7 +1,6 @@
-"""What the state service holds of all named leases, as far as this node knows.
+"""This node's copy of the keys of all named leases at the state service.
 
-The board is kept in a persistent map: whoever asks for it gets a snapshot that never changes,
-without a copy.
+The entries are kept in a persistent map, so readers get an immutable snapshot without copying.
 """
 
 import logging
@@ -33,8 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseEntry:
-    """The keys of one lease. A version of 0 means that the key is absent; a version without a
-    record, that the key can't be read."""
+    """The keys of one lease, each with its version.
+
+    Version 0 means that the key is absent. A version without a record means that the stored value
+    is unreadable.
+    """
 
     holder: HolderRecord | None = None
     token: LeaseToken = NO_LEASE_TOKEN
@@ -45,7 +47,7 @@
 
     @property
     def is_held(self) -> bool:
-        """Whether a node holds the lease, also if its record can't be read."""
+        """Whether a node holds the lease. This is also true if the holder record is unreadable."""
         return self.token != NO_LEASE_TOKEN
 
     @property
@@ -56,30 +58,32 @@
 
 EMPTY_ENTRY = LeaseEntry()
 RecordT = TypeVar("RecordT")
-DirectorySnapshot = Mapping[LeaseName, LeaseEntry]  # persistent: it never changes
+DirectorySnapshot = Mapping[LeaseName, LeaseEntry]  # an immutable persistent map
 
 
 class LeaseDirectory:
-    """Merges reads, watch events and own writes, in whatever order their answers come."""
+    """Merges reads, watch events and this node's own writes, in any order of arrival."""
 
     def __init__(self) -> None:
-        """Nothing has been read yet."""
-        self.revision = ABSENT_REVISION  # from which a watch may go on
+        """Create a directory in which all keys are absent."""
+        self.revision = ABSENT_REVISION  # a watch resumes from here
         self._entries: Any = pmap(dict.fromkeys(LeaseName, EMPTY_ENTRY))
-        self._revision_by_key: dict[str, Revision] = {}  # as of which a key is known
+        self._revision_by_key: dict[
+            str, Revision
+        ] = {}  # latest revision at which each key is known
 
     @property
     def snapshot(self) -> DirectorySnapshot:
-        """All leases as they are known now."""
+        """An immutable snapshot of all entries."""
         snapshot: DirectorySnapshot = self._entries
         return snapshot
 
     def entry(self, lease_name: LeaseName) -> LeaseEntry:
-        """Return what is known of one lease."""
+        """Return the entry of one lease."""
         return self.snapshot[lease_name]
 
     def apply_read(self, items: Iterable[Item], revision: Revision) -> None:
-        """Take all keys as a read found them at `revision`; those not among `items` were absent."""
+        """Apply a read of all keys at `revision`. Keys that are not in `items` are absent."""
         found = {item.key: item for item in items}
         for lease_name in LeaseName:
             for prefix in (HOLDER_PREFIX, PAUSE_PREFIX, HAND_OVER_PREFIX):
@@ -87,20 +91,23 @@
         self.revision = max(self.revision, revision)
 
     def apply_watch_events(self, events: Iterable[Item | DeleteKey], revision: Revision) -> None:
-        """Take changes in their order, as of `revision`."""
+        """Apply watch events in their order, up to `revision`."""
         for event in events:
             self._apply(event.key, event if isinstance(event, Item) else None, revision)
         self.revision = max(self.revision, revision)
 
     def apply_own_writes(self, events: Iterable[Item | DeleteKey], revision: Revision) -> None:
-        """Take this node's own changes, applied at `revision`. Others may have happened before that
-        the watch has yet to report, so `self.revision` stays."""
+        """Apply this node's own changes, committed at `revision`.
+
+        `self.revision` does not advance: the watch may still have to deliver earlier changes by
+        other nodes.
+        """
         for event in events:
             self._apply(event.key, event if isinstance(event, Item) else None, revision)
 
     def _apply(self, key: str, item: Item | None, revision: Revision) -> None:
         lease_name = lease_of_key(key)
-        # An answer may overtake another: what is known as of a later revision stays.
+        # Answers can arrive out of order: a change older than the known state is ignored.
         if lease_name is None or revision < self._revision_by_key.get(key, ABSENT_REVISION):
             return
         self._revision_by_key[key] = revision
