--- a/src/eldercart/singleton/intents.py
+++ b/src/eldercart/singleton/intents.py
@@ -1,10 +1,10 @@
-"""The intents of one lease: what it may ask of the cloud, recorded before it is asked.
+"""The intents of one named lease: requests to the cloud that are recorded before they are sent.
 
-The cloud compares no tokens. So an intent is recorded first, in a transaction conditional on the
-holder's token and the leader's, and is irrevocable from then on: to send it once more does what
-sending it once does, whoever sends it and whenever. All open intents stand in one record,
-which is replaced as a whole under the version that was read, so a late copy of a transaction finds
-another version and does nothing.
+The cloud does not check fencing tokens. An intent is therefore recorded first, in a transaction
+conditional on the tokens of the holder and of the leader. From then on it is irrevocable, and
+idempotent: sending it again has no further effect, whichever node sends it and whenever. One record
+holds all open intents of the lease. Each write replaces the whole record, conditional on its known
+version, so a delayed copy of a transaction fails because the version has changed.
 """
 
 import logging
@@ -39,38 +39,38 @@
 
 log = logging.getLogger("eldercart.singleton")
 
-# How long finished intents stay in the record while nothing new is recorded. Shorter than machines
-# usually stand idle: a successor asks anew for what is left, and must not count machines again that
-# were returned since.
+# How long finished intents stay in the record while no new intent is written. This is shorter than
+# the usual idle time of a machine: a new leader sends all intents in the record again, and must not
+# count machines that have been deleted since.
 COMPACTION_DELAY_S = 20.0
-BATCH_INTERVAL_S = 1.0  # between two writes of intents that are not urgent
-WRITE_RETRY_S = 0.25  # after a write that was not committed
+BATCH_INTERVAL_S = 1.0  # minimum time between two writes of intents that are not urgent
+WRITE_RETRY_S = 0.25  # delay after a write that was not committed
 
 
 class IntentStage(Enum):
-    """How far an intent has come."""
+    """The stage of an intent in its life cycle."""
 
-    CREATED = "created"  # not durable: nothing may be sent
-    RECORDED = "recorded"  # durable: it may be sent, and may have been
-    SENT = "sent"  # by this node, without an answer yet
-    FINISHED = "finished"  # answered; it is dropped with the next write
+    CREATED = "created"  # not durable; must not be sent yet
+    RECORDED = "recorded"  # durable; may be sent, and may have been sent already
+    SENT = "sent"  # sent by this node; the answer is pending
+    FINISHED = "finished"  # answered; the next write removes it from the record
 
 
 class WriteOutcome(Enum):
-    """What became of a write of the intent record."""
+    """The outcome of a write of the intent record."""
 
     COMMITTED = "committed"
     CONFLICT = "conflict"  # a condition did not hold
-    REJECTED = "rejected"  # surely not applied
-    INDETERMINATE = "indeterminate"  # may have been applied, or may be later
+    REJECTED = "rejected"  # certainly not applied
+    INDETERMINATE = "indeterminate"  # may have been applied, or may still be applied later
 
 
-OpenIntents = Mapping[str, Intent]  # by name; persistent: it never changes
+OpenIntents = Mapping[str, Intent]  # by name; an immutable persistent map
 
 
 @dataclass(frozen=True, slots=True)
 class IntentWrite:
-    """A write of the intent record, and the open intents that it holds."""
+    """A write of the intent record, and the open intents in that record."""
 
     lease_name: LeaseName
     transaction: Transaction
@@ -79,10 +79,10 @@
 
 
 class IntentLog:
-    """The open intents of a lease, as far as its holder knows. One write is in flight at a time."""
+    """The holder's view of a lease's open intents. At most one write is in flight at a time."""
 
     def __init__(self, lease_name: LeaseName, max_bytes: int) -> None:
-        """Nothing is known before `load`; the record grows to at most `most_bytes`."""
+        """Create a log that is empty until `load`; its record takes at most `max_bytes`."""
         self.lease_name = lease_name
         self.is_loaded = False
         self.needs_refresh = False
@@ -90,25 +90,25 @@
         self._version = ABSENT_REVISION
         self._durable: Any = pmap()
         self._created: dict[str, Intent] = {}
-        self._abandoned: set[str] = set()  # among these, to be dropped unless durable
+        self._abandoned: set[str] = set()  # created intents to drop unless they become durable
         self._sent: set[str] = set()
         self._finished: set[str] = set()
         self._finished_since = DISTANT_PAST
         self._write_in_flight: IntentWrite | None = None
         self._retry_at = DISTANT_PAST
         self._last_write_at = DISTANT_PAST
-        self._has_urgent = False  # a created intent must not wait to share a write
+        self._has_urgent = False  # a created intent must be written without batching
 
     # -- queries
 
     @property
     def open_intents(self) -> OpenIntents:
-        """The durable intents, as a snapshot."""
+        """An immutable snapshot of the durable intents."""
         intents: OpenIntents = self._durable
         return intents
 
     def stage(self, name: str) -> IntentStage | None:
-        """Return how far the intent of that name has come, or None if there is none."""
+        """Return the stage of the intent with that name, or None if there is no such intent."""
         if name in self._finished:
             return IntentStage.FINISHED
         if name in self._sent:
@@ -123,11 +123,11 @@
 
     @property
     def is_write_pending(self) -> bool:
-        """Whether a write is in flight, or its outcome is not known."""
+        """Whether a write is in flight, or the outcome of the last one is unknown."""
         return self._write_in_flight is not None or self.needs_refresh
 
     def capacity_for(self, intents: list[Intent]) -> int:
-        """Return how many of these, from the first, fit into the record beside the open ones."""
+        """Return how many of these intents, in order, fit into the record beside the open ones."""
         size = EMPTY_RECORD_BYTES + sum(
             intent_bytes(intent)
             for name, intent in [*self._durable.items(), *self._created.items()]
@@ -144,7 +144,7 @@
     # -- events
 
     def load(self, item: Item | None) -> list[Intent]:
-        """Take the record as it was read, and return the intents that are open."""
+        """Replace the durable intents by those of the record that was read, and return them."""
         self.is_loaded = True
         self.needs_refresh = False
         self._version = ABSENT_REVISION if item is None else item.version
@@ -159,18 +159,18 @@
         return intents
 
     def create(self, intent: Intent, *, urgent: bool = True) -> None:
-        """Add an intent to be recorded. One that is not urgent may wait to share a write."""
+        """Add an intent to record. An intent that is not urgent may be batched with later ones."""
         self._finished.discard(intent.name)
         self._abandoned.discard(intent.name)
-        dropped = (
+        is_being_dropped = (
             self._write_in_flight is not None and intent.name not in self._write_in_flight.intents
         )
-        if intent.name not in self._durable or dropped or self.needs_refresh:
+        if intent.name not in self._durable or is_being_dropped or self.needs_refresh:
             self._created[intent.name] = intent
             self._has_urgent = self._has_urgent or urgent
 
     def abandon(self, name: str) -> None:
-        """Drop an intent that need not be recorded any more; a durable one stays open."""
+        """Drop an intent that no longer has to be recorded. A durable intent stays open."""
         self._abandoned.add(name)
         self._drop_abandoned()
 
@@ -181,15 +181,15 @@
             self._abandoned.clear()
 
     def mark_sent(self, name: str) -> None:
-        """Note that the intent has been sent to the cloud."""
+        """Mark the intent as sent to the cloud."""
         self._sent.add(name)
 
     def mark_unanswered(self, name: str) -> None:
-        """Note that the outcome of the intent is unknown: it stays open."""
+        """Mark the outcome of the sent intent as unknown. The intent stays open."""
         self._sent.discard(name)
 
     def mark_finished(self, name: str, now: MonotonicTime) -> None:
-        """Note that the cloud has answered the intent."""
+        """Mark the intent as answered by the cloud."""
         self._sent.discard(name)
         if name in self._durable:
             if not self._finished:
@@ -228,7 +228,7 @@
         return bool(self._created) and not is_batching
 
     def _intents_to_record(self) -> OpenIntents:
-        """Return the durable intents without the finished and with the created ones."""
+        """Return the durable intents, minus the finished ones, plus the created ones."""
         evolver = self._durable.evolver()
         for name in self._finished:
             evolver.remove(name)
@@ -240,7 +240,7 @@
     def on_write_result(
         self, write: IntentWrite, outcome: WriteOutcome, revision: Revision, now: MonotonicTime
     ) -> None:
-        """Take the outcome of a write; `revision` is the record's version if it was committed."""
+        """Process the outcome of a write. `revision` is the record's new version if committed."""
         if write is not self._write_in_flight:
             return
         self._write_in_flight = None
@@ -260,11 +260,13 @@
 
     def _schedule_retry(self, now: MonotonicTime) -> None:
         self._retry_at = MonotonicTime(now + WRITE_RETRY_S)
-        self._has_urgent = True  # what was in the write has waited already
+        self._has_urgent = True  # the intents of the failed write have already been delayed
 
     def refresh(self, item: Item | None) -> None:
-        """Take the record as a fresh read has it: an earlier write may have been applied after
-        all."""
+        """Load the record from a fresh read after a write with an unknown outcome.
+
+        Created intents that the record contains are durable: the write was applied.
+        """
         self.load(item)
         for name in self._durable:
             self._created.pop(name, None)
--- a/src/eldercart/singleton/write_ahead_gate.py
+++ b/src/eldercart/singleton/write_ahead_gate.py
@@ -1,7 +1,7 @@
-"""The write-ahead gate between the leader and the cloud: requests that change something go out only
-once their intents are recorded.
+"""Write-ahead gate between the leader and the cloud.
 
-A request that cannot be recorded now is rejected at once; the leader asks for it again.
+The gate sends a request that changes machines only after its intents are recorded. A request that
+cannot be recorded now is rejected at once, and the leader retries it.
 """
 
 from dataclasses import dataclass, field
@@ -17,11 +17,11 @@
 
 
 class DispatchMode(Enum):
-    """How the requests under a lease reach the cloud."""
+    """How requests under a lease are sent to the cloud."""
 
-    DIRECT = "direct"  # without intents, as not every node takes part in the lease
-    WRITE_AHEAD = "write_ahead"  # once their intents are recorded
-    BLOCKED = "blocked"  # not now: nothing can be recorded
+    DIRECT = "direct"  # without intents, because not every node takes part in the lease
+    WRITE_AHEAD = "write_ahead"  # after their intents are recorded
+    BLOCKED = "blocked"  # not sent, because no intent can be recorded now
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class GateOutput:
-    """What the caller has to carry out."""
+    """Actions that the caller of `process` has to run."""
 
     calls_to_send: list[ScaleOut | DeleteMachines] = field(default_factory=list)
     rejected_calls: list[ScaleOut | DeleteMachines] = field(default_factory=list)
@@ -51,17 +51,17 @@
 
 
 def lease_of_call(call: CloudRequest) -> LeaseName | None:
-    """Return the lease under which the request is made, or None for one that changes nothing."""
+    """Return the lease that the request needs, or None for a request that changes nothing."""
     if isinstance(call, ScaleOut):
         return LeaseName.SCALE_OUT
     return LeaseName.SCALE_IN if isinstance(call, DeleteMachines) else None
 
 
 class WriteAheadGate:
-    """The intent logs and the requests that wait for them, during one leadership."""
+    """The intent logs, and the requests that wait for their intents, for one term of leadership."""
 
     def __init__(self, leader_token: FencingToken, max_record_bytes: int) -> None:
-        """A gate for the leader with that token; a record takes up to `max_record_bytes`."""
+        """Create a gate for the leader with that token. A record takes up to `max_record_bytes`."""
         self._leader_token = leader_token
         self.intent_logs = {
             lease_name: IntentLog(lease_name, max_record_bytes) for lease_name in RECORDED_LEASES
@@ -73,12 +73,12 @@
         self._refreshing: set[LeaseName] = set()
 
     def load(self, lease_name: LeaseName, item: Item | None) -> list[Intent]:
-        """Take the record that was read after the election, and return the open intents, which this
-        leader has to finish."""
+        """Load the record that was read after the election. Return its open intents, which this
+        leader has to complete."""
         return self.intent_logs[lease_name].load(item)
 
     def is_busy(self, lease_name: LeaseName) -> bool:
-        """Return whether work under the lease is in flight, so that it can't be released yet."""
+        """Return whether work under the lease is in flight, so it must not be released yet."""
         if lease_name not in self.intent_logs:
             return False
         return (
@@ -92,16 +92,19 @@
     def admit(
         self, call: ScaleOut | DeleteMachines, wall_time: WallTime, *, urgent: bool = True
     ) -> ScaleOut | DeleteMachines:
-        """Take a request whose intents are to be recorded, and return it, cut to what the record
-        has room for. One that is not urgent may wait to share a write."""
-        log = self._intent_log_for(call)
+        """Queue a request until its intents are recorded.
+
+        Return the request, with its deletions limited to those that fit into the record. A request
+        that is not urgent may be delayed so that its intents share a write with others.
+        """
+        intent_log = self._intent_log_for(call)
         intents = _intents_for(call, wall_time)
         if isinstance(call, DeleteMachines):
-            max_machines = max(1, log.capacity_for(intents))
+            max_machines = max(1, intent_log.capacity_for(intents))
             call, intents = DeleteMachines(call.machines[:max_machines]), intents[:max_machines]
         for intent in intents:
-            log.create(intent, urgent=urgent)
-        self._pending_calls[log.lease_name].append(_PendingCall(call, intents))
+            intent_log.create(intent, urgent=urgent)
+        self._pending_calls[intent_log.lease_name].append(_PendingCall(call, intents))
         return call
 
     def _intent_log_for(self, call: ScaleOut | DeleteMachines) -> IntentLog:
@@ -110,29 +113,29 @@
         ]
 
     def has_capacity(self, lease_name: LeaseName) -> bool:
-        """Return whether the lease's record has room for one more intent of the usual size."""
-        log = self.intent_logs[lease_name]
+        """Return whether one more intent of a typical size fits into the lease's record."""
+        intent_log = self.intent_logs[lease_name]
         sample = _SAMPLE_INTENTS[lease_name]
-        return log.is_loaded and log.capacity_for([sample]) == 1
+        return intent_log.is_loaded and intent_log.capacity_for([sample]) == 1
 
     def on_answer(
         self, call: ScaleOut | DeleteMachines, now: MonotonicTime, *, is_final: bool
     ) -> None:
-        """A request that was sent has been answered, or (not `is_final`) its outcome is unknown."""
-        log = self._intent_log_for(call)
-        self._in_flight[log.lease_name] -= 1
+        """Handle the answer to a sent request. If not `is_final`, its outcome is unknown."""
+        intent_log = self._intent_log_for(call)
+        self._in_flight[intent_log.lease_name] -= 1
         for name in _intent_names(call):
             if is_final:
-                log.mark_finished(name, now)
+                intent_log.mark_finished(name, now)
             else:
-                log.mark_unanswered(name)
+                intent_log.mark_unanswered(name)
 
     def on_direct_answer(self, call: ScaleOut | DeleteMachines, now: MonotonicTime) -> None:
-        """The cloud has answered a request that was dispatched directly: what earlier leaders
-        recorded of it is not open any more."""
-        log = self._intent_log_for(call)
+        """Handle the cloud's answer to a direct request. Intents that earlier leaders recorded for
+        the same names are finished."""
+        intent_log = self._intent_log_for(call)
         for name in _intent_names(call):
-            log.mark_finished(name, now)
+            intent_log.mark_finished(name, now)
 
     def on_write_result(
         self,
@@ -141,16 +144,16 @@
         revision: Revision,
         now: MonotonicTime,
     ) -> None:
-        """Take the outcome of a write; `revision` is the record's version if it was committed."""
+        """Process the outcome of a write. `revision` is the record's new version if committed."""
         self.intent_logs[write.lease_name].on_write_result(write, outcome, revision, now)
 
     def on_record_refreshed(self, lease_name: LeaseName, item: Item | None) -> None:
-        """The intent record was read again; None: it is absent."""
+        """Handle a new read of the intent record. `item` is None if the record is absent."""
         self._refreshing.discard(lease_name)
         self.intent_logs[lease_name].refresh(item)
 
     def on_refresh_failed(self, lease_name: LeaseName) -> None:
-        """The intent record could not be read again; the next `process` asks for it once more."""
+        """Handle a failed read of the intent record. The next `process` requests another one."""
         self._refreshing.discard(lease_name)
 
     # -- dispatch
@@ -158,38 +161,45 @@
     def process(
         self, policies: dict[LeaseName, DispatchPolicy], now: MonotonicTime, *, may_write: bool
     ) -> GateOutput:
-        """Return the requests to send, as their intents are recorded, those rejected, as nothing
-        can be recorded now, and the writes for the others."""
+        """Return the actions that are due for all leases.
+
+        These are requests to send, because their intents are recorded; requests rejected, because
+        their lease is not in write-ahead mode; and writes and reads of intent records.
+        """
         output = GateOutput()
-        for lease_name, log in self.intent_logs.items():
+        for lease_name, intent_log in self.intent_logs.items():
             policy = policies[lease_name]
-            self._send_recorded(lease_name, log, output)
+            self._send_recorded(lease_name, intent_log, output)
             if policy.mode is not DispatchMode.WRITE_AHEAD:
-                self._reject_pending(lease_name, log, output)
-            if log.needs_refresh and lease_name not in self._refreshing:
+                self._reject_pending(lease_name, intent_log, output)
+            if intent_log.needs_refresh and lease_name not in self._refreshing:
                 self._refreshing.add(lease_name)
                 output.leases_to_refresh.append(lease_name)
             if policy.token is not None and may_write:
-                write = log.next_write(policy.token, self._leader_token, now)
+                write = intent_log.next_write(policy.token, self._leader_token, now)
                 if write is not None:
                     output.writes.append(write)
         return output
 
-    def _send_recorded(self, lease_name: LeaseName, log: IntentLog, output: GateOutput) -> None:
+    def _send_recorded(
+        self, lease_name: LeaseName, intent_log: IntentLog, output: GateOutput
+    ) -> None:
         pending, self._pending_calls[lease_name] = self._pending_calls[lease_name], []
         for item in pending:
-            if all(log.is_recorded(intent.name) for intent in item.intents):
+            if all(intent_log.is_recorded(intent.name) for intent in item.intents):
                 for intent in item.intents:
-                    log.mark_sent(intent.name)
+                    intent_log.mark_sent(intent.name)
                 self._in_flight[lease_name] += 1
                 output.calls_to_send.append(item.call)
             else:
                 self._pending_calls[lease_name].append(item)
 
-    def _reject_pending(self, lease_name: LeaseName, log: IntentLog, output: GateOutput) -> None:
+    def _reject_pending(
+        self, lease_name: LeaseName, intent_log: IntentLog, output: GateOutput
+    ) -> None:
         for item in self._pending_calls[lease_name]:
             for intent in item.intents:
-                log.abandon(intent.name)
+                intent_log.abandon(intent.name)
             output.rejected_calls.append(item.call)
         self._pending_calls[lease_name] = []
 
