--- a/src/eldercart/singleton/maintenance_calendar.py
+++ b/src/eldercart/singleton/maintenance_calendar.py
@@ -1,9 +1,9 @@
-"""Maintenance windows: weekly, in an operator's time zone, with exceptions by date.
+"""Calendar of weekly maintenance windows in the operator's time zone, with exceptions by date.
 
-A window is open from its start to its end by the local clock. Where daylight saving skips the
-start, it opens when the clock has been put forward; where the start comes twice it opens the first
-time, and where the end comes twice it closes the second time. A window decides when work is done,
-never by which node, so a node whose clock is wrong only does it at another time.
+A window is open from its start to its end in local time. A start or end that daylight saving skips
+is moved forward by the length of the gap. If the start occurs twice, the window opens at the first
+occurrence; if the end occurs twice, it closes at the second. A window decides only when work is
+done, not which node does it, so a node with a wrong clock merely works at another time.
 """
 
 from collections.abc import Iterator
@@ -17,15 +17,15 @@
 from eldercart.units import WallTime
 
 ONE_DAY = timedelta(days=1)
-NO_WINDOW_CACHE_S = 3600.0  # how long the answer "no window within a year" is cached
-SEARCH_DAYS = 400  # searched for the next window: more than a year of exceptions
+NO_WINDOW_CACHE_S = 3600.0  # how long the result "no window within a year" is cached
+SEARCH_DAYS = 400  # range of the search for the next window: more than a year
 
 
 class MaintenanceCalendar:
-    """Tells whether a window is open, and caches the window found last."""
+    """Finds the current or next maintenance window, and caches it."""
 
     def __init__(self, maintenance: Maintenance) -> None:
-        """A calendar for the operator's settings. The first search is made on demand."""
+        """Create a calendar for the operator's settings. It searches for a window on demand."""
         self._zone = maintenance.time_zone
         self._weekly = maintenance.weekly
         self._exceptions = {item.date: item for item in maintenance.exceptions}
@@ -33,13 +33,13 @@
         self._cached_at: WallTime | None = None
 
     def is_open(self, at: WallTime) -> bool:
-        """Return whether a window is open at that time."""
+        """Return whether a window is open at `at`."""
         window = self.next_window(at)
         return window is not None and window.opens_at <= at
 
     def next_window(self, at: WallTime) -> MaintenanceWindow | None:
-        """Return the window that is open at that time, or else the next one, or None if there is
-        none within a year."""
+        """Return the window that is open at `at`, or else the next one, or None if no window opens
+        within a year."""
         if not self._is_cache_valid(at):
             self._cached_window = self._find_window(at)
             self._cached_at = at
@@ -47,23 +47,23 @@
 
     def _is_cache_valid(self, at: WallTime) -> bool:
         if self._cached_at is None or at < self._cached_at:
-            return False  # a clock that was put back makes an earlier window the next one
+            return False  # the clock was set back, so an earlier window may be the next one
         if self._cached_window is None:
             return at - self._cached_at < NO_WINDOW_CACHE_S
         return at < self._cached_window.closes_at
 
     def _find_window(self, at: WallTime) -> MaintenanceWindow | None:
         today = datetime.fromtimestamp(at, self._zone).date()
-        for window in self._windows_from(today - ONE_DAY):  # yesterday's may end today
+        for window in self._windows_from(today - ONE_DAY):  # yesterday's window may close today
             if at < window.closes_at:
                 return window
         return None
 
-    def _windows_from(self, first: date) -> Iterator[MaintenanceWindow]:
-        """Yield the windows that open on that day or later, in the order in which they open."""
-        opening_days = [self._opening_days(window, first) for window in self._weekly]
+    def _windows_from(self, first_day: date) -> Iterator[MaintenanceWindow]:
+        """Yield the windows that open on `first_day` or later, in the order of their opening."""
+        opening_days = [self._opening_days(window, first_day) for window in self._weekly]
         for number in range(SEARCH_DAYS):
-            day = first + number * ONE_DAY
+            day = first_day + number * ONE_DAY
             exception = self._exceptions.get(day)
             if exception is not None:
                 if exception.start is not None and exception.end is not None:
@@ -79,23 +79,24 @@
                 key=lambda window: window.opens_at,
             )
 
-    def _opening_days(self, window: WeeklyWindow, first: date) -> set[date]:
-        """Return the days, from `first` on, on which the weekly window opens."""
+    def _opening_days(self, window: WeeklyWindow, first_day: date) -> set[date]:
+        """Return the days from `first_day` on which the weekly window opens."""
         rule = rrule(
             WEEKLY,
             byweekday=window.days,
-            dtstart=datetime.combine(first, window.start),
-            until=datetime.combine(first + SEARCH_DAYS * ONE_DAY, window.start),
+            dtstart=datetime.combine(first_day, window.start),
+            until=datetime.combine(first_day + SEARCH_DAYS * ONE_DAY, window.start),
         )
         return {start.date() for start in rule}
 
     def _window_on(self, day: date, start: time, end: time) -> MaintenanceWindow:
-        last = day if end > start else day + ONE_DAY
+        closing_day = day if end > start else day + ONE_DAY
         return MaintenanceWindow(
-            self._wall_time_of(day, start, fold=0), self._wall_time_of(last, end, fold=1)
+            self._wall_time_of(day, start, fold=0), self._wall_time_of(closing_day, end, fold=1)
         )
 
     def _wall_time_of(self, day: date, at: time, fold: int) -> WallTime:
-        """Return when the local clock shows that time: first (`fold` 0) or last (`fold` 1)."""
+        """Return when the local clock shows that time: the first (`fold` 0) or second (`fold` 1)
+        occurrence."""
         local = datetime.combine(day, at, self._zone).replace(fold=fold)
         return WallTime(resolve_imaginary(local).astimezone(UTC).timestamp())
--- a/src/eldercart/singleton/maintenance_window.py
+++ b/src/eldercart/singleton/maintenance_window.py
@@ -1,6 +1,6 @@
 """The type of a maintenance window.
 
-It stands apart from the calendar, whose libraries are slow to import.
+It has its own module because the calendar's libraries are slow to import.
 """
 
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceWindow:
-    """A span of time, from `opens_at` until before `closes_at`."""
+    """A time interval that includes `opens_at` and excludes `closes_at`."""
 
     opens_at: WallTime
     closes_at: WallTime
--- a/src/eldercart/singleton/operator_commands.py
+++ b/src/eldercart/singleton/operator_commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands on named leases: what they change, and when they are refused."""
+"""Operators' commands on named leases, each turned into a transaction or rejected."""
 
 from collections.abc import Collection
 
@@ -18,7 +18,7 @@
 
 
 class CommandConflictError(Exception):
-    """The command contradicts what is in force; the message tells the operator how."""
+    """The command conflicts with the state of the lease. Operators see the message."""
 
 
 def hand_over(
@@ -69,7 +69,7 @@
 
 
 def resume(lease_name: LeaseName, entry: LeaseEntry) -> Transaction:
-    """Return the transaction that ends the pause of the lease; raises CommandConflictError."""
+    """Return the transaction that resumes the lease; raises CommandConflictError."""
     if not entry.is_paused:
         raise CommandConflictError(f"{lease_name} is not paused")
     return Transaction(
--- a/src/eldercart/singleton/status_report.py
+++ b/src/eldercart/singleton/status_report.py
@@ -1,4 +1,4 @@
-"""The status of named leases for operators: the holder and its token, or why nobody holds it."""
+"""Status of named leases for operators: the holder and its token, or why there is no holder."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -10,26 +10,26 @@
 from eldercart.units import NodeId, WallTime
 from eldercart.wire.named_leases import Intent, LeaseName
 
-# Leases whose work waits for a maintenance window.
+# Work under these leases is deferred to a maintenance window.
 WINDOWED_LEASES = (LeaseName.CLEANUP, LeaseName.CATALOG)
-MAX_NAMED_NODES = 8  # in the reason why a lease is not held
+MAX_NAMED_NODES = 8  # nodes listed by name in the reason why a lease has no holder
 
 
 @dataclass(frozen=True, slots=True)
 class StatusContext:
-    """What the answering node knows beside the stored keys."""
+    """Inputs of a report that are not stored keys, as the answering node sees them."""
 
     wall_time: WallTime
-    enabled_leases: frozenset[LeaseName]  # in which this node takes part
-    # Nodes that do not take part, or are not known to.
+    enabled_leases: frozenset[LeaseName]  # this node takes part in these
+    # Nodes that do not take part in the lease, or are not known to.
     nodes_without_support: Mapping[LeaseName, list[NodeId]]
     leader: NodeId | None
-    window: MaintenanceWindow | None  # the one that is open or comes next
+    window: MaintenanceWindow | None  # the window that is open, or else the next one
     has_calendar: bool
 
 
 def unheld_reason(lease_name: LeaseName, entry: LeaseEntry, context: StatusContext) -> str | None:
-    """Return why nobody holds the lease, or None if a node does."""
+    """Return why no node holds the lease, or None if a node holds it."""
     if entry.is_held:
         return None
     nodes = context.nodes_without_support.get(lease_name, [])
@@ -52,7 +52,7 @@
 def lease_status(
     lease_name: LeaseName, entry: LeaseEntry, intents: list[Intent] | None, context: StatusContext
 ) -> dict[str, Any]:
-    """Return the status of one lease as JSON fields; `intents` None: they could not be read."""
+    """Return a lease's status as JSON fields. `intents` is None if they could not be read."""
     report: dict[str, Any] = {"duty": lease_name.value, "affinity": AFFINITY[lease_name].value}
     if entry.holder is not None:
         report |= {
@@ -82,7 +82,7 @@
 
 
 def _age_s(now: WallTime, at: WallTime) -> float:
-    """Return the seconds since `at`, never negative: the clocks of two nodes differ."""
+    """Return the seconds since `at`, but at least 0: the two times are from different clocks."""
     return round(max(0.0, now - at), 1)
 
 
