--- a/src/eldercart/singleton/eligibility.py
+++ b/src/eldercart/singleton/eligibility.py
@@ -14,7 +14,7 @@
     """Why this node may not acquire a named lease, or has to release it."""
 
     DISABLED = "disabled"  # switched off on this node, or the node is shutting down
-    NOT_SUPPORTED_BY_ALL = "not_supported_by_all"  # at least one node does not take part in it
+    NOT_SUPPORTED_BY_ALL = "not_supported_by_all"  # a node does not take part in it
     PAUSED = "paused"
     NOT_LEADER = "not_leader"  # only the leader may hold it
     BEING_HANDED_OVER = "being_handed_over"  # an operator hands it over to another node
@@ -29,7 +29,7 @@
     now: MonotonicTime
     wall_time: WallTime
     leader: NodeId | None = None  # None: this node knows of no leader
-    leader_token: FencingToken = NO_FENCING_TOKEN  # of this node's leadership; 0: not the leader
+    leader_token: FencingToken = NO_FENCING_TOKEN  # 0 unless this node is the leader
     supported_leases: Collection[LeaseName] = ()  # every node takes part in these
     candidates: Collection[NodeId] = ()  # reachable nodes, including this one
     busy_leases: Collection[LeaseName] = ()  # this node has work in flight under these
--- a/src/eldercart/singleton/holder_preference.py
+++ b/src/eldercart/singleton/holder_preference.py
@@ -29,7 +29,7 @@
 def node_load(node: NodeId, leader: NodeId | None, snapshot: DirectorySnapshot) -> int:
     """Return how many leases of `Affinity.ANY` the node holds, plus one for the leader.
 
-    Leadership counts as one lease because the leader would otherwise look idle until it has
+    Leadership counts as one lease because the leader would otherwise appear idle until it has
     acquired its own leases.
     """
     held_leases = sum(
--- a/src/eldercart/singleton/intents.py
+++ b/src/eldercart/singleton/intents.py
@@ -65,7 +65,7 @@
     INDETERMINATE = "indeterminate"  # may have been applied, or may still be applied later
 
 
-OpenIntents = Mapping[str, Intent]  # by name; an immutable persistent map
+OpenIntents = Mapping[str, Intent]  # immutable persistent map, by intent name
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,7 +82,7 @@
     """The holder's view of a lease's open intents. At most one write is in flight at a time."""
 
     def __init__(self, lease_name: LeaseName, max_bytes: int) -> None:
-        """Create a log that is empty until `load`; its record takes at most `max_bytes`."""
+        """Create a log that is empty until `load`; its record has at most `max_bytes`."""
         self.lease_name = lease_name
         self.is_loaded = False
         self.needs_refresh = False
--- a/src/eldercart/singleton/lease_candidate.py
+++ b/src/eldercart/singleton/lease_candidate.py
@@ -69,7 +69,7 @@
 class _LeaseStatus:
     """The state of one named lease at this node, and when it changed."""
 
-    token: LeaseToken = NO_LEASE_TOKEN  # of this node as the holder
+    token: LeaseToken = NO_LEASE_TOKEN  # NO_LEASE_TOKEN unless this node holds it
     state: LeaseState = LeaseState.OBSERVER
     ineligibility: IneligibilityReason | None = None
     candidate_since: MonotonicTime | None = None
--- a/src/eldercart/singleton/write_ahead_gate.py
+++ b/src/eldercart/singleton/write_ahead_gate.py
@@ -19,9 +19,9 @@
 class DispatchMode(Enum):
     """How requests under a lease are sent to the cloud."""
 
-    DIRECT = "direct"  # without intents, because not every node takes part in the lease
-    WRITE_AHEAD = "write_ahead"  # after their intents are recorded
-    BLOCKED = "blocked"  # not sent, because no intent can be recorded now
+    DIRECT = "direct"  # no intents are recorded: not every node takes part in the lease
+    WRITE_AHEAD = "write_ahead"  # requests wait until their intents are recorded
+    BLOCKED = "blocked"  # no intent can be recorded now; requests without one are rejected
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
     """The intent logs, and the requests that wait for their intents, for one term of leadership."""
 
     def __init__(self, leader_token: FencingToken, max_record_bytes: int) -> None:
-        """Create a gate for the leader with that token. A record takes up to `max_record_bytes`."""
+        """Create a gate for the leader with that token. A record has at most `max_record_bytes`."""
         self._leader_token = leader_token
         self.intent_logs = {
             lease_name: IntentLog(lease_name, max_record_bytes) for lease_name in RECORDED_LEASES
