--- a/tests/duty_history.py
+++ b/tests/duty_history.py
@@ -1,5 +1,7 @@
-"""What the state service and the cloud accepted from the holders of named leases, and the checker
-that judges it: `check_history` looks at the history alone, never at a node."""
+"""History of what the state service and the cloud accepted from holders of named leases.
+
+`check_history` verifies the history alone, without inspecting any node.
+"""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -10,27 +12,27 @@
 
 @dataclass(frozen=True)
 class AppliedChange:
-    """A transaction that the state service carried out, or the end of a lease."""
+    """A transaction that the state service applied, or the end of one of its leases."""
 
     at: float
-    sender: str  # the incarnation that sent it
+    sender: str  # incarnation or node that sent it; empty for the end of a lease
     revision: int
     operations: list[dict[str, Any]]
 
 
 @dataclass(frozen=True)
 class CloudEffect:
-    """Something that changed in the cloud: machines that came, or one that went."""
+    """A change in the cloud: machines were rented, or one machine was deleted."""
 
     at: float
     sender: str
-    name: str  # of the rental, or of the machine
+    name: str  # name of the rental request, or of the deleted machine
     kind: str  # "rent" or "delete"
 
 
 @dataclass(frozen=True)
 class NodeEvent:
-    """Something that a node's process is known to have come to."""
+    """A point in time at which a node's process reached a state."""
 
     at: float
     node: str
@@ -38,32 +40,36 @@
 
 @dataclass
 class History:
-    """What was accepted, and what was refused for a token."""
+    """Accepted changes, and the number of changes rejected for their token."""
 
     applied: list[AppliedChange] = field(default_factory=list)
     effects: list[CloudEffect] = field(default_factory=list)
-    rejected: int = 0  # writes of intents, and of the catalogue, under a token that was replaced
+    rejected: int = 0  # writes of intents and of the catalogue, rejected for a replaced token
     cloud_calls: int = 0
-    # Starts of processes that first have to hear which nodes take part, and when one was known to
-    # have heard that all do. No starts: each node knows it from the first.
+    # A process that starts does not know yet whether all nodes take part in the named leases. A
+    # confirmation is a time at which a process was known to have received this from all nodes. If
+    # there are no starts, every node knows it from the beginning.
     starts: list[NodeEvent] = field(default_factory=list)
     support_confirmations: list[NodeEvent] = field(default_factory=list)
 
 
-def check_history(history: History, identity: str = "life") -> None:
-    """Judges what was accepted, from the accepted changes alone: who held what when each of them
-    was made is told by the changes before it. `identity`: the field of holder keys that names who
-    sends, the incarnation or the node."""
-    holders: dict[str, Any] = {}  # who holds the leader key and each lease
-    recorded: dict[str, float] = {}  # names in any accepted record of intents, and since when
-    condemned: dict[str, str] = {}  # machines, and who has condemned them
-    begun = False  # before the first lease is taken, the leader writes without a token
+def check_history(history: History, sender_field: str = "life") -> None:
+    """Check that only current holders changed something, and only with recorded intents.
+
+    The holders at the time of each change are derived from the accepted changes before it.
+    `sender_field` is the field of holder keys that identifies the sender: "life" for its
+    incarnation, or "node".
+    """
+    holders: dict[str, Any] = {}  # senders that hold the leader key and the leases, by key
+    recorded: dict[str, float] = {}  # time of the first accepted record, by name of the intent
+    deletion_recorded_by: dict[str, str] = {}  # first sender that recorded a deletion, by machine
+    is_any_lease_acquired = False  # the leader writes without a lease token until then
     for change in history.applied:
         for write in change.operations:
             key = write.get("put") or write["delete"]
             lease_name = _lease_of(key)
-            begun = begun or key.startswith(wire.HOLDER_PREFIX)
-            if lease_name is not None and begun:
+            is_any_lease_acquired = is_any_lease_acquired or key.startswith(wire.HOLDER_PREFIX)
+            if lease_name is not None and is_any_lease_acquired:
                 holder = holders.get(wire.holder_key(lease_name))
                 assert holder == change.sender, f"{key} written by {change.sender}, not {holder}"
             if key.startswith((wire.INTENT_PREFIX, "use/")):
@@ -74,13 +80,15 @@
                 for name in names:
                     recorded.setdefault(name, change.at)
                 if lease_name is LeaseName.SCALE_IN:
-                    condemned |= {name: condemned.get(name, change.sender) for name in names}
+                    deletion_recorded_by |= {
+                        name: deletion_recorded_by.get(name, change.sender) for name in names
+                    }
             if key.startswith("use/"):
-                # Its own writes may overtake each other; it knows what it has condemned.
-                marked_by = condemned.get(key[len("use/") :], change.sender)
+                # One sender's writes may be reordered: it knows which deletions it has recorded.
+                marked_by = deletion_recorded_by.get(key[len("use/") :], change.sender)
                 assert marked_by == change.sender, f"{key} after {marked_by} had condemned it"
             if key == "lead" or key.startswith(wire.HOLDER_PREFIX):
-                holders[key] = write["v"][identity] if "put" in write else None
+                holders[key] = write["v"][sender_field] if "put" in write else None
     effects: set[str] = set()
     for effect in history.effects:
         assert effect.name not in effects, f"{effect.name} took effect twice"
@@ -92,8 +100,11 @@
 
 
 def _may_lack_intent(history: History, effect: CloudEffect) -> bool:
-    """Whether the sender leads and, as far as its process has shown, has not yet heard all nodes:
-    until then it calls the cloud directly ("Fallback without tokens" in docs/design-duties.md)."""
+    """Return whether the sender is the leader and may not know yet that all nodes take part.
+
+    Until it knows, it sends requests to the cloud directly, without intents ("Fallback without
+    tokens" in docs/design-duties.md).
+    """
     starts = [
         start.at
         for start in history.starts
@@ -116,7 +127,7 @@
             if key == "lead":
                 leader = change.sender if "put" in write else None
             if key.startswith(wire.HOLDER_PREFIX) and change.sender == effect.sender:
-                return False  # nobody asks for a duty before it has heard all nodes
+                return False  # a node acquires a lease only after it knows that all nodes take part
     return leader == effect.sender
 
 
--- a/tests/duty_world.py
+++ b/tests/duty_world.py
@@ -1,8 +1,11 @@
-"""A seeded world of several nodes that hold named leases: lost, late and repeated messages, nodes
-that stall and die, clocks that lie, a state service that refuses one node or all.
+"""Seeded simulation of several nodes that hold named leases.
 
-It keeps a history of what the state service and the cloud accepted, which
-`duty_history.check_history` judges by itself, without a look at any node."""
+Its faults are lost, delayed and duplicated messages, nodes that stall and restart, clocks that jump
+or run at a wrong rate, and a state service that rejects the requests of one node or of all nodes.
+
+The simulation records what the state service and the cloud accepted. `duty_history.check_history`
+verifies this history without inspecting any node.
+"""
 
 import heapq
 import random
@@ -29,7 +32,7 @@
 
 
 class World:
-    """Nodes, the state service, the cloud and the messages between them."""
+    """Simulates the nodes, the state service, the cloud and the messages between them."""
 
     def __init__(self, seed: int, nodes: int = 3, faults: bool = True) -> None:
         self.rng = random.Random(seed)
@@ -42,7 +45,9 @@
         self.machine_count = 0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.event_number = 0
-        self.outage_until: dict[str, float] = {}  # by node; "" for all
+        self.outage_until: dict[
+            str, float
+        ] = {}  # outages of the state service, by node; "" means all
         self.cloud_outage_until = 0.0
         self.paused_leases: set[LeaseName] = set()
         node_ids = [NodeId(f"drover-{i}") for i in range(nodes)]
@@ -50,34 +55,34 @@
 
     # -- messages
 
-    def schedule(self, delay: float, what: Callable[[], None]) -> None:
+    def schedule(self, delay: float, callback: Callable[[], None]) -> None:
         self.event_number += 1
-        heapq.heappush(self.events, (self.now + delay, self.event_number, what))
+        heapq.heappush(self.events, (self.now + delay, self.event_number, callback))
 
     def send(
         self, node: "SimulatedNode", serve: Callable[[], Any], answered: AnswerCallback
     ) -> None:
-        """One request, and perhaps a late copy of it; the answer may be lost."""
+        """Send one request, and perhaps a delayed copy of it. The answer may be lost."""
         rng = self.rng
-        life = node.incarnation_number
+        sent_by_incarnation = node.incarnation_number
 
-        def answer(value: Any) -> None:
-            if node.incarnation_number == life:
+        def deliver_answer(value: Any) -> None:
+            if node.incarnation_number == sent_by_incarnation:
                 node.receive(lambda: answered(*value))
 
-        def deliver() -> None:
+        def deliver_request() -> None:
             value = serve()
             if self.faults and rng.random() < 0.04:
-                self.schedule(2.0, lambda: answer((None, None)))
+                self.schedule(2.0, lambda: deliver_answer((None, None)))
             else:
-                self.schedule(rng.uniform(0.001, 0.05), lambda: answer(value))
+                self.schedule(rng.uniform(0.001, 0.05), lambda: deliver_answer(value))
 
         if self.faults and rng.random() < 0.03:
-            # Held back: the sender has given up long before it arrives.
+            # The request is delayed: the sender times out before the request arrives.
             self.schedule(rng.uniform(2.0, 60.0), lambda: (serve(), None)[1])
-            self.schedule(2.0, lambda: answer((None, None)))
+            self.schedule(2.0, lambda: deliver_answer((None, None)))
             return
-        self.schedule(rng.uniform(0.001, 0.05), deliver)
+        self.schedule(rng.uniform(0.001, 0.05), deliver_request)
         if self.faults and rng.random() < 0.05:
             self.schedule(rng.uniform(0.5, 60.0), lambda: (serve(), None)[1])
 
@@ -234,12 +239,12 @@
             value = wire.pause_value(wire.PauseRecord(WallTime(self.now), "test"))
             self.store.txn(Transaction({}, [Put(key, value)]).body())
         else:
-            to = self.rng.choice(self.nodes).node_id
-            value = wire.hand_over_value(wire.HandOverRecord(to, WallTime(self.now)))
+            receiver = self.rng.choice(self.nodes).node_id
+            value = wire.hand_over_value(wire.HandOverRecord(receiver, WallTime(self.now)))
             self.store.txn(Transaction({}, [Put(wire.hand_over_key(lease_name), value)]).body())
 
     def settle(self, seconds: float = 150.0) -> None:
-        """All troubles end, and everything that is open is brought to its end."""
+        """End all faults, let all open work complete, and delete all machines that remain."""
         self.faults = False
         self.outage_until.clear()
         self.cloud_outage_until = 0.0
@@ -248,7 +253,7 @@
         for lease_name in LeaseName:
             self.store.txn(Transaction({}, [DeleteKey(wire.pause_key(lease_name))]).body())
         self.run(seconds)
-        # Whatever was rented, under names that were learned or not, is in the list.
+        # The list has every machine, also one whose name no leader received.
         for node in self.nodes:
             if node.is_leader:
                 listed = sorted(self.machines - node.marked_for_deletion)
@@ -258,9 +263,13 @@
 
 
 def check_end(world: World) -> None:
-    """After everything has settled: nothing is open, and each machine is returned."""
+    """Check the state after `settle`.
+
+    One node is the leader, every named lease is held, every machine is deleted and no intent is
+    open.
+    """
     if not all(wire.holder_key(lease_name) in world.store.keys for lease_name in LeaseName):
-        world.run(15.0)  # one is just changing hands
+        world.run(15.0)  # a lease is just being acquired by its next holder
     leaders = [node for node in world.nodes if node.is_leader]
     assert len(leaders) == 1, "one leader"
     for lease_name in LeaseName:
