--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -1,5 +1,4 @@
-"""The parts of the named leases by themselves: directory, candidate, preference, status, command
-line."""
+"""Unit tests of named leases: directory, candidate, holder preference, status and command line."""
 
 from dataclasses import replace
 from typing import Any
@@ -38,8 +37,8 @@
 LEASE_S = 6.0
 
 
-def holder_item(lease_name: LeaseName, node: NodeId, version: int, life: str = "x") -> Item:
-    record = HolderRecord(node, IncarnationId(life), WallTime(5.0))
+def holder_item(lease_name: LeaseName, node: NodeId, version: int, incarnation: str = "x") -> Item:
+    record = HolderRecord(node, IncarnationId(incarnation), WallTime(5.0))
     return Item(wire.holder_key(lease_name), wire.holder_value(record), Revision(version))
 
 
@@ -56,7 +55,7 @@
 # -- directory
 
 
-def test_what_is_known_as_of_a_later_revision_stays() -> None:
+def test_directory_ignores_changes_older_than_the_known_revision() -> None:
     directory = LeaseDirectory()
     own_items = holder_item(LeaseName.CATALOG, ME, 12)
     directory.apply_own_writes([own_items], Revision(12))
@@ -79,7 +78,7 @@
         before[LeaseName.SCALE_IN] = EMPTY_ENTRY  # type: ignore[index]
 
 
-def test_an_unreadable_record_counts_as_there() -> None:
+def test_lease_with_an_unreadable_holder_record_counts_as_held() -> None:
     directory = LeaseDirectory()
     key = wire.holder_key(LeaseName.SCALE_OUT)
     later = Item(wire.HOLDER_PREFIX + "of-a-later-version", {}, Revision(3))
@@ -92,7 +91,7 @@
 
 
 class CandidateDriver:
-    """A membership driven by hand, with its answers given at once."""
+    """Drives a `LeaseCandidate` step by step, and answers its actions at once."""
 
     def __init__(self, **changes: Any) -> None:
         self.candidate = LeaseCandidate(
@@ -119,20 +118,20 @@
     def next_action(self) -> Any:
         return self.candidate.next_action(self.view)
 
-    def learn(self, *items: Item) -> None:
+    def read_directory(self, *items: Item) -> None:
         self.revision += 1
         self.candidate.directory.apply_read(items, Revision(self.revision))
         self.candidate.on_directory_read()
 
     def settle(self) -> list[Any]:
-        """Answers everything with success until there is no next action."""
+        """Run actions, each of which succeeds, until none is due. Return the actions."""
         done = []
         while (action := self.next_action()) is not None:
             done.append(action)
             self.revision += 1
             match action:
                 case ReadDirectory():
-                    self.learn()
+                    self.read_directory()
                 case GrantLease():
                     self.candidate.on_lease_granted(LeaseId(7))
                 case KeepLeaseAlive():
@@ -148,17 +147,17 @@
         return self.candidate.state(lease_name)
 
 
-def leading(**changes: Any) -> CandidateDriver:
+def settled_leader(**changes: Any) -> CandidateDriver:
     node = CandidateDriver(leader=ME, leader_token=FencingToken(9), **changes)
     node.settle()
     return node
 
 
-def test_a_leader_takes_its_duties_under_one_lease() -> None:
+def test_leader_acquires_its_named_leases_under_one_store_lease() -> None:
     node = CandidateDriver(leader=ME, leader_token=FencingToken(9))
-    done = node.settle()
-    assert sum(isinstance(action, GrantLease) for action in done) == 1
-    acquired = [action for action in done if isinstance(action, Acquire)]
+    actions = node.settle()
+    assert sum(isinstance(action, GrantLease) for action in actions) == 1
+    acquired = [action for action in actions if isinstance(action, Acquire)]
     assert {a.lease_name for a in acquired} == {
         LeaseName.SCALE_OUT,
         LeaseName.SCALE_IN,
@@ -172,8 +171,8 @@
     assert [type(a) for a in node.settle()] == [KeepLeaseAlive], "one renewal for all of them"
 
 
-def test_a_duty_that_was_just_taken_does_not_wander() -> None:
-    node = leading()
+def test_acquired_lease_is_not_moved_for_balance_before_the_minimum_hold_time() -> None:
+    node = settled_leader()
     node.wait(LEASE_S)
     node.settle()
     assert node.state(LeaseName.CATALOG) is LeaseState.HOLDER, "nobody else took it"
@@ -185,11 +184,11 @@
     assert released == [LeaseName.CATALOG], "two nodes without any stand by"
 
 
-def test_a_new_leader_replaces_the_key_of_the_old_one_in_the_version_seen() -> None:
-    """It need not wait for the lease: the old holder's token is refused from then on."""
+def test_new_leader_replaces_the_holder_key_at_its_known_version() -> None:
+    """The new leader need not wait for expiry: the old holder's token is rejected from then on."""
     node = CandidateDriver(leader=ME, leader_token=FencingToken(9))
     assert isinstance(node.next_action(), ReadDirectory)
-    node.learn(holder_item(LeaseName.SCALE_OUT, OTHER, 17))
+    node.read_directory(holder_item(LeaseName.SCALE_OUT, OTHER, 17))
     acquired = {a.lease_name: a for a in node.settle() if isinstance(a, Acquire)}
     assert (
         acquired[LeaseName.SCALE_OUT].transaction.conditions[wire.holder_key(LeaseName.SCALE_OUT)]
@@ -211,10 +210,10 @@
         ),
     ],
 )
-def test_what_speaks_against_a_duty(
+def test_ineligible_holder_drains_and_then_releases_the_lease(
     changes: dict[str, Any], items: tuple[Item, ...], obstacle: IneligibilityReason
 ) -> None:
-    node = leading()
+    node = settled_leader()
     held = node.candidate.directory.entry(LeaseName.SCALE_OUT).token
     node.change(busy_leases=(LeaseName.SCALE_OUT,), **changes)
     own_items = [
@@ -226,7 +225,7 @@
         for d in LeaseName
         if node.candidate.directory.entry(d).is_held
     ]
-    node.learn(*own_items, *items)
+    node.read_directory(*own_items, *items)
     node.settle()
     assert node.candidate.ineligibility(LeaseName.SCALE_OUT) is obstacle
     assert node.state(LeaseName.SCALE_OUT) is LeaseState.DRAINING, "something is under way"
@@ -251,19 +250,19 @@
         action = node.next_action()
         match action:
             case ReadDirectory():
-                node.learn()
+                node.read_directory()
             case GrantLease():
                 node.candidate.on_lease_granted(LeaseId(7))
     node.candidate.on_action_failed(node.view.now)
     node.wait(1.0)
     assert isinstance(node.next_action(), ReadDirectory), "nothing else can tell"
-    node.learn(holder_item(action.lease_name, ME, 30, "me"))
+    node.read_directory(holder_item(action.lease_name, ME, 30, "me"))
     assert node.state(action.lease_name) is LeaseState.HOLDER
     assert node.candidate.usable_token(action.lease_name, node.view.now) == 30
 
 
-def test_a_late_copy_of_an_acquisition_is_given_up_again() -> None:
-    """It came into force after this node had stopped wanting the lease."""
+def test_lease_acquired_by_a_delayed_copy_is_released() -> None:
+    """The copy was applied after this node had stopped being a candidate for the lease."""
     node = CandidateDriver()
     node.settle()
     node.revision = 40
@@ -276,9 +275,9 @@
     ]
 
 
-def test_a_holder_whose_lease_has_run_out_begins_nothing_until_it_is_confirmed() -> None:
-    """A renewal that was delayed may still come in time: the key tells."""
-    node = leading()
+def test_holder_starts_no_work_after_expiry_until_a_keep_alive_succeeds() -> None:
+    """A delayed keep-alive may still arrive in time. The holder key decides."""
+    node = settled_leader()
     node.wait(LEASE_S)
     action = node.next_action()
     assert isinstance(action, KeepLeaseAlive)
@@ -292,21 +291,21 @@
     assert isinstance(node.next_action(), ReadDirectory), "its keys went with the lease"
 
 
-def test_a_refused_write_is_looked_into() -> None:
-    node = leading()
+def test_fenced_write_causes_a_directory_read() -> None:
+    node = settled_leader()
     node.candidate.on_write_fenced()
     assert isinstance(node.next_action(), ReadDirectory)
-    node.learn(holder_item(LeaseName.SCALE_OUT, OTHER, 50))
+    node.read_directory(holder_item(LeaseName.SCALE_OUT, OTHER, 50))
     node.change(leader_token=FencingToken(0), leader=OTHER)
     assert node.state(LeaseName.SCALE_OUT) is LeaseState.OBSERVER
     assert node.candidate.held_token(LeaseName.SCALE_OUT) is None
 
 
 @pytest.mark.parametrize("receiver", [ME, THIRD])
-def test_a_hand_over_is_kept_for_its_receiver_for_a_while(receiver: NodeId) -> None:
+def test_hand_over_reserves_the_lease_for_its_receiver_until_it_expires(receiver: NodeId) -> None:
     node = CandidateDriver()
     assert isinstance(node.next_action(), ReadDirectory)
-    node.learn(hand_over_item(LeaseName.CATALOG, receiver, 5))
+    node.read_directory(hand_over_item(LeaseName.CATALOG, receiver, 5))
     node.settle()
     if receiver == THIRD:
         assert node.state(LeaseName.CATALOG) is LeaseState.OBSERVER
@@ -320,7 +319,7 @@
     assert all(a.transaction.conditions[wire.hand_over_key(LeaseName.CATALOG)] == 5 for a in done)
 
 
-def test_a_slow_node_gives_up_what_others_can_hold() -> None:
+def test_lagging_node_releases_leases_that_any_node_can_hold() -> None:
     node = CandidateDriver(leader=ME, leader_token=FencingToken(9), candidates=(ME,))
     node.settle()
     assert node.state(LeaseName.CATALOG) is LeaseState.HOLDER
@@ -331,7 +330,7 @@
     assert node.state(LeaseName.SCALE_OUT) is LeaseState.HOLDER, "the leader's stay with it"
 
 
-def test_candidates_take_turns_by_load_and_name() -> None:
+def test_candidates_rank_by_load_and_then_by_name() -> None:
     directory = LeaseDirectory()
     nodes = (OTHER, ME, THIRD)
     assert [candidate_rank(n, nodes, ME, directory.snapshot) for n in nodes] == [0, 2, 1], (
@@ -343,7 +342,7 @@
     assert is_overloaded(OTHER, nodes, OTHER, directory.snapshot)
 
 
-# -- what operators are told
+# -- status for operators
 
 
 def status_context(**changes: Any) -> StatusContext:
@@ -367,7 +366,7 @@
         (LeaseName.CATALOG, (), {}, "has not taken it yet"),
     ],
 )
-def test_why_nobody_holds_a_duty(
+def test_status_gives_the_reason_why_a_lease_is_not_held(
     lease_name: LeaseName, items: tuple[Item, ...], changes: dict[str, Any], why: str
 ) -> None:
     directory = LeaseDirectory()
@@ -391,13 +390,13 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{}", b'{"to":7}', b'{"to":""}', b"x" * 70000])
-def test_malformed_hand_overs(body: bytes) -> None:
+def test_malformed_hand_over_requests_are_rejected(body: bytes) -> None:
     with pytest.raises(MalformedMessageError):
         wire.parse_hand_over_request(body)
 
 
 @pytest.mark.parametrize("body", [b"", b'{"reason":7}', b'{"reason":"' + b"x" * 300 + b'"}'])
-def test_malformed_pauses(body: bytes) -> None:
+def test_malformed_pause_requests_are_rejected(body: bytes) -> None:
     with pytest.raises(MalformedMessageError):
         wire.parse_pause_request(body)
 
@@ -415,7 +414,7 @@
         (["resume", "return"], "POST", "/duties/return/resume", b"{}"),
     ],
 )
-def test_commands_become_requests(
+def test_commands_are_sent_as_http_requests(
     arguments: list[str], method: str, path: str, body: bytes | None
 ) -> None:
     arguments = ["duties", *arguments, "--server", "127.0.0.1:1"]
--- a/tests/test_duty_intents.py
+++ b/tests/test_duty_intents.py
@@ -1,4 +1,4 @@
-"""Intents and the write-ahead gate by themselves."""
+"""Unit tests of the intent log and the write-ahead gate."""
 
 from typing import Any
 
@@ -81,7 +81,9 @@
 
 @pytest.mark.parametrize("applied", [True, False])
 @pytest.mark.parametrize("outcome", [WriteOutcome.INDETERMINATE, WriteOutcome.CONFLICT])
-def test_a_write_without_an_outcome_is_read_again(outcome: WriteOutcome, applied: bool) -> None:
+def test_record_is_read_again_after_an_indeterminate_or_conflicting_write(
+    outcome: WriteOutcome, applied: bool
+) -> None:
     log = loaded_log()
     log.create(scale_out_intent())
     intent_write = next_write(log)
@@ -93,7 +95,7 @@
     assert (next_write(log, 9.0) is None) is applied, "written again only if it was not"
 
 
-def test_intents_that_nobody_waits_for_are_gathered() -> None:
+def test_intents_that_are_not_urgent_are_batched() -> None:
     log = loaded_log(LeaseName.SCALE_IN)
     log.create(scale_in_intent("n-1"), urgent=False)
     log.on_write_result(
@@ -106,7 +108,9 @@
 
 
 @pytest.mark.parametrize("applied", [True, False])
-def test_what_is_given_up_while_it_is_written_stays_only_if_it_was(applied: bool) -> None:
+def test_intent_abandoned_during_its_write_stays_only_if_the_write_was_applied(
+    applied: bool,
+) -> None:
     log = loaded_log()
     log.create(scale_out_intent())
     intent_write = next_write(log)
@@ -120,7 +124,7 @@
     assert next_write(log, 9.0) is None, "nothing is left to be written"
 
 
-def test_a_refused_write_is_tried_again() -> None:
+def test_rejected_write_is_retried() -> None:
     log = loaded_log()
     log.create(scale_out_intent())
     intent_write = next_write(log)
@@ -129,15 +133,17 @@
     assert next_write(log, 2.0).transaction.operations == intent_write.transaction.operations
 
 
-def test_the_record_keeps_to_the_limit_on_a_value() -> None:
+def test_intent_record_stays_within_the_value_size_limit() -> None:
     log = loaded_log(LeaseName.SCALE_IN, 600)
-    names = [scale_in_intent(f"n-{i:06d}") for i in range(100)]
-    room = log.capacity_for(list(names))
-    assert 0 < room < 100
-    for intent in names[:room]:
+    intents = [scale_in_intent(f"n-{i:06d}") for i in range(100)]
+    capacity = log.capacity_for(list(intents))
+    assert 0 < capacity < 100
+    for intent in intents[:capacity]:
         log.create(intent)
     assert log.capacity_for([scale_in_intent("n-000100")]) == 0
-    assert log.capacity_for(list(names[:room])) == room, "what is in it already needs no room"
+    assert log.capacity_for(list(intents[:capacity])) == capacity, (
+        "what is in it already needs no room"
+    )
     intent_write = next_write(log)
     assert len(orjson.dumps(intent_write.transaction.operations[0].value)) <= 600
     log.on_write_result(intent_write, WriteOutcome.COMMITTED, Revision(30), MonotonicTime(1.1))
@@ -145,14 +151,14 @@
     assert log.capacity_for([scale_in_intent("n-000100")]) == 1
 
 
-def test_an_intent_that_is_wanted_anew_while_it_is_dropped_is_recorded_again() -> None:
+def test_intent_created_during_its_removal_is_recorded_again() -> None:
     log = loaded_log()
     log.create(scale_out_intent())
     log.on_write_result(next_write(log), WriteOutcome.COMMITTED, Revision(30), MonotonicTime(1.0))
     log.mark_finished("r-1", MonotonicTime(2.0))
-    dropping = next_write(log, 2.0 + COMPACTION_DELAY_S)
+    compaction = next_write(log, 2.0 + COMPACTION_DELAY_S)
     log.create(scale_out_intent())
-    log.on_write_result(dropping, WriteOutcome.COMMITTED, Revision(31), MonotonicTime(6.0))
+    log.on_write_result(compaction, WriteOutcome.COMMITTED, Revision(31), MonotonicTime(6.0))
     assert not log.is_recorded("r-1")
     log.on_write_result(
         next_write(log, 7.0), WriteOutcome.COMMITTED, Revision(32), MonotonicTime(7.0)
@@ -161,7 +167,7 @@
 
 
 @pytest.mark.parametrize("value", [None, [], {"i": [{}]}, {"i": 3}, {"i": [{"n": "", "t": 1}]}])
-def test_an_unreadable_record_is_replaced(value: Any) -> None:
+def test_unreadable_intent_record_is_replaced(value: Any) -> None:
     log = IntentLog(LeaseName.SCALE_IN, 4000)
     assert log.load(Item("intent/return", value, Revision(8))) == []
     log.create(scale_in_intent("n-1"))
@@ -181,16 +187,16 @@
 RECORDED_LEASES = (LeaseName.SCALE_OUT, LeaseName.SCALE_IN)
 
 
-def gate_with_open_machines(*open_machines: str) -> WriteAheadGate:
+def gate_with_open_deletions(*machines: str) -> WriteAheadGate:
     gate = WriteAheadGate(FencingToken(9), 4000)
     for lease_name in RECORDED_LEASES:
-        names = open_machines if lease_name is LeaseName.SCALE_IN else ()
+        names = machines if lease_name is LeaseName.SCALE_IN else ()
         value = wire.intents_value([scale_in_intent(name) for name in names])
         gate.load(lease_name, Item(wire.intents_key(lease_name), value, Revision(8)))
     return gate
 
 
-def rent_call(name: str = "r-1") -> ScaleOut:
+def scale_out_call(name: str = "r-1") -> ScaleOut:
     return ScaleOut(ScaleOutRequest(name, MachineOffering("small", "a", False), 2))
 
 
@@ -198,9 +204,9 @@
     return DeleteMachines(tuple(MachineId(name) for name in names))
 
 
-def test_a_call_waits_for_its_intents() -> None:
-    gate = gate_with_open_machines()
-    call = rent_call()
+def test_request_is_sent_only_after_its_intents_are_recorded() -> None:
+    gate = gate_with_open_deletions()
+    call = scale_out_call()
     gate.admit(call, WallTime(1e6))
     policies = dict.fromkeys(RECORDED_LEASES, WRITE_AHEAD)
     output = gate.process(policies, MonotonicTime(1.0), may_write=True)
@@ -215,8 +221,8 @@
     assert not gate.is_busy(LeaseName.SCALE_OUT)
 
 
-def test_what_earlier_leaders_recorded_is_sent_at_once() -> None:
-    gate = gate_with_open_machines("n-1", "n-2")
+def test_request_recorded_by_an_earlier_leader_is_sent_at_once() -> None:
+    gate = gate_with_open_deletions("n-1", "n-2")
     call = gate.admit(delete_call("n-1", "n-2"), WallTime(1e6))
     output = gate.process(
         dict.fromkeys(RECORDED_LEASES, BLOCKED), MonotonicTime(1.0), may_write=True
@@ -224,9 +230,9 @@
     assert output.calls_to_send == [call] and output.rejected_calls == [] and output.writes == []
 
 
-def test_what_can_not_be_recorded_is_given_back_at_once() -> None:
-    gate = gate_with_open_machines()
-    calls = [rent_call(), delete_call("n-3")]
+def test_request_that_cannot_be_recorded_is_rejected_at_once() -> None:
+    gate = gate_with_open_deletions()
+    calls = [scale_out_call(), delete_call("n-3")]
     for call in calls:
         gate.admit(call, WallTime(1e6))
     output = gate.process(
@@ -236,7 +242,7 @@
     assert not gate.is_busy(LeaseName.SCALE_OUT) and not gate.is_busy(LeaseName.SCALE_IN)
 
 
-def test_a_deletion_is_cut_to_what_the_record_takes() -> None:
+def test_deletion_request_is_limited_to_what_fits_into_the_record() -> None:
     gate = WriteAheadGate(FencingToken(9), 200)
     gate.load(LeaseName.SCALE_IN, None)
     call = gate.admit(delete_call(*(f"n-{i:06d}" for i in range(100))), WallTime(1e6))
@@ -244,8 +250,8 @@
     assert not gate.has_capacity(LeaseName.SCALE_IN)
 
 
-def test_an_unanswered_call_stays_open_and_goes_out_again_under_its_name() -> None:
-    gate = gate_with_open_machines("n-1")
+def test_unanswered_request_stays_open_and_is_sent_again_under_its_name() -> None:
+    gate = gate_with_open_deletions("n-1")
     policies = dict.fromkeys(RECORDED_LEASES, WRITE_AHEAD)
     for _ in range(2):
         gate.admit(delete_call("n-1"), WallTime(1e6))
@@ -255,8 +261,8 @@
     assert list(gate.intent_logs[LeaseName.SCALE_IN].open_intents) == ["n-1"]
 
 
-def test_a_call_past_the_gate_closes_what_was_recorded_of_it() -> None:
-    gate = gate_with_open_machines("n-1")
+def test_answer_to_a_direct_request_finishes_its_recorded_intents() -> None:
+    gate = gate_with_open_deletions("n-1")
     gate.on_direct_answer(delete_call("n-1"), MonotonicTime(1.0))
     policies = dict.fromkeys(RECORDED_LEASES, WRITE_AHEAD)
     output = gate.process(policies, MonotonicTime(1.0 + COMPACTION_DELAY_S), may_write=True)
--- a/tests/test_duty_schedules.py
+++ b/tests/test_duty_schedules.py
@@ -1,4 +1,7 @@
-"""Seeded schedules of several nodes in simulated time, judged by an independent checker."""
+"""Seeded schedules of faults on several nodes in simulated time.
+
+An independent checker, `check_history`, verifies what the state service and the cloud accepted.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -23,32 +26,32 @@
 from eldercart.wire.state import Put, Transaction
 
 BLOCKS, SEEDS_PER_BLOCK = 6, 8
-MUTANT_SEEDS = range(41, 66)  # in which a guard that was taken out must be missed at least once
-LENGTH_S = 60.0
+MUTANT_SEEDS = range(41, 66)  # each removed guard must make at least one of these fail
+SCHEDULE_LENGTH_S = 60.0
 
 
 def run_schedule(seed: int) -> World:
     world = World(seed, 3 + seed % 3)
-    world.run(LENGTH_S)
+    world.run(SCHEDULE_LENGTH_S)
     world.settle()
     return world
 
 
 @pytest.mark.parametrize("block", range(BLOCKS))
-def test_no_schedule_lets_a_replaced_holder_act(block: int) -> None:
-    refused = rented = deleted = 0
+def test_replaced_holder_has_no_effect_under_seeded_faults(block: int) -> None:
+    rejected_writes = rented = deleted = 0
     for seed in range(block * SEEDS_PER_BLOCK, (block + 1) * SEEDS_PER_BLOCK):
         world = run_schedule(seed)
         check_history(world.history)
         check_end(world)
-        refused += world.history.rejected
+        rejected_writes += world.history.rejected
         rented += sum(effect.kind == "rent" for effect in world.history.effects)
         deleted += sum(effect.kind == "delete" for effect in world.history.effects)
-    assert refused and rented and deleted, "the schedules try something"
+    assert rejected_writes and rented and deleted, "the schedules try something"
 
 
 def without_guards(*names: str) -> Callable[[pytest.MonkeyPatch], None]:
-    """Leaves out guards of the writes of intents."""
+    """Return a patch that removes these conditions from the writes of intents."""
 
     def change(patch: pytest.MonkeyPatch) -> None:
         next_write = IntentLog.next_write
@@ -71,7 +74,7 @@
 
 
 def record_not_taken_over(patch: pytest.MonkeyPatch) -> None:
-    """A new leader takes the record's version, and not what is open in it."""
+    """A new leader loads the record and its version, but ignores its open intents."""
     load = WriteAheadGate.load
 
     def mutant(gate: WriteAheadGate, lease_name: LeaseName, item: Any) -> Any:
@@ -82,7 +85,7 @@
 
 
 def catalogue_without_token(patch: pytest.MonkeyPatch) -> None:
-    txn = World.commit
+    original_commit = World.commit
 
     def mutant(world: World, node: Any, transaction: Any, answered: Any) -> None:
         transaction.conditions.pop(
@@ -90,7 +93,7 @@
         ) if transaction.conditions.get(holder_key(LeaseName.CATALOG), ABSENT_REVISION) and not any(
             w.key.startswith("duty/") for w in transaction.operations
         ) else None
-        txn(world, node, transaction, answered)
+        original_commit(world, node, transaction, answered)
 
     patch.setattr(World, "commit", mutant)
 
@@ -106,8 +109,10 @@
         pytest.param(catalogue_without_token, id="catalogue without a token"),
     ],
 )
-def test_the_checker_misses_no_guard(mutant: Any, monkeypatch: pytest.MonkeyPatch) -> None:
-    """With a guard taken out, some schedule breaks what the checker demands."""
+def test_history_checker_detects_every_removed_guard(
+    mutant: Any, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """If a guard is removed, at least one schedule violates a rule of the checker."""
     mutant(monkeypatch)
     for seed in MUTANT_SEEDS:
         try:
@@ -120,10 +125,15 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_a_write_that_arrives_after_a_pause(guarded: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The one way to lose a lease of the leader and not the leadership. The leader has given the
-    write up, has read that it was not applied, and has released the lease: only the lease's token
-    tells that it must not be applied any more."""
+def test_delayed_intent_write_is_rejected_after_its_lease_was_paused(
+    guarded: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A pause is the only way in which the leader loses a leader's lease but stays the leader.
+
+    The write has timed out, the leader has read that it was not applied, and has released the
+    lease. Only the condition on the lease's token then prevents the delayed write from being
+    applied.
+    """
     if not guarded:
         without_guards("duty")(monkeypatch)
     world = World(1, faults=False)
@@ -132,42 +142,42 @@
     world.run(10.0)
     leader = next(node for node in world.nodes if node.is_leader)
     send = world.send
-    late: list[Callable[[], Any]] = []
+    delayed_writes: list[Callable[[], Any]] = []
 
-    def hold_back(node: Any, serve: Callable[[], Any], answered: Any) -> None:
-        if getattr(serve, "records", False) and not late:
-            late.append(serve)
+    def delay_first_record_write(node: Any, serve: Callable[[], Any], answered: Any) -> None:
+        if getattr(serve, "records", False) and not delayed_writes:
+            delayed_writes.append(serve)
             world.schedule(2.0, lambda: node.receive(lambda: answered(None, None)))
         else:
             send(node, serve, answered)
 
-    txn = world.commit
+    original_commit = world.commit
 
-    def mark(node: Any, transaction: Any, answered: Any) -> None:
+    def commit_marked(node: Any, transaction: Any, answered: Any) -> None:
         records = any(
             write.key == intents_key(LeaseName.SCALE_OUT) for write in transaction.operations
         )
-        inner = world.send
+        unmarked_send = world.send
         if records:
 
-            def marked(n: Any, serve: Any, a: Any) -> None:
+            def send_marked(n: Any, serve: Any, a: Any) -> None:
                 serve.records = True
-                hold_back(n, serve, a)
+                delay_first_record_write(n, serve, a)
 
-            world.send = marked  # type: ignore[method-assign]
-        txn(node, transaction, answered)
-        world.send = inner  # type: ignore[method-assign]
+            world.send = send_marked  # type: ignore[method-assign]
+        original_commit(node, transaction, answered)
+        world.send = unmarked_send  # type: ignore[method-assign]
 
-    world.commit = mark  # type: ignore[method-assign]
+    world.commit = commit_marked  # type: ignore[method-assign]
     offer = MachineOffering("small", "a", False)
     leader.pending_calls.append(ScaleOut(ScaleOutRequest("r-late", offer, 2)))
     world.run(0.5)
-    assert late, "the write is under way"
+    assert delayed_writes, "the write is under way"
     pause = Put(pause_key(LeaseName.SCALE_OUT), pause_value(PauseRecord(WallTime(1.0), "")))
     world.store.txn(Transaction({}, [pause]).body())
     world.run(6.0)
     assert holder_key(LeaseName.SCALE_OUT) not in world.store.keys and leader.is_leader
-    status, _ = late[0]()
+    status, _ = delayed_writes[0]()
     assert status == (409 if guarded else 200)
     if guarded:
         check_history(world.history)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Maintenance windows, daylight-saving changes both ways, and the checks of the feature file."""
+"""Tests of maintenance windows, also across daylight-saving changes, and of the feature file."""
 
 import copy
 import json
@@ -21,12 +21,12 @@
 
 
 def instant(text: str) -> WallTime:
-    """A time in UTC."""
+    """Return the wall time of an ISO date and time in UTC."""
     return WallTime(datetime.fromisoformat(text).replace(tzinfo=UTC).timestamp())
 
 
 def calendar(zone: str, *weekly: tuple[str, str, str], **exceptions: Any) -> MaintenanceCalendar:
-    """Windows as (days, start, end)."""
+    """Return a calendar of weekly windows, each given as (days, start, end)."""
     obj: dict[str, Any] = {
         "time_zone": zone,
         "weekly": [{"days": d.split(), "start": s, "end": e} for d, s, e in weekly],
@@ -125,7 +125,7 @@
         ),
     ],
 )
-def test_when_a_window_is_open(
+def test_windows_open_and_close_by_local_time(
     name: str, zone: str, window: tuple[str, str, str], at: str, opens: str, closes: str
 ) -> None:
     found = calendar(zone, window).next_window(instant(at))
@@ -135,7 +135,7 @@
 
 
 def test_exceptions_close_a_date_or_give_it_another_window() -> None:
-    c = calendar(
+    windows = calendar(
         "Europe/Athens",
         (ALL_DAYS, "01:00", "05:00"),
         exceptions=[
@@ -143,15 +143,17 @@
             {"date": "2026-12-26", "start": "12:00", "end": "13:00"},
         ],
     )
-    found = c.next_window(instant("2026-12-24T04:00"))
+    found = windows.next_window(instant("2026-12-24T04:00"))
     assert found == MaintenanceWindow(instant("2026-12-26T10:00"), instant("2026-12-26T11:00"))
-    assert not c.is_open(instant("2026-12-24T23:30")) and c.is_open(instant("2026-12-26T10:30"))
+    assert not windows.is_open(instant("2026-12-24T23:30")) and windows.is_open(
+        instant("2026-12-26T10:30")
+    )
 
 
-def test_windows_of_one_day_are_taken_by_their_opening() -> None:
-    c = calendar("UTC", (ALL_DAYS, "20:00", "21:00"), (ALL_DAYS, "03:00", "04:00"))
+def test_windows_of_one_day_are_ordered_by_opening_time() -> None:
+    windows = calendar("UTC", (ALL_DAYS, "20:00", "21:00"), (ALL_DAYS, "03:00", "04:00"))
     times = ["2026-12-02T01:00", "2026-12-02T05:00", "2026-12-02T20:30"]
-    opens = [c.next_window(instant(at)) for at in times]
+    opens = [windows.next_window(instant(at)) for at in times]
     assert [w and w.opens_at for w in opens] == [
         instant("2026-12-02T03:00"),
         instant("2026-12-02T20:00"),
@@ -159,13 +161,13 @@
     ]
 
 
-def test_a_clock_that_is_put_back_finds_the_earlier_window() -> None:
-    c = calendar("UTC", (ALL_DAYS, "03:00", "04:00"))
-    assert not c.is_open(instant("2026-12-02T12:00"))
-    assert c.is_open(instant("2026-12-01T03:30"))
+def test_cached_window_is_dropped_when_the_clock_is_set_back() -> None:
+    windows = calendar("UTC", (ALL_DAYS, "03:00", "04:00"))
+    assert not windows.is_open(instant("2026-12-02T12:00"))
+    assert windows.is_open(instant("2026-12-01T03:30"))
 
 
-def test_a_year_of_exceptions_leaves_no_window() -> None:
+def test_search_that_finds_no_window_is_cached() -> None:
     days = [
         {
             "date": datetime.fromtimestamp(instant("2026-01-01T00:00") + n * 86400, UTC)
@@ -174,14 +176,14 @@
         }
         for n in range(800)
     ]
-    c = calendar("UTC", (ALL_DAYS, "03:00", "04:00"), exceptions=days)
-    assert c.next_window(instant("2026-02-01T00:00")) is None
-    assert not c.is_open(instant("2026-02-01T03:30"))
-    looked_up: list[WallTime] = []
-    c._find_window = looked_up.append  # type: ignore[method-assign,assignment]
-    assert not c.is_open(instant("2026-02-01T04:00")), "it is not looked for all the time"
-    assert looked_up == []
-    assert not c.is_open(instant("2026-02-01T06:00")) and len(looked_up) == 1
+    windows = calendar("UTC", (ALL_DAYS, "03:00", "04:00"), exceptions=days)
+    assert windows.next_window(instant("2026-02-01T00:00")) is None
+    assert not windows.is_open(instant("2026-02-01T03:30"))
+    searches: list[WallTime] = []
+    windows._find_window = searches.append  # type: ignore[method-assign,assignment]
+    assert not windows.is_open(instant("2026-02-01T04:00")), "it is not looked for all the time"
+    assert searches == []
+    assert not windows.is_open(instant("2026-02-01T06:00")) and len(searches) == 1
 
 
 WINDOWS = {"time_zone": "UTC", "weekly": [{"days": ["mo"], "start": "01:00", "end": "02:00"}]}
@@ -219,18 +221,20 @@
         ),
     ],
 )
-def test_bad_features_are_refused_with_their_place(duties: dict[str, Any], place: str) -> None:
+def test_invalid_features_are_rejected_with_the_name_of_the_field(
+    duties: dict[str, Any], place: str
+) -> None:
     with pytest.raises(InvalidSettingsError) as err:
         parse_features({"duties": duties})
     assert str(err.value).startswith(f"features: {place} ") or f" {place}:" in str(err.value)
 
 
 @pytest.mark.parametrize("value", [{}, {"duties": {}}, {"duties": {"on": []}}])
-def test_nothing_switched_on(value: dict[str, Any]) -> None:
+def test_duties_are_off_unless_a_lease_is_enabled(value: dict[str, Any]) -> None:
     assert parse_features(copy.deepcopy(value)).duties is None
 
 
-def test_the_deployed_features() -> None:
+def test_deployed_feature_file_is_valid() -> None:
     duties = load_features(str(ROOT / "deploy" / "features.json")).duties
     assert duties is not None and set(duties.on) <= set(LeaseName)
 
