--- a/src/eldercart/server/store/__init__.py
+++ b/src/eldercart/server/store/__init__.py
@@ -1,1 +1,1 @@
-"""Calls to the state store, within its rate limits."""
+"""The client of the state service (the external key-value store) and its rate limiting."""
--- a/src/eldercart/server/store/client.py
+++ b/src/eldercart/server/store/client.py
@@ -1,4 +1,4 @@
-"""Calls to the state service, within this node's share of its limits."""
+"""The client of the state service, which keeps to this node's share of the rate limits."""
 
 import logging
 from collections.abc import Callable
@@ -15,34 +15,35 @@
 
 log = logging.getLogger("eldercart.node")
 
-# Reserves by urgency, as shares of the burst: lease renewals take tokens whatever there is; a user
-# waits for an admission, and a job's outcome can wait for the next token.
+# Reserves by urgency, as fractions of the burst. Lease renewals need none, since they take their
+# tokens unconditionally. A user waits for an admission; a job's outcome can wait for a new token.
 RESERVE_ADMISSION, RESERVE_JOB_OUTCOMES, RESERVE_PLACEMENTS, RESERVE_POLLS = 0.0, 0.1, 0.3, 0.3
 RESERVE_LEARNED_STATE = 0.6
 CONNECT_TIMEOUT_S = 1.0
 MAX_IDLE_CONNECTIONS = 8
 REQUEST_TIMEOUT_S = 2.0
-RANGE_TIMEOUT_S = 5.0  # of one page
-LEASE_TIMEOUT_S = 1.0  # of a request about a lease, which is of no use once the lease has run out
-WATCH_TIMEOUT_MARGIN_S = 3.0  # beyond the time for which the state service holds the request
-MIN_ADMISSIONS = 5  # submissions that a node should be able to take at once
-LEADER_REQUEST_SHARE, LEADER_WRITE_SHARE = 0.6, 0.7  # of the limits; the others share the rest
-# Below the limit, and less of its burst: two clocks never agree on where a second ends.
-USED_RATE, USED_BURST = 0.92, 0.8
+RANGE_TIMEOUT_S = 5.0  # for one page
+LEASE_TIMEOUT_S = 1.0  # short: a lease request is of no use once the lease has expired
+WATCH_TIMEOUT_MARGIN_S = 3.0  # added to the time for which the state service may hold a watch
+MIN_ADMISSIONS = 5  # submissions that a node should be able to admit in one burst
+LEADER_REQUEST_SHARE, LEADER_WRITE_SHARE = 0.6, 0.7  # of the limits; followers share the rest
+# Fractions of the limit's rate and burst that the nodes use. Both are below 1 because two clocks
+# never agree on where a second ends.
+RATE_USAGE_RATIO, BURST_USAGE_RATIO = 0.92, 0.8
 
 CommitCallback = Callable[[int | None, Revision, tuple[str, ...]], None]
 WatchCallback = Callable[[int | None, Revision, list[Any]], None]
 
 
 class StoreClient:
-    """The state service, within this node's share of its rate limits.
+    """Sends requests to the state service within this node's share of its rate limits.
 
-    The callers of `commit` take the tokens for their transactions, since these can wait; all other
-    requests take theirs here.
+    Callers of `commit` take the tokens for their transactions themselves, since transactions can
+    wait for tokens. All other methods take their tokens here.
     """
 
     def __init__(self, settings: NodeSettings, clock: Callable[[], MonotonicTime]) -> None:
-        """Start with a follower's share of the present limits."""
+        """Start with a follower's share of the current limits."""
         self._http = HttpClient(settings.state, CONNECT_TIMEOUT_S, MAX_IDLE_CONNECTIONS)
         self._clock = clock
         self._settings = settings
@@ -51,7 +52,7 @@
         self.writes = TokenBucket(1, settings.state_write_rps, now)
         self.last_success_at = now
         self.failing_since: MonotonicTime | None = None
-        self.unavailable_at = DISTANT_PAST  # when it last answered 503
+        self.unavailable_at = DISTANT_PAST  # time of the last 503 response
         self.rate_limit_backoff = RateLimitBackoff(
             settings.state_rps_next < settings.state_rps
             or settings.state_write_rps_next < settings.state_write_rps
@@ -61,12 +62,15 @@
         self._allocate_rates(now)
 
     def set_leader(self, is_leader: bool) -> None:
-        """Take a leader's share of the rate limits, or a follower's."""
+        """Use the leader's share of the rate limits, or a follower's."""
         self._is_leader = is_leader
         self._allocate_rates(self._clock())
 
     def update_rates(self, now: MonotonicTime) -> None:
-        """Apply the rates that hold now: 429s, peers and the passing of time change them."""
+        """Switch between full and reduced rates as `rate_limit_backoff` requires.
+
+        429 responses, announcements of peers and the passing of time change its state.
+        """
         is_reduced = self.rate_limit_backoff.is_active(now)
         if is_reduced != self._uses_reduced_rates:
             self._uses_reduced_rates = is_reduced
@@ -74,7 +78,10 @@
             log.info("store rate limits reduced=%s", is_reduced)
 
     def _allocate_rates(self, now: MonotonicTime) -> None:
-        """Share the limits out: the leader writes most, the others admit jobs and answer polls."""
+        """Set the rates of this node's share.
+
+        The leader writes most; followers admit jobs and answer polls.
+        """
         settings = self._settings
         request_rate, write_rate = settings.state_rps, settings.state_write_rps
         if self._uses_reduced_rates:
@@ -92,11 +99,11 @@
             share = leader_share
         else:
             share = (1.0 - leader_share) / (nodes - 1)
-        burst = max(MIN_ADMISSIONS + 1.0, USED_BURST * limit * share)
-        bucket.set_rate(USED_RATE * limit * share, burst, now)
+        burst = max(MIN_ADMISSIONS + 1.0, BURST_USAGE_RATIO * limit * share)
+        bucket.set_rate(RATE_USAGE_RATIO * limit * share, burst, now)
 
     def missing_tokens(self, now: MonotonicTime) -> int:
-        """Return how many tokens this node lacks to admit a few jobs at once."""
+        """Return how many more tokens this node needs to admit `MIN_ADMISSIONS` jobs at once."""
         return max(
             0, MIN_ADMISSIONS - min(self.requests.available(now), self.writes.available(now))
         )
@@ -104,7 +111,7 @@
     def lend_tokens(self, requested: int, now: MonotonicTime) -> int:
         """Take up to `requested` tokens for another node, above the reserve for placements.
 
-        Return how many were taken of each kind.
+        Returns how many request tokens, and as many write tokens, were taken.
         """
         count = min(
             requested,
@@ -118,7 +125,7 @@
         return count
 
     def receive_tokens(self, count: int, now: MonotonicTime) -> None:
-        """Add tokens that the leader has taken from its own share for this node."""
+        """Add tokens that the leader took from its own share for this node."""
         self.requests.add(now, count)
         self.writes.add(now, count)
 
@@ -132,7 +139,7 @@
     ) -> None:
         within_share = self._is_within_share()
 
-        def got(status: int | None, data: bytes) -> None:
+        def handle_response(status: int | None, data: bytes) -> None:
             now = self._clock()
             if status is None or status in (429, 503):
                 if self.failing_since is None:
@@ -146,14 +153,14 @@
                 self.failing_since = None
             on_response(status, data)
 
-        self._http.request(method, path, body, timeout_s, got)
+        self._http.request(method, path, body, timeout_s, handle_response)
 
     def _is_within_share(self) -> bool:
-        """Return whether this node has kept to its share, the request now sent included."""
+        """Return whether this node has kept to its share, including the request being sent."""
         return not (self.requests.is_overdrawn or self.writes.is_overdrawn)
 
     def _on_rate_limited(self, now: MonotonicTime, within_share: bool) -> None:
-        """The limit is reached, whatever the token buckets say."""
+        """Empty the token buckets after a 429 and let the backoff decide on reduced rates."""
         self.requests.empty(now)
         self.writes.empty(now)
         self.rate_limit_backoff.record_rate_limited(now, within_share)
@@ -162,11 +169,11 @@
     def get(self, key: str, done: Callable[[bool, Item | None], None]) -> None:
         """Read one key.
 
-        Calls `done(True, item)`, `done(True, None)` if the key is absent (404), or
+        Calls `done(True, item)`, or `done(True, None)` if the key does not exist (404), or
         `done(False, None)` if it could not be read.
         """
 
-        def got(status: int | None, data: bytes) -> None:
+        def handle_response(status: int | None, data: bytes) -> None:
             try:
                 if status == 200:
                     done(True, wire.parse_item(data))
@@ -176,7 +183,7 @@
             done(status == 404, None)
 
         self.requests.force_take(self._clock())
-        self._request(b"GET", wire.key_path(key), None, REQUEST_TIMEOUT_S, got)
+        self._request(b"GET", wire.key_path(key), None, REQUEST_TIMEOUT_S, handle_response)
 
     def range(self, prefix: str, done: Callable[[list[Item] | None, Revision], None]) -> None:
         """Read all keys with the prefix, page by page.
@@ -187,36 +194,39 @@
         items: list[Item] = []
         page_revisions: list[Revision] = []
 
-        def page(after: str | None) -> None:
+        def request_page(after: str | None) -> None:
             self.requests.force_take(self._clock())
-            self._request(b"GET", wire.range_path(prefix, after), None, RANGE_TIMEOUT_S, got)
+            self._request(
+                b"GET", wire.range_path(prefix, after), None, RANGE_TIMEOUT_S, handle_response
+            )
 
-        def got(status: int | None, data: bytes) -> None:
+        def handle_response(status: int | None, data: bytes) -> None:
             try:
                 if status != 200:
-                    raise MalformedMessageError("status")
-                answer = wire.parse_range(data)
+                    raise MalformedMessageError(f"range read: status is {status}, expected 200")
+                response = wire.parse_range(data)
             except MalformedMessageError:
                 done(None, Revision(0))
                 return
-            items.extend(answer.items)
-            page_revisions.append(answer.revision)
-            if answer.has_more and answer.items:
-                page(answer.items[-1].key)
+            items.extend(response.items)
+            page_revisions.append(response.revision)
+            if response.has_more and response.items:
+                request_page(response.items[-1].key)
             else:
-                # Changes after the first page may be missing from it: watch from there.
+                # A change after the first page may be missing from the items, so a watch has to
+                # start at the revision of that page.
                 done(items, page_revisions[0])
 
-        page(None)
+        request_page(None)
 
     def commit(self, transaction: Transaction, done: CommitCallback) -> None:
-        """Commit the transaction; the caller takes its tokens.
+        """Commit the transaction; the caller has taken its tokens.
 
-        Calls `done(status, revision, keys of the conditions that did not hold)`; status None means
-        that the outcome is not known.
+        Calls `done(status, revision, keys of failed conditions)`. Status None means that the
+        outcome is unknown.
         """
 
-        def got(status: int | None, data: bytes) -> None:
+        def handle_response(status: int | None, data: bytes) -> None:
             try:
                 if status == 200:
                     done(200, wire.parse_revision(data), ())
@@ -228,31 +238,33 @@
                 status = None
             done(status, Revision(0), ())
 
-        self._request(b"POST", "/txn", transaction.body(), REQUEST_TIMEOUT_S, got)
+        self._request(b"POST", "/txn", transaction.body(), REQUEST_TIMEOUT_S, handle_response)
 
     def grant_lease(self, ttl_ms: int, done: Callable[[LeaseId | None], None]) -> None:
-        """Open a lease and call `done(lease)`, or `done(None)` if none was granted."""
+        """Request a new lease and call `done(lease)`, or `done(None)` if none was granted."""
 
-        def got(status: int | None, data: bytes) -> None:
+        def handle_response(status: int | None, data: bytes) -> None:
             try:
                 done(wire.parse_lease(data) if status == 200 else None)
             except MalformedMessageError:
                 done(None)
 
         self.requests.force_take(self._clock())
-        self._request(b"POST", "/holds", b'{"lifeMs":%d}' % ttl_ms, LEASE_TIMEOUT_S, got)
+        self._request(
+            b"POST", "/holds", b'{"lifeMs":%d}' % ttl_ms, LEASE_TIMEOUT_S, handle_response
+        )
 
     def keep_lease_alive(self, lease: LeaseId, done: Callable[[bool | None], None]) -> None:
-        """Renew the lease; `done` gets True: it is alive, False: it has ended, None: not known."""
+        """Renew the lease; `done` gets True (alive), False (it has ended) or None (unknown)."""
 
-        def got(status: int | None, _: bytes) -> None:
+        def handle_response(status: int | None, _: bytes) -> None:
             done(True if status == 200 else False if status == 404 else None)
 
         self.requests.force_take(self._clock())
-        self._request(b"POST", f"/holds/{lease}/touch", b"{}", LEASE_TIMEOUT_S, got)
+        self._request(b"POST", f"/holds/{lease}/touch", b"{}", LEASE_TIMEOUT_S, handle_response)
 
     def revoke_lease(self, lease: LeaseId, done: Callable[[bool], None]) -> None:
-        """End the lease; calls `done(True)` only if it surely has ended."""
+        """Revoke the lease; calls `done(True)` only if it has certainly ended."""
         self.requests.force_take(self._clock())
         self._request(
             b"DELETE",
@@ -271,17 +283,17 @@
     ) -> None:
         """Wait up to `wait_s` for changes under the prefix after a revision.
 
-        Calls `done(200, revision to go on from, events)`, or `done(status, after, [])` if it
-        failed; status 410 means that the state service no longer keeps the changes after it.
+        Calls `done(200, revision for the next watch, events)`, or `done(status, after, [])` on
+        failure. Status 410 means that the state service no longer keeps the changes after `after`.
         """
 
-        def got(status: int | None, data: bytes) -> None:
+        def handle_response(status: int | None, data: bytes) -> None:
             if status == 429:
                 self._on_rate_limited(self._clock(), within_share)
             try:
                 if status == 200:
-                    answer = wire.parse_watch(data)
-                    done(200, answer.revision, answer.events)
+                    response = wire.parse_watch(data)
+                    done(200, response.revision, response.events)
                     return
             except MalformedMessageError:
                 status = None
@@ -290,7 +302,7 @@
         self.requests.force_take(self._clock())
         within_share = self._is_within_share()
         path = wire.watch_path(prefix, after, int(wait_s * 1000))
-        self._http.request(b"GET", path, None, wait_s + WATCH_TIMEOUT_MARGIN_S, got)
+        self._http.request(b"GET", path, None, wait_s + WATCH_TIMEOUT_MARGIN_S, handle_response)
 
 
 __all__ = [
--- a/src/eldercart/server/store/key_ranges.py
+++ b/src/eldercart/server/store/key_ranges.py
@@ -9,7 +9,8 @@
 def common_key_prefix(prefix: str, jobs: Iterable[JobId]) -> str:
     """Return the longest prefix that the keys of all the jobs have in common.
 
-    The first and the last of the sorted names share what all between them share.
+    Comparing the smallest and the largest name is enough: all names that sort between the two
+    start with the prefix that the two have in common.
     """
     names = list(jobs)
     pairs = zip(min(names), max(names), strict=False)
--- a/src/eldercart/server/store/token_bucket.py
+++ b/src/eldercart/server/store/token_bucket.py
@@ -4,10 +4,10 @@
 
 
 class TokenBucket:
-    """A node's share of a rate limit.
+    """A token bucket that enforces a node's share of a rate limit.
 
-    Callers of lesser urgency leave a reserve to the others: they get tokens only while at least
-    `reserve` (a share of the burst) would remain.
+    Less urgent callers leave a reserve for more urgent ones: they get tokens only if at least
+    `reserve` (a fraction of the burst) remains.
     """
 
     def __init__(self, rate: float, burst: float, now: MonotonicTime) -> None:
@@ -24,11 +24,11 @@
 
     @property
     def is_overdrawn(self) -> bool:
-        """Whether more was taken than this share allows, as of the last `try_take` or alike."""
+        """Whether the token count was negative when the bucket was last used."""
         return self._tokens < 0
 
     def set_rate(self, rate: float, burst: float, now: MonotonicTime) -> None:
-        """Change rate and burst from now on; tokens beyond the new burst are lost."""
+        """Change rate and burst from now on; tokens above the new burst are discarded."""
         self._refill(now)
         self._rate = rate
         self._burst = max(1.0, burst)
@@ -39,12 +39,12 @@
         self._refilled_at = now
 
     def available(self, now: MonotonicTime, reserve: float = 0.0) -> int:
-        """Return how many tokens may be taken above the reserve; negative if it is overdrawn."""
+        """Return how many tokens are above the reserve; negative if there are too few."""
         self._refill(now)
         return int(self._tokens - reserve * self._burst)
 
     def try_take(self, now: MonotonicTime, count: int = 1, reserve: float = 0.0) -> bool:
-        """Take the tokens and return True if that leaves the reserve; otherwise take none."""
+        """Take the tokens and return True if the reserve remains; otherwise take none."""
         self._refill(now)
         if self._tokens - count < reserve * self._burst - 1e-9:
             return False
@@ -57,11 +57,11 @@
         self._tokens -= count
 
     def add(self, now: MonotonicTime, count: int) -> None:
-        """Add tokens that another node has taken from its own share, also beyond the burst."""
+        """Add tokens from another node's share, even above the burst until the next refill."""
         self._refill(now)
         self._tokens += count
 
     def empty(self, now: MonotonicTime) -> None:
-        """Drop all tokens: the service itself said that the limit is reached."""
+        """Discard all tokens, because the service responded that the limit is reached."""
         self._refill(now)
         self._tokens = min(self._tokens, 0.0)
