--- a/src/eldercart/server/http/__init__.py
+++ b/src/eldercart/server/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP over twisted: the server side, the client side and shared replies."""
+"""HTTP on Twisted: the server, the clients and shared error replies."""
--- a/src/eldercart/server/http/client.py
+++ b/src/eldercart/server/http/client.py
@@ -1,4 +1,4 @@
-"""HTTP to one fixed host over kept connections."""
+"""HTTP clients: one for a fixed host with persistent connections, one for any worker."""
 
 import logging
 from collections.abc import Callable
@@ -18,33 +18,35 @@
 ResponseCallback = Callable[[int | None, bytes], None]
 _CLOSE_HEADERS = {b"Connection": [b"close"]}
 _JSON_HEADERS = {b"Content-Type": [b"application/json"]}
-WORKER_TIMEOUT_S = 2.0  # for which a worker may take to answer
-CONNECT_TIMEOUT_S = 1.0  # for which a worker's host may take to accept a connection
+WORKER_TIMEOUT_S = 2.0  # for the whole response of a worker
+CONNECT_TIMEOUT_S = 1.0  # for connecting to a worker's host
 
 
 @implementer(IAgentEndpointFactory)
 class _NumericHostEndpoints:
-    """Connects to hosts that are named by their IP number, as all here are: the agent asks for an
-    endpoint with each request, and its own kind is made for names that must be looked up."""
+    """Creates an endpoint for each request of an agent, without name resolution.
+
+    All hosts are given by IP address; the agent's default endpoints resolve host names.
+    """
 
     def __init__(self, connect_timeout_s: float) -> None:
         self._connect_timeout_s = connect_timeout_s
 
     def endpointForURI(self, uri: URI) -> TCP4ClientEndpoint:
-        """Where the URI's host listens."""
+        """Return the endpoint at which the URI's host listens."""
         return TCP4ClientEndpoint(reactor, uri.host.decode(), uri.port, self._connect_timeout_s)
 
 
 @implementer(IBodyProducer)
 class _InMemoryBody:
-    """A body that is in memory, and is written in one piece and at once."""
+    """A request body that is already in memory and is written in one piece."""
 
     def __init__(self, body: bytes) -> None:
         self.length = len(body)
         self._body = body
 
     def startProducing(self, consumer: Any) -> Deferred[None]:
-        """Writes all of it."""
+        """Write the whole body."""
         consumer.write(self._body)
         return succeed(None)
 
@@ -61,7 +63,7 @@
 class HttpClient:
     """A client of one host; each request calls `on_response(status, body)` exactly once.
 
-    Status None means that there was no response in time.
+    Status None means that the request failed or that no whole response arrived in time.
     """
 
     def __init__(
@@ -83,16 +85,16 @@
         timeout_s: float,
         on_response: ResponseCallback,
     ) -> None:
-        """Send once; `timeout_s` counts from now until the whole response is there."""
+        """Send once; `timeout_s` limits the time until the whole response has been received."""
         request = _Request(method, self._base_url + path.encode(), body)
         _send(self._agent, request, timeout_s, on_response)
 
 
 class WorkerClient:
-    """A client of any worker; each request has a connection of its own."""
+    """A client of all workers; each request opens its own connection."""
 
     def __init__(self, max_requests: int) -> None:
-        """At most `max_requests` are in flight at a time; more are dropped."""
+        """Allow `max_requests` requests in flight; any further request is dropped."""
         self._agent = Agent.usingEndpointFactory(reactor, _NumericHostEndpoints(CONNECT_TIMEOUT_S))
         self._max_requests = max_requests
         self._requests_in_flight = 0
@@ -100,9 +102,10 @@
     def request(
         self, address: str, path: str, body: bytes | None, on_response: ResponseCallback
     ) -> None:
-        """Send once and call `on_response(status, body)`, if there is a response in time."""
+        """Send once; `on_response(status, body)` is called only if a response arrives in time."""
         if self._requests_in_flight >= self._max_requests:
-            return  # hung machines must not use up the sockets; they send heartbeats themselves
+            # Hung machines must not use up the sockets; working machines send heartbeats anyway.
+            return
         self._requests_in_flight += 1
 
         def finish(status: int | None, data: bytes) -> None:
--- a/src/eldercart/server/http/immediate_write.py
+++ b/src/eldercart/server/http/immediate_write.py
@@ -1,7 +1,8 @@
 """Connections that write to their socket immediately.
 
-The reactor alone sends what was written only after it has polled all sockets again: two more
-system calls and one more turn of the loop for each answer, hundreds of times a second.
+By default the reactor sends written data only after it has polled all sockets again. That costs two
+more system calls and one more iteration of the event loop for each response, hundreds of times a
+second.
 """
 
 from typing import Any
@@ -10,18 +11,18 @@
 
 
 class ImmediateWriteServer(tcp.Server):
-    """The server side of a connection; falls back on the reactor when the socket is full."""
+    """The server side of a connection; falls back to the reactor when the socket buffer is full."""
 
     def startWriting(self) -> None:
-        """Writes now if there is new data and the socket takes all of it."""
-        # Called without anything to send, it means to close: that is left to the reactor, and so
-        # is a socket that takes nothing or fails.
-        fresh = self._tempDataLen and not self.disconnecting and not self.dataBuffer
-        if not fresh or self.doWrite() is not None or self.dataBuffer:
+        """Write new data now; let the reactor write what the socket does not accept."""
+        # A call without data to send means that the connection is to be closed. The reactor handles
+        # that case, and also a socket that is full or fails.
+        has_only_new_data = self._tempDataLen and not self.disconnecting and not self.dataBuffer
+        if not has_only_new_data or self.doWrite() is not None or self.dataBuffer:
             super().startWriting()
 
 
 def flush(transport: Any) -> None:
-    """The same for a connection that this side has opened; errors are left to the reactor."""
+    """Write the pending data of a connection that this node opened; the reactor handles errors."""
     if not transport.disconnecting:
         transport.doWrite()
