--- a/src/eldercart/server/__init__.py
+++ b/src/eldercart/server/__init__.py
@@ -1,1 +1,1 @@
-"""The adapters: twisted, sockets and clocks. No decisions are made here."""
+"""The adapters to Twisted, sockets and clocks. No decisions are made here."""
--- a/src/eldercart/server/coalescing.py
+++ b/src/eldercart/server/coalescing.py
@@ -1,4 +1,4 @@
-"""Coalesced calls: many requests within a short time lead to one call."""
+"""Coalesced calls: several requests within a short time lead to a single call."""
 
 from collections.abc import Callable
 from typing import Any
@@ -12,13 +12,13 @@
     """Calls a function once, `delay_s` after the first request since the last call."""
 
     def __init__(self, delay_s: float, function: Callable[[], None]) -> None:
-        """Nothing is scheduled."""
+        """Start with no call scheduled."""
         self._delay_s = delay_s
         self._function = function
         self._is_scheduled = False
 
     def __call__(self) -> None:
-        """Request the call; without effect while one is scheduled."""
+        """Request a call; this has no effect while one is already scheduled."""
         if not self._is_scheduled:
             self._is_scheduled = True
             reactor.callLater(self._delay_s, self._run)
--- a/src/eldercart/server/controller_node.py
+++ b/src/eldercart/server/controller_node.py
@@ -1,4 +1,4 @@
-"""One controller node: builds its parts and hands each the others that it uses."""
+"""One controller node: creates its components and connects them to each other."""
 
 import logging
 import secrets
@@ -36,39 +36,40 @@
 log = logging.getLogger("eldercart.node")
 
 TICK_INTERVAL_S = 0.1
-STALL_THRESHOLD_S = 0.5  # by which a turn of the loop is late when the process did not run
-ISOLATION_THRESHOLD_S = 3.0  # of refusals by the store before a node counts as refused alone
-PEER_STORE_OK_FRESH_S = 3.0  # for which a peer's word counts that the store serves it
-CATALOG_RETRY_S = 1.0  # before the stored machine types are asked for again
-LOAD_LOG_INTERVAL_S = 10.0  # between two lines of the log about the node's load
+STALL_THRESHOLD_S = 0.5  # a tick that is later than this means that the process did not run
+ISOLATION_THRESHOLD_S = 3.0  # of store failures before a node may count as isolated
+PEER_STORE_OK_MAX_AGE_S = 3.0  # for which a peer's message that the store serves it is valid
+CATALOG_RETRY_S = 1.0  # between two reads of the stored machine types
+LOAD_LOG_INTERVAL_S = 10.0  # between two log lines about the node's load
 HTTP_SOCKETS_SHARE, MIN_HTTP_SOCKETS = 0.75, 16  # of a node's sockets, for users and workers
 
 
 def is_healthy(is_ready: bool, store_failing_s: float, peer_store_ok_ago_s: float) -> bool:
     """Return whether the load balancer should send users to this node.
 
-    In an outage of the store every node is as good as the next, and turning all away would only
-    last longer afterwards; a node that the store refuses while its peers are served should be
-    left out. `store_failing_s` is how long the store has failed this node, and
-    `peer_store_ok_ago_s` how long ago a peer said that the store serves it.
+    An outage of the store affects all nodes alike. If all of them became unhealthy, users would be
+    turned away for longer than the outage lasts. Only a node that the store does not serve while it
+    serves the node's peers is left out. `store_failing_s` is how long this node's requests to the
+    store have been failing, and `peer_store_ok_ago_s` how long ago a peer reported that the store
+    serves it.
     """
     is_isolated = (
-        store_failing_s >= ISOLATION_THRESHOLD_S and peer_store_ok_ago_s < PEER_STORE_OK_FRESH_S
+        store_failing_s >= ISOLATION_THRESHOLD_S and peer_store_ok_ago_s < PEER_STORE_OK_MAX_AGE_S
     )
     return is_ready and not is_isolated
 
 
 def monotonic_now() -> MonotonicTime:
-    """Return the seconds of this process's monotonic clock."""
+    """Return the time of this process's monotonic clock, in seconds."""
     return MonotonicTime(time.monotonic())
 
 
-def _singleton_service(
+def _build_singleton_service(
     node: "ControllerNode", features: "Features | None"
 ) -> "SingletonService | None":
-    """Return the node's part in the named leases, or None if they are switched off.
+    """Return the node's service for named leases, or None if they are switched off.
 
-    It is imported only where it is switched on: a node without it starts no slower.
+    The module is imported only if the feature is on, so that other nodes don't start more slowly.
     """
     if features is None or features.duties is None:
         return None
@@ -78,7 +79,7 @@
 
 
 class ControllerNode:
-    """One process of the service: owns its parts and the clock that drives them."""
+    """One process of the service: owns its components and the timer that drives them."""
 
     def __init__(
         self,
@@ -87,7 +88,7 @@
         features: "Features | None" = None,
         clock: Clock | None = None,
     ) -> None:
-        """Build the parts; nothing is listened on or sent before `start`.
+        """Create the components; the node neither listens nor sends before `start`.
 
         `clock` is the monotonic clock of the process unless a test passes its own.
         """
@@ -114,9 +115,9 @@
         self.graceful_shutdown = GracefulShutdown(
             self._http_server, self.election_service, self.leader_service, clock
         )
-        self.singleton_service = _singleton_service(self, features)
+        self.singleton_service = _build_singleton_service(self, features)
         self.leader_service.connect(self.relay_service, self.singleton_service)
-        # What this node's heartbeats to its peers say that it reads and takes part in.
+        # This node's heartbeats to its peers announce these features.
         self.supported_features = peers.SUPPORTED_FEATURES + (
             () if self.singleton_service is None else self.singleton_service.supported_features
         )
@@ -135,12 +136,12 @@
 
     @property
     def loop_lag_s(self) -> float:
-        """By how many seconds the event loop is late; recent ticks weigh more."""
+        """The lag of the event loop in seconds, as an average that weighs recent ticks more."""
         return self._event_loop.lag_s
 
     @property
     def machine_types(self) -> dict[str, MachineType]:
-        """The machine types by name, as far as this node knows them."""
+        """The machine types that this node knows, by name."""
         return self._known_machine_types.by_name
 
     @machine_types.setter
@@ -148,7 +149,7 @@
         self._known_machine_types.by_name = types
 
     def start(self) -> None:
-        """Listen for users, workers and peers, and begin to tick."""
+        """Listen for users, workers and peers, and start the tick timer."""
         self._http_server.listen()
         connections.listen(self.settings.mesh, self.relay_service.peer_server)
         log.info(
@@ -176,10 +177,10 @@
             self._log_load(now)
 
     def _on_stall(self, seconds: float) -> None:
-        """Exclude the time in which this process did not run from all silence of others.
+        """Don't count the time in which this process did not run as silence of others.
 
-        Nothing was read meanwhile. What this node may do by its leases is judged by the clock,
-        which ran on.
+        Nothing was read from the sockets during the stall. The stall does not extend this node's
+        leases: those are checked against the clock, which kept running.
         """
         log.info("event loop stalled stall_s=%.2f", seconds)
         self.relay_service.exclude_stall(seconds)
@@ -201,7 +202,7 @@
         self.leader_service.observe_token(token, reason)
 
     def is_healthy(self) -> bool:
-        """Return whether users and workers should come here, see `is_healthy` above."""
+        """Return whether to direct users and workers to this node; see `is_healthy` above."""
         now = self.clock()
         failing_since = self.store.failing_since
         return is_healthy(
--- a/src/eldercart/server/event_loop_monitor.py
+++ b/src/eldercart/server/event_loop_monitor.py
@@ -1,23 +1,23 @@
-"""How late the event loop of this process is, and how much processor time it takes."""
+"""Measurement of the event loop's lag and of the process's processor time."""
 
 import time
 
 from eldercart.server.metrics import Metrics
 from eldercart.units import MonotonicTime
 
-LAG_SMOOTHING_FACTOR = 0.2  # of the last turn of the loop in the smoothed lag
+LAG_SMOOTHING_FACTOR = 0.2  # weight of the latest tick in the moving average
 
 
 class EventLoopMonitor:
-    """Measures the lag of the ticks and the processor time between two reports."""
+    """Measures how late ticks are, and the processor time between two log lines."""
 
     def __init__(self, tick_interval_s: float, metrics: Metrics, now: MonotonicTime) -> None:
-        """`tick_interval_s` is the time between two ticks of a loop that is not late."""
+        """Expect a tick every `tick_interval_s`, starting now."""
         self._tick_interval_s = tick_interval_s
         self._metrics = metrics
         self._last_tick_at = now
         self._reported_cpu_s = time.process_time()
-        self.lag_s = 0.0  # by which the loop is late; recent ticks weigh more
+        self.lag_s = 0.0  # exponential moving average of the ticks' lateness
 
     def record_tick(self, now: MonotonicTime) -> float:
         """Record a tick and return by how many seconds it is late."""
@@ -29,8 +29,8 @@
         return late_s
 
     def take_cpu_s(self) -> float:
-        """Return the processor seconds that the process took since the last call."""
+        """Return the processor time in seconds that the process used since the last call."""
         cpu_s = time.process_time()
-        taken_s = cpu_s - self._reported_cpu_s
+        used_s = cpu_s - self._reported_cpu_s
         self._reported_cpu_s = cpu_s
-        return taken_s
+        return used_s
--- a/src/eldercart/server/graceful_shutdown.py
+++ b/src/eldercart/server/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown on SIGTERM: hand over, answer the pending requests, then stop."""
+"""Graceful shutdown on SIGTERM: resign as leader, answer pending requests, then stop."""
 
 import logging
 import math
@@ -19,13 +19,13 @@
 reactor: Any = _reactor
 log = logging.getLogger("eldercart.node")
 
-DRAIN_TIMEOUT_S = 2.5  # for requests under way; a worker drops answers after 4 s
+DRAIN_TIMEOUT_S = 2.5  # for pending requests; a worker ignores a response after 4 s
 DRAIN_POLL_S = 0.05
-FLUSH_DELAY_S = 0.1  # from the last answer to the end of the process
+FLUSH_DELAY_S = 0.1  # between the last response and the end of the process
 
 
 class GracefulShutdown:
-    """Rejects new requests, waits for pending ones, and gives up the leadership at once."""
+    """Rejects new requests, waits for pending ones, and resigns as leader at once."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         leader_service: LeaderService,
         clock: Clock,
     ) -> None:
-        """The node serves until `begin`."""
+        """Prepare the shutdown; the node serves normally until `begin`."""
         self._http_server = http_server
         self._election_service = election_service
         self._election = election_service.election
@@ -44,14 +44,14 @@
         self._deadline_at = MonotonicTime(math.inf)
 
     def install_signal_handler(self) -> None:
-        """Begin at SIGTERM; where no handler can be set, SIGTERM just ends the process."""
+        """Make SIGTERM call `begin`; if that is not possible, SIGTERM kills the process."""
         try:
             signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(self.begin))
         except (OSError, ValueError) as err:
-            log.info("no handler for SIGTERM: %s", err)
+            log.info("no handler for SIGTERM error=%s", err)
 
     def begin(self) -> None:
-        """Start the shutdown, once."""
+        """Start the shutdown; further calls have no effect."""
         if self.has_begun:
             return
         log.info("graceful shutdown started")
@@ -61,18 +61,18 @@
         self._poll_drain()
 
     def refuse(self, request: JsonRequest) -> None:
-        """Reject a new request on an open connection: another node can answer it."""
+        """Reject a new request on an open connection, since another node can answer it."""
         if request.path == b"/v1/report":
             leader = self._election.leader
-            other = None if leader == self._election.node_id else leader
-            request.reply(421, workers.redirect_body(other))
+            redirect_target = None if leader == self._election.node_id else leader
+            request.reply(421, workers.redirect_body(redirect_target))
         else:
             reject_temporarily(request, "this node ends", SHORT_RETRY_AFTER_S)
 
     def _poll_drain(self) -> None:
-        """Stop when nothing is pending, or at the deadline; otherwise check again soon.
+        """Stop the process if nothing is pending or the deadline has passed; else poll again.
 
-        A campaign in flight may still make this node leader, so leadership is given up each time.
+        A campaign in flight may still make this node the leader, so it resigns at each poll.
         """
         now = self._clock()
         election = self._election
--- a/src/eldercart/server/machine_types.py
+++ b/src/eldercart/server/machine_types.py
@@ -1,4 +1,4 @@
-"""The machine types that this node knows."""
+"""The machine types of the cloud that this node knows."""
 
 import logging
 
@@ -10,14 +10,14 @@
 
 
 class KnownMachineTypes:
-    """The machine types by name; submissions are judged by them."""
+    """The machine types by name; submissions are checked against them."""
 
     def __init__(self) -> None:
-        """No type is known."""
+        """Start without any known type."""
         self.by_name: dict[str, MachineType] = {}
 
     def load(self, item: Item) -> None:
-        """Replace the types by those of the stored catalogue, if it can be read."""
+        """Replace the types by those of the stored catalog, unless it is malformed."""
         try:
             self.by_name = cloud.parse_catalog(item.value)
         except (MalformedMessageError, AttributeError) as err:
--- a/src/eldercart/server/metrics.py
+++ b/src/eldercart/server/metrics.py
@@ -1,12 +1,13 @@
-"""Histograms for the status page and the load line, in milliseconds."""
+"""Duration histograms for the status page and the `load` log line."""
 
 from typing import Any
 
 from hdrh.histogram import HdrHistogram
 
-MAX_RECORDED_MS = 600_000  # longer durations count as this one
+MAX_RECORDED_MS = 600_000  # longer durations are recorded as this value
 PERCENTILES = (50.0, 90.0, 99.0, 100.0)
-# Placement to start, handling of a heartbeat, lateness of the loop, a planning pass, a transaction.
+# In this order: time from placement to start, handling of a heartbeat, lateness of the event loop,
+# a planning pass, a transaction.
 METRIC_NAMES = ("start_wait", "report", "loop_lag", "plan", "write")
 
 
@@ -14,7 +15,7 @@
     """One histogram for each of `METRIC_NAMES`."""
 
     def __init__(self) -> None:
-        """All histograms are empty."""
+        """Start with empty histograms."""
         self._histograms = {name: HdrHistogram(1, MAX_RECORDED_MS, 2) for name in METRIC_NAMES}
         self._counts = dict.fromkeys(METRIC_NAMES, 0)
         self._sums = dict.fromkeys(METRIC_NAMES, 0.0)
@@ -22,8 +23,8 @@
     def record(self, name: str, seconds: float, count: int = 1) -> None:
         """Record `count` durations of the same length.
 
-        What comes hundreds of times a second is measured a batch at a time, since to record it
-        takes as long as to do it.
+        Events that occur hundreds of times a second are recorded in batches, since recording one
+        takes as long as the event itself.
         """
         self._counts[name] += count
         self._sums[name] += seconds * count
@@ -31,7 +32,7 @@
         self._histograms[name].record_value(value, count)
 
     def take_summary(self) -> str:
-        """Return counts and sums since the last summary, for the load line."""
+        """Return the counts and sums in seconds since the last call, for the `load` log line."""
         summary = " ".join(
             f"{name}={self._counts[name]}/{self._sums[name]:.2f}s" for name in METRIC_NAMES
         )
@@ -41,10 +42,13 @@
         return summary
 
     def snapshot(self) -> dict[str, Any]:
-        """Return counts and percentiles since the start, by name."""
+        """Return counts and percentiles in milliseconds since the start, by metric name."""
         return {name: _percentiles(histogram) for name, histogram in self._histograms.items()}
 
 
 def _percentiles(histogram: Any) -> dict[str, Any]:
-    values = {f"p{share:g}": histogram.get_value_at_percentile(share) for share in PERCENTILES}
+    values = {
+        f"p{percentile:g}": histogram.get_value_at_percentile(percentile)
+        for percentile in PERCENTILES
+    }
     return {"count": histogram.get_total_count()} | values
--- a/src/eldercart/server/node_context.py
+++ b/src/eldercart/server/node_context.py
@@ -1,4 +1,4 @@
-"""What all parts of one controller node share."""
+"""Values that all components of one controller node share."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
--- a/src/eldercart/server/node_services.py
+++ b/src/eldercart/server/node_services.py
@@ -1,4 +1,4 @@
-"""What the parts that serve peers and users both need of the process."""
+"""The interface of the node that the components serving peers and users both use."""
 
 from collections.abc import Callable
 from typing import Protocol
