--- a/src/eldercart/server/controller_node.py
+++ b/src/eldercart/server/controller_node.py
@@ -37,8 +37,8 @@
 
 TICK_INTERVAL_S = 0.1
 STALL_THRESHOLD_S = 0.5  # a tick that is later than this means that the process did not run
-ISOLATION_THRESHOLD_S = 3.0  # of store failures before a node may count as isolated
-PEER_STORE_OK_MAX_AGE_S = 3.0  # for which a peer's message that the store serves it is valid
+ISOLATION_THRESHOLD_S = 3.0  # store failures for this long may mean that a node is isolated
+PEER_STORE_OK_MAX_AGE_S = 3.0  # a peer's report that the store serves it is valid for this long
 CATALOG_RETRY_S = 1.0  # between two reads of the stored machine types
 LOAD_LOG_INTERVAL_S = 10.0  # between two log lines about the node's load
 HTTP_SOCKETS_SHARE, MIN_HTTP_SOCKETS = 0.75, 16  # of a node's sockets, for users and workers
--- a/src/eldercart/server/store/client.py
+++ b/src/eldercart/server/store/client.py
@@ -111,7 +111,7 @@
     def lend_tokens(self, requested: int, now: MonotonicTime) -> int:
         """Take up to `requested` tokens for another node, above the reserve for placements.
 
-        Returns how many request tokens, and as many write tokens, were taken.
+        Returns the number taken, which is the same for requests and for writes.
         """
         count = min(
             requested,
