--- a/tests/test_immediate_write.py
+++ b/tests/test_immediate_write.py
@@ -1,4 +1,4 @@
-"""Connections that send at once, with sockets that are real and a reactor that is not."""
+"""Connections that write immediately, tested with real sockets and a simulated reactor."""
 
 import socket
 from collections.abc import Iterator
@@ -10,8 +10,8 @@
 from eldercart.server.http.immediate_write import ImmediateWriteServer, flush
 
 
-class Reactor:
-    """Only tells what it was asked to watch."""
+class RecordingReactor:
+    """Records the transports that are to be watched for writing."""
 
     def __init__(self) -> None:
         self.writers: list[Any] = []
@@ -21,50 +21,50 @@
 
     removeReader = addReader
 
-    def addWriter(self, who: Any) -> None:
-        self.writers.append(who)
+    def addWriter(self, transport: Any) -> None:
+        self.writers.append(transport)
 
-    def removeWriter(self, who: Any) -> None:
-        if who in self.writers:
-            self.writers.remove(who)
+    def removeWriter(self, transport: Any) -> None:
+        if transport in self.writers:
+            self.writers.remove(transport)
 
 
 @pytest.fixture
-def pair() -> Iterator[tuple[ImmediateWriteServer, Reactor, socket.socket]]:
-    ours, theirs = socket.socketpair()
-    ours.setblocking(False)
-    theirs.settimeout(5.0)
-    reactor = Reactor()
-    transport = ImmediateWriteServer(ours, Protocol(), ("a", 1), None, 1, reactor)
-    yield transport, reactor, theirs
-    ours.close()
-    theirs.close()
-
-
-def test_answer_leaves_without_another_turn(pair: Any) -> None:
-    transport, reactor, theirs = pair
+def connection() -> Iterator[tuple[ImmediateWriteServer, RecordingReactor, socket.socket]]:
+    server_socket, client_socket = socket.socketpair()
+    server_socket.setblocking(False)
+    client_socket.settimeout(5.0)
+    reactor = RecordingReactor()
+    transport = ImmediateWriteServer(server_socket, Protocol(), ("a", 1), None, 1, reactor)
+    yield transport, reactor, client_socket
+    server_socket.close()
+    client_socket.close()
+
+
+def test_response_is_sent_without_another_reactor_iteration(connection: Any) -> None:
+    transport, reactor, client_socket = connection
     transport.write(b"answer")
-    assert theirs.recv(100) == b"answer"
+    assert client_socket.recv(100) == b"answer"
     assert not reactor.writers
 
 
-def test_connection_that_is_to_close_is_left_to_the_reactor(pair: Any) -> None:
-    """Nothing is left to send, and yet it must be asked for: or it would never be closed, and a
-    crowd that was sent away would hold all sockets."""
-    transport, reactor, theirs = pair
+def test_closing_connection_is_left_to_the_reactor(connection: Any) -> None:
+    """A closing connection needs a write event even if no data is left to send. Otherwise it would
+    never be closed, and many rejected clients would use up all sockets."""
+    transport, reactor, client_socket = connection
     transport.write(b"go away")
     transport.loseConnection()
     assert reactor.writers == [transport]
-    assert theirs.recv(100) == b"go away"
+    assert client_socket.recv(100) == b"go away"
 
 
-def test_full_socket_is_left_to_the_reactor(pair: Any) -> None:
-    transport, reactor, theirs = pair
+def test_full_socket_is_left_to_the_reactor(connection: Any) -> None:
+    transport, reactor, client_socket = connection
     transport.write(b"x" * 4_000_000)
     assert reactor.writers == [transport]
-    got = 0
-    while got < 4_000_000:
+    received_bytes = 0
+    while received_bytes < 4_000_000:
         transport.doWrite()
-        got += len(theirs.recv(1_000_000))
+        received_bytes += len(client_socket.recv(1_000_000))
     flush(transport)
     assert not reactor.writers
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The state service's limits fall without notice: rates, sizes of values and of transactions."""
+"""The state service reduces its limits without notice: rates, value size and transaction size."""
 
 import copy
 import random
@@ -81,16 +81,20 @@
         (NEXT, 70, 18, 2048, 6),
         ({"rps": 40}, 40, 25, 32768, 20),
         ({"value_kb": 0.5, "txn_ops": 2, "rps": None}, 70, 25, 512, 2),
-        # What grows is no concern: until it has, the present limits hold.
+        # The current limits stay in force as long as the announced ones are higher.
         ({"rps": 90, "write_rps": 30, "value_kb": 64, "txn_ops": 40}, 70, 25, 32768, 20),
         (NEXT | {"unheard_of": "x"}, 70, 18, 2048, 6),
     ],
 )
-def test_next_limits(next_: Any, rps: float, write_rps: float, value: int, ops: int) -> None:
-    s = settings_of(next_)
-    assert (s.state_rps, s.state_write_rps) == (70, 25), "the rates hold until they fall"
-    assert (s.state_rps_next, s.state_write_rps_next) == (rps, write_rps)
-    assert (s.value_bytes, s.txn_ops) == (value, ops)
+def test_announced_limits_are_read_from_the_settings(
+    next_: Any, rps: float, write_rps: float, value: int, ops: int
+) -> None:
+    settings = settings_of(next_)
+    assert (settings.state_rps, settings.state_write_rps) == (70, 25), (
+        "the current rates hold until a reduction is detected"
+    )
+    assert (settings.state_rps_next, settings.state_write_rps_next) == (rps, write_rps)
+    assert (settings.value_bytes, settings.txn_ops) == (value, ops)
 
 
 @pytest.mark.parametrize(
@@ -109,13 +113,15 @@
         ({"txn_ops": [6]}, "settings.state.next.txn_ops"),
     ],
 )
-def test_malformed_next_limits_are_named(next_: Any, field: str) -> None:
+def test_malformed_announced_limits_are_rejected_with_the_field_name(
+    next_: Any, field: str
+) -> None:
     with pytest.raises(InvalidSettingsError) as err:
         settings_of(next_)
     assert f"settings: {field}: must be" in str(err.value)
 
 
-def test_limits_of_no_next_are_none() -> None:
+def test_null_next_section_announces_no_limits() -> None:
     root = platform()
     root["settings"]["state"]["next"] = None
     assert parse_platform(root) == settings_of()
@@ -124,75 +130,93 @@
 # -- rates
 
 
-IN, OVER, TOLD = "refused within its share", "refused after overdrawing it", "told by a peer"
+WITHIN_SHARE, OVERDRAWN, FROM_PEER = "429 within the share", "429 after overdraft", "peer backoff"
 
 
 @pytest.mark.parametrize(
-    ("foretold", "events", "lowered"),
+    ("reduction_announced", "events", "lowered"),
     [
         (True, [], {0: False}),
-        (False, [(0, IN, 0)], {0: False, 1: False}),  # nothing is known to which they might fall
-        (False, [(0, TOLD, 60)], {0: False}),
-        (True, [(0, OVER, 0)], {0: False, 5: False}),  # its own doing
+        (False, [(0, WITHIN_SHARE, 0)], {0: False, 1: False}),  # no lower rates are announced
+        (False, [(0, FROM_PEER, 60)], {0: False}),
+        (True, [(0, OVERDRAWN, 0)], {0: False, 5: False}),  # the node itself caused the 429
         (
             True,
-            [(0, IN, 0)],
+            [(0, WITHIN_SHARE, 0)],
             {0: True, INITIAL_BACKOFF_S - 1: True, INITIAL_BACKOFF_S + 1: False},
-        ),  # a stray one
+        ),  # a stray 429
         (
             True,
-            [(0, IN, 0), (10, OVER, 0)],
+            [(0, WITHIN_SHARE, 0), (10, OVERDRAWN, 0)],
             {INITIAL_BACKOFF_S - 1: True, INITIAL_BACKOFF_S + 1: False},
         ),
-        # Meanwhile a further one shows that it was none.
+        # A further 429 during the backoff shows that the first was not a stray one.
         (
             True,
-            [(0, IN, 0), (10, IN, 0)],
+            [(0, WITHIN_SHARE, 0), (10, WITHIN_SHARE, 0)],
             {INITIAL_BACKOFF_S + 9: True, INITIAL_BACKOFF_S + 11: False},
         ),
-        # Requests under way together are refused together, and count once.
-        (True, [(0, IN, 0)] * 30, {INITIAL_BACKOFF_S - 1: True, INITIAL_BACKOFF_S + 1: False}),
-        # Tried again, and refused again: twice as long, and once more.
-        (True, [(0, IN, 0), (21, IN, 0)], {20.5: False, 22: True, 60: True, 62: False}),
+        # Requests in flight at the same time are rejected together and count once.
+        (
+            True,
+            [(0, WITHIN_SHARE, 0)] * 30,
+            {INITIAL_BACKOFF_S - 1: True, INITIAL_BACKOFF_S + 1: False},
+        ),
+        # Each time the next try of the higher rates meets a 429, the backoff doubles.
+        (
+            True,
+            [(0, WITHIN_SHARE, 0), (21, WITHIN_SHARE, 0)],
+            {20.5: False, 22: True, 60: True, 62: False},
+        ),
         (
             True,
-            [(0, IN, 0), (21, IN, 0), (62, IN, 0)],
+            [(0, WITHIN_SHARE, 0), (21, WITHIN_SHARE, 0), (62, WITHIN_SHARE, 0)],
             {61.5: False, 63: True, 141: True, 143: False},
         ),
-        # But never longer than this.
+        # The backoff never exceeds the maximum.
         (
             True,
-            [(t, IN, 0) for t in (0, 21, 62, 143, 304, 625, 1266)],
+            [(t, WITHIN_SHARE, 0) for t in (0, 21, 62, 143, 304, 625, 1266)],
             {1264: True, 1265.5: False, 1265 + MAX_BACKOFF_S: True, 1267 + MAX_BACKOFF_S: False},
         ),
-        # A long time without any, and the next is a stray one again.
-        (True, [(0, IN, 0), (21, IN, 0), (200, IN, 0)], {199: False, 219: True, 221: False}),
-        (True, [(0, TOLD, 30)], {0: True, 29: True, 31: False}),
-        (True, [(0, TOLD, 0)], {0: False}),
-        # What a peer has learned about waiting holds here, too.
-        (True, [(0, TOLD, 80), (81, IN, 0)], {80.5: False, 82: True, 240: True, 242: False}),
-        (True, [(0, TOLD, 1e9)], {MAX_BACKOFF_S - 1: True, MAX_BACKOFF_S + 1: False}),
+        # After a long time without a 429 the backoff starts at its initial value again.
+        (
+            True,
+            [(0, WITHIN_SHARE, 0), (21, WITHIN_SHARE, 0), (200, WITHIN_SHARE, 0)],
+            {199: False, 219: True, 221: False},
+        ),
+        (True, [(0, FROM_PEER, 30)], {0: True, 29: True, 31: False}),
+        (True, [(0, FROM_PEER, 0)], {0: False}),
+        # A peer's backoff also sets the length of this node's next backoff.
+        (
+            True,
+            [(0, FROM_PEER, 80), (81, WITHIN_SHARE, 0)],
+            {80.5: False, 82: True, 240: True, 242: False},
+        ),
+        (True, [(0, FROM_PEER, 1e9)], {MAX_BACKOFF_S - 1: True, MAX_BACKOFF_S + 1: False}),
     ],
 )
-def test_reduced_rates(foretold: bool, events: list[Any], lowered: dict[float, bool]) -> None:
-    reduced_rates = RateLimitBackoff(foretold)
-    todo = sorted(
-        [(float(t), 0, kind, arg) for t, kind, arg in events]
+def test_lower_rates_apply_while_the_backoff_lasts(
+    reduction_announced: bool, events: list[Any], lowered: dict[float, bool]
+) -> None:
+    backoff = RateLimitBackoff(reduction_announced)
+    timeline = sorted(
+        [(float(t), 0, kind, argument) for t, kind, argument in events]
         + [(float(t), 1, "look", want) for t, want in lowered.items()]
     )
-    for t, _, kind, arg in todo:
+    for t, _, kind, argument in timeline:
         now = MonotonicTime(t)
         if kind == "look":
-            assert reduced_rates.is_active(now) is arg, t
-        elif kind == TOLD:
-            reduced_rates.record_peer_backoff(arg, now)
+            assert backoff.is_active(now) is argument, t
+        elif kind == FROM_PEER:
+            backoff.record_peer_backoff(argument, now)
         else:
-            reduced_rates.record_rate_limited(now, kind == IN)
+            backoff.record_rate_limited(now, kind == WITHIN_SHARE)
 
 
-def test_word_of_the_fall_does_not_go_round() -> None:
-    """Each node passes on what it met itself: two that told each other what they were told would
-    keep the lower rates for ever."""
+def test_nodes_do_not_repeat_backoffs_announced_by_peers() -> None:
+    """A node announces only the backoff caused by its own 429s. Two nodes that repeated each
+    other's announcements would keep the lower rates for ever."""
     a, b = RateLimitBackoff(True), RateLimitBackoff(True)
     a.record_rate_limited(MonotonicTime(0), True)
     for t in range(1, 60):
@@ -206,8 +230,8 @@
     )
 
 
-class Http:
-    """Answers what it is told to."""
+class FixedStatusHttp:
+    """Responds to each request at once with the status that the test sets."""
 
     def __init__(self) -> None:
         self.status: int | None = 200
@@ -224,9 +248,9 @@
         return MonotonicTime(self.now)
 
 
-def stores(nodes: int, next_: Any) -> tuple[list[StoreClient], Clock, Http]:
-    """The first leads."""
-    clock, http = Clock(), Http()
+def store_clients(nodes: int, next_: Any) -> tuple[list[StoreClient], Clock, FixedStatusHttp]:
+    """Return clients, their clock and their transport; the first client is the leader's."""
+    clock, http = Clock(), FixedStatusHttp()
     out = [StoreClient(settings_of(next_, nodes), clock) for _ in range(nodes)]
     for store in out:
         store._http = http  # type: ignore[assignment]
@@ -235,7 +259,7 @@
     return out, clock, http
 
 
-def refusal(store: StoreClient, http: Http) -> None:
+def receive_429(store: StoreClient, http: FixedStatusHttp) -> None:
     http.status = 429
     store.get("x", lambda ok, item: None)
     http.status = 200
@@ -243,104 +267,114 @@
 
 @pytest.mark.parametrize("nodes", [1, 2, 3, 5, 9])
 @pytest.mark.parametrize("next_", [NEXT, {"rps": 30}, {"rps": 9, "write_rps": 6}])
-def test_shares_of_all_nodes_stay_below_the_lower_rates(nodes: int, next_: dict[str, Any]) -> None:
-    """A refusal at any node, told to the others, lowers all; a change of leader keeps that."""
-    for at in range(nodes):
-        all_, clock, http = stores(nodes, next_)
-        s = settings_of(next_, nodes)
-        before = sum(x.writes.rate for x in all_)
-        assert before <= s.state_write_rps
-        refusal(all_[at], http)
-        for store in all_:
+def test_shares_of_all_nodes_stay_within_the_reduced_rates(
+    nodes: int, next_: dict[str, Any]
+) -> None:
+    """A 429 at one node, announced to its peers, reduces all rates; a leader change keeps that."""
+    for limited_index in range(nodes):
+        clients, clock, http = store_clients(nodes, next_)
+        settings = settings_of(next_, nodes)
+        before = sum(x.writes.rate for x in clients)
+        assert before <= settings.state_write_rps
+        receive_429(clients[limited_index], http)
+        for store in clients:
             store.rate_limit_backoff.record_peer_backoff(
-                all_[at].rate_limit_backoff.remaining_s(clock()), clock()
+                clients[limited_index].rate_limit_backoff.remaining_s(clock()), clock()
             )
             store.update_rates(clock())
         for leader in (0, nodes - 1):
-            for i, store in enumerate(all_):
+            for i, store in enumerate(clients):
                 store.set_leader(i == leader)
-            assert sum(x.requests.rate for x in all_) <= s.state_rps_next
-            assert sum(x.writes.rate for x in all_) <= s.state_write_rps_next
+            assert sum(x.requests.rate for x in clients) <= settings.state_rps_next
+            assert sum(x.writes.rate for x in clients) <= settings.state_write_rps_next
         clock.now += INITIAL_BACKOFF_S + 1
-        for store in all_:
+        for store in clients:
             store.update_rates(clock())
-        assert sum(x.writes.rate for x in all_) == pytest.approx(before), "a stray one"
+        assert sum(x.writes.rate for x in clients) == pytest.approx(before), (
+            "the 429 was a stray one"
+        )
 
 
-def test_refusal_of_what_was_overdrawn_lowers_nothing() -> None:
-    (store,), clock, http = stores(1, NEXT)
+def test_429_after_overdraft_does_not_reduce_rates() -> None:
+    (store,), clock, http = store_clients(1, NEXT)
     rate = store.writes.rate
     store.writes.force_take(clock(), 1000)
-    refusal(store, http)
+    receive_429(store, http)
     assert store.writes.rate == rate and store.writes.available(clock()) <= 0
-    (store,), clock, http = stores(1, None)
-    refusal(store, http)
-    assert store.writes.rate == rate, "no lower rates are known"
+    (store,), clock, http = store_clients(1, None)
+    receive_429(store, http)
+    assert store.writes.rate == rate, "no lower rates are announced"
 
 
-def test_refused_watch_tells_of_the_fall_too() -> None:
-    (store,), clock, http = stores(1, NEXT)
+def test_429_for_a_watch_reduces_rates() -> None:
+    (store,), clock, http = store_clients(1, NEXT)
     http.status = 429
     store.watch("lead", Revision(1), 10.0, lambda status, revision, events: None)
     assert store.rate_limit_backoff.is_active(clock()) and store.writes.rate < 18
 
 
-class LimitedHttp:
-    """Refuses changes beyond a rate that falls at a given time; bursts of one second's worth."""
+class WriteLimitedHttp:
+    """Rejects writes above a rate that is reduced at a given time; allows bursts of one second."""
 
-    def __init__(self, clock: Clock, rate: float, later: float, at: float) -> None:
-        self.clock, self.rate, self.later, self.at = clock, rate, later, at
-        self.tokens, self.filled = rate, clock.now
-        self.log: list[tuple[float, int, int]] = []  # time, status, changes
+    def __init__(self, clock: Clock, rate: float, reduced_rate: float, reduced_at: float) -> None:
+        self.clock, self.rate, self.reduced_rate, self.reduced_at = (
+            clock,
+            rate,
+            reduced_rate,
+            reduced_at,
+        )
+        self.tokens, self.tokens_refilled_at = rate, clock.now
+        self.log: list[tuple[float, int, int]] = []  # time, status, writes
 
     def request(self, method: bytes, path: str, body: Any, timeout: float, answer: Any) -> None:
         now = self.clock.now
-        rate = self.later if now >= self.at else self.rate
-        self.tokens = min(rate, self.tokens + (now - self.filled) * rate)
-        self.filled = now
-        changes = len(orjson.loads(body)["writes"])
-        status = 200 if self.tokens >= changes else 429
-        self.tokens -= changes if status == 200 else 0
-        self.log.append((now, status, changes))
+        rate = self.reduced_rate if now >= self.reduced_at else self.rate
+        self.tokens = min(rate, self.tokens + (now - self.tokens_refilled_at) * rate)
+        self.tokens_refilled_at = now
+        writes = len(orjson.loads(body)["writes"])
+        status = 200 if self.tokens >= writes else 429
+        self.tokens -= writes if status == 200 else 0
+        self.log.append((now, status, writes))
         answer(status, b'{"ledgerRev":1}')
 
 
 @pytest.mark.parametrize("nodes", [1, 5])
 @pytest.mark.parametrize("falls", [True, False])
-def test_all_nodes_follow_the_fall_without_a_spell_of_refusals(nodes: int, falls: bool) -> None:
-    """Every node writes all that it may, the worst there is: a refusal or a few at the fall, and
-    at each try of the old rates, which become rare; and in no five seconds much less is done than
-    the lower rates allow. Without a fall the old rates hold nearly all of the time."""
-    all_, clock, _ = stores(nodes, NEXT)
+def test_all_nodes_follow_a_rate_reduction_with_few_429s(nodes: int, falls: bool) -> None:
+    """Every node writes as much as its tokens allow, which is the worst case. A few 429s are
+    allowed at the reduction and at each try of the old rates, and those tries become rare. In any
+    five seconds the nodes achieve most of the lower rate. Without a reduction they use the old
+    rates nearly all of the time."""
+    clients, clock, _ = store_clients(nodes, NEXT)
     began = clock.now
-    service = LimitedHttp(clock, 25, 18, began + 30 if falls else 1e12)
-    for store in all_:
+    service = WriteLimitedHttp(clock, 25, 18, began + 30 if falls else 1e12)
+    for store in clients:
         store._http = service  # type: ignore[assignment]
-        store.writes.empty(clock())  # no burst of all at the start
+        store.writes.empty(clock())  # so that not all nodes start with a burst
     rng = random.Random(nodes)
-    low = 0.0
+    reduced_s = 0.0
     while clock.now < began + 600:
         clock.now += 0.05
-        for i, store in enumerate(all_):
+        for i, store in enumerate(clients):
             store.update_rates(clock())
             most = min(store.writes.available(clock()), 6 if i == 0 else 1)
             if most > 0 and rng.random() < 0.8 and store.requests.try_take(clock()):
                 store.writes.force_take(clock(), most)
                 txn = Transaction({}, [Put("k", 1)] * most)
                 store.commit(txn, lambda status, revision, failed: None)
-            low += 0.05 / nodes if store.rate_limit_backoff.is_active(clock()) else 0
+            reduced_s += 0.05 / nodes if store.rate_limit_backoff.is_active(clock()) else 0
         if rng.random() < 0.1:
-            for store in all_:
-                for peer in all_:
+            for store in clients:
+                for peer in clients:
                     store.rate_limit_backoff.record_peer_backoff(
                         peer.rate_limit_backoff.remaining_s(clock()), clock()
                     )
     refused = [t - began for t, status, _ in service.log if status == 429]
     if not falls:
-        assert len(refused) < 5 and low < 100, (refused, low)
+        assert len(refused) < 5 and reduced_s < 100, (refused, reduced_s)
         return
-    assert 0 < len(refused) < 25 and low > 480, (refused, low)
-    # In the last minutes the tries have become rare.
+    assert 0 < len(refused) < 25 and reduced_s > 480, (refused, reduced_s)
+    # In the last minutes the tries of the old rates have become rare.
     assert len([t for t in refused if t > 400]) < 6, refused
     for start in range(595):
         window = [
@@ -349,86 +383,92 @@
         assert sum(window) > 5 * 18 * 0.92 * 0.6, (start, sum(window))
 
 
-class Requests(LimitedHttp):
-    """The same, with a limit on requests too, which falls at the same time."""
+class RequestAndWriteLimitedHttp(WriteLimitedHttp):
+    """Also limits requests; that limit is reduced at the same time as the limit on writes."""
 
-    def __init__(self, clock: Clock, at: float, later: float = 70.0) -> None:
-        super().__init__(clock, 25, 18, at)
-        self.all_later = later
-        self.all, self.counted = 70.0, clock.now
+    def __init__(self, clock: Clock, reduced_at: float, reduced_rate: float = 70.0) -> None:
+        super().__init__(clock, 25, 18, reduced_at)
+        self.reduced_request_rate = reduced_rate
+        self.request_tokens, self.request_tokens_refilled_at = 70.0, clock.now
 
     def request(self, method: bytes, path: str, body: Any, timeout: float, answer: Any) -> None:
         now = self.clock.now
-        rate = self.all_later if now >= self.at else 70.0
-        self.all = min(rate, self.all + (now - self.counted) * rate)
-        self.counted = now
-        if self.all < 1:
+        rate = self.reduced_request_rate if now >= self.reduced_at else 70.0
+        self.request_tokens = min(
+            rate, self.request_tokens + (now - self.request_tokens_refilled_at) * rate
+        )
+        self.request_tokens_refilled_at = now
+        if self.request_tokens < 1:
             self.log.append((now, 429, 0))
             answer(429, b"{}")
             return
-        self.all -= 1
+        self.request_tokens -= 1
         if method == b"POST":
             super().request(method, path, body, timeout, answer)
         else:
             answer(404, b"{}")
 
 
-def burst(
+def run_burst(
     nodes: list[StoreClient],
     clock: Clock,
     seconds: float,
     rng: random.Random,
-    followers: list[StoreClient],
+    reducing_nodes: list[StoreClient],
 ) -> list[int]:
-    """Every node writes as its tokens allow and looks up as much as it may; the `followers` of the
-    limits tell each other what they met. Returns the changes that each got through."""
-    through = [0] * len(nodes)
+    """Let every node write and read as much as its tokens allow. The `reducing_nodes` apply
+    reduced rates and announce their backoffs to each other. Return the writes of each node that
+    succeeded."""
+    written = [0] * len(nodes)
     until = clock.now + seconds
     while clock.now < until:
         clock.now += 0.05
         for i, store in enumerate(nodes):
-            if store in followers:
+            if store in reducing_nodes:
                 store.update_rates(clock())
             most = min(store.writes.available(clock()), 6 if store._is_leader else 1)
             if most > 0 and store.requests.try_take(clock()):
                 store.writes.force_take(clock(), most)
 
                 def done(status: int | None, *_: Any, i: int = i, most: int = most) -> None:
-                    through[i] += most if status == 200 else 0
+                    written[i] += most if status == 200 else 0
 
                 store.commit(Transaction({}, [Put("k", 1)] * most), done)
             if store.requests.available(clock(), 0.3) >= 1:
                 store.get("x", lambda ok, item: None)
         if rng.random() < 0.1:
-            for store in followers:
-                for peer in followers:
+            for store in reducing_nodes:
+                for peer in reducing_nodes:
                     store.rate_limit_backoff.record_peer_backoff(
                         peer.rate_limit_backoff.remaining_s(clock()), clock()
                     )
-    return through
+    return written
 
 
 @pytest.mark.parametrize("nodes", [1, 3, 5])
-def test_a_quiet_time_saves_up_no_long_burst(nodes: int) -> None:
-    """Of a limit's burst, one second's worth, a node uses less than its share, or so much that it
-    can take a few submissions."""
-    all_, clock, _ = stores(nodes, NEXT)
-    s = settings_of(NEXT, nodes)
+def test_burst_after_idle_time_stays_within_the_share(nodes: int) -> None:
+    """The state service allows a burst of one second's worth. After a long idle time a node has
+    less than its share of that, or just enough tokens to admit a few submissions."""
+    clients, clock, _ = store_clients(nodes, NEXT)
+    settings = settings_of(NEXT, nodes)
     clock.now += 1000.0
-    for i, store in enumerate(all_):
-        for bucket, limit in ((store.requests, s.state_rps), (store.writes, s.state_write_rps)):
+    for i, store in enumerate(clients):
+        for bucket, limit in (
+            (store.requests, settings.state_rps),
+            (store.writes, settings.state_write_rps),
+        ):
             share = bucket.rate / (0.92 * limit)
             assert 5 <= bucket.available(clock()) <= max(6, 0.8 * limit * share), i
 
 
 @pytest.mark.parametrize("lowered", [False, True])
 @pytest.mark.parametrize("wanted", [1, 5, 50])
-def test_lent_tokens_are_the_leaders_own(lowered: bool, wanted: int) -> None:
-    """A node that lacks tokens for submissions gets some of the leader's, never more than that one
-    has to spare: all of them together stay as many as before."""
-    nodes, clock, http = stores(5, NEXT)
+def test_lent_tokens_are_taken_from_the_leaders_share(lowered: bool, wanted: int) -> None:
+    """A node without tokens for submissions gets some of the leader's, but never more than the
+    leader has above its reserve. Lending does not increase the total."""
+    nodes, clock, http = store_clients(5, NEXT)
     if lowered:
-        refusal(nodes[0], http)
+        receive_429(nodes[0], http)
         clock.now += 5.0
     leader, follower = nodes[0], nodes[1]
     follower.writes.empty(clock())
@@ -440,24 +480,26 @@
     follower.receive_tokens(number, clock())
     assert 0 < number <= wanted
     after = [a.available(clock()) + b.available(clock()) for a, b in buckets]
-    # What the other one has no room for is lost.
+    # Tokens above the burst of the borrowing node are lost.
     assert after == before or (wanted == 50 and after < before)
-    assert all(a.available(clock(), 0.3) >= 0 for a, _ in buckets), "its own placements go on"
+    assert all(a.available(clock(), 0.3) >= 0 for a, _ in buckets), (
+        "the leader keeps its reserve for placements"
+    )
     assert sum(leader.lend_tokens(wanted, clock()) for _ in range(100)) <= 50
     assert leader.lend_tokens(wanted, clock()) == 0 and leader.lend_tokens(0, clock()) == 0
     assert all(a.available(clock(), 0.3) >= 0 for a, _ in buckets)
 
 
 @pytest.mark.parametrize("at_s", [0.0, 0.3, 5.0])
-def test_fall_in_a_burst_while_leaders_take_over(at_s: float) -> None:
-    """A leader that takes over reads without asking for tokens, and so overdraws. Neither that
-    nor the fall near it makes a lasting spell of refusals, or leaves a node without its share."""
-    nodes, clock, _ = stores(5, NEXT | {"rps": 40})
-    service = Requests(clock, clock.now + 30 + at_s, 40.0)
+def test_rate_reduction_during_a_burst_and_leader_changes(at_s: float) -> None:
+    """A new leader reads without waiting for tokens and so overdraws its share. Neither that nor a
+    rate reduction near it causes lasting 429s or leaves a node without its share."""
+    nodes, clock, _ = store_clients(5, NEXT | {"rps": 40})
+    service = RequestAndWriteLimitedHttp(clock, clock.now + 30 + at_s, 40.0)
     for store in nodes:
         store._http = service  # type: ignore[assignment]
     rng = random.Random(4)
-    burst(nodes, clock, 30, rng, nodes)
+    run_burst(nodes, clock, 30, rng, nodes)
     for turn in range(6):
         for i, store in enumerate(nodes):
             store.set_leader(i == turn % 5)
@@ -465,153 +507,162 @@
             clock.now += 0.01
             nodes[turn % 5].get("x", lambda ok, item: None)
         began = clock.now
-        through = burst(nodes, clock, 40, rng, nodes)
-        assert sum(through) > 40 * 18 * 0.92 * 0.7, (turn, through)
-        assert min(through) > 40 * 18 * 0.92 * 0.075 * 0.6, (turn, through)
-        late = [t for t, status, _ in service.log if status == 429 and t > began + 5]
-        assert len(late) < 40, (turn, len(late))
+        written = run_burst(nodes, clock, 40, rng, nodes)
+        assert sum(written) > 40 * 18 * 0.92 * 0.7, (turn, written)
+        assert min(written) > 40 * 18 * 0.92 * 0.075 * 0.6, (turn, written)
+        late_429s = [t for t, status, _ in service.log if status == 429 and t > began + 5]
+        assert len(late_429s) < 40, (turn, len(late_429s))
     clock.now += 3 * MAX_BACKOFF_S
     for store in nodes:
         store.update_rates(clock())
-    assert sum(store.writes.rate for store in nodes) > 18, "nothing lowers the rates for good"
+    assert sum(store.writes.rate for store in nodes) > 18, "no rate stays reduced for ever"
 
 
 @pytest.mark.parametrize("old_leads", [True, False])
 @pytest.mark.parametrize("old", [1, 3])
-def test_nodes_that_keep_the_higher_rates_starve_no_others(old: int, old_leads: bool) -> None:
-    """Nodes of an earlier version may not know the lower rates. Until they are replaced some
-    requests are refused; all nodes get changes through, and the new ones keep to their shares of
-    the lower rates."""
-    nodes, clock, _ = stores(5, NEXT)
-    plain = stores(5, None)[0]
-    for store in plain:
+def test_old_nodes_at_the_higher_rates_do_not_starve_the_others(old: int, old_leads: bool) -> None:
+    """Nodes of an earlier version may not know the lower rates. Until they are replaced, some
+    requests are rejected. Still all nodes can write, and the new nodes keep to their shares of the
+    lower rates."""
+    nodes, clock, _ = store_clients(5, NEXT)
+    old_clients = store_clients(5, None)[0]
+    for store in old_clients:
         store._clock = clock
-    nodes = plain[:old] + nodes[old:] if old_leads else nodes[: 5 - old] + plain[5 - old :]
-    new = [store for store in nodes if store not in plain]
-    service = Requests(clock, clock.now)
+    nodes = (
+        old_clients[:old] + nodes[old:] if old_leads else nodes[: 5 - old] + old_clients[5 - old :]
+    )
+    new_clients = [store for store in nodes if store not in old_clients]
+    service = RequestAndWriteLimitedHttp(clock, clock.now)
     for i, store in enumerate(nodes):
         store._http = service  # type: ignore[assignment]
         store.set_leader(i == 0)
     rng = random.Random(old)
-    burst(nodes, clock, 30, rng, new)
+    run_burst(nodes, clock, 30, rng, new_clients)
     for _ in range(5):
-        through = burst(nodes, clock, 20, rng, new)
-        assert sum(through) > 20 * 18 * 0.7, through
-        assert min(through) > 20 * 18 * 0.92 * 0.075 * 0.4, through
-        assert all(store.rate_limit_backoff.is_active(clock()) for store in new)
-        for store in new:
+        written = run_burst(nodes, clock, 20, rng, new_clients)
+        assert sum(written) > 20 * 18 * 0.7, written
+        assert min(written) > 20 * 18 * 0.92 * 0.075 * 0.4, written
+        assert all(store.rate_limit_backoff.is_active(clock()) for store in new_clients)
+        for store in new_clients:
             share = 0.7 if store._is_leader else 0.3 / 4
             assert store.writes.rate <= 18 * share
 
 
 @pytest.mark.parametrize(("writes", "requests"), [(0, 9), (9, 0), (0, 0)])
-def test_submission_without_tokens_is_refused_at_once(writes: int, requests: int) -> None:
-    """With a time after which to come again, without a call to the service that has no tokens
-    left for it, and taken as soon as there are some."""
+def test_submission_without_tokens_is_rejected_with_retry_after(writes: int, requests: int) -> None:
+    """Without tokens the node rejects a submission with a retry time and sends no request to the
+    state service. It accepts the submission as soon as there are tokens."""
     place = Place()
     place.store.writes = TokenBucket(1.0, 9.0, MonotonicTime(0))
     place.store.requests = TokenBucket(1.0, 9.0, MonotonicTime(0))
     place.store.writes.force_take(MonotonicTime(0), 9 - writes)
     place.store.requests.force_take(MonotonicTime(0), 9 - requests)
-    asking = place.submit(submission("wk-000001"))
-    assert (asking.status, asking.retry) == (503, RETRY_AFTER_S)
-    assert place.store.writes.available(MonotonicTime(0)) == writes, "what it lacks costs nothing"
+    request = place.submit(submission("wk-000001"))
+    assert (request.status, request.retry) == (503, RETRY_AFTER_S)
+    assert place.store.writes.available(MonotonicTime(0)) == writes, (
+        "a rejected submission takes no tokens"
+    )
     assert place.store.requests.available(MonotonicTime(0)) == requests
     assert "job/wk-000001" not in place.store.sim.keys
     place.now = 1.1
     assert place.submit(submission("wk-000001")).status == 201
 
 
-def test_submission_at_a_node_that_is_behind_is_refused_at_once() -> None:
+def test_submission_at_a_lagging_node_is_rejected_with_retry_after() -> None:
     place = Place()
     place.node.loop_lag_s = place.node.tuning.lag_s + 0.01
-    asking = place.submit(submission("wk-000001"))
-    assert (asking.status, asking.retry) == (503, RETRY_AFTER_S)
+    request = place.submit(submission("wk-000001"))
+    assert (request.status, request.retry) == (503, RETRY_AFTER_S)
     place.node.loop_lag_s = 0.0
     assert place.submit(submission("wk-000001")).status == 201
 
 
 @pytest.mark.parametrize("status", [400, 413, 429, 503])
-def test_acceptance_that_the_service_refuses(status: int) -> None:
-    """Nothing is stored and nothing remembered of it: the next try is judged anew."""
+def test_submission_can_be_retried_after_a_failed_write(status: int) -> None:
+    """A submission whose write failed leaves no state behind, so a retry is accepted."""
     place = Place()
-    carry_out = place.store.commit
+    original_commit = place.store.commit
     place.store.commit = lambda txn, done: done(status, Revision(0), ())  # type: ignore[method-assign]
-    asking = place.submit(submission("wk-000001"))
-    assert (asking.status, asking.retry) == (503, RETRY_AFTER_S)
-    place.store.commit = carry_out  # type: ignore[method-assign]
+    request = place.submit(submission("wk-000001"))
+    assert (request.status, request.retry) == (503, RETRY_AFTER_S)
+    place.store.commit = original_commit  # type: ignore[method-assign]
     assert place.submit(submission("wk-000001")).status == 201
 
 
-def claiming() -> tuple[Election, MonotonicTime]:
-    """A node that is about to claim the leader key, on a lease of three seconds."""
-    e = Election(NodeId("n0"), 3.0, 0.02, IncarnationId("x"))
+def campaigning_election() -> tuple[Election, MonotonicTime]:
+    """Return the election of a node that has a lease of three seconds and is about to campaign."""
+    election = Election(NodeId("n0"), 3.0, 0.02, IncarnationId("x"))
     now = MonotonicTime(10.0)
-    assert isinstance(e.next_action(now), ReadLeaderKey)
-    e.on_leader_key_read(None, now)
-    assert isinstance(e.next_action(now), GrantLease)
-    e.on_lease_granted(LeaseId(1), now)
-    return e, now
-
-
-def test_refused_claim_waits_and_asks_first() -> None:
-    """The claims of all nodes at once, repeated without a pause, would keep the rate used up."""
-    e, now = claiming()
-    claim = e.next_action(now)
-    assert isinstance(claim, Campaign)
-    e.on_action_failed(claim, now)
-    assert e.next_action(now) is None and e.next_action(MonotonicTime(now + 0.1)) is None
-    assert isinstance(e.next_action(MonotonicTime(now + 0.2)), ReadLeaderKey)
-    e.on_leader_key_read(None, MonotonicTime(now + 0.2))
-    assert isinstance(e.next_action(MonotonicTime(now + 0.2)), Campaign)
-
-
-def test_claim_on_a_lease_that_has_ended_takes_a_new_one() -> None:
-    """The 400 that says so would come back for each claim on that lease."""
-    e, now = claiming()
-    assert isinstance(e.next_action(now), Campaign)
-    e.on_campaign_result(None, now, lease_lost=True)
-    assert isinstance(e.next_action(now), ReadLeaderKey)
-    e.on_leader_key_read(None, now)
-    assert isinstance(e.next_action(now), GrantLease)
-
-
-def test_refused_renewal_is_repeated_while_the_hold_lasts() -> None:
-    e, now = claiming()
-    assert isinstance(e.next_action(now), Campaign)
-    e.on_campaign_result(Revision(7), now)
-    tries = []
-    while e.is_within_lease(now):
-        action = e.next_action(now)
+    assert isinstance(election.next_action(now), ReadLeaderKey)
+    election.on_leader_key_read(None, now)
+    assert isinstance(election.next_action(now), GrantLease)
+    election.on_lease_granted(LeaseId(1), now)
+    return election, now
+
+
+def test_failed_campaign_is_retried_after_a_delay_and_a_read() -> None:
+    """Campaigns of all nodes, retried without a delay, would use up the rate limit for ever."""
+    election, now = campaigning_election()
+    campaign = election.next_action(now)
+    assert isinstance(campaign, Campaign)
+    election.on_action_failed(campaign, now)
+    assert (
+        election.next_action(now) is None and election.next_action(MonotonicTime(now + 0.1)) is None
+    )
+    assert isinstance(election.next_action(MonotonicTime(now + 0.2)), ReadLeaderKey)
+    election.on_leader_key_read(None, MonotonicTime(now + 0.2))
+    assert isinstance(election.next_action(MonotonicTime(now + 0.2)), Campaign)
+
+
+def test_campaign_on_an_expired_lease_requests_a_new_lease() -> None:
+    """Every further campaign on the expired lease would get the same 400 response."""
+    election, now = campaigning_election()
+    assert isinstance(election.next_action(now), Campaign)
+    election.on_campaign_result(None, now, lease_lost=True)
+    assert isinstance(election.next_action(now), ReadLeaderKey)
+    election.on_leader_key_read(None, now)
+    assert isinstance(election.next_action(now), GrantLease)
+
+
+def test_failed_lease_renewal_is_retried_until_the_lease_expires() -> None:
+    election, now = campaigning_election()
+    assert isinstance(election.next_action(now), Campaign)
+    election.on_campaign_result(Revision(7), now)
+    retried_at = []
+    while election.is_within_lease(now):
+        action = election.next_action(now)
         if isinstance(action, KeepLeaseAlive):
-            tries.append(now)
-            e.on_action_failed(action, now)
+            retried_at.append(now)
+            election.on_action_failed(action, now)
         now = MonotonicTime(now + 0.01)
-    assert 10 <= len(tries) <= 20, "not one after the other, and not too late"
+    assert 10 <= len(retried_at) <= 20, "retries are neither immediate nor too late"
 
 
-# -- greetings
+# -- peer heartbeats
 
 
-GREET = peers.PeerHeartbeat(
+HEARTBEAT = peers.PeerHeartbeat(
     NodeId("b"), 3, FencingToken(7), True, 5, 2, (), peers.SUPPORTED_FEATURES, 1500
 )
-GREETED = peers.PeerHeartbeatAck(
+HEARTBEAT_ACK = peers.PeerHeartbeatAck(
     3, FencingToken(7), True, True, 9, None, 1, peers.SUPPORTED_FEATURES, 1500
 )
 
 
-def test_greetings_with_and_without_what_is_new() -> None:
-    frame = peers.parse_frame(peers.encode_peer_heartbeat(GREET))
-    assert peers.parse_peer_heartbeat(frame) == GREET
-    told = peers.parse_frame(peers.encode_peer_heartbeat_ack(GREETED))
-    assert peers.parse_peer_heartbeat_ack(told) == GREETED
-    for f in (frame, told):
-        del f["takes"], f["low"]
-    old, old_told = peers.parse_peer_heartbeat(frame), peers.parse_peer_heartbeat_ack(told)
+def test_peer_heartbeats_are_read_with_and_without_the_new_fields() -> None:
+    frame = peers.parse_frame(peers.encode_peer_heartbeat(HEARTBEAT))
+    assert peers.parse_peer_heartbeat(frame) == HEARTBEAT
+    ack_frame = peers.parse_frame(peers.encode_peer_heartbeat_ack(HEARTBEAT_ACK))
+    assert peers.parse_peer_heartbeat_ack(ack_frame) == HEARTBEAT_ACK
+    for fields in (frame, ack_frame):
+        del fields["takes"], fields["low"]
+    old_heartbeat, old_ack = (
+        peers.parse_peer_heartbeat(frame),
+        peers.parse_peer_heartbeat_ack(ack_frame),
+    )
     assert (
-        (old.supported_features, old.backoff_remaining_ms)
-        == (old_told.supported_features, old_told.backoff_remaining_ms)
+        (old_heartbeat.supported_features, old_heartbeat.backoff_remaining_ms)
+        == (old_ack.supported_features, old_ack.backoff_remaining_ms)
         == ((), 0)
     )
 
@@ -626,18 +677,20 @@
         ([], 1.5, (), 0),
     ],
 )
-def test_odd_fields_of_greetings(takes: Any, low: Any, want: Any, want_low: int) -> None:
-    frame = peers.parse_frame(peers.encode_peer_heartbeat(GREET)) | {"takes": takes, "low": low}
-    g = peers.parse_peer_heartbeat(frame)
-    assert (g.supported_features, g.backoff_remaining_ms) == (want, want_low)
+def test_malformed_optional_heartbeat_fields_are_ignored(
+    takes: Any, low: Any, want: Any, want_low: int
+) -> None:
+    frame = peers.parse_frame(peers.encode_peer_heartbeat(HEARTBEAT)) | {"takes": takes, "low": low}
+    heartbeat = peers.parse_peer_heartbeat(frame)
+    assert (heartbeat.supported_features, heartbeat.backoff_remaining_ms) == (want, want_low)
 
 
-def test_parts_are_cut_anew_only_once_every_node_reads_them() -> None:
-    """A node of the version before, or one never heard, might lead next."""
+def test_rechunking_starts_only_when_all_nodes_support_it() -> None:
+    """The next leader might be a node of the previous version or one that sent no heartbeat yet."""
     relay_service = ControllerNode(settings_of(NEXT, 3), load_tuning()).relay_service
     now = MonotonicTime(50)
 
-    def says(node: str, takes: tuple[str, ...]) -> bool:
+    def record_heartbeat(node: str, takes: tuple[str, ...]) -> bool:
         relay_service.peer_heartbeats.record_peer_status(
             NodeId(node),
             peers.PeerHeartbeat(NodeId(node), 1, FencingToken(0), True, 0, 0, (), takes),
@@ -646,39 +699,45 @@
         return relay_service.peer_heartbeats.all_support(peers.RECHUNKING)
 
     assert not relay_service.peer_heartbeats.all_support(peers.RECHUNKING)
-    assert not says("drover-1", peers.SUPPORTED_FEATURES)
-    assert not says("drover-2", ())
-    assert not says("drover-9", peers.SUPPORTED_FEATURES), "not a member"
-    assert says("drover-2", peers.SUPPORTED_FEATURES)
-    assert not says("drover-1", ()), "it came back as the version before"
+    assert not record_heartbeat("drover-1", peers.SUPPORTED_FEATURES)
+    assert not record_heartbeat("drover-2", ())
+    assert not record_heartbeat("drover-9", peers.SUPPORTED_FEATURES), "not a member"
+    assert record_heartbeat("drover-2", peers.SUPPORTED_FEATURES)
+    assert not record_heartbeat("drover-1", ()), "it restarted with the previous version"
     assert ControllerNode(
         settings_of(NEXT), load_tuning()
-    ).relay_service.peer_heartbeats.all_support(peers.RECHUNKING), "it is alone"
+    ).relay_service.peer_heartbeats.all_support(peers.RECHUNKING), (
+        "a single node needs no support of others"
+    )
 
 
-def test_peer_that_met_the_fall_is_believed() -> None:
+def test_backoff_announced_by_a_peer_reduces_rates() -> None:
     node = ControllerNode(settings_of(NEXT, 3), load_tuning())
     rate = node.store.writes.rate
-    node.relay_service.peer_heartbeats.record_peer_status(NodeId("drover-1"), GREETED, node.clock())
+    node.relay_service.peer_heartbeats.record_peer_status(
+        NodeId("drover-1"), HEARTBEAT_ACK, node.clock()
+    )
     assert (
         node.store.writes.rate < rate
         and node.store.rate_limit_backoff.remaining_s(node.clock()) == 0
     )
 
 
-# -- parts cut anew
+# -- subdivided chunks
 
 
 JOB = JobId("wk-000001")
 
 
-def registry(tasks: int, size: int) -> tuple[JobRegistry, Any]:
+def registry_with_job(tasks: int, size: int) -> tuple[JobRegistry, Any]:
     jobs = JobRegistry()
     spec = users.parse_submission(submission(JOB, parcels=tasks))
     return jobs, jobs.add(spec, size, MonotonicTime(0))
 
 
-def part(number: int, attempt: int, done: Any, run: Any, tasks: int | None = None) -> list[Any]:
+def encoded_part(
+    number: int, attempt: int, done: Any, run: Any, tasks: int | None = None
+) -> list[Any]:
     value = {"a": attempt, "d": done, "r": [[i, a, f"n-{i}"] for i, a in run]}
     return [JOB, number, value | ({"n": tasks} if tasks else {})]
 
@@ -686,60 +745,66 @@
 @pytest.mark.parametrize(
     ("placement_records", "run", "done", "attempts"),
     [
-        # One coarse part, as the version before writes it.
-        ([[part(0, 4, [[0, 1]], [(2, 3), (7, 4)])]], {2: 3, 7: 4}, {0, 1}, {0: 4, 9: 4}),
-        # A finer one prevails where it covers; elsewhere the coarse one is all there is.
+        # One part for the whole chunk, as the previous version writes it.
+        ([[encoded_part(0, 4, [[0, 1]], [(2, 3), (7, 4)])]], {2: 3, 7: 4}, {0, 1}, {0: 4, 9: 4}),
+        # A subchunk part takes precedence for its tasks; the chunk part counts for all others.
         (
-            [[part(0, 4, [], [(1, 1), (2, 2), (7, 4)])], [part(0, 5, [[1, 1]], [(2, 5)], 3)]],
+            [
+                [encoded_part(0, 4, [], [(1, 1), (2, 2), (7, 4)])],
+                [encoded_part(0, 5, [[1, 1]], [(2, 5)], 3)],
+            ],
             {2: 5, 7: 4},
             {1},
             {0: 5, 3: 4, 9: 4},
         ),
-        # The same, and a late copy made the coarse one the newest: equal attempts mislead nobody.
+        # The same, but a delayed write made the chunk part the newest; both have the same attempt.
         (
-            [[part(0, 4, [[1, 1]], [], 3)], [part(0, 4, [], [(1, 1), (2, 2), (7, 4)])]],
+            [
+                [encoded_part(0, 4, [[1, 1]], [], 3)],
+                [encoded_part(0, 4, [], [(1, 1), (2, 2), (7, 4)])],
+            ],
             {7: 4},
             {1},
             {0: 4, 9: 4},
         ),
-        # The finest of three, and what lies between.
+        # Three sizes of parts: the smallest counts; tasks in between use the larger parts.
         (
             [
-                [part(0, 3, [], [(0, 1), (5, 2), (9, 3)])],
-                [part(5, 4, [], [(5, 4), (8, 3)], 5)],
-                [part(7, 5, [[8, 8]], [(7, 5)], 2)],
+                [encoded_part(0, 3, [], [(0, 1), (5, 2), (9, 3)])],
+                [encoded_part(5, 4, [], [(5, 4), (8, 3)], 5)],
+                [encoded_part(7, 5, [[8, 8]], [(7, 5)], 2)],
             ],
             {0: 1, 5: 4, 7: 5},
             {8},
             {0: 3, 5: 4, 7: 5, 9: 4},
         ),
-        # A coarse copy with more attempts than a finer part: none of them is used again.
+        # The chunk part has a higher attempt than a subchunk part: no attempt number is reused.
         (
-            [[part(0, 9, [], [(7, 9)])], [part(0, 4, [], [(1, 4)], 3)]],
+            [[encoded_part(0, 9, [], [(7, 9)])], [encoded_part(0, 4, [], [(1, 4)], 3)]],
             {1: 4, 7: 9},
             set(),
             {0: 9, 9: 9},
         ),
-        # A finer part on two placement records: the higher attempt, of equals the newer.
+        # A subchunk part in two placement records: the higher attempt or else the newer one counts.
         (
-            [[part(0, 6, [], [(1, 6)], 3)], [part(0, 5, [], [(1, 5)], 3)]],
+            [[encoded_part(0, 6, [], [(1, 6)], 3)], [encoded_part(0, 5, [], [(1, 5)], 3)]],
             {1: 6},
             set(),
             {0: 6},
         ),
         (
-            [[part(0, 6, [], [(1, 6)], 3)], [part(0, 6, [[1, 1]], [], 3)]],
+            [[encoded_part(0, 6, [], [(1, 6)], 3)], [encoded_part(0, 6, [[1, 1]], [], 3)]],
             {},
             {1},
             {0: 6},
         ),
-        # Finer parts without a coarse one: it was never durable, so what lies between never ran.
-        ([[part(4, 2, [], [(5, 2)], 3)]], {5: 2}, set(), {0: 0, 4: 2, 7: 0}),
-        # In the second chunk, the first being coarse.
+        # Subchunk parts only: the chunk part was never durable, so the other tasks never ran.
+        ([[encoded_part(4, 2, [], [(5, 2)], 3)]], {5: 2}, set(), {0: 0, 4: 2, 7: 0}),
+        # A subchunk of the second chunk; the first chunk is not subdivided.
         (
             [
-                [part(0, 4, [[0, 9]], []), part(1, 2, [], [(10, 1), (14, 2)])],
-                [part(12, 3, [], [(14, 3)], 3)],
+                [encoded_part(0, 4, [[0, 9]], []), encoded_part(1, 2, [], [(10, 1), (14, 2)])],
+                [encoded_part(12, 3, [], [(14, 3)], 3)],
             ],
             {10: 1, 14: 3},
             set(range(10)),
@@ -747,10 +812,10 @@
         ),
     ],
 )
-def test_finest_part_counts(
+def test_smallest_part_that_covers_a_task_is_authoritative(
     placement_records: list[Any], run: dict[int, int], done: set[int], attempts: dict[int, int]
 ) -> None:
-    jobs, job = registry(25, 10)
+    jobs, job = registry_with_job(25, 10)
     store = PlacementRecords(32768, FencingToken(50))
     items = [
         Item(f"place/1-{i}", {"p": p}, Revision(10 + i)) for i, p in enumerate(placement_records)
@@ -764,25 +829,26 @@
     assert {i for i in range(25) if job.done_flags[i]} == done and job.done_count == len(done)
     for low, attempt in attempts.items():
         assert job.chunk_for(low).highest_attempt == attempt, low
-    check_whole(job)
-    # Whatever only a coarse part tells of stays where it is; finer parts are written again freely.
+    check_tasks_and_chunks(job)
+    # Each record lists exactly the chunks that are assigned to it. A chunk part that is the only
+    # source for some tasks stays in its record; subchunk parts may be written again.
     for placement_record in store.by_key.values():
-        told = {
+        expected_parts = {
             (job.id, c.first_index)
             for c in job.chunks.values()
             if c.record_key == placement_record.key
         }
-        assert set(placement_record.parts) == told
+        assert set(placement_record.parts) == expected_parts
 
 
 @pytest.mark.parametrize(
     "value",
     [{"n": "3"}, {"n": 0}, {"n": -1}, {"n": 1.5}, {"n": True}, {"n": 99}, {"n": 3, "a": None}],
 )
-def test_unreadable_finer_part_starts_nothing(value: dict[str, Any]) -> None:
-    jobs, job = registry(25, 10)
+def test_job_with_an_unreadable_subchunk_is_not_runnable(value: dict[str, Any]) -> None:
+    jobs, job = registry_with_job(25, 10)
     record = {"a": 1, "d": [], "r": []} | value
-    items = [Item("place/1-1", {"p": [part(0, 1, [], []), [JOB, 0, record]]}, Revision(5))]
+    items = [Item("place/1-1", {"p": [encoded_part(0, 1, [], []), [JOB, 0, record]]}, Revision(5))]
     placement_records = PlacementRecords(32768, FencingToken(50))
     load_placement_records(placement_records, items, jobs)
     jobs.finish_load(job)
@@ -790,15 +856,15 @@
     assert [JOB, 0, record] in placement_records.by_key["place/1-1"].unreadable_parts
 
 
-def check_whole(job: Any) -> None:
-    """Every task is done, placed or waiting, once; every chunk covers what no other does."""
-    places = [p.index for p in job.placements()]
+def check_tasks_and_chunks(job: Any) -> None:
+    """Check that each task is done, placed or waiting exactly once and that no chunks overlap."""
+    placed = [p.index for p in job.placements()]
     waiting = [*job.retry_indexes, *range(job.next_unplaced_index, job.spec.task_count)]
-    assert len(set(places)) == len(places) and len(set(waiting)) == len(waiting)
-    assert not set(places) & set(waiting)
-    over = {i for i in range(job.spec.task_count) if job.done_flags[i]}
-    assert not over & set(waiting)
-    assert set(places) | set(waiting) | over == set(range(job.spec.task_count))
+    assert len(set(placed)) == len(placed) and len(set(waiting)) == len(waiting)
+    assert not set(placed) & set(waiting)
+    done = {i for i in range(job.spec.task_count) if job.done_flags[i]}
+    assert not done & set(waiting)
+    assert set(placed) | set(waiting) | done == set(range(job.spec.task_count))
     spans = sorted((c.first_index, c.end_index) for c in job.chunks.values())
     assert all(a < b for a, b in spans)
     assert all(a[1] <= b[0] for a, b in pairwise(spans))
@@ -811,14 +877,14 @@
             assert chunk.first_index <= index < chunk.end_index
 
 
-def test_all_finer_chunks_wait_to_be_written() -> None:
-    """Together they take the place of the coarse one: what it had not told yet must not be lost."""
-    jobs, job = registry(25, 10)
+def test_all_subchunks_are_dirty_after_a_subdivision() -> None:
+    """The subchunks replace the chunk, so changes that it had not written yet must not be lost."""
+    jobs, job = registry_with_job(25, 10)
     for index in jobs.take_unplaced_tasks(job, 8):
         jobs.add_placement(job, index, MachineId("n-1"), MonotonicTime(1))
     for p in job.placements():
         p.phase = PlacementPhase.RUNNING if p.index < 5 else PlacementPhase.PLANNED
-    finer = jobs.subdivide_chunk(job, job.chunks[0], 3)
+    subchunks = jobs.subdivide_chunk(job, job.chunks[0], 3)
     assert [
         (
             c.first_index,
@@ -828,7 +894,7 @@
             c.is_urgent,
             sorted(c.placements),
         )
-        for c in finer
+        for c in subchunks
     ] == [
         (0, 3, 8, True, False, [0, 1, 2]),
         (3, 6, 8, True, True, [3, 4, 5]),
@@ -836,58 +902,59 @@
         (9, 10, 8, True, False, []),
     ]
     assert [job.chunk_for(i).first_index for i in (0, 2, 3, 8, 9)] == [0, 0, 3, 6, 9]
-    check_whole(job)
-    assert job.encode_part(finer[3]) == [JOB, 9, {"a": 8, "d": [], "r": [], "n": 1}]
+    check_tasks_and_chunks(job)
+    assert job.encode_part(subchunks[3]) == [JOB, 9, {"a": 8, "d": [], "r": [], "n": 1}]
 
 
-class Cutting:
-    """A job, its placement records, and what the store holds of them, by single random steps."""
+class SubdivisionModel:
+    """A job, its placement records and their stored copies, changed by single random steps."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.tasks, self.size = self.rng.choice([(40, 50), (120, 50), (130, 40)])
-        self.jobs, self.job = registry(self.tasks, self.size)
+        self.tasks, self.chunk_size = self.rng.choice([(40, 50), (120, 50), (130, 40)])
+        self.jobs, self.job = registry_with_job(self.tasks, self.chunk_size)
         self.placement_records = PlacementRecords(2048, FencingToken(1))
         self.stored: dict[str, Any] = {}
-        # Writes under way, with the version they are guarded on.
-        self.late: list[tuple[str, Any, int]] = []
-        self.used: dict[int, int] = {}  # attempts that may have been launched
-        self.durable: dict[int, tuple[int, str]] = {}  # placements that may have been launched
+        # Writes in flight, with the record version that each requires.
+        self.late_writes: list[tuple[str, Any, int]] = []
+        # Attempts and placements that may have been launched.
+        self.launched_attempts: dict[int, int] = {}
+        self.durable_placements: dict[int, tuple[int, str]] = {}
         self.token = 1
 
     def step(self, number: int) -> None:
         now = MonotonicTime(number)
-        what = self.rng.random()
+        draw = self.rng.random()
         placed = [p for p in self.job.placements() if p.phase < 5]
-        if what < 0.35:
+        if draw < 0.35:
             self.place(now)
-        elif what < 0.55 and placed:
+        elif draw < 0.55 and placed:
             self.end(self.rng.choice(placed), now)
-        elif what < 0.62 and self.job.chunks:
-            self.cut(now)
-        elif what < 0.95:
+        elif draw < 0.62 and self.job.chunks:
+            self.subdivide(now)
+        elif draw < 0.95:
             self.write(number)
-        elif what < 0.97 and self.late:
-            self.write_late(number)
+        elif draw < 0.97 and self.late_writes:
+            self.apply_late_write(number)
         else:
             self.take_over(now)
-        check_whole(self.job)
+        check_tasks_and_chunks(self.job)
 
     def place(self, now: MonotonicTime) -> None:
         for index in self.jobs.take_unplaced_tasks(self.job, self.rng.randrange(1, 6)):
             machine = MachineId(f"n-{self.rng.randrange(99):06d}")
             p = self.jobs.add_placement(self.job, index, machine, now)
-            assert p.attempt > self.used.get(index, 0), "an attempt is used once"
+            assert p.attempt > self.launched_attempts.get(index, 0), "attempt reused"
 
     def end(self, p: Any, now: MonotonicTime) -> None:
-        self.durable.pop(p.index, None)
+        self.durable_placements.pop(p.index, None)
         if self.rng.random() < 0.6:
             self.jobs.mark_done(p, now)
             del self.job.chunk_for(p.index).placements[p.index]
         else:
             self.jobs.remove_placement(p, now, retry=True)
 
-    def cut(self, now: MonotonicTime) -> None:
+    def subdivide(self, now: MonotonicTime) -> None:
         chunk = self.rng.choice([*self.job.chunks.values()])
         if chunk.task_count > 1:
             self.jobs.mark_dirty(self.job, chunk, now)
@@ -910,48 +977,50 @@
             value = orjson.loads(orjson.dumps(record))
             if self.rng.random() < 0.2:
                 guard = self.stored.get(placement_record.key, (None, 0))[1]
-                self.late.append((placement_record.key, value, guard))
-                continue  # no answer: what is new stays to be written
+                self.late_writes.append((placement_record.key, value, guard))
+                continue  # no response, so the changes stay dirty
             placement_record.version = Revision(number + 1)
             self.stored[placement_record.key] = (value, number + 1)
             for _, c in placement_record.parts.values():
                 c.is_dirty = False
-                self.durable |= {p.index: (p.attempt, p.machine_id) for p in c.placements.values()}
-                self.used |= {p.index: p.attempt for p in c.placements.values()}
+                self.durable_placements |= {
+                    p.index: (p.attempt, p.machine_id) for p in c.placements.values()
+                }
+                self.launched_attempts |= {p.index: p.attempt for p in c.placements.values()}
 
-    def write_late(self, number: int) -> None:
-        key, value, guard = self.late.pop(self.rng.randrange(len(self.late)))
+    def apply_late_write(self, number: int) -> None:
+        key, value, guard = self.late_writes.pop(self.rng.randrange(len(self.late_writes)))
         if self.stored.get(key, (None, 0))[1] == guard:
             self.stored[key] = (value, number + 1)
 
     def take_over(self, now: MonotonicTime) -> None:
         self.token += 1
-        self.late.clear()  # they were guarded on the leader's key, too
-        self.jobs, self.job = registry(self.tasks, self.size)
+        self.late_writes.clear()  # they also required the old leader's key
+        self.jobs, self.job = registry_with_job(self.tasks, self.chunk_size)
         self.placement_records = PlacementRecords(2048, FencingToken(self.token))
         items = [Item(k, v, Revision(r)) for k, (v, r) in self.stored.items()]
         load_placement_records(self.placement_records, items, self.jobs)
         self.jobs.finish_load(self.job)
         assert not self.job.has_unreadable_record
         known = {p.index: (p.attempt, p.machine_id) for p in self.job.placements()}
-        for index, place in self.durable.items():
-            assert known.get(index) == place, "launched, and forgotten"
+        for index, place in self.durable_placements.items():
+            assert known.get(index) == place, "a placement that may have been launched was lost"
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_cutting_loses_no_task_and_places_none_twice(seed: int) -> None:
-    """Any order of placing, finishing, dropping, cutting, writing some of the placement records,
-    and taking over from what was written, late copies of older placement records included."""
-    cutting = Cutting(seed)
+def test_subdivision_loses_no_task_and_places_none_twice(seed: int) -> None:
+    """The steps come in any order: placing, finishing and removing tasks, subdividing chunks,
+    writing some placement records, late writes of older copies, and failover from the store."""
+    model = SubdivisionModel(seed)
     for number in range(300):
-        cutting.step(number)
+        model.step(number)
 
 
 # -- sizes
 
 
-def test_placement_records_stay_within_the_limit_whatever_their_parts_come_to() -> None:
-    """Names of machines that are longer than usual make the estimate wrong."""
+def test_placement_records_fit_the_value_limit_despite_long_machine_names() -> None:
+    """The size estimate of a part is wrong if machine names are longer than usual."""
     w = World(41, platform=platform(NEXT))
     w.store.value_bytes, w.store.txn_ops = 2048, 6
     assert w.scheduler is not None
@@ -987,14 +1056,14 @@
     }
 
 
-def test_memory_takes_turns_and_fits() -> None:
+def test_learned_state_records_fit_and_are_written_in_turn() -> None:
     w = World(42, platform=platform(NEXT), tuning={"memo_s": 1.0})
-    c = w.scheduler
-    assert c is not None
+    scheduler = w.scheduler
+    assert scheduler is not None
     rng = random.Random(5)
     type_ = cloud.parse_catalog(CATALOG)["small"]
     for n in range(700):
-        m = c.inventory.add(
+        m = scheduler.inventory.add(
             MachineId(f"n-{n:06d}"),
             type_,
             "a",
@@ -1004,50 +1073,56 @@
             MonotonicTime(0),
         )
         m.cached_images = {f"img-{rng.randrange(40):02d}": 1.5 for _ in range(rng.randrange(1, 7))}
-    m.cached_images = {f"an-image-with-a-long-name-{i}": 2.5 for i in range(300)}  # more than fit
+    m.cached_images = {
+        f"an-image-with-a-long-name-{i}": 2.5 for i in range(300)
+    }  # more than fit into one value
     for n in range(200):
-        c.cluster_state.predictor.restore_run_time_sums({f"a-class-of-jobs-{n}": (10.0, 12.0)})
-    records = learned_state.learned_state_records(c.cluster_state)
+        scheduler.cluster_state.predictor.restore_run_time_sums(
+            {f"a-class-of-jobs-{n}": (10.0, 12.0)}
+        )
+    records = learned_state.learned_state_records(scheduler.cluster_state)
     assert max(len(orjson.dumps(v)) for v in records.values()) <= 0.8 * 2048
     assert len(records) > 6
     seen: dict[str, Any] = {}
     for turn in range(len(records) // 6 + 1):
-        txn = c.next_learned_state_transaction(MonotonicTime(w.now + 2 + 2 * turn))
+        txn = scheduler.next_learned_state_transaction(MonotonicTime(w.now + 2 + 2 * turn))
         assert txn is not None and len(txn.operations) <= 6
         seen |= {put.key: put.value for put in txn.operations if isinstance(put, Put)}
-    assert seen == records, "each has had its turn"
-    after = World(43, platform=platform(NEXT)).scheduler
-    assert after is not None
+    assert seen == records, "every record has been written"
+    restored = World(43, platform=platform(NEXT)).scheduler
+    assert restored is not None
     for key, value in records.items():
-        learned_state.restore_learned_state(after.cluster_state, key, value)
-    for id_ in c.inventory.machines:
-        after.inventory.add(
+        learned_state.restore_learned_state(restored.cluster_state, key, value)
+    for id_ in scheduler.inventory.machines:
+        restored.inventory.add(
             id_, type_, "a", False, MachineState.UP, MonotonicTime(0), MonotonicTime(0)
         )
     assert (
-        after.cluster_state.predictor.run_time_sums() == c.cluster_state.predictor.run_time_sums()
+        restored.cluster_state.predictor.run_time_sums()
+        == scheduler.cluster_state.predictor.run_time_sums()
     )
-    known = [len(m.cached_images) for m in after.inventory.machines.values()]
+    known = [len(m.cached_images) for m in restored.inventory.machines.values()]
     assert sum(k > 0 for k in known) == 700
-    for m in list(c.inventory.machines.values())[:-1]:
-        assert after.inventory.machines[m.id].cached_images == m.cached_images
+    for m in list(scheduler.inventory.machines.values())[:-1]:
+        assert restored.inventory.machines[m.id].cached_images == m.cached_images
 
 
 @pytest.mark.parametrize(
     ("value_kb", "ops", "spare"), [(32, 20, None), (32, 20, 3), (8, 20, None), (2, 6, 2), (2, 6, 9)]
 )
-def test_memory_stays_within_a_transaction_and_its_tokens(
+def test_learned_state_transactions_respect_size_and_token_limits(
     value_kb: int, ops: int, spare: int | None
 ) -> None:
-    """As many records as changes are allowed may be more than a transaction's bytes: it would be
-    refused each time, and nothing be kept. More changes than tokens would go beyond the share."""
+    """A transaction with the maximum number of records may have too many bytes. It would be
+    rejected each time, so nothing would be stored. More writes than tokens would exceed this
+    node's share."""
     root = platform(None, value_kb=value_kb, txn_ops=ops)
     w = World(44, platform=root, tuning={"memo_s": 1.0})
-    c = w.scheduler
-    assert c is not None
+    scheduler = w.scheduler
+    assert scheduler is not None
     type_ = cloud.parse_catalog(CATALOG)["small"]
     for n in range(900):
-        m = c.inventory.add(
+        m = scheduler.inventory.add(
             MachineId(f"n-{n:06d}"),
             type_,
             "a",
@@ -1057,31 +1132,32 @@
             MonotonicTime(0),
         )
         m.cached_images = {f"registry/{'long-' * 20}{n}-{i}": 1.5 for i in range(3)}
-    records = learned_state.learned_state_records(c.cluster_state)
+    records = learned_state.learned_state_records(scheduler.cluster_state)
     assert sum(len(orjson.dumps(v)) for v in records.values()) > 64 * 1024
     seen: dict[str, Any] = {}
     for turn in range(len(records)):
-        txn = c.next_learned_state_transaction(MonotonicTime(w.now + 2 + 2 * turn), spare)
+        txn = scheduler.next_learned_state_transaction(MonotonicTime(w.now + 2 + 2 * turn), spare)
         assert txn is not None and 1 <= len(txn.operations) <= min(ops, spare or ops)
         assert len(txn.body()) <= 64 * 1024
         seen |= {put.key: put.value for put in txn.operations if isinstance(put, Put)}
-    assert seen == records, "each has had its turn"
+    assert seen == records, "every record has been written"
 
 
 @pytest.mark.parametrize(("status", "writes"), [(400, 1), (413, 1), (503, 5), (None, 5), (200, 1)])
-def test_refused_catalogue_is_not_sent_for_ever(status: int | None, writes: int) -> None:
-    """Too large after the fall, it would use up the changes. What was not done is repeated."""
+def test_rejected_catalog_write_is_not_repeated(status: int | None, writes: int) -> None:
+    """Repeating a rejected write (400, 413) of a catalog that is too large would use up the writes.
+    A write that was not carried out (503, no response) is retried."""
     node = ControllerNode(settings_of(NEXT), load_tuning())
     sent: list[Any] = []
 
-    class Refusing:
+    class RejectingHttp:
         def request(self, method: bytes, path: str, body: Any, timeout: float, answer: Any) -> None:
             sent.append(orjson.loads(body))
             answer(status, b'{"ledgerRev":1}')
 
-    node.store._http = Refusing()  # type: ignore[assignment]
+    node.store._http = RejectingHttp()  # type: ignore[assignment]
     now = node.clock()
-    c = Scheduler(
+    scheduler = Scheduler(
         node.settings,
         node.tuning,
         FencingToken(5),
@@ -1089,17 +1165,17 @@
         now,
         WallTime(0.0),
     )
-    node.leader_service.scheduler = c
-    c.cloud_requests.catalog_changed = True
+    node.leader_service.scheduler = scheduler
+    scheduler.cloud_requests.catalog_changed = True
     for _ in range(5):
-        if c.cloud_requests.catalog_changed:
+        if scheduler.cloud_requests.catalog_changed:
             node.leader_service.catalog_record._next_write_at = MonotonicTime(0)
-            node.leader_service.catalog_record.sync(c)
-    assert len(sent) == writes and node.machine_types == c.cluster_state.types
+            node.leader_service.catalog_record.sync(scheduler)
+    assert len(sent) == writes and node.machine_types == scheduler.cluster_state.types
 
 
 def node_with_clock(next_: Any) -> tuple[ControllerNode, Clock]:
-    """A node with the leader's share of the limits, and the clock that it goes by."""
+    """Return a node with the leader's share of the limits, and its clock."""
     clock = Clock()
     node = ControllerNode(settings_of(next_, 5), load_tuning(), clock=clock)
     node.store.set_leader(True)
@@ -1107,9 +1183,10 @@
 
 
 @pytest.mark.parametrize("status", [429, 503, None])
-def test_catalogue_that_is_not_stored_uses_up_no_tokens(status: int | None) -> None:
-    """It is looked at in each turn of the loop. Sent again in each while the service refuses, it
-    would leave the leader without changes long after, and keep the service at its limit."""
+def test_failing_catalog_writes_do_not_exhaust_the_tokens(status: int | None) -> None:
+    """The leader checks the catalog in each iteration of the event loop. If it retried a failed
+    write each time, it would have no write tokens left for long, and the service would stay at its
+    limit."""
     node, clock = node_with_clock(NEXT)
     sent: list[float] = []
     answers: list[int | None] = [status]
@@ -1121,7 +1198,7 @@
             answer(answers[0], b'{"ledgerRev":1}')
 
     node.store._http = Service()  # type: ignore[assignment]
-    c = Scheduler(
+    scheduler = Scheduler(
         node.settings,
         node.tuning,
         FencingToken(5),
@@ -1129,28 +1206,30 @@
         clock(),
         WallTime(0.0),
     )
-    node.leader_service.scheduler = c
-    c.cloud_requests.catalog_changed = True
+    node.leader_service.scheduler = scheduler
+    scheduler.cloud_requests.catalog_changed = True
     began = clock.now = clock.now + 60.0
     while clock.now < began + 10.0:
         clock.now += 0.02
         node.leader_service.process_events()
         assert node.store.writes.available(clock()) >= 0
-        assert node.machine_types == c.cluster_state.types, "submissions here go on being judged"
+        assert node.machine_types == scheduler.cluster_state.types, (
+            "this node still validates submissions"
+        )
     assert 5 <= len(sent) <= 11
     answers[0] = 200
     for _ in range(200):
         clock.now += 0.02
         node.leader_service.process_events()
-    assert sent[-1] < began + 11.5 and not c.cloud_requests.catalog_changed, (
-        "stored once, and left alone"
+    assert sent[-1] < began + 11.5 and not scheduler.cloud_requests.catalog_changed, (
+        "stored once and not written again"
     )
 
 
 def leading_node(
     next_: Any, types: dict[str, cloud.MachineType]
 ) -> tuple[ControllerNode, Clock, list[Any]]:
-    """A node that leads, its clock, and the transactions that a willing service gets from it."""
+    """Return a leading node, its clock, and the transactions that it sends (all succeed)."""
     node, clock = node_with_clock(next_)
     sent: list[Any] = []
 
@@ -1168,15 +1247,15 @@
     return node, clock, sent
 
 
-def test_leader_keeps_its_memory_within_its_tokens() -> None:
-    """A transaction of more changes than one second's worth is refused whenever it is sent, and
-    one of more than there are tokens holds up ends and placements."""
+def test_leader_writes_learned_state_within_its_tokens() -> None:
+    """A transaction with more writes than one second's worth is rejected whenever it is sent. One
+    with more writes than there are tokens delays job outcomes and placements."""
     types = cloud.parse_catalog(CATALOG)
     node, clock, sent = leading_node({"value_kb": 2, "write_rps": 18}, types)
-    c = node.leader_service.scheduler
-    assert c is not None
+    scheduler = node.leader_service.scheduler
+    assert scheduler is not None
     for n in range(900):
-        m = c.inventory.add(
+        m = scheduler.inventory.add(
             MachineId(f"n-{n:06d}"),
             types["small"],
             "a",
@@ -1190,19 +1269,19 @@
         clock.now += 0.02
         node.leader_service.process_events()
         assert node.store.writes.available(clock()) >= 0
-    memories = [
+    learned_state_puts = [
         w for writes in sent for w in writes if w.get("put", "").startswith(LEARNED_STATE_PREFIX)
     ]
-    assert len(memories) > 3 and max(len(writes) for writes in sent) < 18
+    assert len(learned_state_puts) > 3 and max(len(writes) for writes in sent) < 18
 
 
-def test_leader_stores_a_catalogue_that_fits() -> None:
+def test_leader_stores_a_catalog_within_the_value_limit() -> None:
     type_ = cloud.parse_catalog(CATALOG)["small"]
     types = {f"t{i}": replace(type_, name=f"t{i}") for i in range(15)}
     node, _, sent = leading_node(NEXT, types)
-    c = node.leader_service.scheduler
-    assert c is not None
-    c.cloud_requests.catalog_changed = True
+    scheduler = node.leader_service.scheduler
+    assert scheduler is not None
+    scheduler.cloud_requests.catalog_changed = True
     node.leader_service.process_events()
     puts = [w for writes in sent for w in writes if w.get("put") == "catalog"]
     assert len(orjson.dumps(cloud.catalog_record(types))) > 2048
@@ -1210,9 +1289,9 @@
 
 
 @pytest.mark.parametrize(("number", "value_kb"), [(2, 1.0), (8, 1.5), (11, 2.0), (40, 32.0)])
-def test_catalogue_fits_into_a_smaller_value(number: int, value_kb: float) -> None:
-    """A node that does not lead knows the types from there alone: refused for its size, it would
-    leave them refusing all submissions."""
+def test_catalog_is_shortened_to_fit_the_value_limit(number: int, value_kb: float) -> None:
+    """Followers know the machine types only from the stored catalog. If it were rejected for its
+    size, followers would reject all submissions."""
     zones = ("oconee-room", "piedmont-hall", "clarke-annex")
     types = {
         f"bench{i}": cloud.MachineType(
@@ -1223,32 +1302,32 @@
     most = int(value_kb * 1024 * learned_state.VALUE_FILL_RATIO)
     record = orjson.loads(orjson.dumps(cloud.catalog_record(types, most)))
     assert len(orjson.dumps(record)) <= most
-    found = cloud.parse_catalog(record)
+    shortened = cloud.parse_catalog(record)
 
-    def judged(kinds: dict[str, cloud.MachineType]) -> list[Any]:
+    def admission_fields(kinds: dict[str, cloud.MachineType]) -> list[Any]:
         return [
             (t.name, t.cpus, t.gpus, t.memory_gb, t.price, t.spot_price, t.zones)
             for t in kinds.values()
         ]
 
-    assert judged(found) == judged(types)
+    assert admission_fields(shortened) == admission_fields(types)
     if len(orjson.dumps(cloud.catalog_record(types))) <= most:
-        assert found == types, "nothing is left out without need"
+        assert shortened == types, "nothing is omitted without need"
 
 
 # -- runs
 
 
-def tiny(w: World, job: str, tasks: int, run_s: float) -> None:
+def submit_small_job(w: World, job: str, tasks: int, run_s: float) -> None:
     w.submit(job, parcels=tasks, cpus=0.2, memGb=0.1, run_s=run_s, haulS=run_s)
 
 
-def production(seed: int, **faults: Any) -> World:
-    """A run at the old limits, with chunks and placement records as large as they allow."""
+def run_at_old_limits(seed: int, **faults: Any) -> World:
+    """Run a world at the old limits, with chunks and placement records as large as those allow."""
     w = World(seed, platform=platform(), **faults)
     w.store.value_bytes, w.store.txn_ops = 32 * 1024, 20
     for n, tasks in enumerate([640, 90, 30, 6, 3]):
-        tiny(w, f"wk-00000{n}", tasks, 25.0 + 5 * n)
+        submit_small_job(w, f"wk-00000{n}", tasks, 25.0 + 5 * n)
     w.run(18)
     assert max(len(orjson.dumps(i["v"])) for i in w.store.range("place/")) > 6000
     assert w.store.item("job/wk-000000")["v"]["n"] == 500  # type: ignore[index]
@@ -1264,7 +1343,7 @@
     w.store.value_bytes, w.store.txn_ops = 2048, 6
 
 
-def finish(w: World, seconds: float = 500.0) -> None:
+def run_until_all_ended(w: World, seconds: float = 500.0) -> None:
     for _ in range(int(seconds)):
         w.run(1)
         w.check_kept()
@@ -1281,79 +1360,83 @@
 
 @pytest.mark.parametrize("faults", FAULTS)
 @pytest.mark.parametrize("seed", range(3))
-def test_limits_fall_in_mid_run(seed: int, faults: dict[str, float]) -> None:
-    """All nodes are new before the fall, as foretold, so nothing is ever refused for its size.
-    Leaders change before, at and after the fall."""
-    w = production(seed, **faults)
+def test_jobs_finish_when_announced_limits_are_reduced_mid_run(
+    seed: int, faults: dict[str, float]
+) -> None:
+    """All nodes are upgraded before the announced reduction, so no write is ever rejected for its
+    size. Leaders change before, at and after the reduction."""
+    w = run_at_old_limits(seed, **faults)
     upgrade(w)
     w.run(3)
     before = sum("n" in p[2] for i in w.store.range("place/") for p in i["v"]["p"])
-    assert not before, "a node of the version before may lead yet"
+    assert not before, "a node of the previous version may still become leader"
     w.subchunks_supported = True
-    tiny(w, "wk-000100", 60, 12.0)
+    submit_small_job(w, "wk-000100", 60, 12.0)
     w.run(w.rng.uniform(0, 6))
     fall(w)
     for n in range(4):
-        tiny(w, f"wk-00020{n}", w.rng.randrange(1, 120), w.rng.uniform(5, 20))
+        submit_small_job(w, f"wk-00020{n}", w.rng.randrange(1, 120), w.rng.uniform(5, 20))
         w.run(w.rng.uniform(0, 8))
         w.elect()
         w.check_kept()
     if w.rng.random() < 0.5:
         w.cancel("wk-000200")
-    finish(w)
+    run_until_all_ended(w)
     assert not w.too_large
     puts = [e for _, e in w.store.log if e.get("put", "").startswith("place/")]
-    assert any("n" in p[2] for e in puts for p in e["v"]["p"]), "chunks were cut anew"
+    assert any("n" in p[2] for e in puts for p in e["v"]["p"]), "chunks were subdivided"
 
 
 @pytest.mark.parametrize("faults", FAULTS)
 @pytest.mark.parametrize("seed", range(1))
-def test_fall_while_a_node_is_not_heard(seed: int, faults: dict[str, float]) -> None:
-    """Large chunks can't be cut anew, and their records are refused: the others go on, and once
-    the node is heard these do, too."""
-    w = production(seed, **faults)
+def test_large_chunks_wait_until_all_nodes_support_subchunks(
+    seed: int, faults: dict[str, float]
+) -> None:
+    """While one node does not announce support, large chunks can't be subdivided and their records
+    are rejected. Other jobs continue, and the large ones finish once all nodes support it."""
+    w = run_at_old_limits(seed, **faults)
     upgrade(w)
     fall(w)
-    tiny(w, "wk-000100", 20, 5.0)
+    submit_small_job(w, "wk-000100", 20, 5.0)
     w.run(60)
     assert "end/wk-000100" in w.store.keys and w.too_large
     assert "end/wk-000000" not in w.store.keys
     w.subchunks_supported = True
-    finish(w)
+    run_until_all_ended(w)
 
 
-def test_record_that_stays_refused_takes_few_changes() -> None:
-    """As long as its chunk can't be cut anew it is refused whenever it is sent. It waits between
-    two tries, or it would take all changes that the leader has."""
-    w = production(0)
+def test_rejected_placement_record_is_retried_rarely() -> None:
+    """A record is rejected whenever it is sent as long as its chunk can't be subdivided. Without a
+    delay between retries it would use up all writes of the leader."""
+    w = run_at_old_limits(0)
     upgrade(w)
     fall(w)
     w.run(20)
     before = w.too_large
     assert before
     w.run(60)
-    assert 1 <= w.too_large - before <= 4, "of one chunk, once in twenty seconds"
+    assert 1 <= w.too_large - before <= 4, "one chunk is retried once in twenty seconds"
 
 
-def test_chunk_of_a_refused_record_is_cut_until_it_fits() -> None:
-    """Whatever the settings said, and whatever the service counts: no record waits for ever."""
+def test_chunk_is_subdivided_until_its_record_is_accepted() -> None:
+    """The service may accept less than the settings say; even then every record is written."""
     w = World(51, platform=platform(NEXT))
     w.subchunks_supported = True
-    tiny(w, "wk-000001", 60, 30.0)
-    tiny(w, "wk-000002", 3, 5.0)
+    submit_small_job(w, "wk-000001", 60, 30.0)
+    submit_small_job(w, "wk-000002", 3, 5.0)
     w.run(1)
     w.store.value_bytes = 400
     w.run(40)
     assert w.store.too_large
-    finish(w, 200)
+    run_until_all_ended(w, 200)
     puts = [e for _, e in w.store.log if e.get("put", "").startswith("place/")]
-    finer = {p[2]["n"] for e in puts for p in e["v"]["p"] if "n" in p[2]}
-    assert finer and max(finer) < 34
+    subchunk_sizes = {p[2]["n"] for e in puts for p in e["v"]["p"] if "n" in p[2]}
+    assert subchunk_sizes and max(subchunk_sizes) < 34
 
 
-def test_closed_placement_record_stays_until_its_jobs_are_over() -> None:
-    """It may hold the only record of tasks that have not changed since."""
-    w = production(52)
+def test_closed_placement_record_is_kept_until_its_jobs_end() -> None:
+    """A closed record may be the only stored copy of tasks that have not changed since."""
+    w = run_at_old_limits(52)
     large = {
         i["path"]: {p[0] for p in i["v"]["p"]}
         for i in w.store.range("place/")
@@ -1371,18 +1454,18 @@
         if w.all_ended():
             break
     w.run(5)
-    assert not [k for k in large if w.store.item(k)], "nobody needs them any more"
+    assert not [k for k in large if w.store.item(k)], "records of finished jobs are deleted"
 
 
-def test_large_placement_records_are_closed_at_take_over() -> None:
-    """Whatever changes on them moves to others from the start, not when they turn out too large."""
-    w = production(52)
+def test_large_placement_records_are_closed_at_failover() -> None:
+    """Changed chunks move to other records at once, not only when their record is too large."""
+    w = run_at_old_limits(52)
     large = {i["path"] for i in w.store.range("place/") if len(orjson.dumps(i["v"])) > 2048}
     upgrade(w)
-    c = w.scheduler
-    assert c is not None
-    records, moved = c.transaction_writer.placement_records, 0
-    for job in c.jobs.jobs.values():
+    scheduler = w.scheduler
+    assert scheduler is not None
+    records, moved = scheduler.transaction_writer.placement_records, 0
+    for job in scheduler.jobs.jobs.values():
         for chunk in job.chunks.values():
             if chunk.record_key in large:
                 moved += 1
@@ -1390,6 +1473,6 @@
     assert moved
 
 
-def test_chunks_of_new_jobs_fit_from_the_start() -> None:
-    s = settings_of(NEXT)
-    assert max_tasks_per_chunk(s.value_bytes) * 48 <= s.value_bytes
+def test_chunks_of_new_jobs_fit_the_value_limit() -> None:
+    settings = settings_of(NEXT)
+    assert max_tasks_per_chunk(settings.value_bytes) * 48 <= settings.value_bytes
