--- a/src/eldercart/server/users/__init__.py
+++ b/src/eldercart/server/users/__init__.py
@@ -1,1 +1,1 @@
-"""Users' requests: submissions, polls and cancellations."""
+"""Handles requests of users: submissions, polls and cancellations."""
--- a/src/eldercart/server/users/acceptance_check.py
+++ b/src/eldercart/server/users/acceptance_check.py
@@ -1,4 +1,4 @@
-"""The check that all jobs which a submission depends on were accepted."""
+"""Checks whether all dependencies of a submitted job were accepted."""
 
 from collections.abc import Callable, Iterable
 from enum import Enum, auto
@@ -17,66 +17,67 @@
 from eldercart.wire.state import Transaction
 from eldercart.wire.stored_jobs import END_PREFIX, JOB_PREFIX
 
-MAX_REQUESTS_IN_FLIGHT = 4  # of one check
-CONDITION_OVERHEAD_BYTES = 30  # that a condition takes beside its key
-KEYS_PER_JOB = 2  # its record and its outcome
-# Users wait 5 s for an acceptance, and the last request of a check may take 2 s itself.
-READ_TIMEOUT_S = 1.5
+MAX_REQUESTS_IN_FLIGHT = 4  # for one check
+CONDITION_OVERHEAD_BYTES = 30  # size of a condition without its key
+KEYS_PER_JOB = 2  # the keys of the record and of the outcome
+# Users wait 5 s for an acceptance, and the last request of a check may itself take 2 s.
+CHECK_TIMEOUT_S = 1.5
 
 
 class AcceptanceResult(Enum):
-    """What a check found."""
+    """The result of a check."""
 
     ALL_ACCEPTED = auto()
-    NOT_ALL_ACCEPTED = auto()  # at least one was not, as of a fresh read
-    INDETERMINATE = auto()  # no tokens, no answer or no time
+    NOT_ALL_ACCEPTED = auto()  # a fresh read shows that at least one job was not
+    INDETERMINATE = auto()  # out of rate-limit tokens or time, or a request failed
 
 
-class AcceptanceKnowledge(Protocol):
-    """What is known of accepted jobs, and where a check records what it finds."""
+class AcceptanceCache(Protocol):
+    """Cache of accepted jobs, which a check reads and adds its findings to."""
 
     def is_accepted(self, job: JobId, /) -> bool:
-        """Whether the job is known to have been accepted."""
+        """Return whether the job is known to have been accepted."""
 
     def record_accepted(self, job: JobId, /) -> None:
-        """Remember that the job was accepted."""
+        """Add the job to the accepted ones."""
 
     def read_outcomes(
         self, jobs: Iterable[JobId], on_result: Callable[[dict[JobId, str] | None], None], /
     ) -> None:
-        """Read how those of the jobs that have ended did so; None if the read failed."""
+        """Read the outcomes of those jobs that have ended; None if the read failed."""
 
 
 class AcceptanceCheck:
     """One check of whether all of some jobs were accepted.
 
-    It asks what is known at this node first, then the leader, then the state service. That a job
-    was never accepted is concluded only from a transaction whose conditions on the absence of its
-    keys all held.
+    The check asks this node's cache first, then the leader, then the state service. Only a
+    transaction whose conditions all hold, each of which requires a key to be absent, proves that
+    a job was never accepted.
     """
 
     def __init__(
         self,
         context: LookupContext,
-        knowledge: AcceptanceKnowledge,
+        cache: AcceptanceCache,
         jobs: Iterable[JobId],
         on_result: Callable[[AcceptanceResult], None],
     ) -> None:
-        """`on_result` is called once, perhaps before `begin` returns."""
+        """Set up the check. `on_result` is called once, possibly before `begin` returns."""
         self._context = context
-        self._knowledge = knowledge
+        self._cache = cache
         self._remaining = self._not_known_accepted(jobs)
         self._on_result: Callable[[AcceptanceResult], None] | None = on_result
-        self._deadline_at = context.clock() + READ_TIMEOUT_S
+        self._deadline_at = context.clock() + CHECK_TIMEOUT_S
         self._requests_in_flight = 0
         self._has_failed = False
 
     def begin(self) -> None:
-        """Ask the leader, which knows nearly all unfinished jobs and takes no token."""
+        """Poll the leader: it knows nearly all unfinished jobs, and polls take no tokens."""
         if not self._remaining or self._context.leader.scheduler is not None:
             self._read_outcomes()
             return
-        # One more than the polls, so that replies can't finish the step before all are sent.
+        # Counts one more than the polls, so that early replies cannot complete this step before all
+        # polls are sent.
         self._requests_in_flight = 1
         for job in self._remaining:
             self._requests_in_flight += 1
@@ -86,11 +87,11 @@
         self._on_poll_finished()
 
     def _not_known_accepted(self, jobs: Iterable[JobId]) -> list[JobId]:
-        return [job for job in jobs if not self._knowledge.is_accepted(job)]
+        return [job for job in jobs if not self._cache.is_accepted(job)]
 
     def _on_leader_reply(self, job: JobId, reply: peers.JobReply | None) -> None:
         if reply is not None and reply.state not in (peers.UNKNOWN, peers.NOT_LEADER):
-            self._knowledge.record_accepted(job)
+            self._cache.record_accepted(job)
         self._on_poll_finished()
 
     def _on_poll_finished(self) -> None:
@@ -100,9 +101,9 @@
             self._read_outcomes()
 
     def _read_outcomes(self) -> None:
-        """Read outcomes by prefix if many jobs remain.
+        """If many jobs remain, read outcomes by their common key prefix first.
 
-        Most jobs that neither this node nor the leader knows have ended.
+        Most jobs that are unknown to both this node and the leader have ended.
         """
         requests = self._context.store.requests
         if len(self._remaining) <= MAX_CONDITION_REQUESTS * self._jobs_per_request():
@@ -110,7 +111,7 @@
         elif requests.available(self._context.clock(), RESERVE_ADMISSION) < 1:
             self._finish(AcceptanceResult.INDETERMINATE)
         else:
-            self._knowledge.read_outcomes(self._remaining, self._on_outcomes)
+            self._cache.read_outcomes(self._remaining, self._on_outcomes)
 
     def _on_outcomes(self, outcomes: dict[JobId, str] | None) -> None:
         if outcomes is None:
@@ -120,7 +121,7 @@
             self._send_condition_checks()
 
     def _send_condition_checks(self) -> None:
-        """Send what tokens and time allow; the rest follows as answers come."""
+        """Send as many transactions as tokens and time allow; responses trigger the next ones."""
         while self._may_send():
             if not self._take_token():
                 self._has_failed = not self._requests_in_flight
@@ -134,9 +135,10 @@
             self._finish(AcceptanceResult.ALL_ACCEPTED)
 
     def _send_condition_check(self, batch: list[JobId]) -> None:
-        """Read atomically whether each job has a record or an outcome.
+        """Check atomically whether each job has a record or an outcome.
 
-        When a job ends, the one key goes as the other comes: only both together tell.
+        When a job ends, one transaction deletes its record and writes its outcome. Two separate
+        reads of these keys could therefore miss both.
         """
         self._requests_in_flight += 1
         conditions = {
@@ -193,8 +195,9 @@
             if JOB_PREFIX + job not in present and END_PREFIX + job not in present
         ]
         for job in set(batch).difference(missing):
-            self._knowledge.record_accepted(job)
-        # That these are missing is known only from a transaction whose conditions all hold.
+            self._cache.record_accepted(job)
+        # Only a transaction whose conditions all hold proves that these jobs were never accepted,
+        # so they are checked again.
         self._remaining += missing
         self._has_failed = self._has_failed or len(missing) == len(batch)
         self._send_condition_checks()
--- a/src/eldercart/server/users/ancestor_search.py
+++ b/src/eldercart/server/users/ancestor_search.py
@@ -1,4 +1,4 @@
-"""The search for a cancelled job among all that a job depends on, directly or through others."""
+"""Searches the direct and transitive dependencies of a job for a cancelled one."""
 
 from collections.abc import Callable, Iterable
 from enum import Enum, auto
@@ -19,25 +19,25 @@
 from eldercart.wire.state import Item, Transaction
 from eldercart.wire.stored_jobs import END_PREFIX, JOB_PREFIX, decode_end_record
 
-MAX_POINT_READS = 8  # records read one by one; more are read by their key prefix
-# Rounds of job records, after which the records of all unfinished jobs are read: a long chain
-# would take a request for each of its jobs.
+MAX_POINT_READS = 8  # more records than this are read by their common key prefix
+# After this many rounds of reading job records, the records of all unfinished jobs are read at
+# once: a long chain would otherwise take a request for each of its jobs.
 FULL_SCAN_DEPTH = 4
-CONDITION_BYTES = 120  # that one condition takes at most
-# Users wait 2 s for a poll.
+MAX_BYTES_PER_CONDITION = 120
+# Users wait 2 s for the response to a poll.
 SEARCH_TIMEOUT_S = 1.2
 
 
 class AncestorSearchResult(Enum):
-    """What a search found."""
+    """The result of a search."""
 
     CANCELLED = auto()  # at least one ancestor has a durable cancellation
     NOT_CANCELLED = auto()
-    INDETERMINATE = auto()  # no tokens, no answer or no time
+    INDETERMINATE = auto()  # out of rate-limit tokens or time, or a request failed
 
 
-class DependencyKnowledge(Protocol):
-    """What is known of jobs and their dependencies, and where a search records what it finds."""
+class DependencyCache(Protocol):
+    """Cache of outcomes and dependencies, which a search reads and adds its findings to."""
 
     @property
     def outcomes(self) -> JobOutcomeCache:
@@ -47,57 +47,57 @@
         """Return the jobs that the job depends on; None if they are not known."""
 
     def record_dependencies_from(self, job: JobId, record: Item, /) -> tuple[JobId, ...] | None:
-        """Remember the dependencies in a job's record; None if it does not hold them."""
+        """Cache and return the dependencies in a job's record; None if it does not hold them."""
 
     def read_dependencies(
         self, record: Item, on_result: Callable[[tuple[JobId, ...] | None], None], /
     ) -> None:
-        """Find out the dependencies of the job with this record; None if that failed."""
+        """Read the dependencies of the job with this record; None if that failed."""
 
     def read_outcomes(
         self, jobs: Iterable[JobId], on_result: Callable[[dict[JobId, str] | None], None], /
     ) -> None:
-        """Read how those of the jobs that have ended did so; None if the read failed."""
+        """Read the outcomes of those jobs that have ended; None if the read failed."""
 
 
 class AncestorSearch:
     """One breadth-first search up the dependency graph for a cancelled job.
 
-    It runs in rounds of concurrent reads: each round ends before the next one begins, however long
-    the chains of jobs are.
+    The search runs in rounds of concurrent reads. A round starts only when all reads of the
+    previous one are complete.
     """
 
     def __init__(
         self,
         context: LookupContext,
-        knowledge: DependencyKnowledge,
+        cache: DependencyCache,
         jobs: tuple[JobId, ...],
         on_result: Callable[[AncestorSearchResult], None],
     ) -> None:
-        """Start at `jobs`, which count as ancestors themselves."""
+        """Set up a search that starts at `jobs`, which count as ancestors themselves."""
         self._context = context
-        self._knowledge = knowledge
+        self._cache = cache
         self._on_result = on_result
         self._deadline_at = context.clock() + SEARCH_TIMEOUT_S
         self._visited: set[JobId] = set()
         self._frontier = list(jobs)
-        self._unchecked: list[JobId] = []  # not known whether they have ended
-        self._ended: list[JobId] = []  # ended, outcome not known
-        self._unread_unfinished: list[JobId] = []  # not ended, dependencies not known
+        self._unchecked: list[JobId] = []  # jobs to check for an outcome
+        self._ended: list[JobId] = []  # ended jobs whose outcome is unknown
+        self._unread_unfinished: list[JobId] = []  # unfinished jobs whose dependencies are unknown
         self._requests_in_flight = 0
-        self._record_read_rounds = 0  # in which job records were read
+        self._record_read_rounds = 0  # rounds that read job records
         self._has_failed = False
         self._found_cancelled = False
 
     def run_round(self) -> None:
-        """Report the result if it is known, else start the reads of the next round."""
+        """Report the result if it is final, else start the reads of the next round."""
         self._expand()
         if self._found_cancelled:
             self._on_result(AncestorSearchResult.CANCELLED)
         elif self._has_failed:
             self._on_result(AncestorSearchResult.INDETERMINATE)
         elif self._unchecked:
-            self._check_finished()
+            self._find_ended_jobs()
         elif self._ended:
             self._read_outcome_records()
         elif self._unread_unfinished:
@@ -106,26 +106,26 @@
             self._on_result(AncestorSearchResult.NOT_CANCELLED)
 
     def _expand(self) -> None:
-        """Follow the dependencies that are known here.
+        """Visit the frontier and, transitively, the cached dependencies of its unfinished jobs.
 
-        A job that is done ends its branch: all of its ancestors are done.
+        The dependencies of a job that is done are not visited: all of its ancestors are done.
         """
         while self._frontier:
             job = self._frontier.pop()
             if job in self._visited:
                 continue
             self._visited.add(job)
-            outcome = self._knowledge.outcomes.get(job)
+            outcome = self._cache.outcomes.get(job)
             if outcome is None:
                 self._unchecked.append(job)
-                self._frontier += self._knowledge.dependencies_of(job) or ()
+                self._frontier += self._cache.dependencies_of(job) or ()
             elif outcome == users.CANCELLED:
                 self._found_cancelled = True
 
     # -- requests in flight
 
     def _reserve(self, max_requests: int) -> int:
-        """Return how many requests may be sent now; if none, the search is over."""
+        """Return how many requests may be sent now; if none, report an indeterminate result."""
         now = self._context.clock()
         available = self._context.store.requests.available(now, RESERVE_POLLS)
         reserved = 0 if now > self._deadline_at else max(0, min(max_requests, available))
@@ -143,13 +143,13 @@
         self._has_failed = True
         self._on_request_finished()
 
-    # -- which jobs have ended
+    # -- check which jobs have ended
 
-    def _check_finished(self) -> None:
+    def _find_ended_jobs(self) -> None:
         jobs_per_request = self._jobs_per_request()
         request_count = -(-len(self._unchecked) // jobs_per_request)
         if request_count > MAX_CONDITION_REQUESTS:
-            self._check_finished_by_prefix()
+            self._find_ended_jobs_by_prefix()
             return
         for _ in range(self._reserve(request_count)):
             batch = self._unchecked[:jobs_per_request]
@@ -162,12 +162,12 @@
 
     def _jobs_per_request(self) -> int:
         max_conditions = CONDITIONS_PER_OPERATION * self._context.settings.txn_ops
-        return max(1, min(max_conditions, MAX_CONDITION_BYTES // CONDITION_BYTES))
+        return max(1, min(max_conditions, MAX_CONDITION_BYTES // MAX_BYTES_PER_CONDITION))
 
-    def _check_finished_by_prefix(self) -> None:
+    def _find_ended_jobs_by_prefix(self) -> None:
         if self._reserve(1) > 0:
             batch, self._unchecked = self._unchecked, []
-            self._knowledge.read_outcomes(batch, partial(self._on_outcomes, batch))
+            self._cache.read_outcomes(batch, partial(self._on_outcomes, batch))
 
     def _on_outcomes(self, batch: list[JobId], outcomes: dict[JobId, str] | None) -> None:
         if outcomes is None:
@@ -199,11 +199,11 @@
         self._on_request_finished()
 
     def _add_unfinished(self, job: JobId) -> None:
-        dependencies = self._knowledge.dependencies_of(job)
+        dependencies = self._cache.dependencies_of(job)
         if dependencies is None:
             self._unread_unfinished.append(job)
         else:
-            # They may have become known since `_expand` reached the job.
+            # The dependencies may have been cached after `_expand` visited the job.
             self._frontier += dependencies
 
     # -- outcomes of ended jobs
@@ -219,11 +219,12 @@
 
     def _on_outcome_record(self, job: JobId, item: Item | None) -> None:
         if item is None:
-            # Outcomes are never deleted: this read is older than the one before.
+            # Outcomes are never deleted, so this read returned an older revision than the read that
+            # found the job ended.
             self._on_request_failed()
             return
         outcome = decode_end_record(item.value)
-        self._knowledge.outcomes.put(job, outcome)
+        self._cache.outcomes.put(job, outcome)
         self._found_cancelled = self._found_cancelled or outcome == users.CANCELLED
         self._on_request_finished()
 
@@ -244,11 +245,11 @@
 
     def _on_job_record(self, job: JobId, item: Item | None) -> None:
         if item is None:
-            # Its record was deleted together with the write of its outcome, or after it.
+            # The record was deleted when the outcome was written, or later.
             self._ended.append(job)
             self._on_request_finished()
         else:
-            self._knowledge.read_dependencies(item, self._on_dependencies)
+            self._cache.read_dependencies(item, self._on_dependencies)
 
     def _on_dependencies(self, dependencies: tuple[JobId, ...] | None) -> None:
         if dependencies is None:
@@ -305,9 +306,9 @@
             return
         found = {JobId(item.key[len(prefix) :]): item for item in items}
         if prefix == JOB_PREFIX:
-            # Records that were not asked for are of use too: they may be ancestors of these.
+            # Cache all records that were read: their jobs may be ancestors of the wanted ones.
             for job, item in found.items():
-                self._knowledge.record_dependencies_from(job, item)
+                self._cache.record_dependencies_from(job, item)
         self._requests_in_flight += len(wanted)
         for job in wanted:
             on_record(job, found.get(job))
--- a/src/eldercart/server/users/condition_limits.py
+++ b/src/eldercart/server/users/condition_limits.py
@@ -1,7 +1,7 @@
-"""Limits of transactions that have conditions only, by which keys are checked for their absence."""
+"""Limits of the transactions without operations that check whether keys are absent."""
 
-# Transactions of one look-up, beyond which outcomes are read by their common key prefix.
+# A look-up that needs more transactions reads outcomes by their common key prefix instead.
 MAX_CONDITION_REQUESTS = 2
-MAX_CONDITION_BYTES = 48 * 1024  # of a transaction's 64 KiB
-# The state service allows this many conditions for each operation that a transaction may have.
+MAX_CONDITION_BYTES = 48 * 1024  # of the 64 KiB that a transaction may have
+# The state service allows this many conditions per operation that a transaction may have.
 CONDITIONS_PER_OPERATION = 4
--- a/src/eldercart/server/users/dependencies.py
+++ b/src/eldercart/server/users/dependencies.py
@@ -1,9 +1,10 @@
-"""What this node knows of the jobs that other jobs depend on.
+"""Caches and looks up the acceptance, dependencies and ancestors of jobs.
 
-Two questions are put to the state service, each of them in few requests, since a job may name
-thousands of dependencies and chains of jobs may be long: were all of these jobs accepted
-(`acceptance_check`), and was an ancestor of this job cancelled (`ancestor_search`)? Answers that
-can't change are cached here, so that a repeat starts where the last try ran out of tokens or time.
+The state service is queried for two purposes: to check whether all jobs of a list were accepted
+(`acceptance_check`), and whether an ancestor of a job was cancelled (`ancestor_search`). Each query
+uses few requests, since a job may name thousands of dependencies and chains of jobs may be long.
+Results that never change are cached, so that a retry continues where the previous attempt ran out
+of rate-limit tokens or time.
 """
 
 from collections import OrderedDict
@@ -29,7 +30,7 @@
 )
 from eldercart.wire.users import DependencyListReference, JobSpec
 
-MAX_PARTIAL_LISTS = 64  # partly written lists that are kept for the next tries of their users
+MAX_PARTIAL_LISTS = 64  # partly written lists kept for retried submissions
 
 
 class DependencyResolver:
@@ -38,9 +39,9 @@
     def __init__(
         self, context: LookupContext, outcomes: JobOutcomeCache, max_cache_weight: int
     ) -> None:
-        """`outcomes` is the node's cache, to which outcomes that are read here are added.
+        """Use `outcomes`, the node's cache, and add the outcomes that are read here.
 
-        `max_cache_weight` bounds each of the two caches, of accepted jobs and of dependencies.
+        `max_cache_weight` bounds the cache of accepted jobs and that of dependencies separately.
         """
         self.outcomes = outcomes
         self._context = context
@@ -51,11 +52,11 @@
     # -- acceptance
 
     def record_accepted(self, job: JobId) -> None:
-        """Remember that the job was accepted, by any node."""
+        """Cache that the job was accepted, by any node."""
         self._accepted_jobs.put(job, True)
 
     def is_accepted(self, job: JobId) -> bool:
-        """Return whether the job is known here as accepted; an acceptance is never revoked."""
+        """Return whether this node knows that the job was accepted; this is never revoked."""
         if self.outcomes.get(job) is not None or self._accepted_jobs.get(job):
             return True
         scheduler = self._context.leader.scheduler
@@ -64,10 +65,10 @@
     def check_accepted(
         self, jobs: Iterable[JobId], on_result: Callable[[AcceptanceResult], None]
     ) -> None:
-        """Find out whether all the jobs were accepted."""
+        """Check whether all the jobs were accepted."""
         AcceptanceCheck(self._context, self, jobs, on_result).begin()
 
-    # -- lists too long for their job's record
+    # -- dependency lists that are too long for the job's record
 
     def fits_in_record(self, spec: JobSpec) -> bool:
         """Return whether the job's record can hold its list of dependencies."""
@@ -79,10 +80,10 @@
         deadline_at: MonotonicTime,
         on_result: Callable[[DependencyListReference | None], None],
     ) -> None:
-        """Write the job's list of dependencies under keys of its own.
+        """Write the job's dependency list under separate keys.
 
-        `on_result` gets the reference to the list once it is durable; None if it can't be written
-        now. A list that is partly written is kept for the job's next try.
+        `on_result` gets the reference to the list once it is durable, or None if it can't be
+        written now. A partly written list is kept for a retried submission.
         """
         writer = self._partial_lists.pop(spec.id, None)
         if writer is None or writer.dependencies != spec.dependencies or writer.is_in_flight:
@@ -92,11 +93,12 @@
             self._partial_lists.popitem(last=False)
         writer.write(deadline_at, on_result)
 
-    def forget_list(self, job: JobId) -> None:
-        """Forget the job's list, now that the job's record is durable.
+    def discard_partial_list(self, job: JobId) -> None:
+        """Stop keeping the job's list for retries, now that the job's record is durable.
 
-        As long as that is not sure, the next try may use the same list: the conditions of
-        whichever record comes first keep the others out, and so does the job's outcome.
+        While the result of writing the record is unknown, a retry may use the same list. The job
+        still gets only one record: its write requires that the job has neither a record nor an
+        outcome.
         """
         self._partial_lists.pop(job, None)
 
@@ -108,11 +110,11 @@
     def read_outcomes(
         self, jobs: Iterable[JobId], on_result: Callable[[dict[JobId, str] | None], None]
     ) -> None:
-        """Read the outcomes of those of the jobs that have ended, and add them to the cache.
+        """Read the outcomes of those jobs that have ended, and add them to the cache.
 
         `on_result` gets outcomes of other jobs as well, or None if the read failed. The read takes
-        one request for each thousand outcomes under the common key prefix of the jobs, where
-        transactions of conditions would take one for each few jobs.
+        one request per thousand outcomes under the common key prefix of the jobs. Transactions that
+        check conditions would take one request for every few jobs.
         """
 
         def on_range(items: list[Item] | None, _: Revision) -> None:
@@ -131,17 +133,17 @@
     # -- dependencies
 
     def dependencies_of(self, job: JobId) -> tuple[JobId, ...] | None:
-        """Return what the accepted job depends on; None if that is not cached here."""
+        """Return the dependencies of the accepted job; None if they are not cached."""
         return self._dependencies_by_job.get(job)
 
     def record_dependencies(self, job: JobId, dependencies: tuple[JobId, ...]) -> None:
-        """Remember what an accepted job depends on; that never changes."""
+        """Cache the dependencies of an accepted job, which never change."""
         self._dependencies_by_job.put(job, dependencies, 1 + len(dependencies))
 
     def record_dependencies_from(self, job: JobId, item: Item) -> tuple[JobId, ...] | None:
-        """Remember and return the dependencies in a job's record that holds its whole list.
+        """Cache and return the dependencies from a job's record that holds the whole list.
 
-        Returns None for a record that can't be read: its dependencies are not known.
+        Returns None if the record is malformed.
         """
         try:
             record = item.value.get("s") if isinstance(item.value, dict) else None
@@ -154,7 +156,7 @@
     def read_dependencies(
         self, item: Item, on_result: Callable[[tuple[JobId, ...] | None], None]
     ) -> None:
-        """Find out the dependencies of the job with this record; None if that fails now."""
+        """Read the dependencies of the job with this record; None if that fails."""
         job = JobId(item.key[len(JOB_PREFIX) :])
         cached = self.dependencies_of(job)
         if cached is not None:
@@ -178,5 +180,5 @@
     def search_ancestors(
         self, jobs: tuple[JobId, ...], on_result: Callable[[AncestorSearchResult], None]
     ) -> None:
-        """Find out whether one of the jobs or of their ancestors has a durable cancellation."""
+        """Search the jobs and their ancestors for one with a durable cancellation."""
         AncestorSearch(self._context, self, jobs, on_result).run_round()
--- a/src/eldercart/server/users/dependency_list.py
+++ b/src/eldercart/server/users/dependency_list.py
@@ -1,4 +1,4 @@
-"""The writing of a list of dependencies that is too long for its job's record."""
+"""Writes a dependency list that is too long for its job's record."""
 
 import secrets
 from collections.abc import Callable
@@ -10,21 +10,21 @@
 from eldercart.wire.stored_jobs import dependency_list_prefix
 from eldercart.wire.users import DependencyListReference, JobSpec
 
-WRITE_OVERHEAD_BYTES = 60  # that a condition and a put take beside the key and the job ids
+WRITE_OVERHEAD_BYTES = 60  # size of a condition and a put without the key and the job ids
 JOB_ID_OVERHEAD_BYTES = 3  # quotes and comma
-KEYS_PER_WRITE = 3  # bound on how often a written key stands in a transaction
+MAX_KEY_OCCURRENCES = 3  # upper bound on how often a transaction contains each written key
 NONCE_BYTES = 6
 
 
 class DependencyListWriter:
-    """Writes one list of dependencies to the state service, under keys of its own.
+    """Writes one dependency list to the state service, under separate keys.
 
-    The list is written before the job's record, which then refers to it. A writer that was
-    stopped by a lack of tokens or time goes on with the next call of `write`.
+    The list is written before the job's record, which refers to it. A writer that ran out of
+    rate-limit tokens or time continues at the next call of `write`.
     """
 
     def __init__(self, context: LookupContext, spec: JobSpec, parts: list[list[JobId]]) -> None:
-        """`parts` is the list, split so that each part fits into a stored value."""
+        """Set up the write of `parts`: the list, split so that each part fits into a value."""
         self.dependencies = spec.dependencies
         self.is_in_flight = False
         self._context = context
@@ -37,17 +37,17 @@
         deadline_at: MonotonicTime,
         on_result: Callable[[DependencyListReference | None], None],
     ) -> None:
-        """Write the parts that are not durable yet, one transaction after the other.
+        """Write the parts that are not durable yet, one transaction after another.
 
-        `on_result` gets the reference to the list once all of it is durable, and None if the
-        tokens or the time run out or a transaction fails: a later call goes on from there.
+        `on_result` gets the reference to the list once all parts are durable. It gets None if
+        tokens or time run out or a transaction fails; a later call writes the remaining parts.
         """
         if not self._unwritten_parts:
             on_result(self._reference)
             return
         store = self._context.store
         now = self._context.clock()
-        # One change is left to the job's record.
+        # Leave one write token for the job's record.
         max_operations = min(
             self._context.settings.txn_ops, store.writes.available(now, RESERVE_ADMISSION) - 1
         )
@@ -79,7 +79,7 @@
         size = 0
         for key, part in self._unwritten_parts.items():
             size += (
-                KEYS_PER_WRITE * len(key)
+                MAX_KEY_OCCURRENCES * len(key)
                 + sum(len(job) + JOB_ID_OVERHEAD_BYTES for job in part)
                 + WRITE_OVERHEAD_BYTES
             )
@@ -94,10 +94,10 @@
     def _remove_written(
         self, transaction: Transaction, status: int | None, failed_conditions: tuple[str, ...]
     ) -> bool:
-        """Drop the parts that are durable now; return whether there are any.
+        """Remove the parts that are durable now; return whether there are any.
 
-        Nobody else writes these keys: a part that is there already is from an earlier try, and
-        the same.
+        No other writer uses these keys, so a part that already exists is identical: it was written
+        by an earlier attempt.
         """
         written: tuple[str, ...] = ()
         if status == 200:
--- a/src/eldercart/server/users/job_admission.py
+++ b/src/eldercart/server/users/job_admission.py
@@ -1,7 +1,8 @@
-"""The admission of jobs that users submit.
+"""Admits the jobs that users submit.
 
-A submission is answered with 201 once its job is durable. Submissions are idempotent: a job that
-is known already gets 200 and its state, whatever the repeated submission says.
+A submission is answered with 201 once its job is durable. Submissions are idempotent: for a job
+that was already accepted, the answer is 200 and the job's state, whatever the repeated submission
+contains.
 """
 
 import logging
@@ -41,12 +42,12 @@
 
 log = logging.getLogger("eldercart.node")
 
-# Users wait 5 s for an acceptance, and a request of the state service may take 2 s itself.
+# Users wait 5 s for an acceptance, and a request to the state service may itself take 2 s.
 WRITE_TIMEOUT_S = 2.5
 
 
 class AdmissionLimits(Protocol):
-    """What of the node's present condition decides whether it can admit a job."""
+    """The state of the node that decides whether it can admit a job."""
 
     @property
     def machine_types(self) -> dict[str, MachineType]:
@@ -54,12 +55,12 @@
 
     @property
     def loop_lag_s(self) -> float:
-        """By how much the event loop is behind."""
+        """How late the event loop is, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """What a submission is answered with unless its job is known already."""
+    """The error response to a submission, unless its job was already accepted."""
 
     status: int
     message: str
@@ -78,7 +79,7 @@
         max_loop_lag_s: float,
         job_states: JobStateReader,
     ) -> None:
-        """The caches are those of `job_states`, which answers polls from them as well."""
+        """Use the caches of `job_states`, which answers polls from them as well."""
         self.context = context
         self.job_states = job_states
         self._limits = limits
@@ -91,11 +92,11 @@
 
     @property
     def dependency_resolver(self) -> DependencyResolver:
-        """What is known of accepted jobs and their dependencies."""
+        """The cache and look-ups of accepted jobs and their dependencies."""
         return self.job_states.dependency_resolver
 
     def submit(self, request: JsonRequest) -> None:
-        """Answer 201 once the job is durable, or 200 and its state if it is known already."""
+        """Answer 201 once the job is durable, or 200 and its state if it was accepted before."""
         try:
             message = load_object(request.body())
             job = users.parse_job_id(message)
@@ -125,7 +126,8 @@
         if spec.team not in teams:
             return Rejection(422, "unknown team")
         if not machine_types:
-            # A node that has just started; a job accepted by another one is known all the same.
+            # The node has just started. If another node has accepted this job already, the answer
+            # is the job's state: see `reject_unless_known`.
             log.info("submission rejected: machine types unknown")
             return Rejection(503, "machine types unknown")
         reason = feasibility.rejection_reason(spec, machine_types, teams)
@@ -136,7 +138,7 @@
         return spec
 
     def reject_unless_known(self, request: JsonRequest, job: JobId, rejection: Rejection) -> None:
-        """Answer with the job's state if it is known, else with the rejection."""
+        """Answer with the job's state if it was accepted, else with the rejection."""
         retry_after_s = RETRY_AFTER_S if rejection.status == 503 else None
         body = users.error_body(rejection.message)
         self.reply_if_known(
@@ -148,7 +150,7 @@
     ) -> None:
         """Answer with the job's state if it was accepted, else call `otherwise`.
 
-        What the repeated submission says now does not count.
+        The content of the repeated submission is ignored.
         """
 
         def on_result(result: JobStateResult) -> None:
@@ -168,18 +170,20 @@
         spec: JobSpec,
         list_reference: DependencyListReference | None = None,
     ) -> None:
-        """Write the job's record if this node can do so now."""
+        """Write the job's record if lag and rate-limit tokens allow it now, else reject."""
         now = self.context.clock()
         store = self.context.store
         if self._limits.loop_lag_s > self._max_loop_lag_s:
-            # Heartbeats that keep leases alive come first; what can't be taken is said at once.
+            # Heartbeats that keep leases alive take precedence, so the submission is rejected at
+            # once.
             reject_temporarily(request, "overloaded")
             return
         if store.writes.available(now, RESERVE_ADMISSION) < 1 or not store.requests.try_take(
             now, 1, RESERVE_ADMISSION
         ):
-            # Its next try may well find another node with tokens: users keep their connections,
-            # and a crowd that came while one node alone was up would ask that one for ever.
+            # Closing the connection lets the retry reach another node, which may have tokens.
+            # Users keep their connections open: many who connected while only one node was up
+            # would otherwise send all their requests to that node.
             reject_temporarily(request, "too many submissions", close=True)
             return
         store.writes.force_take(now)
@@ -187,10 +191,10 @@
 
 
 class _DependentSubmission:
-    """A submission of a job with dependencies, until its record can be written.
+    """Checks a submission with dependencies before the job's record is written.
 
-    All jobs that it depends on must have been accepted. What is found out is cached, so that the
-    next try is short if this one can't be finished in the time that its user waits.
+    All jobs that it depends on must have been accepted. The results are cached, so that a retry is
+    short if this attempt can't finish while the user waits.
     """
 
     def __init__(self, job_admission: JobAdmission, request: JsonRequest, spec: JobSpec) -> None:
@@ -202,9 +206,10 @@
         self._deadline_at = MonotonicTime(self._context.clock() + WRITE_TIMEOUT_S)
 
     def begin(self) -> None:
-        """Check the dependencies, unless the job itself is known as accepted."""
+        """Check the dependencies, unless the job itself is known to be accepted."""
         if self._dependency_resolver.is_accepted(self._spec.id):
-            # It has a record or an outcome: if neither is found, the read was older than both.
+            # An accepted job has a record or an outcome. A read that finds neither returned an
+            # older revision, so the user has to retry.
             self._job_admission.reject_unless_known(self._request, self._spec.id, RETRY_SUBMISSION)
         else:
             self._dependency_resolver.check_accepted(
@@ -220,11 +225,11 @@
         elif self._dependency_resolver.fits_in_record(self._spec):
             self._job_admission.store_job(self._request, self._spec)
         else:
-            # A repeated submission must not write the list once more.
+            # A repeated submission must not write a second list.
             self._job_admission.reply_if_known(self._request, self._spec.id, self._write_list)
 
     def _reject_indeterminate(self) -> None:
-        """Ask for a retry: without tokens here, through another node if possible."""
+        """Ask for a retry, on a new connection to reach another node if this one has no tokens."""
         requests = self._context.store.requests
         close = requests.available(self._context.clock(), RESERVE_ADMISSION) < 1
         reject_temporarily(self._request, "cannot tell about the jobs that it awaits", close=close)
@@ -234,7 +239,7 @@
 
     def _on_list_written(self, list_reference: DependencyListReference | None) -> None:
         if list_reference is None or self._is_past_deadline():
-            # The next try goes on with what is written if it comes here.
+            # A retry at this node writes only the remaining parts.
             reject_temporarily(self._request, "cannot store it now")
         else:
             self._job_admission.store_job(self._request, self._spec, list_reference)
@@ -244,7 +249,7 @@
 
 
 class _RecordWrite:
-    """The transaction that makes a job accepted, and the answer that follows from its result."""
+    """Writes the record by which a job is accepted, and answers the submission."""
 
     def __init__(
         self,
@@ -279,7 +284,7 @@
         self, status: int | None, _: Revision, failed_conditions: tuple[str, ...]
     ) -> None:
         if status in (200, 409):
-            self._dependency_resolver.forget_list(self._job)
+            self._dependency_resolver.discard_partial_list(self._job)
         if status == 200:
             self._on_accepted()
         elif status == 409:
@@ -310,14 +315,14 @@
         if has_ended:
             self._reply_with_stored_state(status_if_found=200)
         elif self._dependency_resolver.dependencies_of(self._job) == ():
-            # The job is there and had not ended, as of this very transaction. It may have since,
-            # and this node have told so. It has no dependencies, so it can't have been reported
-            # as cancelled with another job before its own outcome.
+            # The transaction found the job's record and no outcome. If the job has ended since
+            # and this node has reported that, the outcome is cached. The job has no dependencies,
+            # so before its own outcome it can't have been reported as cancelled with another job.
             self._dependency_resolver.record_accepted(self._job)
             state = self._job_admission.outcomes.get(self._job) or users.PENDING
             self._request.reply(200, users.job_state_body(self._job, state))
         else:
-            # The stored dependencies count, which the repeated submission need not name.
+            # The state depends on the stored dependencies, which the repeated submission may omit.
             self._job_admission.reject_unless_known(self._request, self._job, RETRY_SUBMISSION)
 
     def _reply_with_stored_state(self, status_if_found: int) -> None:
--- a/src/eldercart/server/users/job_states.py
+++ b/src/eldercart/server/users/job_states.py
@@ -1,4 +1,4 @@
-"""The state of a job: from this node's caches, from the leader, or by a fresh read."""
+"""Looks up the state of a job: in this node's caches, at the leader, or in the state service."""
 
 from collections.abc import Callable
 from functools import partial
@@ -15,11 +15,11 @@
 from eldercart.wire.state import Item
 from eldercart.wire.stored_jobs import END_PREFIX, JOB_PREFIX, decode_end_record
 
-STATE_READ_REQUESTS = 2  # that a fresh read takes: the job's record and its outcome
+STATE_READ_REQUESTS = 2  # for one fresh read: the job's record and its outcome
 
 
 class JobStateFound(NamedTuple):
-    """The job was accepted; its state is in the reply."""
+    """The job was accepted. `reply` contains its state."""
 
     reply: peers.JobReply
 
@@ -29,7 +29,7 @@
 
 
 class JobStateUnavailable(NamedTuple):
-    """The state can't be told now."""
+    """The state can't be determined now; a retry is possible after `retry_after_s`."""
 
     retry_after_s: int
 
@@ -39,7 +39,7 @@
 
 
 class JobStateReader:
-    """Answers what state a job is in."""
+    """Looks up the states of jobs, for polls, submissions and the leader."""
 
     def __init__(
         self,
@@ -47,15 +47,17 @@
         outcomes: JobOutcomeCache,
         dependency_resolver: DependencyResolver,
     ) -> None:
-        """Outcomes and acceptances that are found are added to the two caches."""
+        """Add the outcomes and acceptances that are found to the two caches."""
         self.context = context
         self.outcomes = outcomes
         self.dependency_resolver = dependency_resolver
 
     def query(self, job: JobId, on_result: JobStateCallback) -> None:
-        """Ask the leader, which takes no token; what it does not know is read afresh.
+        """Look the state up in the cache, at the leader, and last in the state service.
 
-        `on_result` is called once, perhaps before this returns.
+        Only a read from the state service takes rate-limit tokens.
+
+        `on_result` is called once, possibly before this returns.
         """
         leader = self.context.leader
         outcome = self.outcomes.get(job)
@@ -74,7 +76,7 @@
         if reply is None or reply.state in (peers.NOT_LEADER, peers.UNKNOWN):
             self.read(job, on_result)
         elif reply.state == peers.UNDECIDED:
-            # Its outcome is being written.
+            # The job's outcome is being written.
             on_result(JobStateUnavailable(SHORT_RETRY_AFTER_S))
         else:
             self.dependency_resolver.record_accepted(job)
@@ -83,22 +85,24 @@
             on_result(JobStateFound(reply))
 
     def read(self, job: JobId, on_result: JobStateCallback) -> None:
-        """Read the state afresh from the state service."""
+        """Read the state from the state service."""
         _JobStateRead(self, job, on_result).begin()
 
 
 class _JobStateRead:
-    """One fresh read: first the job's record, then its outcome.
+    """One fresh read of a job's state: first its record, then its outcome.
+
+    When a job ends, one transaction deletes the record and writes the outcome. In this order, the
+    reads can't miss both.
 
-    This order misses neither: when a job ends, one transaction deletes the record and writes the
-    outcome.
+    A job without an outcome may already have been reported as cancelled: as soon as the outcome of
+    a cancelled job is durable, the leader reports all of its descendants as cancelled. So the
+    ancestors are searched as well.
 
-    A job without an outcome may have been reported as cancelled all the same: the leader reports
-    that of all jobs downstream of a cancelled one as soon as the cancelled job's own outcome is
-    durable. So the ancestors are searched. Their outcomes may be read after this job's: each of
-    these reads begins after the question came, so an outcome that was durable when anybody was
-    told is seen. And when a cancelled ancestor is found, this job can't be done, now or later: a
-    job is done only after all of its ancestors are, and an outcome never changes.
+    The ancestors' outcomes may be read after the job's own. All reads begin after the request
+    arrived, so they see every outcome that was durable when an earlier answer was given. A job
+    with a cancelled ancestor can never be done, since a job is done only after all of its ancestors
+    are, and outcomes never change.
     """
 
     def __init__(self, job_states: JobStateReader, job: JobId, on_result: JobStateCallback) -> None:
@@ -110,7 +114,7 @@
         self._record: Item | None = None
 
     def begin(self) -> None:
-        """Start the read; without tokens it fails at once."""
+        """Start the read; it fails at once if there are too few rate-limit tokens."""
         store = self._context.store
         if store.requests.available(self._context.clock(), RESERVE_POLLS) < STATE_READ_REQUESTS:
             self._fail()
--- a/src/eldercart/server/users/lookup_context.py
+++ b/src/eldercart/server/users/lookup_context.py
@@ -1,4 +1,4 @@
-"""The collaborators that all look-ups of jobs share."""
+"""The services and settings that all look-ups of jobs share."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,11 +13,11 @@
 
 
 class LeaderAccess(Protocol):
-    """The two ways to the leader. The process builds them after the parts that serve users."""
+    """Access to the leader. The node creates both services after those that serve users."""
 
     @property
     def leader_service(self) -> LeaderService:
-        """This node's own leadership."""
+        """The leader service of this node."""
 
     @property
     def relay_service(self) -> RelayService:
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LookupContext:
-    """Where the state of a job can be looked up, and the settings and clock to go by."""
+    """The settings, the clock and the sources from which a job's state is looked up."""
 
     settings: NodeSettings
     clock: Callable[[], MonotonicTime]
@@ -35,10 +35,10 @@
 
     @property
     def leader(self) -> LeaderService:
-        """This node's own leadership, which may not be active."""
+        """The leader service of this node, whose scheduler is None unless this node leads."""
         return self.leader_access.leader_service
 
     @property
     def leader_client(self) -> LeaderClient:
-        """Asks another node that leads."""
+        """The client for requests to a leader on another node."""
         return self.leader_access.relay_service.leader_client
--- a/src/eldercart/server/users/recent_cache.py
+++ b/src/eldercart/server/users/recent_cache.py
@@ -1,4 +1,4 @@
-"""Bounded caches of facts that never change once they are true."""
+"""Bounded caches of facts about jobs that never change once they are true."""
 
 from collections import OrderedDict
 from typing import Generic, TypeVar
@@ -12,13 +12,13 @@
     """A least-recently-used cache with one value for each job, bounded by total weight."""
 
     def __init__(self, max_weight: int) -> None:
-        """Start empty. `max_weight` bounds the sum of the weights of all values."""
+        """Create an empty cache. `max_weight` bounds the sum of the weights of all values."""
         self._max_weight = max_weight
         self._weight = 0
         self._entries: OrderedDict[JobId, tuple[Value, int]] = OrderedDict()
 
     def get(self, job: JobId) -> Value | None:
-        """Return the job's value, which thereby counts as used; None if it is not cached."""
+        """Return the job's value and mark it as recently used; None if it is not cached."""
         entry = self._entries.get(job)
         if entry is None:
             return None
@@ -26,7 +26,7 @@
         return entry[0]
 
     def put(self, job: JobId, value: Value, weight: int = 1) -> None:
-        """Add the value and evict the least recently used ones, but never this one."""
+        """Add the value and evict the least recently used others while the cache is too large."""
         previous = self._entries.pop(job, None)
         if previous is not None:
             self._weight -= previous[1]
@@ -38,22 +38,22 @@
 
 
 class JobOutcomeCache:
-    """The durable outcomes of jobs that this node has learned, the oldest evicted first.
+    """The durable outcomes of jobs that are known to this node; the oldest is evicted first.
 
     The outcome of a job never changes, so an entry is never out of date.
     """
 
     def __init__(self, max_entries: int) -> None:
-        """Start empty. `max_entries` is the number of jobs to remember."""
+        """Create an empty cache. `max_entries` is the maximum number of jobs."""
         self._max_entries = max_entries
         self._outcomes: OrderedDict[JobId, str] = OrderedDict()
 
     def get(self, job: JobId) -> str | None:
-        """Return the job's outcome; None if it is not known here."""
+        """Return the job's outcome; None if it is not cached."""
         return self._outcomes.get(job)
 
     def put(self, job: JobId, outcome: str) -> None:
-        """Add a durable outcome and evict the oldest ones beyond the bound."""
+        """Add a durable outcome and evict the oldest ones if there are too many."""
         self._outcomes[job] = outcome
         while len(self._outcomes) > self._max_entries:
             self._outcomes.popitem(last=False)
--- a/src/eldercart/server/users/user_service.py
+++ b/src/eldercart/server/users/user_service.py
@@ -1,4 +1,4 @@
-"""The HTTP requests of users, workers and the load balancer at this node."""
+"""Serves the HTTP requests of users, workers, operators and the load balancer."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -31,35 +31,35 @@
 
 
 class Shutdown(Protocol):
-    """The end of the process on request."""
+    """The graceful shutdown of the node."""
 
     @property
     def has_begun(self) -> bool:
-        """Whether requests are refused from now on."""
+        """Whether the shutdown has begun, so that requests are refused."""
 
     def refuse(self, request: JsonRequest, /) -> None:
-        """Answer a request that came after the shutdown has begun."""
+        """Answer a request that arrived after the shutdown began."""
 
 
 class UserServiceHost(NodeServices, AdmissionLimits, LeaderAccess, Protocol):
-    """What the user service needs of the process."""
+    """The parts of the node that the user service depends on."""
 
     @property
     def graceful_shutdown(self) -> Shutdown:
-        """The end of the process on request."""
+        """The graceful shutdown of the node."""
 
     def is_healthy(self) -> bool:
-        """Whether users and workers should come to this node."""
+        """Return whether this node should receive requests of users and workers."""
 
     def status_page(self) -> bytes:
-        """The page for operators, as JSON."""
+        """Return the status page for operators, as JSON."""
 
 
 class UserService:
     """Routes HTTP requests and bounds those in flight; answers polls and cancellations."""
 
     def __init__(self, host: UserServiceHost) -> None:
-        """Create the parts that admit jobs and look them up."""
+        """Create the components that admit jobs and look them up."""
         self._host = host
         self._context = LookupContext(host.settings, host.clock, host.store, host)
         max_cached_jobs = host.tuning.final_cache
@@ -70,7 +70,7 @@
         self.job_states = JobStateReader(self._context, self._outcomes, self.dependency_resolver)
         self._job_admission = JobAdmission(self._context, host, host.tuning.lag_s, self.job_states)
         self._requests_in_flight = 0
-        self._prefix_routes: dict[bytes, RequestHandler] = {}  # by the first segment of the path
+        self._prefix_routes: dict[bytes, RequestHandler] = {}  # keyed by the first path segment
         self._routes: dict[bytes, tuple[bytes, RequestHandler]] = {
             b"/v1/report": (b"POST", self._serve_worker_heartbeat),
             b"/healthz": (b"GET", self._serve_health),
@@ -81,7 +81,7 @@
     # -- routing
 
     def route(self, request: JsonRequest) -> None:
-        """Hand the request to the handler for its path and method."""
+        """Pass the request to the handler for its path and method."""
         route = self._routes.get(request.path)
         if self._host.graceful_shutdown.has_begun:
             self._host.graceful_shutdown.refuse(request)
@@ -99,11 +99,11 @@
             )
 
     def add_prefix_route(self, first_segment: bytes, handler: RequestHandler) -> None:
-        """Hand all requests to `handler` whose path begins with that segment."""
+        """Pass all requests whose path begins with that segment to `handler`."""
         self._prefix_routes[first_segment] = handler
 
     def _route_job(self, request: JsonRequest, job_path: bytes) -> None:
-        """Route a request whose path names a job. `job_path` is what follows `JOB_PATH`."""
+        """Route a request whose path names a job. `job_path` is the path after `JOB_PATH`."""
         name, method, handler = job_path, b"GET", self._poll
         if job_path.endswith(CANCEL_SUFFIX):
             name, method, handler = job_path[: -len(CANCEL_SUFFIX)], b"POST", self._cancel
@@ -143,14 +143,14 @@
     def _serve_submission(self, request: JsonRequest) -> None:
         self._serve_bounded(request, self._submit)
 
-    # -- job states for the leader's side
+    # -- job states, for the leader service
 
     def outcome_of(self, job: JobId) -> str | None:
-        """Return the job's durable outcome, if this node knows it."""
+        """Return the job's durable outcome; None if this node does not know it."""
         return self._outcomes.get(job)
 
     def record_outcome(self, job: JobId, outcome: str) -> None:
-        """Remember a durable outcome; it never changes."""
+        """Cache a durable outcome, which never changes."""
         self._outcomes.put(job, outcome)
 
     def read_job_state(
@@ -160,7 +160,7 @@
         on_absent: Callable[[], None],
         on_failed: Callable[[], None],
     ) -> None:
-        """Read the job's state afresh from the state service; calls one of the three."""
+        """Read the job's state from the state service, then call one of the three callbacks."""
 
         def on_result(result: JobStateResult) -> None:
             match result:
@@ -207,7 +207,7 @@
             on_state(peers.NOT_LEADER)
 
     def _reply_to_cancel(self, request: JsonRequest, job: JobId, state: str) -> None:
-        """Answer a cancellation. `state` is the job's outcome, or why there is none yet."""
+        """Answer a cancellation. `state` is the outcome, or a reply state if there is none yet."""
         if state in (users.DONE, users.CANCELLED):
             self.record_outcome(job, state)
             request.reply(200, users.job_state_body(job, state))
