--- a/src/eldercart/settings/__init__.py
+++ b/src/eldercart/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The settings: the platform's file and the operators' own."""
+"""The settings of a node: the file that the platform provides and the operators' own file."""
 
 from eldercart.settings.operator import Tuning, load_tuning
 from eldercart.settings.platform import InvalidSettingsError, NodeSettings, Team, load_platform
--- a/src/eldercart/settings/features.py
+++ b/src/eldercart/settings/features.py
@@ -1,6 +1,6 @@
-"""The features that are switched on, a JSON file described by a schema with units and defaults.
+"""Loads the optional features from a JSON file, whose schema holds the units and defaults.
 
-Imported only by a node that is given such a file.
+This module is imported only if the node is started with a features file.
 """
 
 from dataclasses import dataclass
@@ -23,8 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WeeklyWindow:
-    """A window that opens at `start` on each of the days (0: Monday), by the local clock; an `end`
-    that is not after `start` is on the next day."""
+    """A window that opens at `start`, local time, on each of the given days (0 is Monday).
+
+    It closes at `end`; if `end` is not after `start`, it closes on the next day.
+    """
 
     days: tuple[int, ...]
     start: time
@@ -33,7 +35,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DateWindow:
-    """What holds on one date instead of the weekly windows; None: nothing."""
+    """The window that replaces the weekly windows on one date.
+
+    No window opens on that date if `start` and `end` are None.
+    """
 
     date: date
     start: time | None
@@ -42,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Maintenance:
-    """When work that may wait is done."""
+    """The windows in which deferrable work, such as the cleanup of job records, is done."""
 
     time_zone: "ZoneInfo"
     weekly: tuple[WeeklyWindow, ...]
@@ -51,7 +56,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SingletonFeatures:
-    """The duties that a node takes part in; see the schema for each."""
+    """The named leases ("duties") that a node takes part in, and their settings.
+
+    `on` holds the names of the leases; the schema describes the other fields.
+    """
 
     on: tuple[LeaseName, ...]
     lease_s: float
@@ -65,20 +73,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Features:
-    """All that is switched on."""
+    """All optional features; a feature that is switched off is None."""
 
     duties: SingletonFeatures | None
 
 
 def load_features(path: str) -> Features:
-    """Load the features from the file, with their defaults."""
+    """Load the features from a file; settings that it leaves out get their defaults."""
     return parse_features(read_json(path, FILE_KIND))
 
 
 def parse_features(value: Any) -> Features:
-    """Check and return the features.
+    """Check the content of a features file and return the features.
 
-    Raises InvalidSettingsError, which names the first bad place.
+    Raises InvalidSettingsError, which names the first invalid field.
     """
     schema = orjson.loads(SCHEMA.read_bytes())
     try:
@@ -109,7 +117,7 @@
 
 
 def _maintenance(values: dict[str, Any]) -> Maintenance:
-    # Imported only where there are windows: a small part of a core starts faster without.
+    # Imported only if there are windows: a node on a small share of a core starts faster without.
     from zoneinfo import ZoneInfo, ZoneInfoNotFoundError
 
     try:
--- a/src/eldercart/settings/operator.py
+++ b/src/eldercart/settings/operator.py
@@ -1,6 +1,7 @@
-"""The operators' own settings, a JSON file described by a schema with units and defaults.
+"""Loads the operators' own settings from a JSON file.
 
-The schema `operator.schema.json` is the one place where a default is written.
+The schema `operator.schema.json` defines the unit, bounds and default of each setting; defaults
+are written nowhere else.
 """
 
 from pathlib import Path
@@ -14,14 +15,14 @@
 
 
 class Tuning:
-    """The settings as attributes; the schema has the unit and meaning of each."""
+    """The operators' settings as attributes; the schema describes the unit and meaning of each."""
 
     def __init__(self, values: dict[str, Any]) -> None:
         """`values` holds every setting of the schema."""
         self._values = values
 
     def __getattr__(self, name: str) -> Any:
-        """Return the setting of that name."""
+        """Return the value of the setting `name`."""
         try:
             return self._values[name]
         except KeyError:
@@ -37,14 +38,15 @@
 def load_tuning(path: str | None = None, values: dict[str, Any] | None = None) -> Tuning:
     """Return the defaults, overlaid with the operators' file or with `values`.
 
-    Raises InvalidSettingsError if the file cannot be read or breaks the schema.
+    Raises InvalidSettingsError if the file cannot be read or a value violates the schema.
     """
     schema = load_schema()
     merged = {name: entry["default"] for name, entry in schema["properties"].items()}
     if path is not None:
         values = read_json(path, "operator settings")
     if values is not None:
-        # Imported only when there is something to check: a fifth of a core starts faster without.
+        # Imported only if there is something to check: a node on a fifth of a core starts faster
+        # without.
         import fastjsonschema
 
         try:
--- a/src/eldercart/settings/platform.py
+++ b/src/eldercart/settings/platform.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform hands over; unknown fields are ignored."""
+"""Loads the settings file that the platform provides; unknown fields are ignored."""
 
 import math
 from dataclasses import dataclass
@@ -11,12 +11,12 @@
 
 
 class InvalidSettingsError(Exception):
-    """A setting is missing or invalid; the text is one line that names the field."""
+    """A setting is missing or invalid; the message is one line that names the field."""
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """An address to listen at or to connect to."""
+    """An address to listen on or to connect to."""
 
     host: str
     port: int
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """Another controller node."""
+    """Another controller node of this service."""
 
     label: NodeId
     zone: str
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Team:
-    """What a team is guaranteed, and its limits; 0 as a limit: none."""
+    """The resources that a team is guaranteed, and its limits; a limit of 0 means unlimited."""
 
     name: str
     cpus: float
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """The settings of a node: about itself, the other nodes and the region."""
+    """The settings of a node: its own, those of the other nodes and those of the region."""
 
     label: NodeId
     zone: str
@@ -55,18 +55,23 @@
     state: Endpoint
     nodes: int
     teams: dict[str, Team]
-    waits: dict[str, tuple[float, ...]]  # class -> the waits its users were promised, in seconds
-    finishes: dict[str, tuple[float, ...]]  # class -> within what its jobs should be done
-    deadlines: dict[str, tuple[float, ...]]  # class -> times its deadline by which they should
+    # Service level objectives by job class.
+    waits: dict[str, tuple[float, ...]]  # seconds within which a job should start
+    finishes: dict[str, tuple[float, ...]]  # seconds within which a job should finish
+    deadlines: dict[str, tuple[float, ...]]  # multiples of a job's own deadline to finish within
     report_s: float
     lease_s: float
     cancel_s: float
     state_rps: float
     state_write_rps: float
-    state_rps_next: float  # after the fall that comes without notice; never above the present one
+    # The rates after the state service reduces its limits, which it does without notice. They are
+    # never above the current ones.
+    state_rps_next: float
     state_write_rps_next: float
-    value_bytes: int  # the smaller of present and next: what is written has to outlast the fall
-    txn_ops: int
+    # The lower of the current and the next limit, so that records that are written before the
+    # reduction still fit after it.
+    value_bytes: int
+    txn_ops: int  # the lower of the current and the next limit
     cloud_rps: float
     list_lag_s: float
     core_share: float
@@ -83,7 +88,7 @@
 
 
 class _Reader:
-    """Reads fields by their paths, so that every InvalidSettingsError names the field."""
+    """Reads fields by their dotted paths, so that every InvalidSettingsError names the field."""
 
     def __init__(self, root: Any) -> None:
         self._root = root
@@ -114,22 +119,25 @@
         return float(value)
 
     def optional_factor(self, path: str) -> float:
-        """Read a factor that may be left out; it is 1 then."""
+        """Read an optional factor; the default is 1."""
         parent, _, name = path.rpartition(".")
         return self.number(path, 0.01) if self.get(parent).get(name) is not None else 1.0
 
     def current_and_next(self, name: str, minimum: float, next_minimum: float) -> ChangingLimit:
-        """Read a limit of the state service; the next one is the same unless `next` lowers it."""
+        """Read a limit of the state service and the reduced limit that `next` announces, if any.
+
+        A next limit that is missing or higher counts as equal to the current one.
+        """
         current = self.number(f"settings.state.{name}", minimum)
-        following = self.get("settings.state").get("next")
-        if following is None:
+        next_limits = self.get("settings.state").get("next")
+        if next_limits is None:
             return ChangingLimit(current, current)
-        if not isinstance(following, dict):
+        if not isinstance(next_limits, dict):
             raise InvalidSettingsError("settings: settings.state.next: must be an object")
-        if following.get(name) is None:
+        if next_limits.get(name) is None:
             return ChangingLimit(current, current)
-        lowered = self.number(f"settings.state.next.{name}", next_minimum)
-        return ChangingLimit(current, min(current, lowered))
+        reduced = self.number(f"settings.state.next.{name}", next_minimum)
+        return ChangingLimit(current, min(current, reduced))
 
     def item_indexes(self, path: str) -> range:
         value = self.get(path)
@@ -178,8 +186,8 @@
             if kind == "deadline"
             else reader.number(prefix + "within_s")
         )
-        known = objectives_by_class.get(job_class, ())
-        objectives_by_class[job_class] = tuple(sorted({*known, objective}))
+        previous = objectives_by_class.get(job_class, ())
+        objectives_by_class[job_class] = tuple(sorted({*previous, objective}))
     return objectives
 
 
@@ -195,9 +203,9 @@
 
 
 def parse_platform(root: Any) -> NodeSettings:
-    """Check the fields that the service uses.
+    """Check the fields that the service uses and return them.
 
-    Raises InvalidSettingsError, which names the first bad field.
+    Raises InvalidSettingsError, which names the first invalid field.
     """
     if not isinstance(root, dict):
         raise InvalidSettingsError("settings: must be an object")
@@ -207,7 +215,8 @@
     rps, rps_next = reader.current_and_next("rps", 1, 1)
     write_rps, write_rps_next = reader.current_and_next("write_rps", 1, 1)
     value_kb = reader.current_and_next("value_kb", 1, 0.5).next
-    txn_ops = reader.current_and_next("txn_ops", 4, 2).next  # an outcome takes two operations
+    # The end of a job takes two operations.
+    txn_ops = reader.current_and_next("txn_ops", 4, 2).next
     return NodeSettings(
         label=NodeId(reader.text("label")),
         zone=reader.text("location"),
@@ -242,7 +251,7 @@
 def read_json(path: str, file_kind: str) -> Any:
     """Return the content of a JSON file.
 
-    Raises InvalidSettingsError, whose text begins with `file_kind`, if it cannot be read.
+    Raises InvalidSettingsError, whose message begins with `file_kind`, if the file cannot be read.
     """
     try:
         return orjson.loads(Path(path).read_bytes())
@@ -253,5 +262,5 @@
 
 
 def load_platform(path: str) -> NodeSettings:
-    """Load the settings from the file that the platform hands over."""
+    """Load the settings from the file that the platform provides."""
     return parse_platform(read_json(path, "settings"))
