--- a/deploy/compile_bytecode.py
+++ b/deploy/compile_bytecode.py
@@ -1,10 +1,10 @@
-"""Imports every module of a node, so that the interpreter writes their bytecode, as a build step.
+"""Build step: imports every module of a node, so that the interpreter writes their bytecode.
 
-To be run with `-X pycache_prefix=` the folder that `run.py` sets.
+Run it with `-X pycache_prefix=DIRECTORY`, where DIRECTORY is the one that `run.py` sets.
 
-A node writes no files, and looks for bytecode only there: the standard library's own cache is not
-read once `sys.pycache_prefix` is set. A module without bytecode is compiled anew at each start,
-which is most of the processor time that a start takes.
+A node writes no files and reads bytecode only from that directory: the interpreter ignores the
+standard library's own cache once `sys.pycache_prefix` is set. A module without bytecode is compiled
+again at each start, which would take most of the processor time of the start.
 """
 
 import sys
--- a/src/eldercart/cli/__init__.py
+++ b/src/eldercart/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line: defines the commands and options, and runs the requested command."""
 
 import argparse
 import logging
@@ -18,7 +18,7 @@
 
 
 def set_up_logging() -> None:
-    """Log to standard error, at the level that LOG_LEVEL names."""
+    """Log to standard error at the level of the environment variable LOG_LEVEL (default: info)."""
     level = LOG_LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO)
     logging.basicConfig(
         stream=sys.stderr, level=level, format="%(levelname).1s %(name)s: %(message)s"
@@ -47,7 +47,7 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Return the parser of all commands with their options."""
+    """Return the parser for all commands and their options."""
     parser = argparse.ArgumentParser(prog="eldercart", description="A cluster scheduler.")
     parser.add_argument("--version", action="version", version=__version__)
     commands = parser.add_subparsers(dest="command", required=True)
@@ -109,7 +109,10 @@
 
 
 def _run_node(args: argparse.Namespace) -> int:
-    """Run `serve` or `check-settings`; invalid settings end in one line and EXIT_USAGE."""
+    """Run `serve` or `check-settings`; return the exit status.
+
+    For invalid settings, it prints one line to standard error and returns EXIT_USAGE.
+    """
     try:
         settings = load_platform(args.config)
         tuning = load_tuning(args.settings)
@@ -128,7 +131,7 @@
 
 
 def _load_features(path: str) -> "Features":
-    # Imported only where the file is given: a node without features starts as ever.
+    # Imported only if a features file is given, so that other nodes start without the import.
     from eldercart.settings.features import load_features
 
     return load_features(path)
--- a/src/eldercart/cli/client.py
+++ b/src/eldercart/cli/client.py
@@ -1,4 +1,4 @@
-"""The commands `submit`, `status` and `cancel`, with retries as the protocol says."""
+"""The commands `submit`, `status` and `cancel`, which retry as the protocol requires."""
 
 import argparse
 import contextlib
@@ -18,21 +18,24 @@
 EXIT_OK, EXIT_REJECTED, EXIT_USAGE, EXIT_UNREACHABLE = 0, 1, 2, 3
 
 ACCEPTED_STATUSES = (200, 201)
-REJECTED_STATUSES = (400, 404, 405, 409, 422)  # not retried
-NO_RESPONSE = 0
-ATTEMPT_TIMEOUT_S = 5.0  # of one try
+REJECTED_STATUSES = (400, 404, 405, 409, 422)  # never retried
+NO_RESPONSE = 0  # stands in for the HTTP status if there is no response
+ATTEMPT_TIMEOUT_S = 5.0
 MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = 1.0, 30.0
 
 
 class UsageError(Exception):
-    """What the user got wrong, before anything is sent."""
+    """The user's input is invalid; raised before any request is sent."""
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A request about one job."""
+    """A request to a controller node.
 
-    job: str
+    `subject` is the job's id or, for the `duties` commands, the name of the lease.
+    """
+
+    subject: str
     method: str
     path: str
     body: bytes | None
@@ -40,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A node's answer; `status` NO_ANSWER if there was none."""
+    """A node's response; `status` is NO_RESPONSE if the request failed without one."""
 
     status: int
     body: bytes
@@ -48,14 +51,14 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Run the command and return the exit status."""
+    """Run `submit`, `status` or `cancel`; return the exit status."""
     try:
         request = _submit_request(args) if args.command == "submit" else _job_request(args)
     except UsageError as err:
         print(f"eldercart: {err}", file=sys.stderr)
         return EXIT_USAGE
     response = send_with_retries(args.server, request, args.timeout)
-    return _print_result(request.job, response, as_json=args.json)
+    return _print_result(request.subject, response, as_json=args.json)
 
 
 def _submit_request(args: argparse.Namespace) -> Request:
@@ -86,7 +89,10 @@
 
 
 def send_with_retries(server: str, request: Request, time_limit_s: float) -> Response:
-    """Send until a response is final or the time is over; return the last response."""
+    """Send the request until a response is final or the time limit would pass.
+
+    Returns the last response.
+    """
     deadline_at = time.monotonic() + time_limit_s
     while True:
         response = _send(server, request)
@@ -113,23 +119,27 @@
 
 
 def _retry_after(response: http.client.HTTPResponse) -> float:
-    """Return the header in seconds; a date, which no node sends, counts as 0."""
+    """Return the Retry-After header in seconds; a date, which no node sends, counts as 0."""
     try:
         return float(response.headers.get("Retry-After") or 0)
     except ValueError:
         return 0.0
 
 
-def _with_awaits(raw: bytes, jobs: list[str]) -> bytes:
-    submission = load_response(raw)
-    named = submission.get("awaits")
-    if named is not None and not isinstance(named, list):
+def _with_awaits(body: bytes, jobs: list[str]) -> bytes:
+    """Return the submission with `jobs` added to the dependencies that it names itself."""
+    submission = load_response(body)
+    dependencies = submission.get("awaits")
+    if dependencies is not None and not isinstance(dependencies, list):
         raise MalformedMessageError("awaits")
-    return orjson.dumps({**submission, "awaits": [*(named or []), *jobs]})
+    return orjson.dumps({**submission, "awaits": [*(dependencies or []), *jobs]})
 
 
 def _waiting_reason(answer: dict[str, Any]) -> str:
-    """Return why the job waits, if the answer says so: jobs, or a text."""
+    """Return the text that says why the job waits, or "" if the answer gives no reason.
+
+    The reason is a list of job ids or a text.
+    """
     for field in ("awaits", "waiting"):
         reason = answer.get(field)
         if isinstance(reason, list) and reason:
--- a/src/eldercart/cli/duties.py
+++ b/src/eldercart/cli/duties.py
@@ -1,4 +1,7 @@
-"""The command `duties list|show|hand-over|pause|resume`: named leases, for operators."""
+"""The command `duties list|show|hand-over|pause|resume`, with which operators manage named leases.
+
+A duty is the work that the holder of a named lease does.
+"""
 
 import argparse
 import sys
@@ -21,13 +24,13 @@
 from eldercart.wire.named_leases import encode_hand_over_request, encode_pause_request
 
 ACCEPTED = 200
-UNKNOWN_PATH_ERROR = "no such path"  # the answer of a node without named leases
+UNKNOWN_PATH_ERROR = "no such path"  # error text of a node that runs without named leases
 
-Fields = dict[str, Any]  # of an answer, as decoded from JSON
+Fields = dict[str, Any]  # a decoded JSON object of an answer
 
 
 def run(args: argparse.Namespace) -> int:
-    """Carry the command out, and return the exit status."""
+    """Run one `duties` command; return the exit status."""
     response = send_with_retries(args.server, _build_request(args), args.timeout)
     answer = _parse_answer(response)
     if response.status != ACCEPTED:
--- a/src/eldercart/cli/serve.py
+++ b/src/eldercart/cli/serve.py
@@ -1,4 +1,4 @@
-"""`serve`: one controller node until it is killed, or asked to end (SIGTERM)."""
+"""The command `serve`, which runs a controller node until it is killed or receives SIGTERM."""
 
 import gc
 from typing import TYPE_CHECKING, Any
@@ -14,13 +14,13 @@
 
 
 def serve(settings: NodeSettings, tuning: Tuning, features: "Features | None" = None) -> int:
-    """Run the node and return the exit status when the event loop ends."""
+    """Run the node until its event loop stops; return the exit status."""
     reactor: Any = _reactor
     PythonLoggingObserver("twisted").start()
     node = ControllerNode(settings, tuning, features)
     reactor.callWhenRunning(node.start)
     node.graceful_shutdown.install_signal_handler()
-    # What was imported stays: the collector need not look at it again.
+    # Imported modules live as long as the process, so the garbage collector need not scan them.
     gc.collect()
     gc.freeze()
     reactor.run(installSignalHandlers=False)
