--- a/src/eldercart/cli/client.py
+++ b/src/eldercart/cli/client.py
@@ -19,7 +19,7 @@
 
 ACCEPTED_STATUSES = (200, 201)
 REJECTED_STATUSES = (400, 404, 405, 409, 422)  # never retried
-NO_RESPONSE = 0  # stands in for the HTTP status if there is no response
+NO_RESPONSE = 0  # used as the status if there is no response
 ATTEMPT_TIMEOUT_S = 5.0
 MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = 1.0, 30.0
 
