--- a/src/eldercart/server/peers/__init__.py
+++ b/src/eldercart/server/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Connections between the controller nodes and what is sent over them."""
+"""Connections between controller nodes and the messages that are exchanged over them."""
--- a/src/eldercart/server/peers/connections.py
+++ b/src/eldercart/server/peers/connections.py
@@ -1,6 +1,6 @@
-"""Connections between controller nodes, over which frames of one message each are sent.
+"""Persistent TCP connections between controller nodes. Each frame carries one message.
 
-They stay open. The side that connects is a `PeerLink`, the side that accepts a `PeerServer`.
+`PeerLink` is the connecting side, `PeerServer` the accepting side.
 """
 
 import logging
@@ -20,14 +20,15 @@
 log = logging.getLogger("eldercart.net")
 
 CONNECT_TIMEOUT_S = 1.0
-RECONNECT_DELAY_S = 0.4  # before a lost connection is tried again
+RECONNECT_DELAY_S = 0.4  # delay after a lost connection or a failed attempt
 
 
 class PeerConnection(Int32StringReceiver):
-    """One connection between two nodes, at either side."""
+    """One connection between two nodes. Both sides use this class."""
 
     MAX_LENGTH = peers.MAX_FRAME_BYTES
-    peer: NodeId | None = None  # as the peer names itself; None until it has
+    # The label of the other node. It is None on the accepting side until the first heartbeat.
+    peer: NodeId | None = None
 
     def __init__(
         self,
@@ -35,48 +36,52 @@
         on_connected: Callable[["PeerConnection"], None] | None = None,
         on_disconnected: Callable[["PeerConnection"], None] | None = None,
     ) -> None:
-        """`on_frame` gets each well-formed frame; the others learn of the begin and the end."""
+        """Store the callbacks.
+
+        `on_frame` is called with each well-formed frame, `on_connected` when the connection opens
+        and `on_disconnected` when it closes.
+        """
         self._on_frame = on_frame
         self._on_connected = on_connected
         self._on_disconnected = on_disconnected
         self.is_open = False
 
     def connectionMade(self) -> None:
-        """Twisted: the connection is open."""
+        """Handle the opened connection (called by Twisted)."""
         self.transport.setTcpNoDelay(True)
         self.is_open = True
         if self._on_connected is not None:
             self._on_connected(self)
 
     def connectionLost(self, reason: Any = None) -> None:
-        """Twisted: the connection has ended."""
+        """Handle the closed connection (called by Twisted)."""
         self.is_open = False
         if self._on_disconnected is not None:
             self._on_disconnected(self)
 
     def stringReceived(self, data: bytes) -> None:
-        """Twisted: one whole frame has arrived."""
+        """Parse and handle one complete frame (called by Twisted)."""
         try:
             self._on_frame(self, peers.parse_frame(data))
         except MalformedMessageError as error:
-            # The frame is dropped; the sender's other frames may well be fine.
+            # Only this frame is dropped: the sender's other frames may be valid.
             log.error("peer frame malformed peer=%s: %s", self.peer, error)
         except Exception:
             log.exception("peer frame failed peer=%s", self.peer)
 
     def lengthLimitExceeded(self, length: int) -> None:
-        """Twisted: a frame is too long. Ends the connection."""
+        """Abort the connection because a frame is too long (called by Twisted)."""
         log.error("peer frame too long peer=%s bytes=%d", self.peer, length)
         self.transport.abortConnection()
 
     def send(self, data: bytes) -> None:
-        """Send one frame, or drop it if the connection has ended."""
+        """Send one frame, or drop it if the connection is closed."""
         if self.is_open:
             self.sendString(data)
 
 
 class PeerLink:
-    """Keeps a connection to one peer open; frames sent while there is none are lost."""
+    """Maintains the connection to one peer. Frames are not queued while it is disconnected."""
 
     def __init__(
         self,
@@ -86,9 +91,10 @@
         on_disconnected: Callable[["PeerLink"], None],
         clock: Callable[[], MonotonicTime],
     ) -> None:
-        """Start disconnected; `check_connection` connects.
+        """Create a disconnected link; `check_connection` connects it.
 
-        `on_frame` gets each frame of the peer, `on_disconnected` each loss of the connection.
+        `on_frame` is called with each frame from the peer, `on_disconnected` each time the
+        connection is lost.
         """
         self.label = label
         self._endpoint = endpoint
@@ -99,17 +105,19 @@
         self._is_connecting = False
         self._reconnect_at = DISTANT_PAST
         self._last_received_at = DISTANT_PAST
-        self.last_heartbeat_at = DISTANT_PAST  # when the last heartbeat was sent to the peer
-        self.pending_heartbeats: dict[int, MonotonicTime] = {}  # when each was sent, by request id
-        self.acknowledged_at = DISTANT_PAST  # when the last acknowledged heartbeat was sent
+        self.last_heartbeat_at = DISTANT_PAST  # the send time of the last heartbeat to the peer
+        self.pending_heartbeats: dict[int, MonotonicTime] = {}  # request id to send time
+        # The send time of the newest heartbeat that the peer acknowledged after reading the leader
+        # key, and without knowing a higher token than this node.
+        self.last_acknowledged_sent_at = DISTANT_PAST
 
     @property
     def is_connected(self) -> bool:
-        """Whether there is a connection."""
+        """Whether the connection to the peer is open."""
         return self._connection is not None
 
     def check_connection(self, silence_timeout_s: float, now: MonotonicTime) -> None:
-        """Connect if there is no connection; abort one that was silent for too long."""
+        """Connect if disconnected. Abort a connection that received no frame before the timeout."""
         if self._connection is not None:
             if now - self._last_received_at > silence_timeout_s:
                 self._connection.transport.abortConnection()
@@ -129,7 +137,10 @@
             attempt.addErrback(self._on_connect_failed)
 
     def exclude_stall(self, seconds: float) -> None:
-        """Don't count a stall of this process as silence: frames of the peer wait to be read."""
+        """Exclude a stall of this process from the peer's silence.
+
+        Frames that the peer sent meanwhile are still unread.
+        """
         self._last_received_at = MonotonicTime(self._last_received_at + seconds)
 
     def _on_connection_made(self, connection: PeerConnection) -> None:
@@ -157,7 +168,7 @@
             self._on_frame(self, frame)
 
     def send(self, data: bytes) -> bool:
-        """Send one frame at once. Returns False if there is no connection."""
+        """Send one frame immediately. Return False if the link is disconnected."""
         if self._connection is None:
             return False
         self._connection.send(data)
@@ -166,13 +177,13 @@
 
 
 def connected_link(links: Mapping[NodeId, PeerLink], label: NodeId | None) -> PeerLink | None:
-    """Return the link to that node if there is one and it is connected."""
+    """Return the link to the node if it exists and is connected, else None."""
     link = None if label is None else links.get(label)
     return link if link is not None and link.is_connected else None
 
 
 class PeerServer(protocol.Factory):
-    """Accepts the connections of peers."""
+    """Accepts connections from peers."""
 
     noisy = False
 
@@ -182,14 +193,17 @@
         on_disconnected: Callable[[PeerConnection], None],
         max_connections: int,
     ) -> None:
-        """Accept up to `max_connections` at once. The callbacks are those of `PeerConnection`."""
+        """Accept up to `max_connections` open connections.
+
+        The callbacks are those of `PeerConnection`.
+        """
         self._on_frame = on_frame
         self._on_disconnected = on_disconnected
         self._max_connections = max_connections
         self.connections: set[PeerConnection] = set()
 
     def buildProtocol(self, addr: Any) -> Any:
-        """Twisted: a peer connects. Returning None closes the connection."""
+        """Return the protocol for a new connection, or None to close it (called by Twisted)."""
         if len(self.connections) >= self._max_connections:
             return None
         return PeerConnection(self._on_frame, self.connections.add, self._on_connection_lost)
@@ -200,6 +214,6 @@
 
 
 def listen(endpoint: Endpoint, peer_server: PeerServer) -> None:
-    """Accept connections of peers at the endpoint."""
+    """Listen for connections from peers on the endpoint."""
     port = reactor.listenTCP(endpoint.port, peer_server, backlog=32, interface=endpoint.host)
     port.transport = ImmediateWriteServer
--- a/src/eldercart/server/peers/heartbeat_forwarding.py
+++ b/src/eldercart/server/peers/heartbeat_forwarding.py
@@ -1,4 +1,4 @@
-"""Workers' heartbeats at this node: answered here, redirected, or forwarded to the leader."""
+"""Handling of workers' heartbeats, which this node answers, redirects or forwards to the leader."""
 
 import logging
 from collections import OrderedDict
@@ -24,16 +24,16 @@
 
 log = logging.getLogger("eldercart.node")
 
-BATCH_DELAY_S = 0.015  # for which heartbeats are gathered into a batch
-REPLY_TIMEOUT_S = 3.0  # a worker drops responses after 4 s
-# Abandoned heartbeats whose late replies are still recognized: a stalled leader may leave those of
-# all workers of this node, twice over.
-MAX_ABANDONED_HEARTBEATS = 16_384
+BATCH_DELAY_S = 0.015  # how long heartbeats are collected before a batch is sent
+REPLY_TIMEOUT_S = 3.0  # below the 4 s after which a worker drops a response
+# Expired heartbeats whose late replies are still recognized. During a stall of the leader, two
+# heartbeats of each worker of this node may expire.
+MAX_EXPIRED_HEARTBEATS = 16_384
 
 
 @dataclass(slots=True)
 class PendingHeartbeat:
-    """A heartbeat that was handed to the leader, and the worker's request."""
+    """A heartbeat that awaits the leader's reply, with the worker's HTTP request."""
 
     request: JsonRequest
     header: workers.HeartbeatHeader
@@ -41,7 +41,10 @@
 
 
 class HeartbeatForwarding:
-    """Answers workers' heartbeats as the relay decides, and owns those that await the leader."""
+    """Carries out the relay's decision on each worker's heartbeat.
+
+    It owns the heartbeats that were forwarded and await the leader's reply.
+    """
 
     def __init__(
         self,
@@ -50,20 +53,24 @@
         links: Mapping[NodeId, PeerLink],
         request_ids: Iterator[int],
     ) -> None:
-        """`links` connect to all peers; the ids are unique among all requests to peers."""
+        """Create the service without pending heartbeats.
+
+        `links` holds the links to all peers. `request_ids` yields ids that are unique among all
+        requests to peers.
+        """
         self._host = host
         self._relay = relay
         self._links = links
         self._request_ids = request_ids
         self._pending_heartbeats: dict[int, PendingHeartbeat] = {}
-        self._abandoned: OrderedDict[int, MachineId] = OrderedDict()
+        self._expired_heartbeats: OrderedDict[int, MachineId] = OrderedDict()
         self._batch: list[peers.EncodedHeartbeat] = []
         self._schedule_flush = CoalescedCall(BATCH_DELAY_S, self._flush)
 
     # -- from workers
 
     def handle_heartbeat(self, request: JsonRequest) -> None:
-        """Answer a worker's heartbeat, at once or when the leader has replied."""
+        """Answer a worker's heartbeat immediately, or forward it and answer after the reply."""
         now = self._host.clock()
         body = request.body()
         try:
@@ -89,7 +96,10 @@
     def _redirect(
         self, request: JsonRequest, token: FencingToken, target: NodeId | None, now: MonotonicTime
     ) -> None:
-        """Redirect the worker, which has seen `token`, to the target; None: to any other node."""
+        """Redirect the worker to `target`, or to any other node if it is None.
+
+        `token` is the highest that the worker has seen.
+        """
         if token > self._relay.token:
             self._host.observe_token(token, "a worker has seen a higher epoch")
         if target is None and not self._relay.holds_lease(now):
@@ -103,7 +113,7 @@
         if self._host.leader_service.is_active:
             self._handle_as_leader(pending, message, now)
             return
-        # The body goes on as it came: the leader parses it, and ignores a malformed one.
+        # The body is forwarded unchanged. The leader parses it and ignores a malformed one.
         request_id = next(self._request_ids)
         self._pending_heartbeats[request_id] = pending
         self._batch.append(peers.EncodedHeartbeat(request_id, body))
@@ -112,7 +122,7 @@
     def _handle_as_leader(
         self, pending: PendingHeartbeat, message: dict[str, Any], now: MonotonicTime
     ) -> None:
-        """Hand the heartbeat to the scheduler of this node, which leads."""
+        """Pass the heartbeat to the scheduler of this node, which is the leader."""
         leader_service = self._host.leader_service
         try:
             heartbeat = workers.parse_heartbeat(message)
@@ -127,7 +137,11 @@
     def _reply(
         self, pending: PendingHeartbeat, commands: list[dict[str, Any]] | None, wants_next: bool
     ) -> None:
-        """Answer the worker as the leader has replied."""
+        """Answer the worker with the leader's reply.
+
+        `commands` is None if the heartbeat is stale. `wants_next` means that the machine's next
+        heartbeat must be forwarded, too.
+        """
         header = pending.header
         if commands is None:
             self._relay.on_stale_heartbeat(header.machine, header.sequence)
@@ -146,11 +160,11 @@
     # -- to and from the leader
 
     def _flush(self) -> None:
-        """Send the gathered heartbeats to the leader that granted this node's lease."""
-        gathered, self._batch = self._batch, []
+        """Send the collected heartbeats to the leader that granted this node's lease."""
+        collected, self._batch = self._batch, []
         link = connected_link(self._links, self._relay.leader)
         now = self._host.clock()
-        for batch in peers.split_batches(gathered):
+        for batch in peers.split_batches(collected):
             if link is None or not link.send(
                 peers.encode_forwarded_heartbeats(self._relay.token, batch)
             ):
@@ -163,7 +177,10 @@
                 self._abandon(pending, now)
 
     def on_replies(self, link: PeerLink, replies: list[peers.HeartbeatReply]) -> None:
-        """Answer workers as the leader replied; tell it which replies came too late for that."""
+        """Answer workers with the leader's replies.
+
+        Report to the leader each machine whose reply arrived too late to be delivered.
+        """
         undelivered: list[MachineId] = []
         for reply in replies:
             pending = self._pending_heartbeats.pop(reply.request_id, None)
@@ -172,13 +189,16 @@
                 self._reply(pending, reply.commands, reply.wants_next)
                 if is_undelivered:
                     undelivered.append(pending.header.machine)
-            elif reply.request_id in self._abandoned:
-                undelivered.append(self._abandoned.pop(reply.request_id))
+            elif reply.request_id in self._expired_heartbeats:
+                undelivered.append(self._expired_heartbeats.pop(reply.request_id))
         if undelivered:
             link.send(peers.encode_machines(peers.UNDELIVERED, undelivered))
 
     def on_link_lost(self, link: PeerLink, now: MonotonicTime) -> None:
-        """Abandon what was forwarded on this connection: no reply comes any more."""
+        """Abandon all forwarded heartbeats if the lost link is the leader's.
+
+        Their replies cannot arrive any more.
+        """
         if link.label != self._relay.leader:
             return
         self._relay.on_leader_disconnected()
@@ -186,20 +206,23 @@
             self._abandon(self._pending_heartbeats.pop(request_id), now)
 
     def expire_pending(self, now: MonotonicTime) -> None:
-        """Abandon the heartbeats whose workers won't wait any longer."""
+        """Abandon the heartbeats whose deadline has passed, and record them as expired."""
         for request_id in [
             request_id
             for request_id, pending in self._pending_heartbeats.items()
             if pending.deadline_at <= now
         ]:
             pending = self._pending_heartbeats.pop(request_id)
-            self._abandoned[request_id] = pending.header.machine
-            while len(self._abandoned) > MAX_ABANDONED_HEARTBEATS:
-                self._abandoned.popitem(last=False)
+            self._expired_heartbeats[request_id] = pending.header.machine
+            while len(self._expired_heartbeats) > MAX_EXPIRED_HEARTBEATS:
+                self._expired_heartbeats.popitem(last=False)
             self._abandon(pending, now)
 
     def _abandon(self, pending: PendingHeartbeat, now: MonotonicTime) -> None:
-        """Answer without the leader; a relay lease still allows to renew the worker's lease."""
+        """Answer the worker without the leader's reply.
+
+        While this node holds a relay lease, its answer still renews the worker's lease.
+        """
         self._relay.request_next_heartbeat(pending.header.machine)
         if self._relay.holds_lease(now):
             pending.request.reply(200, workers.heartbeat_response_body(self._relay.token, []))
--- a/src/eldercart/server/peers/leader_client.py
+++ b/src/eldercart/server/peers/leader_client.py
@@ -1,4 +1,4 @@
-"""Polls and cancellations of users that this node forwards to the leader."""
+"""Client that forwards users' polls and cancellations to the leader."""
 
 from collections.abc import Callable, Iterator, Mapping
 from dataclasses import dataclass
@@ -9,16 +9,17 @@
 from eldercart.units import JobId, MonotonicTime, NodeId
 from eldercart.wire import peers
 
-BATCH_DELAY_S = 0.015  # for which polls are gathered into a batch
+BATCH_DELAY_S = 0.015  # how long polls are collected before a batch is sent
 POLL_TIMEOUT_S = 0.8
 CANCEL_TIMEOUT_S = 2.0
 
-ReplyCallback = Callable[[peers.JobReply | None], None]  # None: the leader has not replied
+# Called with the reply, or with None if the leader did not reply.
+ReplyCallback = Callable[[peers.JobReply | None], None]
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that was sent to `peer` and is not answered yet."""
+    """A request to `peer` that has not been answered yet."""
 
     on_reply: ReplyCallback
     peer: NodeId
@@ -26,7 +27,11 @@
 
 
 class LeaderClient:
-    """Asks the leader about jobs; each request is completed exactly once."""
+    """Sends requests about jobs to the leader.
+
+    Each accepted request is completed exactly once: with the reply, or with None after a timeout or
+    the loss of the connection.
+    """
 
     def __init__(
         self,
@@ -35,7 +40,11 @@
         links: Mapping[NodeId, PeerLink],
         request_ids: Iterator[int],
     ) -> None:
-        """`election` names the leader, `links` connect to all peers; the ids are unique."""
+        """Create a client without pending requests.
+
+        `election` identifies the leader, and `links` holds the links to all peers. `request_ids`
+        yields ids that are unique among all requests to peers.
+        """
         self._election = election
         self._clock = clock
         self._links = links
@@ -45,7 +54,10 @@
         self._schedule_flush = CoalescedCall(BATCH_DELAY_S, self._flush)
 
     def poll(self, job: JobId, on_reply: ReplyCallback) -> bool:
-        """Ask for the job's state; False: no leader is connected and `on_reply` isn't called."""
+        """Request the job's state from the leader.
+
+        Return False if no leader is connected; `on_reply` is not called then.
+        """
         link = self._leader_link()
         if link is None:
             return False
@@ -55,7 +67,10 @@
         return True
 
     def cancel(self, job: JobId, on_reply: ReplyCallback) -> bool:
-        """Ask to cancel the job; False: no leader is connected and `on_reply` isn't called."""
+        """Request the job's cancellation from the leader.
+
+        Return False if no leader is connected; `on_reply` is not called then.
+        """
         link = self._leader_link()
         if link is None:
             return False
@@ -73,7 +88,7 @@
         return request_id
 
     def _flush(self) -> None:
-        """Send the gathered polls."""
+        """Send the collected polls to the leader."""
         polls, self._poll_batch = self._poll_batch, []
         link = self._leader_link()
         for start in range(0, len(polls), peers.MAX_POLL_ITEMS):
@@ -88,7 +103,7 @@
             self._complete(reply.request_id, reply)
 
     def on_link_lost(self, link: PeerLink) -> None:
-        """Complete the requests that were sent on this connection: no reply comes any more."""
+        """Complete the requests sent over this link with None: no reply can arrive any more."""
         for request_id in [
             request_id
             for request_id, request in self._pending.items()
@@ -97,7 +112,7 @@
             self._complete(request_id, None)
 
     def expire_pending(self, now: MonotonicTime) -> None:
-        """Complete the requests whose deadline has passed."""
+        """Complete the requests whose deadline has passed with None."""
         for request_id in [
             request_id
             for request_id, request in self._pending.items()
--- a/src/eldercart/server/peers/peer_heartbeats.py
+++ b/src/eldercart/server/peers/peer_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats between the nodes: who is there, who leads, and who may answer workers until when."""
+"""Heartbeats between nodes, with which the leader also grants relay leases and machine shares."""
 
 from collections.abc import Iterator, Mapping
 from typing import NamedTuple
@@ -14,28 +14,32 @@
 from eldercart.units import DISTANT_PAST, MonotonicTime, NodeId
 from eldercart.wire import peers
 
-# The leader is told whose heartbeats this node acknowledged; the others need only know it lives.
+# Heartbeats to the leader list the workers' heartbeats that this node acknowledged. To other peers
+# they only show that this node is alive.
 LEADER_HEARTBEAT_INTERVAL_S, PEER_HEARTBEAT_INTERVAL_S = 0.5, 2.0
-# In an outage of the store a leader's own lease depends on every node's acknowledgement.
+# During a store outage, the leader's own relay lease depends on every node's acknowledgements.
 OUTAGE_HEARTBEAT_INTERVAL_S = 0.7
-# A peer acknowledges heartbeats: a connection that is silent for this long is dead. The second is a
-# factor on the heartbeat interval.
+# Peers acknowledge every heartbeat. A connection is dead if it receives no frame for the larger of
+# MIN_SILENCE_TIMEOUT_S and SILENCE_TIMEOUT_INTERVALS heartbeat intervals.
 MIN_SILENCE_TIMEOUT_S, SILENCE_TIMEOUT_INTERVALS = 2.5, 2.5
-MAX_PENDING_HEARTBEATS = 8  # of one link that may still be acknowledged
-MACHINE_COUNT_FRESH_S = 2.5  # for which a peer's number of machines counts
-WORKER_SOCKETS_SHARE = 0.55  # of a node's sockets, for workers
+MAX_PENDING_HEARTBEATS = 8  # per link; acknowledgements of older heartbeats extend no lease
+MACHINE_COUNT_MAX_AGE_S = 2.5  # after which the machine count of a peer is ignored
+WORKER_SOCKETS_SHARE = 0.55  # share of a node's sockets that is available to workers
 MS_PER_S = 1000
 
 
 class MachineCount(NamedTuple):
-    """How many machines report to a node, as that node said last."""
+    """The number of machines that report to a node, from the node's latest heartbeat."""
 
     machine_count: int
     reported_at: MonotonicTime
 
 
 class PeerHeartbeats:
-    """Sends heartbeats to the peers, acknowledges theirs, and keeps what both say."""
+    """Sends heartbeats to the peers and acknowledges theirs.
+
+    It renews this node's relay lease and keeps the status that each peer has sent.
+    """
 
     def __init__(
         self,
@@ -45,48 +49,52 @@
         request_ids: Iterator[int],
         lease_extension_s: float,
     ) -> None:
-        """`links` connect to all peers; the ids are unique among all requests to peers.
+        """Create the service without any peer status.
 
-        `lease_extension_s` is what the function of that name in `cluster.heartbeat_relay` allows.
+        `links` holds the links to all peers. `request_ids` yields ids that are unique among all
+        requests to peers. `lease_extension_s` is the result of the function of that name in
+        `cluster.heartbeat_relay`.
         """
         self._host = host
         self._relay = relay
         self._links = links
         self._request_ids = request_ids
         self._lease_extension_s = lease_extension_s
-        self.last_peer_contact_at = DISTANT_PAST  # when a peer last sent a frame
-        self.last_peer_store_ok_at = DISTANT_PAST  # when a peer last said that its store works
+        self.last_peer_contact_at = DISTANT_PAST  # last heartbeat or acknowledgement of any peer
+        # When a peer last reported that the state service answers it.
+        self.last_peer_store_ok_at = DISTANT_PAST
         self._machine_counts: dict[NodeId, MachineCount] = {}
-        self._supported_features: dict[NodeId, tuple[str, ...]] = {}  # as each peer said last
-        self._announced_reductions = 0
+        self._supported_features: dict[NodeId, tuple[str, ...]] = {}  # latest, by peer
+        self._announced_reduction_count = 0
         self._machine_shares: dict[NodeId, MachineShare] = {}
 
     # -- time
 
     def tick(self, now: MonotonicTime) -> None:
-        """Send the heartbeats that are due, and renew this node's own relay lease."""
+        """Send the heartbeats that are due, and renew this node's own relay lease if possible."""
         self._host.store.update_rates(now)
         self._send_heartbeats(now)
         self._renew_own_lease(now)
 
     def _send_heartbeats(self, now: MonotonicTime) -> None:
         leader = self._host.election.leader
-        # Reduced rates of the store are announced at once: the others need not run into them.
-        has_news = self._take_rate_news()
+        # A reduction of the store's rate limits is announced immediately, so that the peers slow
+        # down before the store rejects their requests as well.
+        rates_reduced = self._detect_rate_reduction()
         for link in self._links.values():
             to_leader = link.label == leader
             interval_s = self._interval_s(to_leader=to_leader)
             silence_timeout_s = max(MIN_SILENCE_TIMEOUT_S, SILENCE_TIMEOUT_INTERVALS * interval_s)
             link.check_connection(silence_timeout_s, now)
-            if link.is_connected and (has_news or now - link.last_heartbeat_at >= interval_s):
+            if link.is_connected and (rates_reduced or now - link.last_heartbeat_at >= interval_s):
                 self._send_heartbeat(link, now, to_leader=to_leader)
 
-    def _take_rate_news(self) -> bool:
-        """Return whether the store's rates were reduced since this was asked last."""
+    def _detect_rate_reduction(self) -> bool:
+        """Return whether the store's rates were reduced since the previous call."""
         reductions = self._host.store.rate_limit_backoff.reduction_count
-        has_news = reductions != self._announced_reductions
-        self._announced_reductions = reductions
-        return has_news
+        rates_reduced = reductions != self._announced_reduction_count
+        self._announced_reduction_count = reductions
+        return rates_reduced
 
     def _interval_s(self, *, to_leader: bool) -> float:
         """Return the time between two heartbeats to one peer."""
@@ -96,7 +104,7 @@
         return LEADER_HEARTBEAT_INTERVAL_S if to_leader else PEER_HEARTBEAT_INTERVAL_S
 
     def _send_heartbeat(self, link: PeerLink, now: MonotonicTime, *, to_leader: bool) -> None:
-        """Send a heartbeat. `to_leader`: the peer is the leader as far as this node knows."""
+        """Send a heartbeat. `to_leader` means that this node considers the peer the leader."""
         host = self._host
         request_id = next(self._request_ids)
         link.last_heartbeat_at = now
@@ -126,18 +134,18 @@
         if host.leader_service.is_active:
             self._renew_lease_as_leader(now)
         elif host.election.token == self._relay.token and host.store.failing_since is None:
-            # The watch on the leader key would have shown a higher token.
+            # The watch on the leader key would have reported a higher token.
             self._relay.confirm_token(self._relay.token, host.store.last_success_at)
 
     def _renew_lease_as_leader(self, now: MonotonicTime) -> None:
         host = self._host
         label = host.settings.label
-        # Counted from the sending of heartbeats: an acknowledgement may have waited to be read
-        # while this process was stalled.
+        # The lease counts from when the heartbeats were sent, since an acknowledgement may have
+        # stayed unread while this process was stalled.
         lease_start = leader_lease_start(
             host.election.lease_confirmed_at,
             host.election.lease_expires_at,
-            [link.acknowledged_at for link in self._links.values()],
+            [link.last_acknowledged_sent_at for link in self._links.values()],
             self._lease_extension_s,
             now,
         )
@@ -151,12 +159,12 @@
         )
 
     def _assign_shares(self, now: MonotonicTime) -> None:
-        """Divide the machines among the nodes that have said lately how many report to them."""
+        """Divide the machines among this node and the peers with a recent machine count."""
         settings = self._host.settings
         counts = {
             node: count.machine_count
             for node, count in self._machine_counts.items()
-            if now - count.reported_at < MACHINE_COUNT_FRESH_S
+            if now - count.reported_at < MACHINE_COUNT_MAX_AGE_S
         }
         counts[settings.label] = self._relay.machine_count
         self._machine_shares = machine_shares(
@@ -171,7 +179,7 @@
     def record_peer_status(
         self, peer: NodeId, status: peers.PeerHeartbeat | peers.PeerHeartbeatAck, now: MonotonicTime
     ) -> None:
-        """Record what a heartbeat and its acknowledgement both say."""
+        """Record the status fields that heartbeats and acknowledgements have in common."""
         host = self._host
         self.last_peer_contact_at = now
         if status.store_ok:
@@ -186,20 +194,20 @@
             self._relay.observe_newer_token(status.token, now)
 
     def all_support(self, feature: str) -> bool:
-        """Return whether every node supports the feature, since any of them may lead next.
+        """Return whether every node supports the feature, since any of them may become leader.
 
-        A node that was never heard counts as one of an earlier version.
+        A node that has not sent any heartbeat yet counts as one without the feature.
         """
         return all(self.supports(member.label, feature) for member in self._host.settings.members)
 
     def supports(self, peer: NodeId, feature: str) -> bool:
-        """Return whether the peer has announced the feature."""
+        """Return whether the peer announced the feature in its latest status."""
         return feature in self._supported_features.get(peer, ())
 
     def on_acknowledgement(
         self, link: PeerLink, acknowledgement: peers.PeerHeartbeatAck, now: MonotonicTime
     ) -> None:
-        """Handle the acknowledgement of a heartbeat, with which the leader may grant a lease."""
+        """Handle the acknowledgement of a heartbeat. The leader may grant a relay lease in it."""
         host = self._host
         sent_at = link.pending_heartbeats.pop(acknowledgement.request_id, None)
         self.record_peer_status(link.label, acknowledgement, now)
@@ -208,7 +216,7 @@
             and acknowledgement.is_ready
             and acknowledgement.token <= host.election.token
         ):
-            link.acknowledged_at = max(link.acknowledged_at, sent_at)
+            link.last_acknowledged_sent_at = max(link.last_acknowledged_sent_at, sent_at)
         if acknowledgement.lent_rate_tokens:
             host.store.receive_tokens(acknowledgement.lent_rate_tokens, now)
         if acknowledgement.grants_lease and sent_at is not None:
@@ -225,10 +233,14 @@
     def on_heartbeat(
         self, connection: PeerConnection, heartbeat: peers.PeerHeartbeat, now: MonotonicTime
     ) -> None:
-        """Acknowledge a peer's heartbeat; as the leader, grant a lease, a share and tokens."""
+        """Acknowledge a peer's heartbeat.
+
+        If this node is the leader, the acknowledgement grants a relay lease, a machine share and
+        store rate tokens.
+        """
         host = self._host
         if heartbeat.token > self._relay.token and heartbeat.sender in self._links:
-            # The peer may lead: ask it for a lease at once.
+            # The peer may be the new leader: request a lease from it in the next tick.
             self._links[heartbeat.sender].last_heartbeat_at = DISTANT_PAST
         self.record_peer_status(heartbeat.sender, heartbeat, now)
         self._machine_counts[heartbeat.sender] = MachineCount(heartbeat.machine_count, now)
@@ -244,8 +256,8 @@
         acknowledgement = peers.PeerHeartbeatAck(
             request_id=heartbeat.request_id,
             token=host.election.token,
-            # A leader that may not answer workers itself grants no lease: the leases of its relays
-            # would otherwise outlive its own for as long as they reach it.
+            # A leader without a valid relay lease of its own grants none. Otherwise its relays
+            # could renew their leases beyond its own for as long as they reach it.
             grants_lease=is_leader and self._relay.holds_lease(now),
             store_ok=host.store.failing_since is None,
             max_machines=share.max_machines,
--- a/src/eldercart/server/peers/relay_host.py
+++ b/src/eldercart/server/peers/relay_host.py
@@ -1,4 +1,4 @@
-"""What the parts that serve peers and workers need of the process."""
+"""The interface of the controller node that the services for peers and workers depend on."""
 
 from typing import Protocol
 
@@ -11,27 +11,27 @@
 
 
 class RelayHost(NodeServices, Protocol):
-    """The process as the parts see it that serve peers and workers."""
+    """The part of the controller node that the services for peers and workers use."""
 
     @property
     def metrics(self) -> Metrics:
-        """Where durations are recorded."""
+        """The recorder of request durations."""
 
     @property
     def election(self) -> Election:
-        """The node's view of the election."""
+        """The state machine of the leader election on this node."""
 
     @property
     def election_service(self) -> ElectionService:
-        """Runs the election against the state service."""
+        """The service that runs the election against the state service."""
 
     @property
     def leader_service(self) -> LeaderService:
-        """This node's leadership."""
+        """The service that runs the scheduler while this node is the leader."""
 
     @property
     def supported_features(self) -> tuple[str, ...]:
         """The features that this node announces to its peers."""
 
     def observe_token(self, token: FencingToken, reason: str, /) -> None:
-        """Note a fencing token that was seen; a higher one than known ends this leadership."""
+        """Record a fencing token. One that is higher than the known one ends this leadership."""
--- a/src/eldercart/server/peers/relay_service.py
+++ b/src/eldercart/server/peers/relay_service.py
@@ -1,4 +1,4 @@
-"""The connections between the nodes, and the parts that serve what arrives over them."""
+"""The service that owns the connections between nodes and dispatches the frames they receive."""
 
 import logging
 from collections.abc import Callable
@@ -17,20 +17,20 @@
 
 log = logging.getLogger("eldercart.node")
 
-EXPIRY_CHECK_INTERVAL_S = 0.2  # between two checks for requests whose deadline has passed
-# Connections that are accepted: a number for each node, and some more.
+EXPIRY_CHECK_INTERVAL_S = 0.2  # between checks for requests whose deadline has passed
+# A node accepts CONNECTIONS_PER_NODE * nodes + EXTRA_CONNECTIONS connections.
 CONNECTIONS_PER_NODE, EXTRA_CONNECTIONS = 4, 8
 
 
 class RelayService:
-    """Owns the relay, the connections to and from the peers, and the parts that use them."""
+    """Owns the heartbeat relay, the connections to and from peers, and the services over them."""
 
     def __init__(self, host: RelayHost) -> None:
-        """Create the parts; nothing is connected or listened on before the node starts."""
+        """Create the services. The node connects and listens only once it is started."""
         self._host = host
         settings, tuning = host.settings, host.tuning
         relay_lease_s = tuning.grant_share * settings.lease_s
-        request_ids = count(1)  # shared by all parts, so that an id names one request only
+        request_ids = count(1)  # shared, so that an id is unique among all requests to peers
         self.relay = HeartbeatRelay(settings.label, relay_lease_s, tuning.drift_margin)
         self.links = {
             member.label: PeerLink(
@@ -52,14 +52,14 @@
         )
         self.heartbeat_forwarding = HeartbeatForwarding(host, self.relay, self.links, request_ids)
         self.leader_client = LeaderClient(host.election, host.clock, self.links, request_ids)
-        # The newest connection over which each peer has sent a heartbeat.
+        # For each peer, the connection over which its latest heartbeat was received.
         self._connections: dict[NodeId, PeerConnection] = {}
         self._expiry_check_due_at = MonotonicTime(0)
 
     # -- time
 
     def tick(self, now: MonotonicTime) -> None:
-        """Send the heartbeats that are due and expire requests whose deadline has passed."""
+        """Send the heartbeats that are due, and expire the requests whose deadline has passed."""
         self.peer_heartbeats.tick(now)
         if now >= self._expiry_check_due_at:
             self._expiry_check_due_at = MonotonicTime(now + EXPIRY_CHECK_INTERVAL_S)
@@ -67,11 +67,11 @@
             self.leader_client.expire_pending(now)
 
     def exclude_stall(self, seconds: float) -> None:
-        """Don't count a stall of this process as silence of its peers."""
+        """Exclude a stall of this process from the silence of its peers."""
         for link in self.links.values():
             link.exclude_stall(seconds)
 
-    # -- on connections that this node made
+    # -- frames received on connections that this node opened
 
     def _on_link_lost(self, link: PeerLink) -> None:
         log.info("peer lost peer=%s", link.label)
@@ -79,7 +79,7 @@
         self.heartbeat_forwarding.on_link_lost(link, self._host.clock())
 
     def _on_reply_frame(self, link: PeerLink, frame: dict[str, Any]) -> None:
-        """Handle what a peer sent that this node is connected to."""
+        """Handle a frame that a peer sent over a connection that this node opened."""
         match peers.parse_reply(frame):
             case peers.PeerHeartbeatAck() as acknowledgement:
                 self.peer_heartbeats.on_acknowledgement(link, acknowledgement, self._host.clock())
@@ -94,10 +94,10 @@
         for machine in machines:
             self.relay.request_next_heartbeat(machine)
 
-    # -- on connections that peers made
+    # -- frames received on connections that peers opened
 
     def _on_request_frame(self, connection: PeerConnection, frame: dict[str, Any]) -> None:
-        """Handle what a peer sent that is connected to this node."""
+        """Handle a frame that a peer sent over a connection that the peer opened."""
         received_at = self._host.clock()
         match peers.parse_request(frame):
             case peers.PeerHeartbeat() as heartbeat:
@@ -123,7 +123,7 @@
         forwarded: peers.ForwardedHeartbeats,
         received_at: MonotonicTime,
     ) -> None:
-        """Hand the heartbeats to the leadership and send its replies in batches."""
+        """Pass the heartbeats to the leader service and send its replies in batches."""
         leader_service = self._host.leader_service
         sender = connection.peer or NodeId("")
         for start in range(0, len(forwarded.heartbeats), peers.MAX_BATCH_ITEMS):
@@ -159,7 +159,7 @@
             self._host.leader_service.on_relay_lost(connection.peer)
 
     def request_next_heartbeats(self, machines_by_node: dict[NodeId, list[MachineId]]) -> None:
-        """Ask each node to forward the next heartbeats of these of its machines."""
+        """Request that each node forwards the next heartbeat of its listed machines."""
         for label, machines in machines_by_node.items():
             if label == self._host.settings.label:
                 self._request_own_next_heartbeats(machines)
@@ -170,7 +170,7 @@
 
 
 def _cancel_reply_sender(connection: PeerConnection, request_id: int) -> Callable[[str], None]:
-    """Return a function that sends a job's state as the reply to that cancellation."""
+    """Return a function that sends a job's state as the reply to the cancellation."""
 
     def send_reply(state: str) -> None:
         reply = peers.JobReply(request_id, state, done_count=0, running_count=0)
@@ -180,14 +180,14 @@
 
 
 def _lease_extension_s(settings: NodeSettings, tuning: Tuning, relay_lease_s: float) -> float:
-    """Return the extension of a leader's own relay lease; warn if the settings leave none."""
+    """Return `lease_extension_s` for these settings. Log a warning if it is not positive."""
     extension_s = lease_extension_s(
         settings.cancel_s, settings.lease_s, relay_lease_s, tuning.drift_margin
     )
     if extension_s <= 0:
         log.warning(
             "cancel_s=%g leaves nothing beyond lease_s=%g and two relay leases of %g s: "
-            "in a store outage leases end as soon as one node is not heard",
+            "in a store outage leases expire as soon as one node does not acknowledge heartbeats",
             settings.cancel_s,
             settings.lease_s,
             relay_lease_s,
