--- a/tests/falsified_node.py
+++ b/tests/falsified_node.py
@@ -1,7 +1,8 @@
-"""Runs a node whose clocks lie: `falsified_node.py WALL_OFFSET_S ARGUMENTS…`.
+"""Runs a node with false clocks: `falsified_node.py WALL_OFFSET_S ARGUMENTS…`.
 
-Its steady clock stands still while the process is stopped, so that it notices no stall and goes on
-believing in its leases; its time of day is off by the offset."""
+Its monotonic clock does not advance while the process is stopped, so that the node detects no stall
+and still trusts its leases. Its wall clock is off by the offset.
+"""
 
 import sys
 import time
@@ -10,11 +11,11 @@
 ROOT = Path(__file__).resolve().parents[1]
 sys.path[:0] = [str(ROOT / "src"), str(ROOT / "target" / "deps")]
 
-LONGEST_S = 0.25  # between two looks at the clock, of a process that runs
+MAX_STEP_S = 0.25  # a longer time between two reads of the clock means that the process was stopped
 
 WALL_OFFSET_S = float(sys.argv.pop(1))
-_time = time.time
-time.time = lambda: _time() + WALL_OFFSET_S
+_real_time = time.time
+time.time = lambda: _real_time() + WALL_OFFSET_S
 
 from eldercart.cli import main  # noqa: E402
 from eldercart.server import controller_node  # noqa: E402
@@ -22,16 +23,16 @@
 
 
 class StoppingClock:
-    """Counts only the time in which the process runs."""
+    """A monotonic clock that advances only while the process runs."""
 
     def __init__(self) -> None:
         self._value = 1000.0
-        self._seen = time.monotonic()
+        self._last_read_at = time.monotonic()
 
     def __call__(self) -> MonotonicTime:
         now = time.monotonic()
-        passed, self._seen = now - self._seen, now
-        self._value += min(passed, LONGEST_S)
+        elapsed, self._last_read_at = now - self._last_read_at, now
+        self._value += min(elapsed, MAX_STEP_S)
         return MonotonicTime(self._value)
 
 
--- a/tests/region.py
+++ b/tests/region.py
@@ -1,6 +1,8 @@
-"""State service, cloud and workers behind real sockets, and nodes as real processes on loopback.
+"""Simulated state service, cloud and workers behind real sockets, and nodes as real processes.
 
-No verdict hangs on how long anything takes: each wait ends when its condition holds."""
+All of them use the loopback interface. No assertion depends on how long anything takes: each wait
+ends when its condition holds, or fails after `LIMIT_S`.
+"""
 
 import copy
 import http.client
@@ -28,7 +30,7 @@
 
 
 class QuietServer(ThreadingHTTPServer):
-    """Says nothing of clients that leave before they are answered."""
+    """Logs no error for clients that disconnect before they are answered."""
 
     daemon_threads = True
     request_queue_size = 128
@@ -39,7 +41,7 @@
 
 
 class Region:
-    """State service, cloud and workers behind HTTP."""
+    """Serves the simulated state service and cloud over HTTP, and runs the simulated workers."""
 
     def __init__(self) -> None:
         self.lock = threading.RLock()
@@ -118,32 +120,34 @@
             if path == "/machines/delete":
                 return self.cloud.delete(body)
             if method == "POST":
-                return self.cloud.rent(body, time.monotonic() - 60.0)  # boots at once
+                # With a rental time in the past, the machines have booted already.
+                return self.cloud.rent(body, time.monotonic() - 60.0)
             return 200, self.cloud.list(time.monotonic())
 
     def work(self, front: str) -> None:
-        """All workers, by turns."""
+        """Run all workers in turn until `stop` is set; they report to the node at `front`."""
         last = time.monotonic()
         while not self.stop.is_set():
             now = time.monotonic()
             dt, last = now - last, now
             with self.lock:
                 machines = list(self.cloud.machines.values())
-            for w in machines:
+            for worker in machines:
                 with self.lock:
-                    w.answered = max(w.answered, now - 5.0)
-                    w.step(now, dt, 10.0)
-                    report = orjson.dumps(w.report())
+                    worker.answered = max(worker.answered, now - 5.0)
+                    worker.step(now, dt, 10.0)
+                    report = orjson.dumps(worker.report())
                 status, body = call(front, "POST", "/v1/report", report)
                 if status == 200:
                     with self.lock:
-                        w.obey(body, now, w.agent_epoch, self.jobs)
+                        worker.obey(body, now, worker.agent_epoch, self.jobs)
             time.sleep(0.05)
 
 
 def call(
     server: str, method: str, path: str, body: bytes | None = None, timeout: float = 10.0
 ) -> tuple[int, bytes]:
+    """Return the status and body of the response, or status 0 if none was received."""
     connection = http.client.HTTPConnection(server, timeout=timeout)
     try:
         connection.request(method, path, body)
@@ -156,9 +160,10 @@
 
 
 def until(condition: Callable[[], bool]) -> None:
+    """Wait until the condition holds; fail after `LIMIT_S`."""
     end = time.monotonic() + LIMIT_S
     while not condition():
-        assert time.monotonic() < end, "it did not come about"
+        assert time.monotonic() < end, "the condition did not hold in time"
         time.sleep(0.05)
 
 
@@ -173,12 +178,17 @@
 
 
 class Service:
+    """One controller node as a process, configured for a `Region`."""
+
     def __init__(self, region: Region, folder: Path) -> None:
         front, mesh = free_ports(2)
         settings = copy.deepcopy(PLATFORM)
         settings["front"], settings["mesh_addr"] = f"127.0.0.1:{front}", f"127.0.0.1:{mesh}"
-        state, rent = (s.server_address[1] for s in region.servers)
-        settings["endpoints"] = {"state": f"127.0.0.1:{state}", "cloud": f"127.0.0.1:{rent}"}
+        store_port, cloud_port = (s.server_address[1] for s in region.servers)
+        settings["endpoints"] = {
+            "state": f"127.0.0.1:{store_port}",
+            "cloud": f"127.0.0.1:{cloud_port}",
+        }
         self.front, self.mesh = settings["front"], settings["mesh_addr"]
         self.file = folder / "node.json"
         self.file.write_text(json.dumps(settings))
