--- a/src/eldercart/server/singleton/__init__.py
+++ b/src/eldercart/server/singleton/__init__.py
@@ -1,1 +1,1 @@
-"""The adapters of the named leases."""
+"""Adapters between the named-lease state machines and the state service, cloud and leader."""
--- a/src/eldercart/server/singleton/candidate_runner.py
+++ b/src/eldercart/server/singleton/candidate_runner.py
@@ -1,4 +1,4 @@
-"""Carries out at the state service what this node's candidate for named leases asks for."""
+"""Executes the actions of this node's named-lease candidate at the state service."""
 
 import logging
 from collections.abc import Callable, Collection
@@ -17,7 +17,7 @@
 
 
 class CandidateRunner:
-    """Runs one action of the candidate after another, and keeps the watch on the lease keys."""
+    """Executes the candidate's actions one at a time and keeps a watch open on the lease keys."""
 
     def __init__(
         self,
@@ -27,8 +27,8 @@
         clock: Callable[[], MonotonicTime],
         cluster_view: Callable[[MonotonicTime], ClusterView],
     ) -> None:
-        """`lease_names` are those whose state is logged; `cluster_view` tells what the node knows
-        beside the stored keys."""
+        """The states of the leases in `lease_names` are logged. `cluster_view` returns the node's
+        current knowledge of the cluster that is not in the stored keys."""
         self._candidate = candidate
         self._lease_names = lease_names
         self._store = store
@@ -38,7 +38,7 @@
         self._logged_states: dict[LeaseName, LeaseState] = {}
 
     def tick(self) -> None:
-        """Run the next action if one is due, and keep the watch open."""
+        """Execute the next action if one is due, and reopen the watch if it has closed."""
         self._run_next_action()
         if not self._candidate.is_read_pending():
             self._lease_watcher.ensure_watching()
--- a/src/eldercart/server/singleton/catalog_refresh.py
+++ b/src/eldercart/server/singleton/catalog_refresh.py
@@ -1,6 +1,8 @@
-"""Keeps the stored machine types up to date, for nodes that must decide while the cloud is down.
+"""Keeps the stored catalog of machine types up to date. Nodes decide by the stored catalog while
+the cloud is unavailable.
 
-Reading the cloud's catalog changes nothing there; the write is conditional on the holder's token.
+Reading the catalog from the cloud has no side effects. The write to the state service is
+conditional on the token of the lease holder.
 """
 
 import logging
@@ -23,7 +25,7 @@
 
 log = logging.getLogger("eldercart.singleton")
 
-RETRY_S = 5.0  # after a refresh that failed
+RETRY_S = 5.0  # delay after a failed refresh
 MAX_CONNECTIONS = 1
 
 MachineTypes = dict[str, MachineType]
@@ -31,14 +33,17 @@
 
 @dataclass(frozen=True, slots=True)
 class _Refresh:
-    """A refresh in progress: its token, and the stored catalog that it read."""
+    """A refresh in progress: the lease token that it uses and the stored catalog that it read."""
 
     token: LeaseToken
     stored: Item | None
 
 
 class CatalogRefresh:
-    """Reads the stored catalog and the cloud's, and writes what has changed."""
+    """Compares the stored catalog with the cloud's and stores the cloud's if they differ.
+
+    Only the holder of the catalog lease does so.
+    """
 
     def __init__(
         self,
@@ -50,8 +55,9 @@
         may_run_maintenance: Callable[[], bool],
         on_machine_types: Callable[[MachineTypes], None],
     ) -> None:
-        """The first refresh is due when this node holds the lease, the next ones `refresh_s`
-        seconds after each other. `on_machine_types` takes what the cloud offers."""
+        """The first refresh is due as soon as this node holds the lease. After each successful
+        refresh, the next one is due `refresh_s` seconds later. `on_machine_types` is called with
+        the machine types that the cloud offers."""
         self._max_record_bytes = int(VALUE_FILL_RATIO * settings.value_bytes)
         self._store = store
         self._clock = clock
@@ -74,7 +80,8 @@
         self._store.get(CATALOG_KEY, lambda ok, item: self._on_stored_catalog(token, ok, item))
 
     def _on_stored_catalog(self, token: LeaseToken, ok: bool, item: Item | None) -> None:
-        # While nothing is stored, no window is waited for: other nodes could not judge submissions.
+        # A missing catalog does not wait for a maintenance window: other nodes need a stored
+        # catalog to check submissions.
         is_window_needed = item is not None
         if not ok or (is_window_needed and not self._may_run_maintenance()):
             self._finish(RETRY_S)
@@ -91,7 +98,7 @@
     def _on_offered_catalog(self, refresh: _Refresh, status: int | None, body: bytes) -> None:
         try:
             if status != 200:
-                raise MalformedMessageError("status")
+                raise MalformedMessageError("HTTP status of GET /catalog is not 200")
             types = cloud.parse_catalog(load_response(body))
         except MalformedMessageError as err:
             log.info("catalog not read status=%s error=%s", status, err)
@@ -123,9 +130,9 @@
 
         self._store.commit(Transaction(conditions, [Put(CATALOG_KEY, value)]), done)
 
-    def _finish(self, pause_s: float) -> None:
+    def _finish(self, delay_s: float) -> None:
         self.is_busy = False
-        self._next_refresh_at = MonotonicTime(self._clock() + pause_s)
+        self._next_refresh_at = MonotonicTime(self._clock() + delay_s)
 
 
 def _has_same_shapes(types: MachineTypes, stored: Item) -> bool:
--- a/src/eldercart/server/singleton/dispatch_policies.py
+++ b/src/eldercart/server/singleton/dispatch_policies.py
@@ -1,4 +1,4 @@
-"""How the leader's work under named leases may be carried out now."""
+"""Decides how the leader's cloud requests and writes under named leases may be dispatched."""
 
 from collections.abc import Callable, Collection
 
@@ -8,12 +8,16 @@
 from eldercart.units import MonotonicTime
 from eldercart.wire.named_leases import LeaseName
 
-# How long the state service may give no answer before nothing is to be recorded.
+# Work under a held lease is blocked once the state service has been failing for this long.
 STORE_FAILURE_GRACE_S = 1.0
 
 
 class DispatchPolicies:
-    """Decides from this node's leases, the other nodes' support and the state service."""
+    """Returns the dispatch policy of each named lease.
+
+    The policy depends on the state of this node's leases, on whether all nodes support the lease,
+    and on whether the state service is available.
+    """
 
     def __init__(
         self,
@@ -22,14 +26,14 @@
         is_supported_by_all: Callable[[LeaseName], bool],
         store: StoreClient,
     ) -> None:
-        """`enabled_leases`: those in which this node takes part."""
+        """`enabled_leases` are the leases in which this node takes part."""
         self._enabled_leases = enabled_leases
         self._candidate = candidate
         self._is_supported_by_all = is_supported_by_all
         self._store = store
 
     def policy(self, lease_name: LeaseName, now: MonotonicTime) -> DispatchPolicy:
-        """Return how requests under the lease reach the cloud now."""
+        """Return how requests under the lease are to be dispatched now."""
         if lease_name not in self._enabled_leases:
             return DispatchPolicy(DispatchMode.DIRECT)
         candidate = self._candidate
@@ -40,7 +44,7 @@
             return DispatchPolicy(mode, token)
         is_held = candidate.state(lease_name) in (LeaseState.DRAINING, LeaseState.LOST)
         if is_held or self._is_supported_by_all(lease_name):
-            # While the lease drains, requests that wait may still be recorded.
+            # While the lease drains, its intent record may still be written under the held token.
             return DispatchPolicy(DispatchMode.BLOCKED, candidate.held_token(lease_name))
         return DispatchPolicy(DispatchMode.DIRECT)
 
--- a/src/eldercart/server/singleton/gated_cloud_requests.py
+++ b/src/eldercart/server/singleton/gated_cloud_requests.py
@@ -1,5 +1,5 @@
-"""The leader's requests that change something in the cloud, on their way through the write-ahead
-gate: their intents are recorded, then they are sent."""
+"""Sends the leader's requests that create or delete machines through the write-ahead gate: a
+request is sent to the cloud only after its intents have been recorded."""
 
 import logging
 import time
@@ -24,7 +24,7 @@
 
 log = logging.getLogger("eldercart.singleton")
 
-# Any other status, or none: indeterminate.
+# Any other status, or no answer, leaves the outcome indeterminate.
 OUTCOME_BY_STATUS = {
     200: WriteOutcome.COMMITTED,
     400: WriteOutcome.REJECTED,
@@ -38,7 +38,11 @@
 
 
 class GatedCloudRequests:
-    """Carries out what the gate asks for, during one leadership at a time."""
+    """Executes the sends, writes and reads that the gate requests.
+
+    The leader's `CloudRequests` offers each request to it with `try_admit`. Each leadership has
+    a gate of its own.
+    """
 
     def __init__(
         self,
@@ -48,9 +52,10 @@
         on_write_fenced: Callable[[], None],
         process_events_soon: Callable[[], None],
     ) -> None:
-        """`on_write_fenced` is called when a token of this node has been replaced,
-        `process_events_soon` when a write's outcome may let requests go out."""
-        self.gate: WriteAheadGate | None = None  # during a leadership
+        """`on_write_fenced` is called when a write is rejected because a token of this node has
+        been replaced; `process_events_soon` is called after each write, as its outcome may allow
+        requests to be sent."""
+        self.gate: WriteAheadGate | None = None  # None unless this node leads
         self._store = store
         self._clock = clock
         self._policies = policies
@@ -58,11 +63,11 @@
         self._process_events_soon = process_events_soon
 
     def begin_leadership(self, gate: WriteAheadGate) -> None:
-        """Start to use the gate of a new leadership."""
+        """Use this gate for a new leadership."""
         self.gate = gate
 
     def end_leadership(self) -> None:
-        """Drop the gate: what is in flight is ignored, what is recorded stays open."""
+        """Drop the gate: answers to requests in flight are ignored; recorded intents stay open."""
         self.gate = None
 
     def is_busy(self, lease_name: LeaseName) -> bool:
@@ -70,7 +75,7 @@
         return self.gate is not None and self.gate.is_busy(lease_name)
 
     def try_admit(self, scheduler: Scheduler, call: CloudRequest, now: MonotonicTime) -> bool:
-        """Return whether the gate takes the request; if not, it is to be sent directly."""
+        """Pass the request to the gate. Return False if the caller is to send it directly."""
         lease_name = lease_of_call(call)
         if (
             self.gate is None
@@ -79,14 +84,14 @@
         ):
             return False
         if self._policies.policy(lease_name, now).mode is not DispatchMode.WRITE_AHEAD:
-            return False  # direct, or a deletion that is overdue
+            return False  # the mode is DIRECT, or it is a deletion that is overdue
         self.gate.admit(call, WallTime(time.time()), urgent=_is_urgent(scheduler, call))
         return True
 
     def process_events(
         self, scheduler: Scheduler, cloud_requests: CloudRequests, now: MonotonicTime
     ) -> None:
-        """Send, write and read what is due, and tell the scheduler what it may ask for."""
+        """Update which requests the scheduler may issue, then execute what the gate has due."""
         gate = self.gate
         if gate is None:
             return
@@ -115,16 +120,17 @@
             self._refresh(gate, lease_name)
 
     def _may_write(self, now: MonotonicTime) -> bool:
-        # From the same reserve as placements nothing would be left on a busy day: those take all
-        # that is above it at each turn of the loop, and nothing would be rented or returned.
+        # Placements take all tokens above their reserve at each turn of the loop. With the same
+        # reserve, no intent would be written on a busy day, and no machine created or deleted.
         return (
             self._store.requests.available(now, RESERVE_JOB_OUTCOMES) >= 1
             and self._store.writes.available(now, RESERVE_JOB_OUTCOMES) >= 1
         )
 
     def direct_answer_callback(self, call: CloudRequest) -> CloudResponseCallback | None:
-        """Return what to call with the answer to a request that the gate did not take, if the gate
-        has to know of it."""
+        """Return a callback for the answer to a request that is sent directly, or None if the
+        answer does not concern the gate. The callback closes intents that an earlier leader
+        recorded for the same request."""
         gate = self.gate
         if gate is None or not isinstance(call, ScaleOut | DeleteMachines):
             return None
@@ -178,13 +184,13 @@
 
 
 def _update_admissions(scheduler: Scheduler, gate: WriteAheadGate, policies: LeasePolicies) -> None:
-    """Tell the scheduler which requests it may hand out."""
+    """Set which requests the scheduler may issue."""
     queue = scheduler.cloud_requests
     may_scale_out = _is_admissible(gate, LeaseName.SCALE_OUT, policies)
     queue.scale_out_admission = RequestAdmission.OPEN if may_scale_out else RequestAdmission.BLOCKED
     may_scale_in = _is_admissible(gate, LeaseName.SCALE_IN, policies)
-    # A cancelled task must be gone in time, whatever becomes of the lease: its machine is deleted
-    # without an intent, under the leader's lease.
+    # A cancelled task must end in time even if the scale-in lease is not usable: once it is
+    # overdue, its machine is deleted without an intent, under the leader's own lease.
     queue.deletion_admission = (
         RequestAdmission.OPEN if may_scale_in else RequestAdmission.OVERDUE_ONLY
     )
@@ -198,7 +204,7 @@
 
 
 def _is_urgent(scheduler: Scheduler, call: ScaleOut | DeleteMachines) -> bool:
-    """Return whether jobs wait for the outcome: for machines, or for the proof that tasks ended."""
+    """Return whether jobs wait for the outcome: for new machines, or for proof that tasks ended."""
     if isinstance(call, ScaleOut):
         return True
     machines = (scheduler.inventory.get(name) for name in call.machines)
@@ -206,7 +212,7 @@
 
 
 def _is_final(status: int | None, body: bytes) -> bool:
-    """Return whether the answer tells what became of the request."""
+    """Return whether the answer shows that the request was either executed or rejected."""
     return status in (200, 400) or (status == 503 and is_capacity_refusal(body))
 
 
--- a/src/eldercart/server/singleton/leadership_hand_over.py
+++ b/src/eldercart/server/singleton/leadership_hand_over.py
@@ -1,4 +1,4 @@
-"""Hands the leadership over with a lease that only the leader can hold."""
+"""Transfers the leadership together with a lease that only the leader can hold."""
 
 import logging
 from collections.abc import Callable, Collection
@@ -16,12 +16,15 @@
 
 log = logging.getLogger("eldercart.singleton")
 
-# How long the other nodes leave the leadership to the receiver of a hand-over.
+# Followers other than the receiver defer their candidacy by this delay, renewed at each tick.
 CANDIDACY_DEFERRAL_S = 1.0
 
 
 class LeadershipHandOver:
-    """Resigns once such a lease has been drained; on other nodes, defers their candidacy."""
+    """Makes the leader resign once the lease has drained, and followers defer their candidacy.
+
+    The receiver of the hand-over can then win the election and acquire the lease.
+    """
 
     def __init__(
         self,
@@ -31,7 +34,7 @@
         lease_names: Collection[LeaseName],
         is_supported_by_all: Callable[[LeaseName], bool],
     ) -> None:
-        """`lease_names`: those in which this node takes part."""
+        """`lease_names` are the leases in which this node takes part."""
         self._election = election
         self._leader_service = leader_service
         self._candidate = candidate
@@ -39,12 +42,12 @@
         self._is_supported_by_all = is_supported_by_all
 
     def tick(self, now: MonotonicTime) -> None:
-        """Take the next step of a hand-over in force."""
+        """Take the next step of each hand-over in progress to another node."""
         for lease_name in self._lease_names:
             if not self._candidate.is_reserved_for_other_node(lease_name, now):
                 continue
             if not self._is_supported_by_all(lease_name):
-                continue  # no node could acquire it
+                continue  # no node, the receiver included, may acquire it
             if self._election.role is Role.FOLLOWER:
                 self._defer_candidacy(now)
             elif self._is_drained(lease_name):
--- a/src/eldercart/server/singleton/lease_service.py
+++ b/src/eldercart/server/singleton/lease_service.py
@@ -1,5 +1,5 @@
-"""One node's named leases: wires the candidate to the state service, and tells the leader what it
-may do under them. Imported only where the feature is switched on."""
+"""Connects a node's candidate for named leases to the state service, and decides what the leader
+may do under these leases. The module is imported only if the feature is enabled."""
 
 import logging
 import time
@@ -41,7 +41,11 @@
 
 
 def _load_calendar(maintenance: Maintenance | None) -> "MaintenanceCalendar | None":
-    """Imported only where there are windows: a small part of a core starts faster without."""
+    """Return the calendar of maintenance windows, or None if none are configured.
+
+    The calendar module is imported only when it is needed, because a node with a small share of a
+    CPU core starts faster without it.
+    """
     if maintenance is None:
         return None
     from eldercart.singleton.maintenance_calendar import MaintenanceCalendar
@@ -50,13 +54,17 @@
 
 
 class SingletonService:
-    """Owns the node's candidate and the parts that work under its tokens."""
+    """Owns the node's candidate and the components that work under its lease tokens.
+
+    The node calls `tick` at each turn of its loop. The components of its leadership report
+    leadership changes and rejected writes to it, and query its permissions.
+    """
 
     def __init__(self, node: "ControllerNode", features: SingletonFeatures) -> None:
-        """A node that takes part in the leases that `features` switches on."""
+        """`features` lists the leases in which the node takes part, with their settings."""
         self.node = node
         self.features = features
-        self.stored_prefixes = (INTENT_PREFIX,)  # that a new leader reads
+        self.stored_prefixes = (INTENT_PREFIX,)  # key prefixes that a new leader reads
         self.supported_features = tuple(feature_name(lease_name) for lease_name in features.on)
         self.candidate = LeaseCandidate(
             node.settings.label,
@@ -109,7 +117,7 @@
         return self.node.clock()
 
     def tick(self, now: MonotonicTime) -> None:
-        """Do what is due, at each turn of the node's loop."""
+        """Do the work that is due at this turn of the node's loop."""
         self._update_lag()
         self._candidate_runner.tick()
         self._leadership_hand_over.tick(now)
@@ -117,10 +125,10 @@
 
     def _update_lag(self) -> None:
         limit_s = self.features.slow_lag_s
-        # With hysteresis: a node that lags takes part again at half the limit.
+        # Hysteresis: a lagging node recovers only when its lag drops to half the limit.
         self._is_lagging = self.node.loop_lag_s > (limit_s / 2 if self._is_lagging else limit_s)
 
-    # -- what the parts ask about the node
+    # -- state of the node, for the components
 
     def _cluster_view(self, now: MonotonicTime) -> ClusterView:
         node = self.node
@@ -140,8 +148,8 @@
         )
 
     def _busy_leases(self) -> list[LeaseName]:
-        recorded = (LeaseName.SCALE_OUT, LeaseName.SCALE_IN)
-        busy = [lease_name for lease_name in recorded if self.cloud_requests.is_busy(lease_name)]
+        gated = (LeaseName.SCALE_OUT, LeaseName.SCALE_IN)
+        busy = [lease_name for lease_name in gated if self.cloud_requests.is_busy(lease_name)]
         scheduler = self.node.leader_service.scheduler
         if scheduler is not None and scheduler.transaction_writer.is_cleanup_in_flight:
             busy.append(LeaseName.CLEANUP)
@@ -150,12 +158,12 @@
         return busy
 
     def is_supported_by_all(self, lease_name: LeaseName) -> bool:
-        """Return whether every node takes part in the lease. A node never heard from counts as one
-        that does not, for it may run an earlier version."""
+        """Return whether every node takes part in the lease. A node that has announced no
+        features yet counts as one that does not, because it may run an earlier version."""
         return self.node.relay_service.peer_heartbeats.all_support(feature_name(lease_name))
 
     def nodes_without_support(self, lease_name: LeaseName) -> list[NodeId]:
-        """Return the nodes that have not said that they take part in the lease."""
+        """Return the nodes that have not announced that they take part in the lease."""
         peer_heartbeats = self.node.relay_service.peer_heartbeats
         feature = feature_name(lease_name)
         members = [member.label for member in self.node.settings.members]
@@ -184,8 +192,8 @@
     def on_leadership_gained(
         self, scheduler: Scheduler, items: list[Item], now: MonotonicTime
     ) -> None:
-        """This node has been elected. Intents that earlier leaders recorded, among `items`, are
-        open, and this leader finishes them."""
+        """Open the gate after this node was elected. `items` contains the intent records of
+        earlier leaders; this leader resumes the requests whose intents are still open."""
         gate = WriteAheadGate(scheduler.token, self.max_record_bytes)
         _resume_intents(gate, scheduler, items, now)
         for lease_name, intent_log in gate.intent_logs.items():
@@ -196,28 +204,28 @@
 
     @property
     def max_record_bytes(self) -> int:
-        """The largest record of intents."""
+        """The size limit of an intent record, in bytes."""
         return int(VALUE_FILL_RATIO * self.node.settings.value_bytes)
 
     def on_leadership_lost(self) -> None:
-        """Nothing more is recorded or sent in this leadership's name."""
+        """Stop recording and sending requests for the leadership that has ended."""
         self.cloud_requests.end_leadership()
 
     def on_write_fenced(self) -> None:
-        """A write was refused for a token of this node."""
+        """Handle a write that was rejected because a token of this node had been replaced."""
         self.candidate.on_write_fenced()
 
     # -- permissions
 
     def cleanup_permit(self, scheduler: Scheduler, now: MonotonicTime) -> CleanupPermit:
-        """Return whether the leader may delete the records of ended jobs now, and on which
-        condition."""
+        """Return whether the leader may delete the records of ended jobs now, and the conditions
+        that the transaction must include."""
         policy = self._policies.policy(LeaseName.CLEANUP, now)
         if policy.mode is DispatchMode.DIRECT:
             return CleanupPermit()
         if policy.mode is DispatchMode.BLOCKED or policy.token is None:
             return CleanupPermit(is_allowed=False)
-        # Asked at each turn of the loop: records are counted only outside the windows.
+        # This runs at each turn of the loop, so the backlog is counted only outside windows.
         max_backlog = self.features.cleanup_backlog
         if (
             not self.may_run_maintenance()
@@ -227,7 +235,7 @@
         return CleanupPermit(conditions=((holder_key(LeaseName.CLEANUP), Revision(policy.token)),))
 
     def may_run_maintenance(self) -> bool:
-        """Return whether work that waits for a maintenance window may be done now."""
+        """Return whether a maintenance window is open now, or none are configured."""
         return self.calendar is None or self.calendar.is_open(WallTime(time.time()))
 
     def owns_catalog(self) -> bool:
@@ -240,7 +248,7 @@
 def _resume_intents(
     gate: WriteAheadGate, scheduler: Scheduler, items: list[Item], now: MonotonicTime
 ) -> None:
-    """Load the stored intents into the gate, and have the scheduler ask for them again."""
+    """Load the stored intents into the gate, and queue their requests in the scheduler again."""
     scale_outs = gate.load(LeaseName.SCALE_OUT, find_intents_item(items, LeaseName.SCALE_OUT))
     for intent in scale_outs:
         if isinstance(intent, ScaleOutIntent):
--- a/src/eldercart/server/singleton/lease_watch.py
+++ b/src/eldercart/server/singleton/lease_watch.py
@@ -1,4 +1,4 @@
-"""Reads and watches the stored keys of named leases."""
+"""Reads and watches the keys of named leases in the state service."""
 
 from collections.abc import Callable
 from typing import Any
@@ -13,24 +13,24 @@
 
 reactor: Any = _reactor
 
-WATCH_TIMEOUT_S = 20.0  # how long one watch waits for changes
-WATCH_RETRY_S = 1.0  # before a watch that failed is opened again
+WATCH_TIMEOUT_S = 20.0  # how long one watch request stays open without changes
+WATCH_RETRY_S = 1.0  # delay before a failed watch is reopened
 
 
 class LeaseWatcher:
-    """Keeps one watch open, from the revision that the directory knows."""
+    """Keeps a lease directory up to date with one watch, which starts at its revision."""
 
     def __init__(
         self, store: StoreClient, directory: LeaseDirectory, on_changed: Callable[[], None]
     ) -> None:
-        """`on_changed` is called when a watch has reported changes to the directory."""
+        """`on_changed` is called after events of the watch have been applied to `directory`."""
         self._store = store
         self._directory = directory
         self._on_changed = on_changed
         self._is_watching = False
 
     def read_all(self, done: Callable[[bool], None]) -> None:
-        """Read all keys into the directory; `done(False)` if that failed."""
+        """Read all keys into the directory, then call `done` with whether the read succeeded."""
 
         def on_items(items: list[Item] | None, revision: Revision) -> None:
             if items is not None:
@@ -40,7 +40,7 @@
         self._store.range(LEASE_PREFIX, on_items)
 
     def ensure_watching(self) -> None:
-        """Open the watch, unless it is open."""
+        """Open the watch unless it is open already or waits to be reopened."""
         if self._is_watching:
             return
         self._is_watching = True
@@ -52,15 +52,15 @@
                 if events:
                     self._on_changed()
             elif status == 410:
-                # More has changed since that revision than the state service keeps.
+                # The state service no longer keeps the changes since that revision.
                 self.read_all(lambda ok: self._reopen_later(0.0 if ok else WATCH_RETRY_S))
             else:
                 self._reopen_later(WATCH_RETRY_S)
 
         self._store.watch(LEASE_PREFIX, self._directory.revision, WATCH_TIMEOUT_S, on_events)
 
-    def _reopen_later(self, pause_s: float) -> None:
-        reactor.callLater(pause_s, self._mark_closed)
+    def _reopen_later(self, delay_s: float) -> None:
+        reactor.callLater(delay_s, self._mark_closed)
 
     def _mark_closed(self) -> None:
         self._is_watching = False
--- a/src/eldercart/server/singleton/operator_requests.py
+++ b/src/eldercart/server/singleton/operator_requests.py
@@ -1,5 +1,5 @@
-"""Operators' requests about named leases, answered by any node from a fresh read of the state
-service."""
+"""Serves operators' HTTP requests about named leases. Any node can answer them, because each answer
+is based on a new read of the state service."""
 
 import time
 from collections.abc import Callable
@@ -32,8 +32,8 @@
 )
 from eldercart.wire.state import Item, Transaction
 
-PATH_PREFIX = b"duties"  # of the path of all these requests
-READS_PER_ANSWER = 2  # of the state service
+PATH_PREFIX = b"duties"  # the first segment of the path of these requests
+READS_PER_ANSWER = 2  # range reads of the state service for one status request
 UNKNOWN_LEASE = "no such duty"
 
 DirectoryCallback = Callable[[LeaseDirectory], None]
@@ -41,7 +41,11 @@
 
 
 class OperatorRequests:
-    """Routes the requests; each is answered once the state service has, and at once without it."""
+    """Routes and answers the requests.
+
+    A request is answered after the state service has answered, and is rejected at once while the
+    state service is unavailable.
+    """
 
     def __init__(
         self,
@@ -51,8 +55,8 @@
         status_context: Callable[[], StatusContext],
         nodes_without_support: Callable[[LeaseName], list[NodeId]],
     ) -> None:
-        """`status_context` tells what this node knows beside the stored keys,
-        `nodes_without_support` which nodes do not take part in a lease."""
+        """`status_context` returns what this node knows that is not in the stored keys;
+        `nodes_without_support` returns the nodes that have not announced support for a lease."""
         self._store = store
         self._clock = clock
         self._settings = settings
@@ -66,13 +70,13 @@
 
     def route(self, request: JsonRequest) -> None:
         """Pass the request to the handler for its path and method."""
-        parts = request.path.decode("latin-1").split("/")[2:]
-        if len(parts) > 2:
+        segments = request.path.decode("latin-1").split("/")[2:]
+        if len(segments) > 2:
             reject(request, 404, "no such path")
-        elif not parts:
+        elif not segments:
             self._serve_method(request, b"GET", self._list)
         else:
-            self._route_lease(request, parts[0], parts[1] if len(parts) > 1 else None)
+            self._route_lease(request, segments[0], segments[1] if len(segments) > 1 else None)
 
     def _route_lease(self, request: JsonRequest, name: str, command_name: str | None) -> None:
         lease_name = parse_lease_name(name)
@@ -97,7 +101,7 @@
             serve(request)
 
     def _is_store_available(self) -> bool:
-        """Return whether to ask the state service at all: no operator waits for a time-out."""
+        """Return whether to read the state service: no operator should wait for a timeout."""
         tokens = self._store.requests.available(self._clock(), RESERVE_POLLS)
         return self._store.failing_since is None and tokens >= READS_PER_ANSWER
 
@@ -120,7 +124,7 @@
         self._read_status(request, reply)
 
     def _read_status(self, request: JsonRequest, reply: StatusCallback) -> None:
-        """Read the directory and the intent records for `reply`."""
+        """Read the directory and the intent records, then call `reply` with both."""
 
         def on_directory(directory: LeaseDirectory) -> None:
             def on_intents(items: list[Item] | None, revision: Revision) -> None:
@@ -160,13 +164,13 @@
             reject(request, 422, f"no such node: {receiver}")
             return
 
-        def decide(entry: LeaseEntry) -> Transaction:
+        def build_transaction(entry: LeaseEntry) -> Transaction:
             record = HandOverRecord(receiver, _wall_time())
             nodes = self._nodes_without_support(lease_name)
             return operator_commands.hand_over(lease_name, entry, record, nodes)
 
         answer = {"duty": lease_name.value, "hand_over": {"to": receiver}}
-        self._execute(request, lease_name, decide, answer)
+        self._execute(request, lease_name, build_transaction, answer)
 
     def _pause(self, request: JsonRequest, lease_name: LeaseName) -> None:
         try:
@@ -175,31 +179,31 @@
             reject(request, 400, f"malformed: {err}")
             return
 
-        def decide(entry: LeaseEntry) -> Transaction:
+        def build_transaction(entry: LeaseEntry) -> Transaction:
             return operator_commands.pause(lease_name, entry, PauseRecord(_wall_time(), reason))
 
         answer = {"duty": lease_name.value, "paused": True}
-        self._execute(request, lease_name, decide, answer)
+        self._execute(request, lease_name, build_transaction, answer)
 
     def _resume(self, request: JsonRequest, lease_name: LeaseName) -> None:
-        def decide(entry: LeaseEntry) -> Transaction:
+        def build_transaction(entry: LeaseEntry) -> Transaction:
             return operator_commands.resume(lease_name, entry)
 
         answer = {"duty": lease_name.value, "paused": False}
-        self._execute(request, lease_name, decide, answer)
+        self._execute(request, lease_name, build_transaction, answer)
 
     def _execute(
         self,
         request: JsonRequest,
         lease_name: LeaseName,
-        decide: Callable[[LeaseEntry], Transaction],
+        build_transaction: Callable[[LeaseEntry], Transaction],
         answer: dict[str, Any],
     ) -> None:
-        """Commit what `decide` makes of a fresh read, and answer the request."""
+        """Read the lease's entry, commit the transaction built from it, and answer the request."""
 
         def on_directory(directory: LeaseDirectory) -> None:
             try:
-                transaction = decide(directory.entry(lease_name))
+                transaction = build_transaction(directory.entry(lease_name))
             except CommandConflictError as conflict:
                 reject(request, 409, str(conflict))
                 return
@@ -224,7 +228,7 @@
                 body = {"error": "another command came first: ask again"}
                 request.reply(409, orjson.dumps(body), RETRY_AFTER_S)
             else:
-                # It may have been carried out: the same command then tells what is in force.
+                # The command may have been applied; if so, repeating it reports a conflict.
                 self._reject_unavailable(request)
 
         self._store.commit(transaction, done)
