--- a/tests/duty_cluster.py
+++ b/tests/duty_cluster.py
@@ -1,7 +1,8 @@
-"""Several nodes as real processes on loopback, with named leases on.
+"""A cluster of node processes on loopback, with named leases enabled.
 
-The state service and the cloud know which node asks, let leases end, and keep the history that
-`duty_world.check_history` judges."""
+The simulated state service and cloud have separate ports for each node, so they know which node
+sends a request. They expire leases and record the history that `duty_history.check_history`
+checks."""
 
 import copy
 import itertools
@@ -35,11 +36,11 @@
 FEATURES = {
     "duties": {"on": ["rental", "return", "cleanup", "catalog"], "lease_s": 1.5, "refresh_s": 5}
 }
-CAPACITY = 12
+CAPACITY = 12  # machines in the cloud
 
 
 class StallPoint(Enum):
-    """Where a holder may stall, as seen from the service that it calls."""
+    """Points at which a lease holder is stopped, observed by the service that it calls."""
 
     BEFORE_WRITE = "its write of intents is on its way"
     BEFORE_SEND = "its intents are recorded, nothing is sent"
@@ -47,14 +48,15 @@
 
 
 class ObservedRegion(Region):
-    """One port of the state service and of the cloud for each node."""
+    """A simulated state service and cloud, each with one port for each node."""
 
     def __init__(self, node_ids: list[str]) -> None:
         self.history = History()
-        self.refused_nodes: set[str] = set()  # nodes that the state service refuses
-        self.is_cloud_failing = False  # the cloud is in trouble
+        self.refused_nodes: set[str] = set()  # nodes whose requests the state service rejects
+        self.is_cloud_failing = False  # the cloud answers changes with 503
         self.lease_ttl_s: dict[int, float] = {}
-        # Called when a node reaches a point; it may stop the node, and returns when all goes on.
+        # Called when a node reaches a stall point. It may stop the node; its request continues when
+        # the callback returns.
         self.on_stall_point: Callable[[str, StallPoint], None] = lambda node_id, point: None
         super().__init__()
         self.cloud = CloudSim(CAPACITY, random.Random(1))
@@ -90,14 +92,14 @@
     def observe_state(self, node_id: str, method: str, path: str, body: bytes) -> tuple[int, Any]:
         if node_id in self.refused_nodes:
             return 503, {}
-        records = path == "/txn" and b'"put":"intent/' in body
-        if records:
+        writes_intents = path == "/txn" and b'"put":"intent/' in body
+        if writes_intents:
             self.on_stall_point(node_id, StallPoint.BEFORE_WRITE)
         with self.lock:
             if path.startswith("/holds"):
                 return self._serve_lease(method, path, body)
             answer = self._observe_transaction(node_id, body) if path == "/txn" else None
-        if records and answer is not None and answer[0] == 200:
+        if writes_intents and answer is not None and answer[0] == 200:
             self.on_stall_point(node_id, StallPoint.BEFORE_SEND)
         return answer or self.state(method, path, body)
 
@@ -134,7 +136,7 @@
     def observe_cloud(self, node_id: str, method: str, path: str, body: bytes) -> tuple[int, Any]:
         if self.is_cloud_failing and method == "POST":
             return 503, {"error": "trouble"}
-        now = time.monotonic()  # as near to the sending as can be told here
+        now = time.monotonic()  # the closest observable time to the sending
         with self.lock:
             before, answered = set(self.cloud.machines), set(self.cloud.answers)
             status, value = self.rent(method, path, body)
@@ -148,14 +150,15 @@
             self.on_stall_point(node_id, StallPoint.BEFORE_ANSWER)
         return status, value
 
-    def open_intents(self, duty: str) -> list[str]:
-        """The names in the duty's record."""
+    def open_intents(self, lease_name: str) -> list[str]:
+        """Return the names of the intents in the record of the lease."""
         with self.lock:
-            entry = self.store.keys.get(f"intent/{duty}")
+            entry = self.store.keys.get(f"intent/{lease_name}")
         return [] if entry is None else [obj["n"] for obj in entry[0]["i"]]
 
     def run_workers(self, user_addresses: list[str]) -> None:
-        """Each worker reports to a node of its own choice, and to the next if that fails."""
+        """Run a thread for each worker. A worker sends its heartbeats to one node, and switches to
+        the next node when a heartbeat fails."""
         threads: dict[str, threading.Thread] = {}
         while not self.stop.is_set():
             with self.lock:
@@ -188,7 +191,7 @@
 
 
 class Cluster:
-    """Node processes; only these are ever stopped, continued or killed here."""
+    """The node processes and their region. It sends signals only to processes that it started."""
 
     def __init__(
         self,
@@ -209,12 +212,11 @@
             node_id: f"127.0.0.1:{ports[2 * i + 1]}" for i, node_id in enumerate(self.node_ids)
         }
         self.features: dict[str, Any] = dict.fromkeys(self.node_ids, features)
-        self.source_roots: dict[str, Path] = dict.fromkeys(
-            self.node_ids, ROOT
-        )  # of the sources that run
+        # The root of the source tree that each node runs.
+        self.source_roots: dict[str, Path] = dict.fromkeys(self.node_ids, ROOT)
         (folder / "operator.json").write_text(json.dumps(TUNING))
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
-        self.log_offsets: dict[str, int] = {}  # at which the present process's log begins
+        self.log_offsets: dict[str, int] = {}  # where the log of the current process begins
         self.submitted_jobs = 0
         for node_id in self.node_ids:
             self.start(node_id)
@@ -265,7 +267,7 @@
         self.processes[node_id] = subprocess.Popen(command, stderr=log)
 
     def _submit_jobs(self) -> None:
-        """Bursts of small jobs that nobody can foresee, so that machines come and go."""
+        """Submit unpredictable bursts of small jobs, so that machines are created and deleted."""
         addresses = itertools.cycle(self.user_addresses.values())
         rng = random.Random(7)
         for burst in itertools.count():
@@ -280,10 +282,10 @@
                 call(next(addresses), "POST", "/work", orjson.dumps(body), 2.0)
             time.sleep(rng.uniform(1.0, 4.0))
 
-    def holder(self, duty: str) -> str | None:
-        """By what the state service holds."""
+    def holder(self, lease_name: str) -> str | None:
+        """Return the node that holds the lease according to the state service."""
         with self.region.lock:
-            entry = self.region.store.keys.get(f"duty/holder/{duty}")
+            entry = self.region.store.keys.get(f"duty/holder/{lease_name}")
         return None if entry is None else entry[0]["node"]
 
     def leader(self) -> str | None:
@@ -292,8 +294,10 @@
         return None if entry is None else entry[0]["node"]
 
     def wait_for_holders(self) -> None:
-        """Until the leases are held, and each node has heard that all nodes take part."""
-        until(lambda: all(self.holder(duty) for duty in ("rental", "return", "catalog")))
+        """Wait until the leases are held and each node knows that all nodes take part."""
+        until(
+            lambda: all(self.holder(lease_name) for lease_name in ("rental", "return", "catalog"))
+        )
         for node_id in self.node_ids:
             until(lambda node_id=node_id: self._has_been_candidate(node_id))
             with self.region.lock:
@@ -301,8 +305,8 @@
                 self.region.history.support_confirmations.append(event)
 
     def _has_been_candidate(self, node_id: str) -> bool:
-        """Whether the node's present process has been a candidate for a lease, by its log: it is
-        one only once it has heard that all nodes take part."""
+        """Return whether the log of the node's current process shows that it was a candidate for a
+        lease. It becomes one only after all nodes have announced that they take part."""
         written = self._log_file(node_id).read_bytes()
         return b"state=candidate" in written[self.log_offsets[node_id] :]
 
@@ -316,10 +320,10 @@
         os.kill(self.processes[node_id].pid, signal.SIGCONT)
 
     def stall_at(self, point: StallPoint) -> str:
-        """Stops the leader when it reaches the point, until another node leads and holds its
-        named leases; returns who was stopped."""
+        """Stop the leader when it reaches the point. Continue it once another node leads and holds
+        its named leases, and return its name."""
         stopped: list[str] = []
-        over = threading.Event()
+        is_over = threading.Event()
 
         def stop_at_point(node_id: str, reached: StallPoint) -> None:
             if reached is not point or stopped or node_id != self.leader():
@@ -330,10 +334,10 @@
                 until(lambda: self.leader() not in (None, node_id))
                 until(lambda: self.holder("rental") == self.leader() == self.holder("return"))
             finally:
-                over.set()
+                is_over.set()
 
         self.region.on_stall_point = stop_at_point
-        until(over.is_set)
+        until(is_over.is_set)
         self.region.on_stall_point = lambda node_id, point: None
         self.thaw(stopped[0])
         return stopped[0]
@@ -343,7 +347,7 @@
         self.processes[node_id].wait()
 
     def replace(self, node_id: str, features: Any, root: Path = ROOT) -> None:
-        """Ends the node and starts it with other features, or another version."""
+        """Kill the node and restart it with other features or from another source tree."""
         self.kill(node_id)
         self.features[node_id], self.source_roots[node_id] = features, root
         self.start(node_id)
--- a/tests/duty_node.py
+++ b/tests/duty_node.py
@@ -1,4 +1,4 @@
-"""One node of a simulated world: the real state machines of election, candidate and gate."""
+"""A simulated node with the real state machines of election, lease candidate and gate."""
 
 from __future__ import annotations
 
@@ -47,8 +47,10 @@
 
 
 class SimulatedNode:
-    """One node: the real state machines of election, membership and gate, and a clock of its own.
-    What it decides to send leaves at its next step, unless it stalls in between."""
+    """A node of the simulated cluster, with a clock of its own.
+
+    Requests are sent one step after the state machines decide on them, so that a node can freeze
+    between decision and sending."""
 
     def __init__(self, world: World, node_id: NodeId, node_ids: list[NodeId]) -> None:
         self.world = world
@@ -57,9 +59,9 @@
         self.incarnation_number = 0
         self.clock_offset_s = world.rng.uniform(0.0, 1000.0)
         self.clock_rate = 1.0
-        self.frozen_until = 0.0
-        self.is_clock_stopped_while_frozen = False  # while it is frozen
-        self.issues_requests = True  # for new rentals and returns
+        self.frozen_until = 0.0  # simulated time in seconds
+        self.is_clock_stopped_while_frozen = False
+        self.issues_requests = True  # new requests to create or delete machines
         self.lease_ttl_s: dict[int, float] = {}
         self._clock = self.clock_offset_s
         self._last_clock_read_at = world.now
@@ -112,8 +114,8 @@
     def step(self) -> None:
         if self.is_frozen:
             return
-        # What was decided before a stall leaves first: between the check and this, anything may
-        # have happened.
+        # Requests decided on before a freeze are sent first, although the state of the cluster may
+        # have changed since the decision.
         outbox, self.outbox = self.outbox, []
         for send in outbox:
             send()
@@ -159,7 +161,7 @@
         self.election.on_action_failed(action, self.clock())
 
     def _drop_leadership(self) -> None:
-        """The leadership is over, and with it what was known in its name."""
+        """Discard the state of the leadership that has ended."""
         self.gate, self.leader_token, self.pending_calls = None, NO_FENCING_TOKEN, []
         self.marked_for_deletion, self.known_machines = set(), set()
 
@@ -202,11 +204,11 @@
     def _on_elected(self) -> None:
         epoch = self.election.token
 
-        def got(status: int | None, value: Any) -> None:
+        def on_intents_read(status: int | None, value: Any) -> None:
             if self.election.role is not Role.LEADER or self.election.token != epoch:
                 return
             if status != 200:
-                self._send_later(lambda: self.world.read(self, wire.INTENT_PREFIX, got))
+                self._send_later(lambda: self.world.read(self, wire.INTENT_PREFIX, on_intents_read))
                 return
             gate = WriteAheadGate(epoch, 4000)
             for lease_name in gate.intent_logs:
@@ -220,7 +222,7 @@
                         self.pending_calls.append(DeleteMachines((MachineId(intent.name),)))
             self.gate, self.leader_token = gate, epoch
 
-        self._send_later(lambda: self.world.read(self, wire.INTENT_PREFIX, got))
+        self._send_later(lambda: self.world.read(self, wire.INTENT_PREFIX, on_intents_read))
 
     # -- named leases
 
@@ -242,7 +244,7 @@
 
     def _step_candidate(self, now: MonotonicTime) -> None:
         candidate, world = self.candidate, self.world
-        if world.now >= self.next_read_at:  # stands for the watch
+        if world.now >= self.next_read_at:  # periodic reads replace the watch
             self.next_read_at = world.now + 0.5
             self._send_later(lambda: world.read(self, wire.LEASE_PREFIX, self._on_watch_read))
         action = candidate.next_action(self._cluster_view(now))
@@ -266,7 +268,7 @@
         self._hand_over_leadership(now)
 
     def _hand_over_leadership(self, now: MonotonicTime) -> None:
-        """As the adapter does."""
+        """Resign or defer candidacy, as `LeadershipHandOver` does in the server."""
         election, candidate = self.election, self.candidate
         for lease_name in (LeaseName.SCALE_OUT, LeaseName.SCALE_IN, LeaseName.CLEANUP):
             if not candidate.is_reserved_for_other_node(lease_name, now):
@@ -335,8 +337,8 @@
                 if token
                 else DispatchPolicy(DispatchMode.BLOCKED, held)
             )
-        waiting, self.pending_calls = self.pending_calls, []
-        for call in waiting:
+        calls, self.pending_calls = self.pending_calls, []
+        for call in calls:
             lease_name = LeaseName.SCALE_OUT if isinstance(call, ScaleOut) else LeaseName.SCALE_IN
             if policies[lease_name].mode is DispatchMode.WRITE_AHEAD and gate.has_capacity(
                 lease_name
@@ -355,9 +357,8 @@
 
     def _issue_random_request(self) -> None:
         rng, epoch = self.world.rng, self.leader_token
-        reporting = (
-            self.known_machines & self.world.machines
-        )  # nothing is placed where nobody reports
+        # Nothing is placed on machines that send no heartbeats.
+        reporting = self.known_machines & self.world.machines
         free = sorted(reporting - self.marked_for_deletion)
         if free and rng.random() < 0.5:
             name = rng.choice(free)
@@ -376,7 +377,7 @@
             self.pending_calls.append(ScaleOut(ScaleOutRequest(name, offer, rng.randint(1, 3))))
 
     def _send(self, gate: WriteAheadGate, call: ScaleOut | DeleteMachines) -> None:
-        def answered(status: int | None, value: Any) -> None:
+        def handle_answer(status: int | None, value: Any) -> None:
             final = status == 200 or value == b"no capacity"
             gate.on_answer(call, self.clock(), is_final=final)
             if gate is not self.gate:
@@ -386,26 +387,26 @@
             elif isinstance(call, ScaleOut) and status == 200:
                 self.known_machines |= set(value)
 
-        self._send_later(lambda: self.world.call_cloud(self, call, answered))
+        self._send_later(lambda: self.world.call_cloud(self, call, handle_answer))
 
     def _write(self, gate: WriteAheadGate, write: IntentWrite) -> None:
-        def answered(status: int | None, value: Any) -> None:
+        def handle_answer(status: int | None, value: Any) -> None:
             outcome = OUTCOMES.get(status or 0, WriteOutcome.INDETERMINATE)
             revision = Revision(value["ledgerRev"] if status == 200 else 0)
             if status == 409 and wire.holder_key(write.lease_name) in value["failed"]:
                 self.candidate.on_write_fenced()
             gate.on_write_result(write, outcome, revision, self.clock())
 
-        self._send_later(lambda: self.world.commit(self, write.transaction, answered))
+        self._send_later(lambda: self.world.commit(self, write.transaction, handle_answer))
 
     def _refresh(self, gate: WriteAheadGate, lease_name: LeaseName) -> None:
-        def answered(status: int | None, value: Any) -> None:
+        def handle_answer(status: int | None, value: Any) -> None:
             if status == 200:
                 gate.on_record_refreshed(lease_name, wire.find_intents_item(value[0], lease_name))
             else:
                 gate.on_refresh_failed(lease_name)
 
-        self._send_later(lambda: self.world.read(self, wire.intents_key(lease_name), answered))
+        self._send_later(lambda: self.world.read(self, wire.intents_key(lease_name), handle_answer))
 
     def _refresh_catalog(self, now: MonotonicTime) -> None:
         token = self.candidate.usable_token(LeaseName.CATALOG, now)
@@ -416,9 +417,9 @@
             {wire.holder_key(LeaseName.CATALOG): Revision(token)}, [Put("catalog", self.node_id)]
         )
 
-        def answered(status: int | None, value: Any) -> None:
+        def handle_answer(status: int | None, value: Any) -> None:
             self.is_catalog_busy = False
             if status == 409:
                 self.candidate.on_write_fenced()
 
-        self._send_later(lambda: self.world.commit(self, transaction, answered))
+        self._send_later(lambda: self.world.commit(self, transaction, handle_answer))
--- a/tests/test_duty_loopback.py
+++ b/tests/test_duty_loopback.py
@@ -1,7 +1,8 @@
-"""Real processes on loopback that are stopped and continued, with clocks that lie: nothing is
-accepted from a holder that was replaced.
+"""Tests of several node processes on loopback, with named leases enabled.
 
-No verdict hangs on how long anything takes: each wait ends when its condition holds."""
+Processes are stopped and continued, and their clocks are wrong: neither the state service nor the
+cloud may accept anything from a lease holder that was replaced. No assertion depends on how long
+a step takes; each wait ends when its condition holds."""
 
 import copy
 import shutil
@@ -17,7 +18,7 @@
 from region import ROOT, call, until
 from versions import history, record
 
-ROUNDS = 2
+ROUNDS = 2  # stalls at each point
 
 
 @pytest.fixture
@@ -27,9 +28,9 @@
     cluster.close()
 
 
-def test_a_holder_that_stalls_anywhere_does_nothing_more(cluster: Cluster) -> None:
-    """Its steady clock stands still meanwhile, so it still believes in its lease; the times of day
-    of the nodes are hours apart."""
+def test_stalled_holder_has_no_effect_after_its_replacement(cluster: Cluster) -> None:
+    """The holder's monotonic clock does not advance while it is stopped, so it still acts as the
+    holder afterwards. The wall clocks of the nodes differ by hours."""
     region = cluster.region
     cluster.wait_for_holders()
     for _ in range(ROUNDS):
@@ -45,30 +46,32 @@
         assert region.history.rejected >= ROUNDS
 
 
-def show(cluster: Cluster, label: str, duty: str) -> dict[str, object]:
-    body = call(cluster.user_addresses[label], "GET", f"/duties/{duty}")[1]
+def show(cluster: Cluster, node_id: str, lease_name: str) -> dict[str, object]:
+    body = call(cluster.user_addresses[node_id], "GET", f"/duties/{lease_name}")[1]
     answer: dict[str, object] = orjson.loads(body) if body else {}
     return answer
 
 
-def test_commands_against_any_node(cluster: Cluster, capsys: pytest.CaptureFixture[str]) -> None:
+def test_operator_commands_work_on_any_node(
+    cluster: Cluster, capsys: pytest.CaptureFixture[str]
+) -> None:
     region = cluster.region
     cluster.wait_for_holders()
 
-    servers = [cluster.user_addresses["node-0"]]  # the last one is asked
+    servers = [cluster.user_addresses["node-0"]]  # `run` sends its command to the last one
 
     def run(*args: str) -> tuple[int, str, str]:
         status = main(["duties", args[0], "--server", servers[-1], "--timeout", "1", *args[1:]])
         out = capsys.readouterr()
         return status, out.out, out.err
 
-    for front in cluster.user_addresses.values():
-        servers.append(front)
+    for user_address in cluster.user_addresses.values():
+        servers.append(user_address)
         until(lambda: run("list")[0] == 0)
         lines = run("list")[1].splitlines()
         assert [line.split()[0] for line in lines] == ["rental", "return", "cleanup", "catalog"]
         until(lambda: f"{cluster.holder('rental')} token=" in run("show", "rental")[1])
-    # A pause is durable, and known everywhere.
+    # A pause is durable, and every node reports it.
     until(lambda: run("pause", "return", "--reason", "audit")[0] == 0)
     status, _, error = run("pause", "return")
     assert status == 1 and "paused already: audit" in error
@@ -78,26 +81,27 @@
     assert run("resume", "return")[0] == 0
     assert "is not paused" in run("resume", "return")[2]
     until(lambda: cluster.holder("return") is not None)
-    # A duty that any node can hold is handed over alone; one of the leader takes it along.
-    to = next(label for label in cluster.node_ids if label != cluster.holder("catalog"))
-    until(lambda: run("hand-over", "catalog", "--to", to)[0] == 0)
-    until(lambda: cluster.holder("catalog") == to)
-    to = next(label for label in cluster.node_ids if label != cluster.leader())
-    until(lambda: run("hand-over", "rental", "--to", to)[0] == 0)
-    until(lambda: cluster.leader() == cluster.holder("rental") == to)
-    # What can't be done is said in one line.
+    # A lease that any node can hold is handed over alone; a lease that only the leader can hold is
+    # handed over together with the leadership.
+    receiver = next(node_id for node_id in cluster.node_ids if node_id != cluster.holder("catalog"))
+    until(lambda: run("hand-over", "catalog", "--to", receiver)[0] == 0)
+    until(lambda: cluster.holder("catalog") == receiver)
+    receiver = next(node_id for node_id in cluster.node_ids if node_id != cluster.leader())
+    until(lambda: run("hand-over", "rental", "--to", receiver)[0] == 0)
+    until(lambda: cluster.leader() == cluster.holder("rental") == receiver)
+    # A rejected command prints its reason in one line.
     for command, expected in (
         (("show", "cooking"), "no such duty"),
         (("hand-over", "rental", "--to", "node-9"), "no such node"),
-        (("hand-over", "rental", "--to", to), "already"),
+        (("hand-over", "rental", "--to", receiver), "already"),
     ):
         status, out, error = run(*command)
         assert status == 1 and expected in error and out == "", command
         assert len(error.splitlines()) == 1
-    # Without the state service: at once, and to be tried again.
-    label = cluster.node_ids[0]
-    servers.append(cluster.user_addresses[label])
-    region.refused_nodes.add(label)
+    # Without the state service, a command is rejected at once and may be retried.
+    node_id = cluster.node_ids[0]
+    servers.append(cluster.user_addresses[node_id])
+    region.refused_nodes.add(node_id)
     until(lambda: call(servers[-1], "GET", "/duties")[0] == 503)
     status, _, error = run("list")
     assert status == 3 and "the state service does not answer" in error
@@ -106,33 +110,34 @@
         check_history(region.history, "node")
 
 
-def test_the_switch_is_flipped_node_by_node(tmp_path: Path) -> None:
-    """There and back: while a node does not take part, the leader does everything without tokens;
-    what was recorded before is finished."""
+def test_feature_is_enabled_and_disabled_node_by_node(tmp_path: Path) -> None:
+    """The feature is enabled on all nodes and then disabled on one. While any node does not take
+    part, the leader works without lease tokens, and finishes the recorded intents."""
     cluster = Cluster(tmp_path, features=None)
     try:
         effects = cluster.effects()
         until(lambda: cluster.effects() > effects)
         assert not any(key.startswith(("duty/", "intent/")) for key in cluster.region.store.keys)
         first = cluster.user_addresses["node-0"]
-        until(lambda: call(first, "GET", "/healthz")[0] == 200)  # another may have led before
+        # The effects may come from another leader, before node-0 is ready.
+        until(lambda: call(first, "GET", "/healthz")[0] == 200)
         assert call(first, "GET", "/duties")[0] == 404
         assert main(["duties", "list", "--server", cluster.user_addresses["node-0"]]) == 1
-        for label in cluster.node_ids:
-            assert not cluster.holder("rental"), "not before every node takes part"
-            cluster.replace(label, FEATURES)
+        for node_id in cluster.node_ids:
+            assert not cluster.holder("rental"), "no holder before every node takes part"
+            cluster.replace(node_id, FEATURES)
         cluster.wait_for_holders()
         until(lambda: any(k.startswith("intent/") for k in cluster.region.store.keys))
-        # Back: the first node without the feature ends the duties.
-        follower = next(label for label in cluster.node_ids if label != cluster.leader())
+        # Without the feature on one node, no lease is held any more.
+        follower = next(node_id for node_id in cluster.node_ids if node_id != cluster.leader())
         cluster.replace(follower, None)
         until(lambda: not any(cluster.holder(d) for d in ("rental", "return", "catalog")))
         effects = cluster.effects()
         until(lambda: cluster.effects() > effects)
-        # And forth again, with one duty only.
-        some = copy.deepcopy(FEATURES)
-        some["duties"]["on"] = ["return"]
-        cluster.replace(follower, some)
+        # That node then takes part in one lease only.
+        one_lease = copy.deepcopy(FEATURES)
+        one_lease["duties"]["on"] = ["return"]
+        cluster.replace(follower, one_lease)
         until(lambda: cluster.holder("return") is not None)
         assert cluster.holder("rental") is None and cluster.holder("catalog") is None
     finally:
@@ -140,8 +145,9 @@
 
 
 @pytest.mark.parametrize("short", record.VERSIONS)
-def test_an_earlier_version_stands_beside(short: str, tmp_path: Path) -> None:
-    """It knows no duties, and works on while they come into force and end around it."""
+def test_earlier_version_runs_beside_nodes_with_named_leases(short: str, tmp_path: Path) -> None:
+    """The earlier version does not support named leases. While one node runs it, no lease is held,
+    and the cluster still creates and deletes machines."""
     earlier = history.tree(short)
     shutil.copy(ROOT / "run.py", earlier)
     (earlier / "target").mkdir(exist_ok=True)
@@ -150,21 +156,22 @@
     cluster = Cluster(tmp_path)
     try:
         cluster.wait_for_holders()
-        for label in (cluster.leader() or "", cluster.node_ids[0]):
-            cluster.replace(label, None, earlier)
+        for node_id in (cluster.leader() or "", cluster.node_ids[0]):
+            cluster.replace(node_id, None, earlier)
             until(lambda: not any(cluster.holder(d) for d in ("rental", "return", "catalog")))
             for _ in range(3):
                 effects = cluster.effects()
                 until(lambda before=effects: cluster.effects() > before)
-            assert call(cluster.user_addresses[label], "GET", "/duties")[0] == 404
-            cluster.replace(label, FEATURES)
+            assert call(cluster.user_addresses[node_id], "GET", "/duties")[0] == 404
+            cluster.replace(node_id, FEATURES)
             cluster.wait_for_holders()
     finally:
         cluster.close()
 
 
 def direct_rental() -> History:
-    """A leader that has not heard all nodes since its start rents without an intent."""
+    """Return a valid history: a leader that does not know yet whether all nodes take part rents
+    without an intent."""
     return History(
         applied=[AppliedChange(2.0, "node-0", 1, [{"put": "lead", "v": {"node": "node-0"}}])],
         effects=[CloudEffect(5.0, "node-0", "r-1", "rent")],
@@ -176,7 +183,7 @@
     return AppliedChange(at, sender, int(at), [write])
 
 
-def test_the_checker_allows_what_is_done_before_all_nodes_are_heard() -> None:
+def test_checker_allows_direct_rental_before_all_nodes_announced_support() -> None:
     check_history(direct_rental(), "node")
     later = direct_rental()
     later.applied.append(change(6.0, "node-0", put="duty/holder/rental", v={"node": "node-0"}))
@@ -188,56 +195,62 @@
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "break_history",
     [
-        pytest.param(lambda h: h.starts.clear(), id="it knows all nodes from the first"),
+        pytest.param(
+            lambda h: h.starts.clear(), id="the node knows from the start that all nodes take part"
+        ),
         pytest.param(
             lambda h: h.support_confirmations.append(NodeEvent(4.0, "node-0")),
-            id="it has heard them",
+            id="all nodes have announced support",
         ),
         pytest.param(
             lambda h: h.applied.append(
                 change(4.0, "node-0", put="duty/holder/catalog", v={"node": "node-0"})
             ),
-            id="it has asked for a duty",
+            id="the node has acquired a named lease",
         ),
-        pytest.param(lambda h: h.applied.clear(), id="it does not lead"),
+        pytest.param(lambda h: h.applied.clear(), id="the node does not lead"),
         pytest.param(
-            lambda h: h.applied.append(change(4.0, "", delete="lead")), id="its lease has ended"
+            lambda h: h.applied.append(change(4.0, "", delete="lead")),
+            id="the leader lease has ended",
         ),
         pytest.param(
             lambda h: h.applied.append(change(4.0, "node-1", put="lead", v={"node": "node-1"})),
             id="another node leads",
         ),
         pytest.param(
-            lambda h: h.starts.append(NodeEvent(3.0, "node-0")), id="it led before its restart"
+            lambda h: h.starts.append(NodeEvent(3.0, "node-0")),
+            id="the node led before its restart",
         ),
     ],
 )
-def test_the_checker_finds_a_rental_without_an_intent(spoil: Callable[[History], None]) -> None:
+def test_checker_detects_rental_without_an_intent(break_history: Callable[[History], None]) -> None:
     history = direct_rental()
-    spoil(history)
+    break_history(history)
     with pytest.raises(AssertionError, match="without an intent"):
         check_history(history, "node")
 
 
-def test_all_nodes_die_with_intents_open(cluster: Cluster) -> None:
-    """What is recorded is finished by whoever leads next, under the same names."""
+def test_open_intents_are_finished_after_all_nodes_were_killed(cluster: Cluster) -> None:
+    """The next leader finishes the recorded intents under the same names."""
     region = cluster.region
     cluster.wait_for_holders()
     with region.lock:
         region.is_cloud_failing = True
-    until(lambda: any(region.open_intents(duty) for duty in ("rental", "return")))
-    names = {name for duty in ("rental", "return") for name in region.open_intents(duty)}
-    for label in cluster.node_ids:
-        cluster.kill(label)
+    until(lambda: any(region.open_intents(lease_name) for lease_name in ("rental", "return")))
+    names = {
+        name for lease_name in ("rental", "return") for name in region.open_intents(lease_name)
+    }
+    for node_id in cluster.node_ids:
+        cluster.kill(node_id)
     with region.lock:
         region.is_cloud_failing = False
-    for label in cluster.node_ids:
-        cluster.start(label)
+    for node_id in cluster.node_ids:
+        cluster.start(node_id)
     cluster.wait_for_holders()
     until(lambda: not names & set(region.open_intents("rental") + region.open_intents("return")))
     with region.lock:
         done = {effect.name for effect in region.history.effects}
-        assert names <= done, "each took effect"
+        assert names <= done, "each intent must have taken effect"
         check_history(region.history, "node")
--- a/tests/test_duty_service.py
+++ b/tests/test_duty_service.py
@@ -1,5 +1,5 @@
-"""The named leases of one node in process: what goes out to the state service and the cloud, with
-the feature on and off."""
+"""Tests the requests that one node with named leases sends to the state service and the cloud, with
+the feature enabled and disabled. The node runs in process, against stubs of both services."""
 
 import subprocess
 import sys
@@ -31,18 +31,18 @@
 
 
 class StateServiceStub:
-    """Stands for the HTTP client of the state service; answers at once."""
+    """Replaces the HTTP client of the state service; answers immediately."""
 
     def __init__(self, store: StoreSim) -> None:
         self.store = store
-        self.status: int | None = 200  # what everything is answered with; 200: as it should be
+        self.status: int | None = 200  # status of every answer; 200: requests are served
         self.paths: list[str] = []
         self.operations: list[list[dict[str, Any]]] = []
         self.conditions: list[list[str]] = []
 
     def request(self, method: bytes, path: str, body: Any, timeout: float, answer: Any) -> None:
         if path.startswith("/follow"):
-            return  # a watch that tells nothing
+            return  # a watch without events
         self.paths.append(f"{method.decode()} {path}")
         if self.status != 200:
             answer(self.status, b"{}")
@@ -72,12 +72,12 @@
 
 
 class CloudStub:
-    """Stands for the HTTP client of the cloud; keeps what is asked, and answers when told to."""
+    """Replaces the HTTP client of the cloud; records requests, and answers unless `is_silent`."""
 
     def __init__(self) -> None:
         self.requests: list[tuple[str, Any]] = []
         self.catalog: Any = CATALOG
-        self.is_silent = False  # keeps what is asked, and never answers it
+        self.is_silent = False  # records requests without answering them
 
     def request(self, method: bytes, path: str, body: Any, timeout: float, answer: Any) -> None:
         if path == "/catalog":
@@ -93,12 +93,17 @@
 
 
 class ServiceWorld:
-    """A node that leads by itself, whose clock is turned by hand."""
+    """A node whose clock the test advances. It has no peers, so it becomes leader alone."""
 
-    def __init__(self, on: list[str] | None, **duties: Any) -> None:
+    def __init__(self, enabled_leases: list[str] | None, **duties: Any) -> None:
+        """`duties` are further settings of the feature; `enabled_leases` None: it is disabled."""
         self.clock = Clock()
         settings = parse_platform(PLATFORM)
-        features = None if on is None else parse_features({"duties": {"on": on} | duties})
+        features = (
+            None
+            if enabled_leases is None
+            else parse_features({"duties": {"on": enabled_leases} | duties})
+        )
         self.node = ControllerNode(settings, load_tuning(), features, self.clock)
         self.store = StoreSim()
         self.state_service = StateServiceStub(self.store)
@@ -125,11 +130,11 @@
     def scheduler(self) -> Any:
         return self.node.leader_service.scheduler
 
-    def holders(self) -> set[str]:
+    def held_leases(self) -> set[str]:
         return {key.rpartition("/")[2] for key in self.store.keys if key.startswith("duty/holder/")}
 
     def add_machine_to_delete(self, name: str) -> Any:
-        """One that is up, and whose deletion is asked for."""
+        """Add a machine that is up and whose deletion has been requested."""
         kind = cloud.parse_catalog(CATALOG)["small"]
         now = self.clock()
         machine = self.scheduler.inventory.add(
@@ -142,19 +147,18 @@
         return [n for path, body in self.cloud.requests if "delete" in path for n in body["wagons"]]
 
 
-def test_off_is_as_before() -> None:
-    """Neither a read nor a write nor a call more, and nothing else is announced."""
-    place = ServiceWorld(None)
-    place.become_leader()
-    place.add_machine_to_delete("n-000007")
-    place.run(5.0)
-    assert place.deleted_machines() == ["n-000007"]
-    assert not [path for path in place.state_service.paths if "duty" in path or "intent" in path]
-    assert not [key for key in place.store.keys if key.startswith(("duty/", "intent/"))]
-    assert place.node.supported_features == ("recut",)
+def test_disabled_feature_adds_no_requests_and_announces_no_leases() -> None:
+    world = ServiceWorld(None)
+    world.become_leader()
+    world.add_machine_to_delete("n-000007")
+    world.run(5.0)
+    assert world.deleted_machines() == ["n-000007"]
+    assert not [path for path in world.state_service.paths if "duty" in path or "intent" in path]
+    assert not [key for key in world.store.keys if key.startswith(("duty/", "intent/"))]
+    assert world.node.supported_features == ("recut",)
 
 
-def test_off_imports_nothing_more() -> None:
+def test_disabled_feature_imports_no_named_lease_modules() -> None:
     code = """
 import sys
 sys.argv = ["run.py"]
@@ -162,11 +166,11 @@
 from eldercart.cli import main, serve
 print(*sorted(sys.modules))
 """
-    found = subprocess.run(
+    imported = subprocess.run(
         [sys.executable, "-c", code], check=True, cwd=ROOT, capture_output=True, text=True
     ).stdout.split()
-    assert "eldercart.server.controller_node" in found
-    more = (
+    assert "eldercart.server.controller_node" in imported
+    feature_modules = (
         "eldercart.singleton",
         "eldercart.server.singleton",
         "eldercart.wire.named_leases",
@@ -176,153 +180,155 @@
         "fastjsonschema",
         "eldercart.settings.features",
     )
-    assert [name for name in found if name.startswith(more)] == []
+    assert [name for name in imported if name.startswith(feature_modules)] == []
 
 
-def test_a_return_is_recorded_before_it_is_asked_for() -> None:
-    place = ServiceWorld(ALL_LEASES)
-    place.become_leader()
-    assert place.holders() == set(ALL_LEASES)
-    place.add_machine_to_delete("n-000007")
-    place.state_service.operations.clear()
-    place.run(0.5)
+def test_deletion_is_recorded_before_it_is_requested() -> None:
+    world = ServiceWorld(ALL_LEASES)
+    world.become_leader()
+    assert world.held_leases() == set(ALL_LEASES)
+    world.add_machine_to_delete("n-000007")
+    world.state_service.operations.clear()
+    world.run(0.5)
     recorded = [
-        w for ws in place.state_service.operations for w in ws if w.get("put") == "intent/return"
+        w for ws in world.state_service.operations for w in ws if w.get("put") == "intent/return"
     ]
     assert [obj["n"] for obj in recorded[0]["v"]["i"]] == ["n-000007"]
-    assert place.deleted_machines() == ["n-000007"]
-    place.run(COMPACTION_DELAY_S + 2.0)
-    assert place.store.keys["intent/return"][0] == {"i": []}, "finished intents are dropped"
+    assert world.deleted_machines() == ["n-000007"]
+    world.run(COMPACTION_DELAY_S + 2.0)
+    assert world.store.keys["intent/return"][0] == {"i": []}, "finished intents are dropped"
 
 
 @pytest.mark.parametrize("lease_name", ["return", "rental"])
-def test_nothing_is_asked_for_under_a_token_that_was_replaced(lease_name: str) -> None:
-    """The node still believes that it holds the lease: no watch has told it otherwise."""
-    place = ServiceWorld(ALL_LEASES)
-    place.become_leader()
+def test_request_is_not_sent_under_a_replaced_token(lease_name: str) -> None:
+    """No watch event has reported the replacement, so the node still acts as the lease holder."""
+    world = ServiceWorld(ALL_LEASES)
+    world.become_leader()
     key = holder_key(LeaseName(lease_name))
     taken = Transaction({}, [Put(key, {"node": "node-9", "life": "z", "t": 1.0})])
-    assert place.store.txn(taken.body())[0] == 200
-    place.add_machine_to_delete("n-000007")
+    assert world.store.txn(taken.body())[0] == 200
+    world.add_machine_to_delete("n-000007")
     if lease_name == "rental":
-        place.scheduler.cluster_state.autoscaler.total_forecast.expected_cpus = 100.0
-        place.scheduler.cloud_requests.autoscale(place.clock())
-    for _ in range(3):  # written, refused or sent
-        place.node.leader_service.process_events()
-    paths = [path for path, _ in place.cloud.requests]
+        world.scheduler.cluster_state.autoscaler.total_forecast.expected_cpus = 100.0
+        world.scheduler.cloud_requests.autoscale(world.clock())
+    for _ in range(3):  # the intents are written, the write is answered, the request is sent
+        world.node.leader_service.process_events()
+    paths = [path for path, _ in world.cloud.requests]
     assert ("/machines/delete" in paths) is (lease_name == "rental")
     assert "/machines" not in paths
 
 
-def test_intents_are_written_although_placements_take_what_they_can() -> None:
-    """Placements leave nothing above their own reserve, at each turn of the loop."""
-    place = ServiceWorld(ALL_LEASES)
-    place.become_leader()
-    writes = place.node.store.writes
-    take_all = place.node.leader_service._store_requests.process_events
+def test_intents_are_written_while_placements_use_up_their_rate_limit() -> None:
+    """Placements take all write tokens above their own reserve, at each turn of the loop."""
+    world = ServiceWorld(ALL_LEASES)
+    world.become_leader()
+    writes = world.node.store.writes
+    original_process_events = world.node.leader_service._store_requests.process_events
 
-    def place_all(controller: Any, now: MonotonicTime) -> None:
-        take_all(controller, now)
+    def process_events_and_use_up_writes(controller: Any, now: MonotonicTime) -> None:
+        original_process_events(controller, now)
         writes.force_take(now, max(0, writes.available(now, RESERVE_PLACEMENTS)))
 
-    place.node.leader_service._store_requests.process_events = place_all  # type: ignore[method-assign]
-    place.add_machine_to_delete("n-000007")
+    world.node.leader_service._store_requests.process_events = process_events_and_use_up_writes  # type: ignore[method-assign]
+    world.add_machine_to_delete("n-000007")
     for _ in range(20):
-        place.clock.now += 0.02
-        place.node.leader_service.process_events()
-    assert place.deleted_machines() == ["n-000007"]
+        world.clock.now += 0.02
+        world.node.leader_service.process_events()
+    assert world.deleted_machines() == ["n-000007"]
 
 
-def add_overdue_task(place: ServiceWorld, name: str) -> None:
-    """A cancelled task that must be gone by now may be on that machine."""
-    machine = place.add_machine_to_delete(name)
+def add_overdue_task(world: ServiceWorld, name: str) -> None:
+    """Add a machine with a cancelled task that should have ended by now."""
+    machine = world.add_machine_to_delete(name)
     spec = users.parse_submission(submission("wk-000001"))
-    place.scheduler.add_job(spec, 50, WallTime(0.0), place.clock())
-    job = place.scheduler.jobs.jobs[spec.id]
+    world.scheduler.add_job(spec, 50, WallTime(0.0), world.clock())
+    job = world.scheduler.jobs.jobs[spec.id]
     placement = Placement(
         task_key(job.id, 0), job, 0, Attempt(1), machine.id, phase=PlacementPhase.RUNNING
     )
     machine.placements[placement.key] = placement
-    job.is_cancelled, job.kill_deadline_at = True, MonotonicTime(place.clock() - 1.0)
+    job.is_cancelled, job.kill_deadline_at = True, MonotonicTime(world.clock() - 1.0)
 
 
 @pytest.mark.parametrize("trouble", ["the state service is out", "the duty is paused"])
-def test_a_machine_with_an_overdue_cancelled_task_is_deleted_all_the_same(trouble: str) -> None:
-    """`cancel_s` holds whatever becomes of the lease; other returns wait."""
-    place = ServiceWorld(ALL_LEASES)
-    place.become_leader()
+def test_machine_with_overdue_cancelled_task_is_deleted_while_scale_in_is_blocked(
+    trouble: str,
+) -> None:
+    """The limit `cancel_s` holds even if the lease is not usable; other deletions wait."""
+    world = ServiceWorld(ALL_LEASES)
+    world.become_leader()
     if trouble == "the duty is paused":
         pause = Transaction({}, [Put("duty/pause/return", {"t": 1.0, "why": ""})])
-        assert place.store.txn(pause.body())[0] == 200
-        place.node.singleton_service.candidate.on_write_fenced()  # type: ignore[union-attr]
-        place.run(1.0)
-        assert "return" not in place.holders()
+        assert world.store.txn(pause.body())[0] == 200
+        world.node.singleton_service.candidate.on_write_fenced()  # type: ignore[union-attr]
+        world.run(1.0)
+        assert "return" not in world.held_leases()
     else:
-        place.state_service.status = 503
-        place.run(2.0)
-    place.cloud.is_silent = True
-    place.add_machine_to_delete("n-000007")
-    add_overdue_task(place, "n-000008")
-    assert place.node.singleton_service is not None
-    place.node.singleton_service.cloud_requests.process_events(
-        place.scheduler, place.node.leader_service._cloud_requests, place.clock()
+        world.state_service.status = 503
+        world.run(2.0)
+    world.cloud.is_silent = True
+    world.add_machine_to_delete("n-000007")
+    add_overdue_task(world, "n-000008")
+    assert world.node.singleton_service is not None
+    world.node.singleton_service.cloud_requests.process_events(
+        world.scheduler, world.node.leader_service._cloud_requests, world.clock()
     )
-    assert place.scheduler.cloud_requests.deletion_admission is RequestAdmission.OVERDUE_ONLY
-    place.node.leader_service.process_events()
-    assert place.deleted_machines() == ["n-000008"]
-    assert place.scheduler.cloud_requests.scale_out_admission is (
+    assert world.scheduler.cloud_requests.deletion_admission is RequestAdmission.OVERDUE_ONLY
+    world.node.leader_service.process_events()
+    assert world.deleted_machines() == ["n-000008"]
+    assert world.scheduler.cloud_requests.scale_out_admission is (
         RequestAdmission.OPEN if trouble == "the duty is paused" else RequestAdmission.BLOCKED
     )
 
 
-def add_ended_job(place: ServiceWorld) -> None:
-    place.store.txn(Transaction({}, [Put("gone/wk-000009", {"e": "done"})]).body())
-    place.scheduler.transaction_writer.orphaned_keys.append(
-        ("gone/wk-000009", Revision(place.store.revision))
+def add_ended_job(world: ServiceWorld) -> None:
+    world.store.txn(Transaction({}, [Put("gone/wk-000009", {"e": "done"})]).body())
+    world.scheduler.transaction_writer.orphaned_keys.append(
+        ("gone/wk-000009", Revision(world.store.revision))
     )
 
 
-def test_clean_up_waits_for_its_window_up_to_a_backlog() -> None:
+def test_cleanup_waits_for_its_window_until_the_backlog_exceeds_its_limit() -> None:
     closed = {"time_zone": "UTC", "weekly": [{"days": ["mo"], "start": "00:00", "end": "00:01"}]}
     exceptions: list[dict[str, Any]] = []
-    place = ServiceWorld(
+    world = ServiceWorld(
         ALL_LEASES, cleanup_backlog=2, maintenance=closed | {"exceptions": exceptions}
     )
-    place.node.singleton_service.may_run_maintenance = lambda: False  # type: ignore[union-attr,method-assign]
-    place.become_leader()
-    add_ended_job(place)
-    place.run(2.0)
-    assert "gone/wk-000009" in place.store.keys
+    world.node.singleton_service.may_run_maintenance = lambda: False  # type: ignore[union-attr,method-assign]
+    world.become_leader()
+    add_ended_job(world)
+    world.run(2.0)
+    assert "gone/wk-000009" in world.store.keys
     for n in range(3):
-        place.scheduler.transaction_writer.orphaned_keys.append((f"gone/wk-{n:06d}", Revision(0)))
-    place.run(2.0)
-    assert "gone/wk-000009" not in place.store.keys
+        world.scheduler.transaction_writer.orphaned_keys.append((f"gone/wk-{n:06d}", Revision(0)))
+    world.run(2.0)
+    assert "gone/wk-000009" not in world.store.keys
 
 
-def test_clean_up_is_guarded_on_its_token_and_holds_back_nothing_else() -> None:
-    place = ServiceWorld(ALL_LEASES)
-    place.become_leader()
+def test_cleanup_under_a_replaced_token_is_rejected_and_retried() -> None:
+    world = ServiceWorld(ALL_LEASES)
+    world.become_leader()
     key = holder_key(LeaseName.CLEANUP)
-    place.store.txn(Transaction({}, [Put(key, {"node": "node-9", "life": "z", "t": 1.0})]).body())
-    add_ended_job(place)
-    place.node.leader_service.process_events()
-    records = place.scheduler.transaction_writer
-    assert "gone/wk-000009" in place.store.keys, "its token was replaced"
-    duties = place.node.singleton_service
-    assert duties is not None
-    permit = duties.cleanup_permit(place.scheduler, place.clock())
-    assert not permit.is_allowed, "until it has been read who holds the duty"
-    assert records.orphaned_keys, "it is still to be deleted"
-    place.run(1.0)  # this node leads, so it takes the lease anew, under a higher token
-    assert "gone/wk-000009" not in place.store.keys
-
-
-def test_clean_up_does_not_wait_for_an_idle_moment() -> None:
-    """There is always something to write on a busy day: in transactions of its own, clean-up
-    would never come to its turn, and ended jobs would fill the placement records."""
-    place = ServiceWorld(ALL_LEASES)
-    place.become_leader()
-    records = place.scheduler.transaction_writer
+    world.store.txn(Transaction({}, [Put(key, {"node": "node-9", "life": "z", "t": 1.0})]).body())
+    add_ended_job(world)
+    world.node.leader_service.process_events()
+    records = world.scheduler.transaction_writer
+    assert "gone/wk-000009" in world.store.keys, "its token was replaced"
+    service = world.node.singleton_service
+    assert service is not None
+    permit = service.cleanup_permit(world.scheduler, world.clock())
+    assert not permit.is_allowed, "not before the lease holder has been read again"
+    assert records.orphaned_keys, "the record must still be deleted"
+    world.run(1.0)  # this node leads, so it acquires the lease again, with a higher token
+    assert "gone/wk-000009" not in world.store.keys
+
+
+def test_cleanup_shares_transactions_with_other_writes() -> None:
+    """On a busy day there are always other writes. If cleanup needed transactions of its own, it
+    would never run, and ended jobs would fill the placement records."""
+    world = ServiceWorld(ALL_LEASES)
+    world.become_leader()
+    records = world.scheduler.transaction_writer
     busy: list[int] = []
 
     def add_ends(pending: Any, jobs: Any, ops: int) -> bool:
@@ -331,40 +337,40 @@
         return True
 
     records._builder._add_ends = add_ends
-    add_ended_job(place)
-    place.node.leader_service.process_events()
-    assert "gone/wk-000009" not in place.store.keys
-    assert holder_key(LeaseName.CLEANUP) in place.state_service.conditions[-1]
-
-
-def test_the_holder_stores_a_changed_catalogue() -> None:
-    place = ServiceWorld(ALL_LEASES, refresh_s=5.0)
-    place.become_leader()
-    before = place.store.keys["catalog"][1]
-    place.run(12.0)
-    assert place.store.keys["catalog"][1] == before, "nothing has changed"
-    breeds = [dict(CATALOG["breeds"][0], sku="larger", cpus=64), *CATALOG["breeds"]]
-    place.cloud.catalog = {"breeds": breeds}
-    place.run(6.0)
-    assert {b["sku"] for b in place.store.keys["catalog"][0]["breeds"]} >= {"larger"}
+    add_ended_job(world)
+    world.node.leader_service.process_events()
+    assert "gone/wk-000009" not in world.store.keys
+    assert holder_key(LeaseName.CLEANUP) in world.state_service.conditions[-1]
+
+
+def test_catalog_lease_holder_stores_a_changed_catalog() -> None:
+    world = ServiceWorld(ALL_LEASES, refresh_s=5.0)
+    world.become_leader()
+    before = world.store.keys["catalog"][1]
+    world.run(12.0)
+    assert world.store.keys["catalog"][1] == before, "nothing has changed"
+    machine_types = [dict(CATALOG["breeds"][0], sku="larger", cpus=64), *CATALOG["breeds"]]
+    world.cloud.catalog = {"breeds": machine_types}
+    world.run(6.0)
+    assert {b["sku"] for b in world.store.keys["catalog"][0]["breeds"]} >= {"larger"}
     taken = Transaction(
         {}, [Put(holder_key(LeaseName.CATALOG), {"node": "d", "life": "z", "t": 1.0})]
     )
-    place.store.txn(taken.body())
-    place.cloud.catalog = CATALOG
-    version = place.store.keys["catalog"][1]
-    place.node.singleton_service.catalog_refresh._next_refresh_at = MonotonicTime(0.0)  # type: ignore[union-attr]
-    place.node.singleton_service.catalog_refresh.tick(place.clock())  # type: ignore[union-attr]
-    assert place.store.keys["catalog"][1] == version, "its token was replaced"
-
-
-def test_a_lease_that_ends_costs_the_duties_until_they_are_taken_anew() -> None:
-    place = ServiceWorld(ALL_LEASES)
-    place.become_leader()
-    tokens = {key: value[1] for key, value in place.store.keys.items() if "holder" in key}
-    lease = place.store.keys[holder_key(LeaseName.SCALE_IN)][2]
+    world.store.txn(taken.body())
+    world.cloud.catalog = CATALOG
+    version = world.store.keys["catalog"][1]
+    world.node.singleton_service.catalog_refresh._next_refresh_at = MonotonicTime(0.0)  # type: ignore[union-attr]
+    world.node.singleton_service.catalog_refresh.tick(world.clock())  # type: ignore[union-attr]
+    assert world.store.keys["catalog"][1] == version, "its token was replaced"
+
+
+def test_named_leases_are_reacquired_after_their_store_lease_ends() -> None:
+    world = ServiceWorld(ALL_LEASES)
+    world.become_leader()
+    tokens = {key: value[1] for key, value in world.store.keys.items() if "holder" in key}
+    lease = world.store.keys[holder_key(LeaseName.SCALE_IN)][2]
     assert lease is not None
-    place.store.end_lease(LeaseId(lease))
-    place.node.singleton_service.candidate.on_keep_alive(False)  # type: ignore[union-attr]
-    place.run(1.0)
-    assert all(place.store.keys[key][1] > token for key, token in tokens.items())
+    world.store.end_lease(LeaseId(lease))
+    world.node.singleton_service.candidate.on_keep_alive(False)  # type: ignore[union-attr]
+    world.run(1.0)
+    assert all(world.store.keys[key][1] > token for key, token in tokens.items())
