--- a/tests/behaviour_record.py
+++ b/tests/behaviour_record.py
@@ -645,7 +645,7 @@
     w.run(35)
     w.unresponsive.clear()
     for machine in list(w.cloud.machines.values())[:2]:
-        machine.pace = 8.0
+        machine.run_time_factor = 8.0
     for i in range(5, 8):
         w.submit(f"wk-{i}", parcels=16, run_s=10.0, haulS=10.0, cpus=2.0, crew="t1")
     w.run(15)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,9 @@
-"""Tests that fail for a known fault; KNOWN-RED.txt lists them, one a line: `test | cause | issue`.
+"""Marks the tests that fail because of a known fault as expected failures.
 
-They are run, expected to fail by an assertion, and printed at the end. One that passes fails the
-run, so that its line goes when its fault is mended; so does a line that names no test."""
+KNOWN-RED.txt lists these tests, one per line: `test | cause | issue`. They run, are expected to
+fail with an AssertionError, and are printed at the end. A listed test that passes fails the run, so
+that its line is removed when its fault is fixed; a line that names no test fails the run too.
+"""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -10,13 +12,13 @@
 
 import pytest
 
-LIST = Path(__file__).resolve().parents[1] / "KNOWN-RED.txt"
-MOST = 3
+KNOWN_FAILURES_FILE = Path(__file__).resolve().parents[1] / "KNOWN-RED.txt"
+MAX_KNOWN_FAILURES = 3
 
 
 @dataclass(frozen=True, slots=True)
 class KnownFailure:
-    """A line of the list: the test without its parameters, why it fails, and the issue."""
+    """A line of KNOWN-RED.txt: the test's id without parameters, why it fails, and the issue."""
 
     test: str
     cause: str
@@ -24,42 +26,46 @@
 
     @classmethod
     def read(cls, line: str) -> "KnownFailure":
-        """Reads a line; a malformed one is an error of the run."""
+        """Parse a line; raise ValueError if it is malformed, which fails the run."""
         test, cause, issue = (part.strip() for part in line.split("|"))
         return cls(test, cause, issue)
 
 
 def known_failures() -> list[KnownFailure]:
-    """The list; no file, no known failure."""
-    lines = LIST.read_text().splitlines() if LIST.exists() else []
-    found = [KnownFailure.read(line) for line in lines if line.strip()]
-    if len(found) > MOST:
-        raise pytest.UsageError(f"{LIST.name} holds more than {MOST} tests")
-    return found
+    """Return the entries of KNOWN-RED.txt; none if there is no such file."""
+    lines = KNOWN_FAILURES_FILE.read_text().splitlines() if KNOWN_FAILURES_FILE.exists() else []
+    failures = [KnownFailure.read(line) for line in lines if line.strip()]
+    if len(failures) > MAX_KNOWN_FAILURES:
+        raise pytest.UsageError(
+            f"{KNOWN_FAILURES_FILE.name} lists more than {MAX_KNOWN_FAILURES} tests"
+        )
+    return failures
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: Iterable[pytest.Item]) -> None:
-    """Expects the listed tests, with all their parameters, to fail."""
+    """Mark the listed tests, with all their parameters, as expected to fail."""
     known = {failure.test: failure for failure in known_failures()}
-    named = set()
-    files = set()
+    listed = set()
+    collected_files = set()
     for item in items:
-        files.add(item.nodeid.partition("::")[0])
+        collected_files.add(item.nodeid.partition("::")[0])
         failure = known.get(item.nodeid.partition("[")[0])
         if failure is not None:
-            named.add(failure.test)
+            listed.add(failure.test)
             expected = pytest.mark.xfail(reason=failure.cause, raises=AssertionError, strict=True)
             item.add_marker(expected)
     if config.getoption("keyword") or config.getoption("markexpr"):
         return
     selected = any("::" in arg for arg in config.args)
-    missing = [t for t in known if t not in named and t.partition("::")[0] in files]
+    missing = [t for t in known if t not in listed and t.partition("::")[0] in collected_files]
     if missing and not selected:
-        raise pytest.UsageError(f"{LIST.name} names tests that are not there: {missing}")
+        raise pytest.UsageError(
+            f"{KNOWN_FAILURES_FILE.name} names tests that do not exist: {missing}"
+        )
 
 
 def pytest_terminal_summary(terminalreporter: Any) -> None:
-    """Prints the list."""
+    """Print the known failures below the results."""
     for failure in known_failures():
         terminalreporter.write_line(
             f"known red: {failure.test}: {failure.cause} (issue {failure.issue})"
--- a/tests/simulators.py
+++ b/tests/simulators.py
@@ -1,4 +1,7 @@
-"""Simulators of the state service, the cloud and the workers, without sockets or clocks."""
+"""Simulators of the state service, the cloud and the workers, without sockets or clocks.
+
+The tests call them directly and pass the simulated time as an argument.
+"""
 
 import random
 from dataclasses import dataclass, field
@@ -37,7 +40,10 @@
 
 
 class StoreSim:
-    """Keys with versions, guarded transactions, leases, watches by polling."""
+    """The state service: keys with versions, guarded transactions, and leases.
+
+    Watches are simulated by reading `log`, which lists all events with their revisions.
+    """
 
     def __init__(self) -> None:
         self.revision = 0
@@ -46,16 +52,17 @@
         self.log: list[tuple[int, dict[str, Any]]] = []
         self.next_lease = 1
         self.value_bytes = self.txn_ops = 10**9
-        self.too_large = 0  # transactions refused for their size
+        self.too_large = 0  # number of transactions rejected for their size
 
     def txn(self, body: bytes) -> tuple[int, dict[str, Any]]:
+        """Apply a transaction; return the HTTP status and the body of the response."""
         obj = orjson.loads(body)
-        values = [len(orjson.dumps(w["v"])) for w in obj["writes"] if "put" in w]
+        value_sizes = [len(orjson.dumps(w["v"])) for w in obj["writes"] if "put" in w]
         if (
             len(obj["writes"]) > self.txn_ops
             or len(obj["guards"]) > 4 * self.txn_ops
             or len(body) > 64 * 1024
-            or max(values, default=0) > self.value_bytes
+            or max(value_sizes, default=0) > self.value_bytes
         ):
             self.too_large += 1
             return 400, {"error": "too large"}
@@ -79,21 +86,24 @@
         return 200, {"ledgerRev": self.revision}
 
     def item(self, key: str) -> dict[str, Any] | None:
+        """Return the key's item as the service encodes it; None if the key does not exist."""
         if key not in self.keys:
             return None
         value, version, lease = self.keys[key]
-        out: dict[str, Any] = {"path": key, "v": value, "stamp": version}
+        result: dict[str, Any] = {"path": key, "v": value, "stamp": version}
         if lease is not None:
-            out["tether"] = lease
-        return out
+            result["tether"] = lease
+        return result
 
     def range(self, prefix: str) -> list[dict[str, Any]]:
+        """Return the items whose keys begin with the prefix, in the order of their keys."""
         return [i for k in sorted(self.keys) if k.startswith(prefix) and (i := self.item(k))]
 
     def end_lease(self, lease: int) -> bool:
+        """Remove the lease and delete its keys; return whether it existed."""
         if self.leases.pop(lease, None) is None:
             return False
-        for key in [k for k, (_, _, h) in self.keys.items() if h == lease]:
+        for key in [k for k, (_, _, owner) in self.keys.items() if owner == lease]:
             self.revision += 1
             del self.keys[key]
             self.log.append((self.revision, {"delete": key, "stamp": self.revision}))
@@ -102,16 +112,18 @@
 
 @dataclass
 class TaskSim:
+    """A task on a simulated worker."""
+
     attempt: int
     state: str = "pulling"
-    left: float = 0.0
-    fetch: float = 1.0
-    why: str | None = None
+    left: float = 0.0  # seconds to run
+    remaining_pull_s: float = 1.0  # of its image
+    end_cause: str | None = None
 
 
 @dataclass
 class WorkerSim:
-    """One machine, after the protocol's section on workers."""
+    """One machine and its agent, which follows the protocol for workers."""
 
     id: str
     type: dict[str, Any]
@@ -122,14 +134,15 @@
     seq: int = 0
     token: int = 0
     tasks: dict[str, TaskSim] = field(default_factory=dict)
-    answered: float = 0.0
+    answered: float = 0.0  # when the heartbeat was sent that renewed its lease last
     deleted: bool = False
     hangs_until: float = -1.0
-    faulty: bool = False
-    pace: float = 1.0
-    notice: float | None = None
+    faulty: bool = False  # every task fails as soon as its image is pulled
+    run_time_factor: float = 1.0  # times the job's run time
+    notice: float | None = None  # the preemption notice that it reports, seconds
 
     def report(self) -> dict[str, Any]:
+        """Return the next heartbeat."""
         self.seq += 1
         return {
             "wagon": self.id,
@@ -143,100 +156,124 @@
             "recallS": self.notice,
             "parcels": [
                 {"parcel": k, "try": t.attempt, "standing": t.state}
-                | ({"cause": t.why} if t.state == "ended" else {})
+                | ({"cause": t.end_cause} if t.state == "ended" else {})
                 for k, t in self.tasks.items()
             ],
         }
 
     def on(self) -> dict[str, TaskSim]:
+        """Return the tasks that run or save their results."""
         return {k: t for k, t in self.tasks.items() if t.state in ("running", "saving")}
 
-    def obey(self, body: bytes, sent: float, session: int, jobs: dict[str, Any]) -> None:
+    def obey(self, body: bytes, sent_at: float, sent_epoch: int, jobs: dict[str, Any]) -> None:
+        """Execute the commands of a response; ignore it if its fencing token is outdated.
+
+        `sent_at` and `sent_epoch` are time and agent epoch of the heartbeat that it answers.
+        """
         obj = orjson.loads(body)
-        if obj["whip"] < self.token or session != self.agent_epoch:
+        if obj["whip"] < self.token or sent_epoch != self.agent_epoch:
             return
         self.token = obj["whip"]
-        self.answered = sent
-        for c in obj["calls"]:
-            key, attempt = c["parcel"], c["try"]
+        self.answered = sent_at
+        for command in obj["calls"]:
+            key, attempt = command["parcel"], command["try"]
             task = self.tasks.get(key)
-            if c["call"] == "launch":
+            if command["call"] == "launch":
                 if task is not None:
                     if task.attempt != attempt and task.state != "ended":
-                        self.tasks[key] = TaskSim(attempt, "ended", why="busy")
+                        self.tasks[key] = TaskSim(attempt, "ended", end_cause="busy")
                     continue
                 job = jobs[key.split("/")[0]]
-                used = sum(
+                used_cpus = sum(
                     jobs[k.split("/")[0]]["cpus"]
                     for k, t in self.tasks.items()
                     if t.state != "ended"
                 )
-                if used + job["cpus"] > self.type["cpus"]:
-                    self.tasks[key] = TaskSim(attempt, "ended", why="full")
+                if used_cpus + job["cpus"] > self.type["cpus"]:
+                    self.tasks[key] = TaskSim(attempt, "ended", end_cause="full")
                 else:
-                    self.tasks[key] = TaskSim(attempt, left=job["runS"] * self.pace)
+                    self.tasks[key] = TaskSim(attempt, left=job["runS"] * self.run_time_factor)
             elif task is not None and task.attempt == attempt:
-                if c["call"] == "kill" and task.state != "ended":
-                    task.state, task.why = "ended", "stopped"
-                elif c["call"] == "clear" and task.state == "ended":
+                if command["call"] == "kill" and task.state != "ended":
+                    task.state, task.end_cause = "ended", "stopped"
+                elif command["call"] == "clear" and task.state == "ended":
                     del self.tasks[key]
 
     def orders(self, body: bytes) -> tuple[int, dict[str, Any]]:
-        """A direct command: it renews no lease."""
+        """Execute direct commands, which do not renew the lease.
+
+        Return the HTTP status and a heartbeat: 409 if the fencing token or the epoch is outdated.
+        """
         obj = orjson.loads(body)
         if obj["whip"] < self.token or obj["stint"] != self.agent_epoch:
             return 409, self.report()
-        assert all(c["call"] == "kill" for c in obj["calls"]), "would run late"
+        assert all(command["call"] == "kill" for command in obj["calls"]), (
+            "a direct command other than a kill: a launch that the network delays would run late"
+        )
         answered = self.answered
         self.obey(body, answered, self.agent_epoch, {})
         return 200, self.report()
 
     def step(self, now: float, dt: float, lease_s: float) -> None:
+        """Advance the tasks by `dt` seconds; if the lease has expired, drop them all."""
         if now - self.answered > lease_s:
             self.tasks.clear()
             self.agent_epoch += 1
             self.answered = now
         for task in self.tasks.values():
             if task.state == "pulling":
-                task.fetch -= dt
-                if task.fetch <= 0:
+                task.remaining_pull_s -= dt
+                if task.remaining_pull_s <= 0:
                     task.state = "running"
                     if self.faulty:
-                        task.state, task.why = "ended", "error"
+                        task.state, task.end_cause = "ended", "error"
             elif task.state == "running":
                 task.left -= dt
                 if task.left <= 0:
-                    task.state, task.why = "ended", "done"
+                    task.state, task.end_cause = "ended", "done"
 
 
 class CloudSim:
+    """The cloud: creates, deletes and lists machines.
+
+    It holds at most `capacity` machines. A repeated request to create machines gets the response
+    to the first request of that name.
+    """
+
     def __init__(self, capacity: int, rng: random.Random) -> None:
         self.machines: dict[str, WorkerSim] = {}
         self.answers: dict[str, list[str]] = {}
         self.capacity = capacity
-        self.count = 0
+        self.created_count = 0
         self.rng = rng
 
     def rent(self, body: bytes, now: float) -> tuple[int, dict[str, Any]]:
+        """Create machines; return the HTTP status and the body of the response."""
         obj = orjson.loads(body)
         if obj["hire"] not in self.answers:
             number = min(obj["number"], self.capacity - len(self.machines))
             if number <= 0:
                 return 503, {"error": "no capacity"}
-            kind = next(b for b in CATALOG["breeds"] if b["sku"] == obj["breed"])
+            machine_type = next(b for b in CATALOG["breeds"] if b["sku"] == obj["breed"])
             names = []
             for _ in range(number):
-                self.count += 1
-                name = f"n-{self.count:06d}"
-                boot = kind["readyS"] * self.rng.uniform(0.6, 1.5)
+                self.created_count += 1
+                name = f"n-{self.created_count:06d}"
+                boot_s = machine_type["readyS"] * self.rng.uniform(0.6, 1.5)
                 self.machines[name] = WorkerSim(
-                    name, kind, obj["yard"], obj["loaners"], now + boot, answered=now + boot
+                    name,
+                    machine_type,
+                    obj["yard"],
+                    obj["loaners"],
+                    now + boot_s,
+                    answered=now + boot_s,
                 )
                 names.append(name)
             self.answers[obj["hire"]] = names
         return 200, {"wagons": self.answers[obj["hire"]]}
 
     def delete(self, body: bytes) -> tuple[int, dict[str, Any]]:
+        """Delete the named machines; unknown ones are ignored."""
         for name in orjson.loads(body)["wagons"]:
             machine = self.machines.pop(name, None)
             if machine is not None:
@@ -244,6 +281,7 @@
         return 200, {}
 
     def list(self, now: float) -> dict[str, Any]:
+        """Return the list of all machines as one complete page."""
         return {
             "wagons": [
                 {
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,6 +1,9 @@
-"""A seeded world that drives the pure core: lost, late and repeated messages, leaders that
-change, machines that hang or go. It checks the rules at every step, with its own eyes: from the
-workers' tasks and the store's keys, never from the controller's state."""
+"""A seeded simulation that drives the scheduler's state machine with all that surrounds it.
+
+Messages are lost, delayed or repeated, leaders change, and machines hang or disappear. After every
+step it checks the invariants against the workers' tasks and the store's keys, never against the
+scheduler's own state.
+"""
 
 import random
 from collections import Counter
@@ -64,6 +67,7 @@
 
 
 def submission(job: str, **changes: Any) -> dict[str, Any]:
+    """Return the body of a valid submission with these fields changed."""
     return {
         "nameId": job,
         "lot": "slow",
@@ -89,30 +93,39 @@
 
 
 class World:
+    """One leader, the state service, the cloud and the workers, in simulated time.
+
+    `faults` maps names of faults, such as `txn_lost`, to their probabilities; `platform` and
+    `tuning` in it replace the settings.
+    """
+
     def __init__(self, seed: int, capacity: int = 8, **faults: Any) -> None:
         self.rng = random.Random(seed)
         self.store = StoreSim()
         self.cloud = CloudSim(capacity, self.rng)
         self.now = 100.0
         self.settings = parse_platform(faults.pop("platform", PLATFORM))
-        self.subchunks_supported = False  # all nodes read parts that were cut anew
-        self.too_large = 0  # transactions refused for their size, late copies not counted
+        self.subchunks_supported = False  # whether all nodes can read subchunks
+        self.too_large = 0  # number of transactions rejected for their size, except late copies
         self.tuning = load_tuning(values=faults.pop("tuning", None))
         self.faults = faults
         self.jobs: dict[str, dict[str, Any]] = {}
-        self.cancelled_at: dict[str, float] = {}
-        self.told: dict[str, str] = {}
-        self.ended_at: dict[str, float] = {}
-        self.late: list[tuple[float, bytes]] = []  # transactions still under way
-        self.reports_due: dict[str, float] = {}
-        self.started: set[tuple[str, int, str]] = set()
-        self.on_before: set[tuple[str, str]] = set()
-        self.starts: Counter[str] = Counter()  # of each task
-        self.waiting: dict[str, tuple[int, float]] = {}  # job -> tasks that got on, since when
-        self.left_waiting_s: float | None = None  # how long none may wait beside free room
+        self.cancelled_at: dict[str, float] = {}  # when the cancellation was reported to the user
+        self.told: dict[str, str] = {}  # job -> final state that was reported to the user
+        self.ended_at: dict[str, float] = {}  # when the end was reported to the user
+        self.late: list[tuple[float, bytes]] = []  # (when it arrives, transaction)
+        self.reports_due: dict[str, float] = {}  # machine -> when it sends its next heartbeat
+        self.started: set[tuple[str, int, str]] = set()  # (task, attempt, machine)
+        self._running_before: set[tuple[str, str]] = set()  # (task, machine) at the last step
+        self.starts: Counter[str] = Counter()  # number of starts by task
+        # For each job with waiting tasks: the number of tasks that are placed or done, and when it
+        # changed last.
+        self._waiting: dict[str, tuple[int, float]] = {}
+        # How long a task may wait while a machine has room for it; None: not checked.
+        self.left_waiting_s: float | None = None
         self.outage_until = -1.0
-        self.unresponsive: set[str] = set()  # machines that no answer or command reaches
-        self.orders = 0  # direct commands that arrived
+        self.unresponsive: set[str] = set()  # machines that no response and no command reaches
+        self.orders = 0  # number of direct commands that arrived
         self.cloud_down_until = -1.0
         self.incarnation = DEFAULT_INCARNATION
         self.scheduler: Scheduler | None = None
@@ -121,7 +134,7 @@
     # -- the leader
 
     def elect(self) -> None:
-        """A new leader; whatever the old one held in memory is lost."""
+        """Elect a new leader, which loads its state from the store alone."""
         self.store.end_lease(1)
         self.store.leases[1] = 1e9
         body = state.Transaction(
@@ -130,7 +143,7 @@
         status, answer = self.store.txn(body)
         assert status == 200
         now = MonotonicTime(self.now)
-        c = self.new_controller(FencingToken(answer["ledgerRev"]))
+        leader = self.new_controller(FencingToken(answer["ledgerRev"]))
 
         def items(prefix: str) -> list[state.Item]:
             return [state.parse_item(orjson.dumps(i)) for i in self.store.range(prefix)]
@@ -139,9 +152,9 @@
             resolve_dependency_list(users.JobId(i.key[4:]), i, items("needs/"))
             for i in items("job/")
         ]
-        assert None not in jobs, "a record whose list of dependencies is gone"
-        c.load([i for i in jobs if i], items("place/"), items("gone/"), now, items("memo/"))
-        self.scheduler = c
+        assert None not in jobs, "the dependency list of a job record is missing"
+        leader.load([i for i in jobs if i], items("place/"), items("gone/"), now, items("memo/"))
+        self.scheduler = leader
 
     def new_controller(self, epoch: FencingToken) -> Any:
         return Scheduler(
@@ -155,13 +168,17 @@
         )
 
     def submit(self, job: str, run_s: float = 6.0, parts: int = 0, **changes: Any) -> None:
-        """`parts`: into how many the list of dependencies is cut that is not in the record."""
+        """Store a job and give it to the leader.
+
+        `parts` is the number of parts of a dependency list that is stored outside the job record;
+        0 leaves the list in the record.
+        """
         body = submission(job, **changes)
         spec = users.parse_submission(body)
         size = max_tasks_per_chunk(self.settings.value_bytes)
-        where = users.DependencyListReference("abc", parts) if parts else None
-        record = encode_job_record(spec, size, self.now, where)
-        for number, key in enumerate(dependency_list_keys(spec.id, where) if where else ()):
+        reference = users.DependencyListReference("abc", parts) if parts else None
+        record = encode_job_record(spec, size, self.now, reference)
+        for number, key in enumerate(dependency_list_keys(spec.id, reference) if reference else ()):
             part = list(spec.dependencies[number::parts])
             assert (
                 self.store.txn(
@@ -176,7 +193,8 @@
         assert self.store.txn(txn.body())[0] == 200
         self.jobs[job] = body | {"runS": run_s}
         assert self.scheduler is not None
-        extra = () if where is None else (where,)  # earlier versions are told of none
+        # Earlier versions do not take this argument.
+        extra = () if reference is None else (reference,)
         self.scheduler.add_job(spec, size, WallTime(self.now), MonotonicTime(self.now), *extra)
 
     def cancel(self, job: str) -> None:
@@ -192,125 +210,144 @@
 
     def step(self, dt: float) -> None:
         self.now += dt
-        c, now = self.scheduler, MonotonicTime(self.now)
-        assert c is not None
+        leader, now = self.scheduler, MonotonicTime(self.now)
+        assert leader is not None
         for body in [b for t, b in self.late if t <= self.now]:
-            self.store.txn(body)  # its sender gave up long ago
+            self.store.txn(body)  # long after its sender timed out
         self.late = [(t, b) for t, b in self.late if t > self.now]
         if self.leader_runs():
-            c.transaction_writer.subchunks_supported = self.subchunks_supported
-            self.lead(c, now)
-            self.serve_store(c, now)
-            self.serve_cloud(c, now)
-            self.serve_orders(c, now)
-        for w in list(self.cloud.machines.values()):
-            self.serve_worker(c, w, now, dt)
+            leader.transaction_writer.subchunks_supported = self.subchunks_supported
+            self.lead(leader, now)
+            self.serve_store(leader, now)
+            self.serve_cloud(leader, now)
+            self.serve_orders(leader, now)
+        for worker in list(self.cloud.machines.values()):
+            self.serve_worker(leader, worker, now, dt)
         self.check()
 
-    def serve_orders(self, c: Scheduler, now: MonotonicTime) -> None:
-        """Commands that go straight to the workers."""
-        for order in c.take_direct_kills(now):
-            w = self.cloud.machines.get(order.machine_id)
+    def serve_orders(self, scheduler: Scheduler, now: MonotonicTime) -> None:
+        """Deliver the leader's direct kills to the workers."""
+        for order in scheduler.take_direct_kills(now):
+            worker = self.cloud.machines.get(order.machine_id)
             down = (
-                w is None or self.now < max(w.boots_at, w.hangs_until) or w.id in self.unresponsive
+                worker is None
+                or self.now < max(worker.boots_at, worker.hangs_until)
+                or worker.id in self.unresponsive
             )
-            if w is None or down or self.chance("order_lost"):
+            if worker is None or down or self.chance("order_lost"):
                 continue
-            status, report = w.orders(
-                workers.direct_commands_body(c.token, order.agent_epoch, order.commands)
+            status, report = worker.orders(
+                workers.direct_commands_body(scheduler.token, order.agent_epoch, order.commands)
             )
             self.orders += 1
-            c.on_direct_kill_response(
+            scheduler.on_direct_kill_response(
                 workers.parse_heartbeat(report), now, now, executed=status == 200
             )
 
-    def lead(self, c: Scheduler, now: MonotonicTime) -> None:
-        """What the leader does by itself, before anything is carried out for it."""
-        c.tick(now)
-        if c.is_planning_due(now):
-            c.plan(now)
+    def lead(self, scheduler: Scheduler, now: MonotonicTime) -> None:
+        """Run the leader's timers and a planning pass, if one is due."""
+        scheduler.tick(now)
+        if scheduler.is_planning_due(now):
+            scheduler.plan(now)
 
     def leader_runs(self) -> bool:
+        """Return whether the leader's process runs; a subclass may stall it."""
         return True
 
     def chance(self, name: str) -> bool:
+        """Return whether the fault of this name happens now, by its probability."""
         return self.rng.random() < self.faults.get(name, 0.0)
 
-    def serve_store(self, c: Scheduler, now: MonotonicTime) -> None:
+    def serve_store(self, scheduler: Scheduler, now: MonotonicTime) -> None:
         down = self.now < self.outage_until
         if not down:
-            for key in list(c.keys_to_refresh):
+            for key in list(scheduler.keys_to_refresh):
                 found = self.store.item(key)
                 item = None if found is None else state.parse_item(orjson.dumps(found))
-                c.on_key_refreshed(key, item, now)
-            for job in c.take_due_end_lookups(now, 20):
+                scheduler.on_key_refreshed(key, item, now)
+            for job in scheduler.take_due_end_lookups(now, 20):
                 found = self.store.item(f"end/{job}")
-                c.on_end_lookup_result(
+                scheduler.on_end_lookup_result(
                     job, None if found is None else decode_end_record(found["v"]), now
                 )
-        memory_txn = c.next_learned_state_transaction(now)
-        if memory_txn is not None and not down:
-            self.store.txn(memory_txn.body())
-        pending = c.next_transaction(now, 20)
+        learned_state_txn = scheduler.next_learned_state_transaction(now)
+        if learned_state_txn is not None and not down:
+            self.store.txn(learned_state_txn.body())
+        pending = scheduler.next_transaction(now, 20)
         if pending is None:
             return
         body = pending.transaction.body()
         if down:
-            c.on_transaction_result(pending, TransactionOutcome.REJECTED, Revision(0), (), now)
+            scheduler.on_transaction_result(
+                pending, TransactionOutcome.REJECTED, Revision(0), (), now
+            )
         elif self.chance("txn_lost"):
             if self.rng.random() < 0.5:
-                self.store.txn(body)  # carried out, and the response lost
+                self.store.txn(body)  # applied, but the response is lost
             else:
                 self.late.append((self.now + self.rng.uniform(0.5, 20.0), body))
-            c.on_transaction_result(pending, TransactionOutcome.INDETERMINATE, Revision(0), (), now)
+            scheduler.on_transaction_result(
+                pending, TransactionOutcome.INDETERMINATE, Revision(0), (), now
+            )
         elif "txn_late" in self.faults and self.chance("txn_late"):
             self.late.append((self.now + self.rng.uniform(2.0, 12.0), body))
-            c.on_transaction_result(pending, TransactionOutcome.INDETERMINATE, Revision(0), (), now)
+            scheduler.on_transaction_result(
+                pending, TransactionOutcome.INDETERMINATE, Revision(0), (), now
+            )
         else:
             status, answer = self.store.txn(body)
             if self.chance("txn_twice"):
                 self.late.append((self.now + self.rng.uniform(0.5, 20.0), body))
             if status == 200:
-                c.on_transaction_result(
+                scheduler.on_transaction_result(
                     pending, TransactionOutcome.COMMITTED, Revision(answer["ledgerRev"]), (), now
                 )
             elif status == 400:
                 self.too_large += 1
-                c.on_transaction_result(pending, TransactionOutcome.INVALID, Revision(0), (), now)
+                scheduler.on_transaction_result(
+                    pending, TransactionOutcome.INVALID, Revision(0), (), now
+                )
             else:
                 failed = tuple(answer["failed"])
-                if c.on_transaction_result(
+                if scheduler.on_transaction_result(
                     pending, TransactionOutcome.CONFLICT, Revision(0), failed, now
                 ):
                     self.elect()
                     return
-        for job, how in c.take_finished_jobs():
-            self.tell(job, how)
+        for job, outcome in scheduler.take_finished_jobs():
+            self.tell(job, outcome)
 
-    def tell(self, job: str, how: str) -> None:
-        assert self.told.setdefault(job, how) == how, "went_back"
+    def tell(self, job: str, outcome: str) -> None:
+        """Record that the leader reports the end of the job, which must be durable by then."""
+        assert self.told.setdefault(job, outcome) == outcome, (
+            f"went_back: {job} was {self.told[job]}, is {outcome} now"
+        )
         self.ended_at.setdefault(job, self.now)
         ends = [self.end_in_store(job)]
-        if how == users.CANCELLED:
+        if outcome == users.CANCELLED:
             ends += [self.end_in_store(name) for name in self.before(job)]
-        assert how in ends, "told before it was durable"
-        if how == users.CANCELLED:
+        assert outcome in ends, f"{job} was reported {outcome} before that was durable"
+        if outcome == users.CANCELLED:
             self.cancelled_at.setdefault(job, self.now)
 
-    def serve_cloud(self, c: Scheduler, now: MonotonicTime) -> None:
-        call = c.next_cloud_request(now)
+    def serve_cloud(self, scheduler: Scheduler, now: MonotonicTime) -> None:
+        call = scheduler.next_cloud_request(now)
         status: int
         answer: dict[str, Any]
         if self.now < self.cloud_down_until and call is not None:
-            c.on_cloud_response(call, 503, b'{"error":"trouble"}', now)
+            scheduler.on_cloud_response(call, 503, b'{"error":"trouble"}', now)
             return
         match call:
             case None:
                 return
-            case ScaleOut(rental_request):
-                o = rental_request.offering
+            case ScaleOut(request):
+                offering = request.offering
                 body = cloud.create_machines_body(
-                    rental_request.name, o.type, o.zone, o.is_spot, rental_request.machine_count
+                    request.name,
+                    offering.type,
+                    offering.zone,
+                    offering.is_spot,
+                    request.machine_count,
                 )
                 status, answer = self.cloud.rent(body, self.now)
             case DeleteMachines(machines):
@@ -320,194 +357,258 @@
             case GetCatalog():
                 status, answer = 200, CATALOG
         if self.chance("cloud_lost"):
-            c.on_cloud_response(call, None, b"", now)
+            scheduler.on_cloud_response(call, None, b"", now)
         else:
-            c.on_cloud_response(call, status, orjson.dumps(answer), now)
+            scheduler.on_cloud_response(call, status, orjson.dumps(answer), now)
 
-    def serve_worker(self, c: Scheduler, w: WorkerSim, now: MonotonicTime, dt: float) -> None:
-        if self.now < w.boots_at or self.now < w.hangs_until:
+    def serve_worker(
+        self, scheduler: Scheduler, worker: WorkerSim, now: MonotonicTime, dt: float
+    ) -> None:
+        if self.now < worker.boots_at or self.now < worker.hangs_until:
             return
-        w.step(self.now, dt, self.settings.lease_s)
-        if self.now < self.reports_due.get(w.id, 0.0):
+        worker.step(self.now, dt, self.settings.lease_s)
+        if self.now < self.reports_due.get(worker.id, 0.0):
             return
-        self.reports_due[w.id] = self.now + self.settings.report_s * self.rng.uniform(0.75, 1.25)
-        session, sent = w.agent_epoch, self.now
-        report = workers.parse_heartbeat(w.report())
+        self.reports_due[worker.id] = self.now + self.settings.report_s * self.rng.uniform(
+            0.75, 1.25
+        )
+        sent_epoch, sent_at = worker.agent_epoch, self.now
+        report = workers.parse_heartbeat(worker.report())
         if self.chance("report_lost"):
             return
-        commands = c.on_heartbeat(report, now)
+        commands = scheduler.on_heartbeat(report, now)
         if self.chance("report_twice"):
-            assert c.on_heartbeat(report, now) is None
+            assert scheduler.on_heartbeat(report, now) is None
         if commands is None or self.chance("answer_lost"):
             return
-        body = workers.commands_response_body(c.token, commands)
+        body = workers.commands_response_body(scheduler.token, commands)
         for command in commands:
             if isinstance(command, workers.Launch):
-                self.check_durable(command, w)
-        w.obey(body, sent, session, self.jobs)
+                self.check_durable(command, worker)
+        worker.obey(body, sent_at, sent_epoch, self.jobs)
 
-    # -- the rules
+    # -- the invariants
 
     def check_kept(self) -> None:
-        """Whatever may be on a machine is in the store, so that a new leader knows of it."""
+        """Check that every placement that may be on a machine is in the store.
+
+        A new leader can find it only there.
+        """
         assert self.scheduler is not None
         for job in self.scheduler.jobs.jobs.values():
             stored = {(r[0], r[1], r[2]) for part in self.parts(job.id) for r in part["r"]}
             for p in job.placements():
                 if p.may_have_launched and p.phase is not PlacementPhase.ENDED:
-                    assert (p.index, p.attempt, p.machine_id) in stored, f"not kept: {p.key}"
+                    assert (p.index, p.attempt, p.machine_id) in stored, f"not stored: {p.key}"
 
     def parts(self, job: str) -> list[dict[str, Any]]:
-        """What the store holds of the job's placements; a part that was moved counts once, and for
-        each task only the finest part that covers it counts."""
-        found: dict[tuple[int, int], dict[str, Any]] = {}
-        size = self.store.item(f"job/{job}")
+        """Return the stored chunks of the job's placements, without outdated copies.
+
+        Of two copies of a chunk the one with the higher attempt counts, and for each task only the
+        smallest chunk that covers it.
+        """
+        newest: dict[tuple[int, int], dict[str, Any]] = {}
+        job_item = self.store.item(f"job/{job}")
         for item in sorted(self.store.range("place/"), key=lambda i: i["stamp"]):
             for name, number, value in item["v"]["p"]:
-                if name != job or size is None:
+                if name != job or job_item is None:
                     continue
                 tasks = value.get("n")
-                span = (number, tasks) if tasks else (number * size["v"]["n"], size["v"]["n"])
-                if span not in found or value["a"] >= found[span]["a"]:
-                    found[span] = value
-        told: set[int] = set()
-        out = []
-        for (low, tasks), value in sorted(found.items(), key=lambda f: f[0][1]):
-            covers = set(range(low, low + tasks))
-            if covers & told:
-                left = covers - told
-                value = value | {"r": [r for r in value["r"] if r[0] in left]}
-            told |= covers
-            out.append(value)
-        return out
-
-    def check_durable(self, launch: workers.Launch, w: WorkerSim) -> None:
+                span = (
+                    (number, tasks) if tasks else (number * job_item["v"]["n"], job_item["v"]["n"])
+                )
+                if span not in newest or value["a"] >= newest[span]["a"]:
+                    newest[span] = value
+        covered: set[int] = set()
+        chunks = []
+        for (low, tasks), value in sorted(newest.items(), key=lambda entry: entry[0][1]):
+            indexes = set(range(low, low + tasks))
+            if indexes & covered:
+                remaining = indexes - covered
+                value = value | {"r": [r for r in value["r"] if r[0] in remaining]}
+            covered |= indexes
+            chunks.append(value)
+        return chunks
+
+    def check_durable(self, launch: workers.Launch, worker: WorkerSim) -> None:
+        """Check that the placement is in the store, as it must be before the task is launched."""
         job, index = launch.key.split("/")
         entries = [
             entry for part in self.parts(job) for entry in part["r"] if entry[0] == int(index)
         ]
-        assert [int(index), launch.attempt, w.id] in entries, "launched before it was written"
+        assert [int(index), launch.attempt, worker.id] in entries, (
+            f"{launch.key} was launched on {worker.id} before its placement was stored"
+        )
 
     def end_in_store(self, job: str) -> str | None:
-        found = self.store.item(f"end/{job}")
-        return None if found is None else decode_end_record(found["v"])
+        """Return the outcome in the job's end record; None if there is none."""
+        record = self.store.item(f"end/{job}")
+        return None if record is None else decode_end_record(record["v"])
 
     def poll_all(self) -> None:
-        """What the leader tells of every job: an end is told only if it, or the cancellation of a
-        job before it, is durable, and never anything else after it."""
-        c = self.scheduler
-        assert c is not None
+        """Poll every job and check the state that the leader reports.
+
+        An end may be reported only if it, or the cancellation of an upstream job, is durable. After
+        that no other state may be reported.
+        """
+        leader = self.scheduler
+        assert leader is not None
         for job, spec in self.jobs.items():
-            status = c.job_status(users.JobId(job))
+            status = leader.job_status(users.JobId(job))
             if not isinstance(status, JobStatus):
                 continue
             if status.state not in (users.DONE, users.CANCELLED):
-                assert job not in self.told, f"went_back {job}"
+                assert job not in self.told, (
+                    f"went_back: {job} was {self.told[job]}, is {status.state} now"
+                )
                 if self.now >= self.outage_until:
                     for name in self.before(job):
                         since = self.cancelled_at.get(name)
-                        late = since is not None and self.now - since > self.settings.cancel_s
-                        assert not late, f"orphaned {job}"
+                        overdue = since is not None and self.now - since > self.settings.cancel_s
+                        assert not overdue, (
+                            f"orphaned: {job} is {status.state} although {name}, on which it"
+                            f" depends, was cancelled at {since}"
+                        )
                 continue
             ends = [self.end_in_store(name) for name in (job, *self.before(job))]
             assert status.state in (users.DONE, users.CANCELLED)
             if status.state == users.DONE:
-                assert ends[0] == users.DONE, "told before it was durable"
+                assert ends[0] == users.DONE, f"{job} was reported done before that was durable"
             else:
-                assert users.CANCELLED in ends, "told before it was durable"
-            assert self.told.setdefault(job, status.state) == status.state, "went_back"
+                assert users.CANCELLED in ends, (
+                    f"{job} was reported cancelled before that was durable"
+                )
+            assert self.told.setdefault(job, status.state) == status.state, (
+                f"went_back: {job} was {self.told[job]}, is {status.state} now"
+            )
             assert spec is not None
 
     def before(self, job: str) -> set[str]:
-        """All that the job awaits, directly or through others."""
+        """Return all jobs that the job depends on, directly or through others."""
         seen: set[str] = set()
-        todo = list(self.jobs[job].get("awaits") or ())
-        while todo:
-            name = todo.pop()
+        unvisited = list(self.jobs[job].get("awaits") or ())
+        while unvisited:
+            name = unvisited.pop()
             if name not in seen:
                 seen.add(name)
-                todo += self.jobs[name].get("awaits") or ()
+                unvisited += self.jobs[name].get("awaits") or ()
         return seen
 
     def check(self) -> None:
-        where: dict[str, str] = {}
-        teams: dict[str, float] = {}
-        for w in self.cloud.machines.values():
-            for key, task in w.on().items():
-                assert key not in where, f"ran_twice {key}"
-                where[key] = w.id
+        """Check the invariants that must hold after every step."""
+        machine_by_task: dict[str, str] = {}
+        cpus_by_team: dict[str, float] = {}
+        for worker in self.cloud.machines.values():
+            for key, task in worker.on().items():
+                assert key not in machine_by_task, (
+                    f"ran_twice: {key} runs on {worker.id} and {machine_by_task[key]}"
+                )
+                machine_by_task[key] = worker.id
                 job = key.split("/")[0]
                 spec = self.jobs[job]
                 for name in spec.get("awaits") or ():
-                    assert self.end_in_store(name) == users.DONE, f"too_early {key}"
-                teams[spec["crew"]] = teams.get(spec["crew"], 0.0) + spec["cpus"]
-                assert spec["loaners"] or not w.spot, "wrong_place: spot"
-                assert spec["breeds"] is None or w.type["sku"] in spec["breeds"], "wrong_place"
-                assert spec["yard"] in (None, w.zone), "wrong_place: zone"
+                    assert self.end_in_store(name) == users.DONE, (
+                        f"too_early: {key} runs although {name} is not done"
+                    )
+                cpus_by_team[spec["crew"]] = cpus_by_team.get(spec["crew"], 0.0) + spec["cpus"]
+                assert spec["loaners"] or not worker.spot, f"wrong_place: {key} on a spot machine"
+                assert spec["breeds"] is None or worker.type["sku"] in spec["breeds"], (
+                    f"wrong_place: {key} on type {worker.type['sku']}"
+                )
+                assert spec["yard"] in (None, worker.zone), (
+                    f"wrong_place: {key} in zone {worker.zone}"
+                )
                 since = self.cancelled_at.get(job)
-                assert since is None or self.now - since <= self.settings.cancel_s, "ran_cancelled"
-                self.started.add((key, task.attempt, w.id))
-        on = set(where.items())
-        self.starts.update(key for key, _ in on - self.on_before)
-        self.on_before = on
+                assert since is None or self.now - since <= self.settings.cancel_s, (
+                    f"ran_cancelled: {key} runs on {worker.id}"
+                )
+                self.started.add((key, task.attempt, worker.id))
+        running = set(machine_by_task.items())
+        self.starts.update(key for key, _ in running - self._running_before)
+        self._running_before = running
         if self.left_waiting_s is not None:
-            self.check_waiting(teams, self.left_waiting_s)
+            self._check_waiting(cpus_by_team, self.left_waiting_s)
         for team in self.settings.teams.values():
             if team.cpus_max:
-                assert teams.get(team.name, 0.0) <= team.cpus_max + 1e-6, "quota"
+                assert cpus_by_team.get(team.name, 0.0) <= team.cpus_max + 1e-6, (
+                    f"quota: {team.name} uses more than its cpus_max of {team.cpus_max}"
+                )
         for job, spec in self.jobs.items():
             zones = [
-                self.cloud.machines[m].zone for k, m in where.items() if k.startswith(job + "/")
+                self.cloud.machines[m].zone
+                for k, m in machine_by_task.items()
+                if k.startswith(job + "/")
             ]
             if spec["together"]:
-                assert len(set(zones)) <= 1, "wrong_place: together"
+                assert len(set(zones)) <= 1, f"wrong_place: {job} must stay in one zone"
             if spec["spread"]:
                 half = (spec["parcels"] + 1) // 2
-                assert all(zones.count(z) <= half for z in set(zones)), "wrong_place: spread"
-            known = any(f"{p}/{job}" in self.store.keys for p in ("job", "end"))
-            assert known, "forgotten"
-
-    def check_waiting(self, teams: dict[str, float], most_s: float) -> None:
-        """No job's tasks wait that long while a machine that fits has room and the team may use
-        more. Jobs bound by their other tasks are left out: what fits them is a matter of those."""
-        up = [
-            w
-            for w in self.cloud.machines.values()
-            if max(w.boots_at, w.hangs_until) <= self.now and w.notice is None
+                assert all(zones.count(z) <= half for z in set(zones)), (
+                    f"wrong_place: {job} has over half of its tasks in a zone"
+                )
+            stored = any(f"{prefix}/{job}" in self.store.keys for prefix in ("job", "end"))
+            assert stored, f"forgotten: {job} has neither a job record nor an end record"
+
+    def _check_waiting(self, cpus_by_team: dict[str, float], max_wait_s: float) -> None:
+        """Check that no job waits longer than `max_wait_s` while its tasks could be placed.
+
+        They could if an eligible machine has room and the team's quota allows more. Jobs with
+        `together` or `spread` are left out: where their tasks fit depends on their other tasks.
+        """
+        running_machines = [
+            worker
+            for worker in self.cloud.machines.values()
+            if max(worker.boots_at, worker.hangs_until) <= self.now and worker.notice is None
         ]
-        free = {
-            w.id: w.type["cpus"]
+        free_cpus = {
+            worker.id: worker.type["cpus"]
             - sum(
-                self.jobs[k.split("/")[0]]["cpus"] for k, t in w.tasks.items() if t.state != "ended"
+                self.jobs[k.split("/")[0]]["cpus"]
+                for k, t in worker.tasks.items()
+                if t.state != "ended"
             )
-            for w in up
+            for worker in running_machines
         }
         for job, spec in self.jobs.items():
-            on = {k for w in self.cloud.machines.values() for k in w.tasks if k.startswith(job)}
+            assigned = {
+                k
+                for worker in self.cloud.machines.values()
+                for k in worker.tasks
+                if k.startswith(job)
+            }
             done = {
                 f"{job}/{i}"
                 for part in self.parts(job)
                 for a, b in part["d"]
                 for i in range(a, b + 1)
             }
-            number = len(on | done)
+            placed_or_done = len(assigned | done)
             ended = f"end/{job}" in self.store.keys or job in self.cancelled_at
-            most = self.settings.teams[spec["crew"]].cpus_max
-            room = any(
-                free[w.id] >= spec["cpus"]
-                and (spec["loaners"] or not w.spot)
-                and spec["breeds"] in (None, [w.type["sku"]])
-                and spec["yard"] in (None, w.zone)
-                for w in up
+            max_cpus = self.settings.teams[spec["crew"]].cpus_max
+            has_room = any(
+                free_cpus[worker.id] >= spec["cpus"]
+                and (spec["loaners"] or not worker.spot)
+                and spec["breeds"] in (None, [worker.type["sku"]])
+                and spec["yard"] in (None, worker.zone)
+                for worker in running_machines
             )
-            held = most and teams.get(spec["crew"], 0.0) + spec["cpus"] > most
-            bound = spec["together"] or spec["spread"]
-            if ended or bound or held or not room or number == spec["parcels"]:
-                self.waiting.pop(job, None)
+            at_quota = max_cpus and cpus_by_team.get(spec["crew"], 0.0) + spec["cpus"] > max_cpus
+            is_constrained = spec["together"] or spec["spread"]
+            if (
+                ended
+                or is_constrained
+                or at_quota
+                or not has_room
+                or placed_or_done == spec["parcels"]
+            ):
+                self._waiting.pop(job, None)
                 continue
-            was, since = self.waiting.get(job, (number, self.now))
-            self.waiting[job] = (number, since if was == number else self.now)
-            assert self.now - self.waiting[job][1] <= most_s, f"left waiting: {job}"
+            previous, since = self._waiting.get(job, (placed_or_done, self.now))
+            self._waiting[job] = (placed_or_done, since if previous == placed_or_done else self.now)
+            assert self.now - self._waiting[job][1] <= max_wait_s, (
+                f"{job} waits although an eligible machine has room"
+            )
 
     def all_ended(self) -> bool:
+        """Return whether every job has an end record."""
         return all(f"end/{job}" in self.store.keys for job in self.jobs)
