--- a/tests/behaviour_record.py
+++ b/tests/behaviour_record.py
@@ -1,19 +1,20 @@
-"""A record of everything that leaves the state machines, for comparing one revision with another.
+"""Records all output of the state machines, to compare the behaviour of two revisions.
 
-Each scenario drives the leader, the relays, the election or the membership of duties through one
-of the simulated worlds, from a fixed seed. Every command to a worker, transaction, cloud call,
-answer to a user and frame between nodes is written down as the bytes that the wire codecs encode,
-in the order in which they go out, so the record does not depend on any name in the sources.
+Each scenario drives the leader, the relays, the election or the named leases through a simulation
+with a fixed seed. Every command to a worker, transaction, cloud request, response to a user and
+frame between nodes is an event. It is recorded as the bytes that the wire codecs produce, in the
+order of sending, so the record does not depend on names in the sources.
 
-`behaviour_record.json` keeps, for each scenario, one entry per simulated second in which something
-was sent: the second, the number of events so far and the head of a SHA-256 chain over them. The
-first entry that differs names the second in which two revisions part.
+`behaviour_record.json` holds, for each scenario, one entry per simulated second in which something
+was sent: the second, the number of events so far and the start of a SHA-256 digest of all of them.
+The first entry that differs is the second in which the behaviour of two revisions diverges.
 
     python3 tests/behaviour_record.py --write           # replace the stored record
     python3 tests/behaviour_record.py --digests NAME    # print the digests of one scenario
     python3 tests/behaviour_record.py --dump FILE       # all events in full, for `diff`
 
-The script starts itself anew with a fixed PYTHONHASHSEED, as the order of sets may show.
+The script restarts itself with a fixed PYTHONHASHSEED, since the order of sets may affect the
+events.
 """
 
 import argparse
@@ -34,7 +35,7 @@
 import orjson
 
 from duty_world import SimulatedNode
-from duty_world import World as DutyWorld
+from duty_world import World as NamedLeaseWorld
 from eldercart.autoscaling.cloud_requests import RequestAdmission
 from eldercart.autoscaling.request_types import MachineOffering, ScaleOutRequest
 from eldercart.cluster.failure_detector import Probe
@@ -86,78 +87,88 @@
 
 RECORD_FILE = Path(__file__).resolve().with_suffix(".json")
 HASH_SEED = "0"
-DIGEST_CHARS = 16  # of the chain's head, kept per second
+DIGEST_CHARS = 16  # hexadecimal digits of the digest that are kept per second
 SETTLE_LIMIT_S = 400.0
 
-# Kinds of events. These name what the bytes are for and never follow the names in the sources.
-COMMANDS, ORDER, PROBE, WORKER_ANSWER = "commands", "order", "probe", "worker-answer"
-TRANSACTION, MEMORY, STORE, STORED = "transaction", "memory", "store", "stored"
-CLOUD, FRAME, USER, LEASE, READ, STATUS = "cloud", "frame", "user", "lease", "read", "status"
+# Kinds of events. The values are part of the stored record and do not follow names in the sources.
+COMMANDS, DIRECT_KILLS, PROBE, WORKER_RESPONSE = "commands", "order", "probe", "worker-answer"
+TRANSACTION, LEARNED_STATE, STORE_REQUEST, STORED_ITEM = "transaction", "memory", "store", "stored"
+CLOUD_REQUEST, FRAME, USER_RESPONSE, LEASE_REQUEST, STORE_READ, LEASE_STATUS = (
+    "cloud",
+    "frame",
+    "user",
+    "lease",
+    "read",
+    "status",
+)
 
-Sink = list[bytes] | None  # takes the events in full, if there is one
-Digests = list[list[Any]]  # of one scenario: second, number of events so far, head of the chain
+Sink = list[bytes] | None  # receives all events in full; None: they are only digested
+# The entries of one scenario: second, number of events so far, start of the digest.
+Entries = list[list[Any]]
 
 
 class Recording:
-    """The events of one scenario, and a chain of digests over them."""
+    """Collects the events of one scenario and their running digest."""
 
     def __init__(self, clock: Callable[[], float], sink: Sink) -> None:
-        """`clock` tells the simulated time."""
+        """Start with no events; `clock` returns the simulated time in seconds."""
         self._clock = clock
         self._sink = sink
-        self._chain = hashlib.sha256()
-        self._events = 0
-        self._bytes = 0
-        self._digests: Digests = []
+        self._running_digest = hashlib.sha256()
+        self._event_count = 0
+        self._byte_count = 0
+        self._entries: Entries = []
         self.kinds: Counter[str] = Counter()
 
-    def add(self, kind: str, about: str, data: bytes) -> None:
-        """One event: its kind, whom it concerns, and the bytes that go out."""
+    def add(self, kind: str, subject: str, data: bytes) -> None:
+        """Record an event: its kind, the node, machine or job concerned, and the bytes sent."""
         second = int(self._clock() + 1e-6)
-        line = f"{second} {kind} {about} ".encode() + data + b"\n"
-        self._chain.update(line)
-        self._events += 1
-        self._bytes += len(line)
+        line = f"{second} {kind} {subject} ".encode() + data + b"\n"
+        self._running_digest.update(line)
+        self._event_count += 1
+        self._byte_count += len(line)
         self.kinds[kind] += 1
-        if not self._digests or self._digests[-1][0] != second:
-            self._digests.append([second, 0, ""])
-        self._digests[-1][1:] = [self._events, self._chain.hexdigest()[:DIGEST_CHARS]]
+        if not self._entries or self._entries[-1][0] != second:
+            self._entries.append([second, 0, ""])
+        self._entries[-1][1:] = [self._event_count, self._running_digest.hexdigest()[:DIGEST_CHARS]]
         if self._sink is not None:
             self._sink.append(line)
 
-    def add_json(self, kind: str, about: str, value: Any) -> None:
-        """An event that has no wire codec of its own: plain values only."""
-        self.add(kind, about, orjson.dumps(value))
+    def add_json(self, kind: str, subject: str, value: Any) -> None:
+        """Record an event that no wire codec encodes; `value` must be plain JSON."""
+        self.add(kind, subject, orjson.dumps(value))
 
     def result(self) -> dict[str, Any]:
-        """What is stored of the scenario."""
+        """Return the scenario's part of the stored record."""
         return {
-            "events": self._events,
-            "bytes": self._bytes,
+            "events": self._event_count,
+            "bytes": self._byte_count,
             "kinds": dict(sorted(self.kinds.items())),
-            "digest": self._chain.hexdigest(),
-            "seconds": self._digests,
+            "digest": self._running_digest.hexdigest(),
+            "seconds": self._entries,
         }
 
 
-# -- access points: what goes out of the state machines
+# -- recording wrappers: the output of the state machines
 
 
-def cloud_call_bytes(call: CloudRequest) -> bytes:
-    """The request of a call to the cloud."""
-    if isinstance(call, ScaleOut):
-        offer = call.request.offering
-        name, number = call.request.name, call.request.machine_count
-        return cloud.create_machines_body(name, offer.type, offer.zone, offer.is_spot, number)
-    if isinstance(call, DeleteMachines):
-        return cloud.delete_machines_body(list(call.machines))
-    if isinstance(call, ListMachines):
-        return cloud.machines_path(call.after).encode()
+def cloud_request_bytes(cloud_request: CloudRequest) -> bytes:
+    """Return the body of the request, or the path if it has no body."""
+    if isinstance(cloud_request, ScaleOut):
+        offering = cloud_request.request.offering
+        name, machine_count = cloud_request.request.name, cloud_request.request.machine_count
+        return cloud.create_machines_body(
+            name, offering.type, offering.zone, offering.is_spot, machine_count
+        )
+    if isinstance(cloud_request, DeleteMachines):
+        return cloud.delete_machines_body(list(cloud_request.machines))
+    if isinstance(cloud_request, ListMachines):
+        return cloud.machines_path(cloud_request.after).encode()
     return b"/catalog"
 
 
 def election_request(action: Any) -> bytes:
-    """The request to the state service that an election asks for."""
+    """Return the election's request to the state service: its body, path or a short form."""
     if isinstance(action, ReadLeaderKey):
         return state.key_path("lead").encode()
     if isinstance(action, GrantLease):
@@ -168,82 +179,82 @@
         return b"revoke %d" % action.lease_id
     if isinstance(action, Campaign):
         return action.transaction.body()
-    raise AssertionError("an action that no request is known for")
+    raise AssertionError(f"no request is known for the action {type(action).__name__}")
 
 
-def greet_frame(greeting: peers.PeerHeartbeat) -> bytes:
-    """A greeting, read and encoded once more as its receiver has it."""
+def heartbeat_frame(heartbeat: peers.PeerHeartbeat) -> bytes:
+    """Return the heartbeat of a peer after it was encoded, parsed and encoded once more."""
     return peers.encode_peer_heartbeat(
-        peers.parse_peer_heartbeat(peers.parse_frame(peers.encode_peer_heartbeat(greeting)))
+        peers.parse_peer_heartbeat(peers.parse_frame(peers.encode_peer_heartbeat(heartbeat)))
     )
 
 
-def greeted_frame(answer: peers.PeerHeartbeatAck) -> bytes:
-    """The answer to a greeting, read and encoded once more."""
+def heartbeat_ack_frame(ack: peers.PeerHeartbeatAck) -> bytes:
+    """Return the acknowledgement of a peer's heartbeat, parsed and encoded once more."""
     return peers.encode_peer_heartbeat_ack(
-        peers.parse_peer_heartbeat_ack(peers.parse_frame(peers.encode_peer_heartbeat_ack(answer)))
+        peers.parse_peer_heartbeat_ack(peers.parse_frame(peers.encode_peer_heartbeat_ack(ack)))
     )
 
 
-def answer_frame(answer: peers.HeartbeatReply) -> bytes:
-    """The leader's answer to a forwarded report, read and encoded once more."""
+def heartbeat_reply_frame(reply: peers.HeartbeatReply) -> bytes:
+    """Return the leader's reply to a forwarded heartbeat, parsed and encoded once more."""
     return peers.encode_heartbeat_replies(
-        peers.parse_heartbeat_replies(peers.parse_frame(peers.encode_heartbeat_replies([answer])))
+        peers.parse_heartbeat_replies(peers.parse_frame(peers.encode_heartbeat_replies([reply])))
     )
 
 
-def states_frame(kind: str, reply: peers.JobReply) -> bytes:
-    """What is told of a job, read and encoded once more."""
+def job_reply_frame(kind: str, reply: peers.JobReply) -> bytes:
+    """Return the leader's reply about a job, parsed and encoded once more."""
     return peers.encode_job_replies(
         kind, peers.parse_job_replies(peers.parse_frame(peers.encode_job_replies(kind, [reply])))
     )
 
 
 class RecordingStore(StoreSim):
-    """Records what reaches the state service and what it answers."""
+    """Records the transactions that reach the state service, and its responses."""
 
     def __init__(self, recording: Recording) -> None:
         super().__init__()
         self._recording = recording
 
     def txn(self, body: bytes) -> tuple[int, dict[str, Any]]:
-        status, answer = super().txn(body)
-        self._recording.add(STORE, str(status), body + b" " + orjson.dumps(answer))
-        return status, answer
+        status, response = super().txn(body)
+        self._recording.add(STORE_REQUEST, str(status), body + b" " + orjson.dumps(response))
+        return status, response
 
-    def record_all(self) -> None:
-        """Every key as it stands."""
+    def record_all_items(self) -> None:
+        """Record all keys with their values."""
         for item in self.range(""):
-            self._recording.add_json(STORED, "", item)
+            self._recording.add_json(STORED_ITEM, "", item)
 
 
-class RecordingController(Scheduler):
-    """The leader, with a record of all that it hands out."""
+class RecordingScheduler(Scheduler):
+    """The leader's state machine, which records all that it returns for sending."""
 
     recording: Recording
 
     def on_heartbeat(
-        self, r: workers.Heartbeat, now: MonotonicTime, relay: NodeId | None = None
+        self, heartbeat: workers.Heartbeat, now: MonotonicTime, relay: NodeId | None = None
     ) -> list[workers.Command] | None:
-        commands = super().on_heartbeat(r, now, relay)
+        commands = super().on_heartbeat(heartbeat, now, relay)
         body = (
             b"overtaken"
             if commands is None
             else workers.commands_response_body(self.token, commands)
         )
-        self.recording.add(COMMANDS, r.machine, body)
+        self.recording.add(COMMANDS, heartbeat.machine, body)
         return commands
 
-    def on_response_undelivered(self, machine: MachineId) -> None:
-        self.recording.add(FRAME, "", peers.encode_machines(peers.UNDELIVERED, [machine]))
-        super().on_response_undelivered(machine)
+    def on_response_undelivered(self, machine_id: MachineId) -> None:
+        self.recording.add(FRAME, "", peers.encode_machines(peers.UNDELIVERED, [machine_id]))
+        super().on_response_undelivered(machine_id)
 
     def take_direct_kills(self, now: MonotonicTime) -> list[DirectKill]:
-        orders = super().take_direct_kills(now)
-        for order in orders:
-            body = workers.direct_commands_body(self.token, order.agent_epoch, order.commands)
-            self.recording.add(ORDER, f"{order.machine_id} {order.address}", body)
-        return orders
+        kills = super().take_direct_kills(now)
+        for kill in kills:
+            body = workers.direct_commands_body(self.token, kill.agent_epoch, kill.commands)
+            self.recording.add(DIRECT_KILLS, f"{kill.machine_id} {kill.address}", body)
+        return kills
 
     def take_probes(self) -> list[Probe]:
         probes = super().take_probes()
@@ -252,98 +263,104 @@
         return probes
 
     def take_machines_needing_command(self) -> dict[NodeId, list[MachineId]]:
-        wants = super().take_machines_needing_command()
-        for node, machines in wants.items():
+        machines_by_relay = super().take_machines_needing_command()
+        for relay, machines in machines_by_relay.items():
             self.recording.add(
-                FRAME, node, peers.encode_machines(peers.NEXT_HEARTBEAT_REQUESTS, machines)
+                FRAME, relay, peers.encode_machines(peers.NEXT_HEARTBEAT_REQUESTS, machines)
             )
-        return wants
+        return machines_by_relay
 
-    def next_transaction(self, now: MonotonicTime, ops: int) -> PendingTransaction | None:
-        pending = super().next_transaction(now, ops)
+    def next_transaction(
+        self, now: MonotonicTime, max_operations: int
+    ) -> PendingTransaction | None:
+        pending = super().next_transaction(now, max_operations)
         if pending is not None:
             self.recording.add(TRANSACTION, "", pending.transaction.body())
         return pending
 
     def next_learned_state_transaction(
-        self, now: MonotonicTime, most_changes: int | None = None
+        self, now: MonotonicTime, max_operations: int | None = None
     ) -> Transaction | None:
-        txn = super().next_learned_state_transaction(now, most_changes)
+        txn = super().next_learned_state_transaction(now, max_operations)
         if txn is not None:
-            self.recording.add(MEMORY, "", txn.body())
+            self.recording.add(LEARNED_STATE, "", txn.body())
         return txn
 
     def next_cloud_request(self, now: MonotonicTime) -> CloudRequest | None:
-        call = super().next_cloud_request(now)
-        if call is not None:
-            self.recording.add(CLOUD, "", cloud_call_bytes(call))
-        return call
+        request = super().next_cloud_request(now)
+        if request is not None:
+            self.recording.add(CLOUD_REQUEST, "", cloud_request_bytes(request))
+        return request
 
-    def take_due_end_lookups(self, now: MonotonicTime, most: int) -> list[JobId]:
-        jobs = super().take_due_end_lookups(now, most)
+    def take_due_end_lookups(self, now: MonotonicTime, max_lookups: int) -> list[JobId]:
+        jobs = super().take_due_end_lookups(now, max_lookups)
         for job in jobs:
-            self.recording.add(READ, "", state.key_path(f"end/{job}").encode())
+            self.recording.add(STORE_READ, "", state.key_path(f"end/{job}").encode())
         return jobs
 
     def take_finished_jobs(self) -> list[FinishedJob]:
         finished = super().take_finished_jobs()
-        for end in finished:
-            self.recording.add(USER, "end", users.job_state_body(end.job_id, end.outcome))
+        for finished_job in finished:
+            self.recording.add(
+                USER_RESPONSE,
+                "end",
+                users.job_state_body(finished_job.job_id, finished_job.outcome),
+            )
         return finished
 
     def cancel_job(self, job_id: JobId, now: MonotonicTime) -> str | LookupFailure:
-        verdict = super().cancel_job(job_id, now)
-        reply = peers.JobReply(0, verdict_text(verdict), 0, 0)
-        self.recording.add(USER, job_id, states_frame(peers.CANCEL_REPLIES, reply))
-        return verdict
-
-    def record_status(self, job: JobId) -> None:
-        """What a poll of the job is told."""
-        status = self.job_status(job)
+        state_or_failure = super().cancel_job(job_id, now)
+        reply = peers.JobReply(0, state_text(state_or_failure), 0, 0)
+        self.recording.add(USER_RESPONSE, job_id, job_reply_frame(peers.CANCEL_REPLIES, reply))
+        return state_or_failure
+
+    def record_status(self, job_id: JobId) -> None:
+        """Record the response to a poll of the job."""
+        status = self.job_status(job_id)
         if isinstance(status, JobStatus):
-            waiting = status.unmet_dependencies
+            unmet = status.unmet_dependencies
             body = users.job_state_body(
-                job, status.state, status.done_count, status.running_count, waiting
+                job_id, status.state, status.done_count, status.running_count, unmet
             )
-            reply = peers.JobReply(
-                0, status.state, status.done_count, status.running_count, waiting
-            )
-            self.recording.add(USER, "poll", body)
+            reply = peers.JobReply(0, status.state, status.done_count, status.running_count, unmet)
+            self.recording.add(USER_RESPONSE, "poll", body)
         else:
-            reply = peers.JobReply(0, verdict_text(status), 0, 0)
-        self.recording.add(FRAME, job, states_frame(peers.JOB_STATES, reply))
+            reply = peers.JobReply(0, state_text(status), 0, 0)
+        self.recording.add(FRAME, job_id, job_reply_frame(peers.JOB_STATES, reply))
 
 
-def verdict_text(verdict: str | LookupFailure) -> str:
-    """A verdict as the frames between nodes tell it."""
-    if isinstance(verdict, LookupFailure):
-        return peers.UNDECIDED if verdict is LookupFailure.UNDECIDED else peers.UNKNOWN
-    return verdict
+def state_text(state_or_failure: str | LookupFailure) -> str:
+    """Return a job's state, or why it is not known, as frames between nodes encode it."""
+    if isinstance(state_or_failure, LookupFailure):
+        return peers.UNDECIDED if state_or_failure is LookupFailure.UNDECIDED else peers.UNKNOWN
+    return state_or_failure
 
 
 class RecordingRelay(HeartbeatRelay):
-    """A relay, with a record of what it answers to workers and tells the leader."""
+    """A relay, which records its responses to workers and its frames to the leader."""
 
     recording: Recording
 
     def handle_heartbeat(
         self,
         machine: MachineId,
-        order: HeartbeatSequence,
-        epoch: FencingToken,
-        notice: bool,
+        sequence: HeartbeatSequence,
+        token: FencingToken,
+        has_preemption_notice: bool,
         tasks: Any,
         now: MonotonicTime,
-        reachable: bool,
+        leader_reachable: bool,
     ) -> Decision:
-        decision = super().handle_heartbeat(machine, order, epoch, notice, tasks, now, reachable)
+        decision = super().handle_heartbeat(
+            machine, sequence, token, has_preemption_notice, tasks, now, leader_reachable
+        )
         if isinstance(decision, Acknowledge):
             body = workers.heartbeat_response_body(decision.token, [])
         elif isinstance(decision, Redirect):
             body = workers.redirect_body(decision.target)
         elif isinstance(decision, Forward):
             body = peers.encode_forwarded_heartbeats(
-                self.token, [(order.number, orjson.dumps(tasks))]
+                self.token, [(sequence.number, orjson.dumps(tasks))]
             )
         else:
             body = b"overtaken"
@@ -352,48 +369,55 @@
 
     def renew_lease(
         self,
-        epoch: FencingToken,
+        token: FencingToken,
         leader: NodeId,
-        asked: MonotonicTime,
+        requested_at: MonotonicTime,
         now: MonotonicTime,
-        most: int | None = None,
-        spare: NodeId | None = None,
+        max_machines: int | None = None,
+        redirect_target: NodeId | None = None,
     ) -> None:
-        super().renew_lease(epoch, leader, asked, now, most, spare)
-        holds = self.holds_lease(now)
-        answer = peers.PeerHeartbeatAck(0, self.token, holds, True, most or 0, spare, 0)
-        self.recording.add(FRAME, f"{self.label} {self.leader}", greeted_frame(answer))
+        super().renew_lease(token, leader, requested_at, now, max_machines, redirect_target)
+        is_holder = self.holds_lease(now)
+        ack = peers.PeerHeartbeatAck(
+            0, self.token, is_holder, True, max_machines or 0, redirect_target, 0
+        )
+        self.recording.add(FRAME, f"{self.label} {self.leader}", heartbeat_ack_frame(ack))
 
     def take_acknowledged(self, now: MonotonicTime) -> AcknowledgedHeartbeats:
-        heard = super().take_acknowledged(now)
-        greeting = peers.PeerHeartbeat(
-            self.label, 0, self.token, True, self.machine_count, 0, heard
+        acknowledged = super().take_acknowledged(now)
+        heartbeat = peers.PeerHeartbeat(
+            self.label, 0, self.token, True, self.machine_count, 0, acknowledged
         )
-        self.recording.add(FRAME, self.label, greet_frame(greeting))
-        return heard
+        self.recording.add(FRAME, self.label, heartbeat_frame(heartbeat))
+        return acknowledged
 
     def on_leader_response(
-        self, machine: MachineId, order: HeartbeatSequence, notice: bool, tasks: Any, again: bool
+        self,
+        machine: MachineId,
+        sequence: HeartbeatSequence,
+        has_preemption_notice: bool,
+        tasks: Any,
+        wants_next: bool,
     ) -> None:
-        answer = peers.HeartbeatReply(order.number, [], again)
-        self.recording.add(FRAME, f"{self.label} {machine}", answer_frame(answer))
-        super().on_leader_response(machine, order, notice, tasks, again)
+        reply = peers.HeartbeatReply(sequence.number, [], wants_next)
+        self.recording.add(FRAME, f"{self.label} {machine}", heartbeat_reply_frame(reply))
+        super().on_leader_response(machine, sequence, has_preemption_notice, tasks, wants_next)
 
-    def on_stale_heartbeat(self, machine: MachineId, order: HeartbeatSequence) -> None:
-        answer = peers.HeartbeatReply(order.number, None, False)
-        self.recording.add(FRAME, f"{self.label} {machine}", answer_frame(answer))
-        super().on_stale_heartbeat(machine, order)
+    def on_stale_heartbeat(self, machine: MachineId, sequence: HeartbeatSequence) -> None:
+        reply = peers.HeartbeatReply(sequence.number, None, False)
+        self.recording.add(FRAME, f"{self.label} {machine}", heartbeat_reply_frame(reply))
+        super().on_stale_heartbeat(machine, sequence)
 
 
-# -- the worlds, with the recording parts put in
+# -- the simulations with recording wrappers
 
 
 class RecordedWorld(RelayWorld):
-    """Leader, relays, state service, cloud and workers."""
+    """A simulation of leader, relays, state service, cloud and workers, which is recorded."""
 
     def __init__(self, sink: Sink, seed: int, **faults: Any) -> None:
         self.recording = Recording(lambda: self.now, sink)
-        self._polled = 0
+        self._last_poll_s = 0
         super().__init__(seed, **faults)
 
     def elect(self) -> None:
@@ -401,8 +425,8 @@
             self.store = RecordingStore(self.recording)
         super().elect()
 
-    def new_controller(self, epoch: FencingToken) -> RecordingController:
-        controller = RecordingController(
+    def new_controller(self, epoch: FencingToken) -> RecordingScheduler:
+        scheduler = RecordingScheduler(
             self.settings,
             self.tuning,
             epoch,
@@ -411,108 +435,113 @@
             WallTime(self.now),
             self.incarnation,
         )
-        controller.recording = self.recording
-        return controller
+        scheduler.recording = self.recording
+        return scheduler
 
     def new_relay(self, i: int) -> RecordingRelay:
         relay = RecordingRelay(NodeId(f"n{i}"), 0.4 * self.settings.lease_s, 0.02)
         relay.recording = self.recording
         return relay
 
-    def answer(self, w: WorkerSim, f: Flight, body: bytes) -> None:
-        self.recording.add(WORKER_ANSWER, w.id, body)
-        super().answer(w, f, body)
+    def answer(self, worker: WorkerSim, flight: Flight, body: bytes) -> None:
+        self.recording.add(WORKER_RESPONSE, worker.id, body)
+        super().answer(worker, flight, body)
 
     def step(self, dt: float) -> None:
         super().step(dt)
-        if int(self.now) > self._polled:
-            self._polled = int(self.now)
+        if int(self.now) > self._last_poll_s:
+            self._last_poll_s = int(self.now)
             self.record_statuses()
 
-    def serve_cloud(self, c: Scheduler, now: MonotonicTime) -> None:
+    def serve_cloud(self, scheduler: Scheduler, now: MonotonicTime) -> None:
         if self.faults.get("cloud_given_back") and self.chance("cloud_given_back"):
-            call = c.next_cloud_request(now)
-            if isinstance(call, ScaleOut | DeleteMachines):
-                c.cloud_requests.requeue_unsent(call)
-            elif call is not None:
-                c.on_cloud_response(call, 503, b"", now)
+            request = scheduler.next_cloud_request(now)
+            if isinstance(request, ScaleOut | DeleteMachines):
+                scheduler.cloud_requests.requeue_unsent(request)
+            elif request is not None:
+                scheduler.on_cloud_response(request, 503, b"", now)
             return
-        super().serve_cloud(c, now)
+        super().serve_cloud(scheduler, now)
 
     def record_statuses(self) -> None:
-        """What every job's user is told now."""
-        assert isinstance(self.scheduler, RecordingController)
+        """Record the response to a poll of every job."""
+        assert isinstance(self.scheduler, RecordingScheduler)
         for job in self.jobs:
             self.scheduler.record_status(JobId(job))
 
     def finish(self) -> dict[str, Any]:
-        """Runs until all jobs have ended, and a little longer; then the store is recorded."""
+        """Run until 10 s after all jobs have ended; record the store and return the result."""
         end = self.now + SETTLE_LIMIT_S
         while not self.all_ended() and self.now < end:
             self.run(1.0)
-        assert self.all_ended(), "not all jobs came to an end"
+        assert self.all_ended(), f"not all jobs have ended after {SETTLE_LIMIT_S} s"
         self.run(10.0)
         assert isinstance(self.store, RecordingStore)
-        self.store.record_all()
+        self.store.record_all_items()
         return self.recording.result()
 
 
 class RecordedElection(ElectionWorld):
-    """Elections alone."""
+    """A simulation of elections alone, which is recorded."""
 
     def __init__(self, sink: Sink, seed: int, nodes: int) -> None:
         self.recording = Recording(lambda: self.now, sink)
         super().__init__(seed, nodes)
 
-    def send(self, e: Election, action: Any) -> None:
-        self.recording.add(STORE, f"{e.node_id}", election_request(action))
-        super().send(e, action)
+    def send(self, election: Election, action: Any) -> None:
+        self.recording.add(STORE_REQUEST, f"{election.node_id}", election_request(action))
+        super().send(election, action)
 
     def run(self, seconds: float) -> None:
         super().run(seconds)
-        for e in self.nodes:
-            leads = e.role is Role.LEADER
-            answer = peers.PeerHeartbeatAck(0, FencingToken(e.token), leads, True, 0, e.leader, 0)
-            self.recording.add(FRAME, e.node_id, greeted_frame(answer))
+        for election in self.nodes:
+            is_leader = election.role is Role.LEADER
+            ack = peers.PeerHeartbeatAck(
+                0, FencingToken(election.token), is_leader, True, 0, election.leader, 0
+            )
+            self.recording.add(FRAME, election.node_id, heartbeat_ack_frame(ack))
 
 
-class RecordedDuties(DutyWorld):
-    """Nodes that hold duties."""
+class RecordedNamedLeases(NamedLeaseWorld):
+    """A simulation of nodes that hold named leases, which is recorded."""
 
     def __init__(self, sink: Sink, seed: int, nodes: int) -> None:
         self.recording = Recording(lambda: self.now, sink)
         super().__init__(seed, nodes)
 
     def commit(
-        self, node: SimulatedNode, txn: Transaction, answered: Callable[[int | None, Any], None]
+        self,
+        node: SimulatedNode,
+        transaction: Transaction,
+        on_answer: Callable[[int | None, Any], None],
     ) -> None:
-        self.recording.add(TRANSACTION, node.node_id, txn.body())
-        super().commit(node, txn, answered)
+        self.recording.add(TRANSACTION, node.node_id, transaction.body())
+        super().commit(node, transaction, on_answer)
 
     def read(
-        self, node: SimulatedNode, prefix: str, answered: Callable[[int | None, Any], None]
+        self, node: SimulatedNode, prefix: str, on_answer: Callable[[int | None, Any], None]
     ) -> None:
-        self.recording.add(READ, node.node_id, state.range_path(prefix, None).encode())
-        super().read(node, prefix, answered)
+        self.recording.add(STORE_READ, node.node_id, state.range_path(prefix, None).encode())
+        super().read(node, prefix, on_answer)
 
     def serve_lease(
         self,
         node: SimulatedNode,
         action: str,
         value: Any,
-        answered: Callable[[int | None, Any], None],
+        on_answer: Callable[[int | None, Any], None],
     ) -> None:
-        self.recording.add_json(LEASE, node.node_id, [action, value])
-        super().serve_lease(node, action, value, answered)
+        self.recording.add_json(LEASE_REQUEST, node.node_id, [action, value])
+        super().serve_lease(node, action, value, on_answer)
 
     def call_cloud(
         self,
         node: SimulatedNode,
-        call: ScaleOut | DeleteMachines,
-        answered: Callable[[int | None, Any], None],
+        request: ScaleOut | DeleteMachines,
+        on_answer: Callable[[int | None, Any], None],
     ) -> None:
-        self.recording.add(CLOUD, node.node_id, cloud_call_bytes(call))
-        super().call_cloud(node, call, answered)
+        self.recording.add(CLOUD_REQUEST, node.node_id, cloud_request_bytes(request))
+        super().call_cloud(node, request, on_answer)
 
     def run(self, seconds: float) -> None:
         end = self.now + seconds
@@ -521,17 +550,17 @@
             self.record_holders()
 
     def record_holders(self) -> None:
-        """Who leads and who holds which duty, by each node's own word."""
+        """Record for each node the leader that it knows and the named leases that it holds."""
         for node in self.nodes:
-            tokens = [[duty.value, node.candidate.held_token(duty)] for duty in LeaseName]
+            tokens = [[lease.value, node.candidate.held_token(lease)] for lease in LeaseName]
             value = [node.election.leader, node.election.token, tokens]
-            self.recording.add_json(STATUS, node.node_id, value)
+            self.recording.add_json(LEASE_STATUS, node.node_id, value)
 
     def finish(self) -> dict[str, Any]:
-        """Ends all faults, lets everything come to its end and records the store."""
+        """End all faults, wait until all is settled, record the store and return the result."""
         self.settle()
         for item in self.store.range(""):
-            self.recording.add_json(STORED, "", item)
+            self.recording.add_json(STORED_ITEM, "", item)
         return self.recording.result()
 
 
@@ -561,24 +590,24 @@
 
 
 def submit_mix(w: RecordedWorld) -> None:
-    """Jobs of all sorts."""
+    """Submit one job of each kind."""
     for i, changes in enumerate(JOBS):
         w.submit(f"wk-{i:06d}", **changes)
 
 
 def leader(w: RecordedWorld) -> Scheduler:
-    """The leader's state machine."""
+    """Return the leader's state machine."""
     assert w.scheduler is not None
     return w.scheduler
 
 
 def busy(w: RecordedWorld) -> list[WorkerSim]:
-    """The machines on which a task runs, in the order of their rental."""
+    """Return the machines on which a task runs, in the order of their creation."""
     return [machine for machine in w.cloud.machines.values() if machine.on()]
 
 
 def quiet(sink: Sink, seed: int) -> dict[str, Any]:
-    """No fault; machines are rented for the jobs and returned after them."""
+    """No faults: machines are created for the jobs and deleted after them."""
     w = RecordedWorld(sink, seed, capacity=8)
     submit_mix(w)
     w.run(30)
@@ -589,7 +618,7 @@
 
 
 def lost_messages(sink: Sink, seed: int) -> dict[str, Any]:
-    """Every message may be lost, repeated or late; the store and the cloud fail for a while."""
+    """Any message may be lost, repeated or delayed; the store and the cloud fail for a while."""
     w = RecordedWorld(sink, seed, capacity=8, **MESSAGE_FAULTS)
     submit_mix(w)
     w.submit("wk-cancelled", run_s=200.0, haulS=200.0, parcels=10)
@@ -608,7 +637,7 @@
 
 
 def preemption(sink: Sink, seed: int) -> dict[str, Any]:
-    """Work of low priority fills few machines, then urgent work and that of a quota comes."""
+    """Low-priority jobs fill few machines; then prod and urgent jobs of a limited team arrive."""
     w = RecordedWorld(sink, seed, capacity=3, report_lost=0.05)
     for i, urgency in enumerate(["idle", "idle", "standard"]):
         w.submit(f"wk-low-{i}", run_s=60.0, haulS=60.0, parcels=12, urgency=urgency, waypointS=10.0)
@@ -624,17 +653,17 @@
 
 
 def machines_fail(sink: Sink, seed: int) -> dict[str, Any]:
-    """Machines die, hang, fail all tasks, are taken back or reach no node."""
+    """Machines disappear, hang, fail all tasks, are preempted or reach no node."""
     w = RecordedWorld(sink, seed, capacity=10, report_lost=0.03)
     for i in range(5):
         w.submit(f"wk-{i}", parcels=10, run_s=30.0, haulS=30.0, cpus=2.0, spread=i == 3)
     w.run(20)
-    dead, hanging, faulty, recalled, silent = (busy(w) + list(w.cloud.machines.values()))[:5]
-    del w.cloud.machines[dead.id]
+    lost, hanging, faulty, preempted, disconnected = (busy(w) + list(w.cloud.machines.values()))[:5]
+    del w.cloud.machines[lost.id]
     hanging.hangs_until = w.now + 45.0
     faulty.faulty = True
-    recalled.notice = 10.0
-    w.silent = {silent.id}
+    preempted.notice = 10.0
+    w.silent = {disconnected.id}
     w.run(8)
     w.cancel("wk-1")
     w.run(12)
@@ -655,7 +684,7 @@
 
 
 def chains(sink: Sink, seed: int) -> dict[str, Any]:
-    """Jobs that await others, with lists in their records and beside them; one is cancelled."""
+    """Jobs that depend on others, by lists in their records and outside; one is cancelled."""
     w = RecordedWorld(sink, seed, capacity=8, txn_lost=0.05, answer_lost=0.05)
     w.submit("wk-a", parcels=8, run_s=8.0, haulS=8.0)
     w.submit("wk-b", parcels=8, run_s=8.0, haulS=8.0, awaits=["wk-a"], dueS=60.0)
@@ -678,16 +707,16 @@
     return w.finish()
 
 
-def limited_platform(next_: dict[str, float] | None) -> dict[str, Any]:
-    """Settings with the state service's limits of now, and those to come if they are known."""
+def limited_platform(next_limits: dict[str, float] | None) -> dict[str, Any]:
+    """Return settings with limits of the state service, and with the announced next ones if any."""
     platform = copy.deepcopy(PLATFORM)
     limits = {"rps": 70, "write_rps": 25, "value_kb": 32, "txn_ops": 20}
-    platform["settings"]["state"] = limits | ({"next": next_} if next_ else {})
+    platform["settings"]["state"] = limits | ({"next": next_limits} if next_limits else {})
     return platform
 
 
 def limits_fall(sink: Sink, seed: int) -> dict[str, Any]:
-    """The sizes of values and of transactions fall; leaders change before, at and after that."""
+    """The state service's size limits are lowered; leaders change before, during and after that."""
     w = RecordedWorld(
         sink, seed, platform=limited_platform(None), txn_lost=0.05, txn_twice=0.1, report_lost=0.05
     )
@@ -696,8 +725,8 @@
     for i, tasks in enumerate([600, 90, 30, 6]):
         w.submit(f"wk-{i}", parcels=tasks, run_s=20.0 + 5 * i, haulS=20.0, **small)
     w.run(15)
-    next_ = {"write_rps": 18, "value_kb": 2.0, "txn_ops": 6}
-    w.settings = parse_platform(limited_platform(next_))
+    next_limits = {"write_rps": 18, "value_kb": 2.0, "txn_ops": 6}
+    w.settings = parse_platform(limited_platform(next_limits))
     w.elect()
     w.run(3)
     w.submit("wk-between", parcels=60, run_s=12.0, **small)
@@ -714,7 +743,7 @@
 
 
 def failover(sink: Sink, seed: int) -> dict[str, Any]:
-    """Leaders stall, crash and are cut off; workers go on reporting to a node of an earlier one."""
+    """Leaders stall, crash and are cut off; workers still report to a node of an earlier leader."""
     w = RecordedWorld(sink, seed, capacity=8, mesh_lost=0.03, mesh_delay=0.3, order_lost=0.2)
     for i in range(5):
         w.submit(f"wk-{i}", parcels=8, run_s=60.0, haulS=60.0, crew="t1" if i % 2 else "t2")
@@ -740,7 +769,7 @@
 
 
 def values_shrink(sink: Sink, seed: int) -> dict[str, Any]:
-    """Values become smaller than any setting foretold; records are cut and leaders change."""
+    """The limit on values drops below the announced one; records are split and leaders change."""
     limits = {"write_rps": 18, "value_kb": 2.0, "txn_ops": 6}
     w = RecordedWorld(sink, seed, platform=limited_platform(limits), txn_lost=0.1)
     small: dict[str, Any] = {"cpus": 0.2, "memGb": 0.1}
@@ -760,7 +789,7 @@
 
 
 def held_cloud_calls(sink: Sink, seed: int) -> dict[str, Any]:
-    """Rentals and returns are held back, handed back, and taken over from an earlier leader."""
+    """Cloud requests are blocked, requeued unsent, and resumed from an earlier leader."""
     w = RecordedWorld(sink, seed, capacity=6, cloud_given_back=0.2)
     leader(w).cloud_requests.scale_out_admission = RequestAdmission.BLOCKED
     for i in range(4):
@@ -788,7 +817,7 @@
 
 
 def lost_links(sink: Sink, seed: int) -> dict[str, Any]:
-    """Connections between nodes break, the leader stalls, and peers tell of higher epochs."""
+    """Connections between nodes break, the leader stalls, and peers report higher tokens."""
     w = RecordedWorld(sink, seed, capacity=8, mesh_lost=0.1, mesh_delay=1.0, answer_slow=0.05)
     for i in range(4):
         w.submit(f"wk-{i}", parcels=10, run_s=30.0, haulS=30.0)
@@ -813,7 +842,7 @@
 
 
 def election(sink: Sink, seed: int) -> dict[str, Any]:
-    """Nodes that restart in turn, with requests that are late or lost."""
+    """Nodes restart one after another while requests are delayed or lost."""
     w = RecordedElection(sink, seed, 5)
     for _ in range(30):
         w.run(w.rng.uniform(0.1, 2.5))
@@ -822,16 +851,16 @@
         w.run(1.0)
     for step in range(8):
         now = MonotonicTime(w.now)
-        for e in w.nodes:
-            e.on_leader_key_changed(now)
-            if e.role is not Role.LEADER:
+        for candidate in w.nodes:
+            candidate.on_leader_key_changed(now)
+            if candidate.role is not Role.LEADER:
                 continue
             if step % 3 == 0:
-                e.resign(now)
+                candidate.resign(now)
             elif step % 3 == 1:
-                e.on_write_fenced(now)
+                candidate.on_write_fenced(now)
             else:
-                e.observe_token(FencingToken(e.token + 1), now)
+                candidate.observe_token(FencingToken(candidate.token + 1), now)
         w.run(5.0)
     w.nodes[0].defer_candidacy(MonotonicTime(w.now + 3.0))
     w.nodes[1].resign_permanently(MonotonicTime(w.now))
@@ -841,8 +870,8 @@
 
 
 def duties(sink: Sink, seed: int) -> dict[str, Any]:
-    """Holders of duties under the faults of their world."""
-    w = RecordedDuties(sink, seed, 3 + seed % 2)
+    """Nodes acquire and lose named leases under the faults of their simulation."""
+    w = RecordedNamedLeases(sink, seed, 3 + seed % 2)
     w.run(90.0)
     return w.finish()
 
@@ -850,11 +879,11 @@
 Scenario = Callable[[Sink, int], dict[str, Any]]
 
 
-def _play(scenario: Scenario, seed: int, sink: Sink) -> dict[str, Any]:
+def _run_with_seed(scenario: Scenario, seed: int, sink: Sink) -> dict[str, Any]:
     return scenario(sink, seed)
 
 
-FUNCTIONS: dict[str, Scenario] = {
+SCENARIO_FUNCTIONS: dict[str, Scenario] = {
     "quiet": quiet,
     "lost-messages": lost_messages,
     "preemption": preemption,
@@ -870,8 +899,8 @@
 }
 SEEDS = (1, 2)
 SCENARIOS: dict[str, Callable[[Sink], dict[str, Any]]] = {
-    f"{name}-{seed}": partial(_play, function, seed)
-    for name, function in FUNCTIONS.items()
+    f"{name}-{seed}": partial(_run_with_seed, function, seed)
+    for name, function in SCENARIO_FUNCTIONS.items()
     for seed in SEEDS
 }
 
@@ -879,24 +908,24 @@
 # -- reading, replaying and writing
 
 
-def stored() -> dict[str, dict[str, Any]]:
-    """The record in its file, by scenario."""
-    found: dict[str, dict[str, Any]] = orjson.loads(RECORD_FILE.read_bytes())
-    return found
+def load_stored_record() -> dict[str, dict[str, Any]]:
+    """Return the stored record, by scenario."""
+    scenarios: dict[str, dict[str, Any]] = orjson.loads(RECORD_FILE.read_bytes())
+    return scenarios
 
 
 def replay(name: str) -> dict[str, Any]:
-    """Plays one scenario in a process of its own, with the fixed hash seed."""
+    """Run one scenario in its own process, with the fixed hash seed, and return its record."""
     command = [sys.executable, __file__, "--digests", name]
     environment = os.environ | {"PYTHONHASHSEED": HASH_SEED}
-    done = subprocess.run(command, env=environment, capture_output=True, check=False)
-    assert done.returncode == 0, done.stderr.decode()
-    found: dict[str, Any] = orjson.loads(done.stdout)
-    return found
+    completed = subprocess.run(command, env=environment, capture_output=True, check=False)
+    assert completed.returncode == 0, completed.stderr.decode()
+    scenario: dict[str, Any] = orjson.loads(completed.stdout)
+    return scenario
 
 
 def first_difference(old: dict[str, Any], new: dict[str, Any]) -> str | None:
-    """Where two records of one scenario part; None: nowhere."""
+    """Return where two records of one scenario diverge; None if they are equal."""
     if old == new:
         return None
     for before, after in zip(old["seconds"], new["seconds"], strict=False):
@@ -906,17 +935,17 @@
 
 
 def record_text(scenarios: dict[str, dict[str, Any]]) -> str:
-    """The record as it is stored: one line per simulated second, for small diffs."""
+    """Return the record as it is stored: one line per simulated second, for small diffs."""
     lines = []
-    for name, found in scenarios.items():
-        head = {key: value for key, value in found.items() if key != "seconds"}
-        seconds = ",\n".join(orjson.dumps(second).decode() for second in found["seconds"])
+    for name, scenario in scenarios.items():
+        head = {key: value for key, value in scenario.items() if key != "seconds"}
+        seconds = ",\n".join(orjson.dumps(second).decode() for second in scenario["seconds"])
         lines.append(f'"{name}": {orjson.dumps(head).decode()[:-1]},"seconds":[\n{seconds}]}}')
     return "{\n" + ",\n".join(lines) + "\n}\n"
 
 
 def dump(names: Iterable[str], path: Path) -> None:
-    """Writes all events of the scenarios in full."""
+    """Write all events of the scenarios in full to `path`."""
     with path.open("wb") as out:
         for name in names:
             events: list[bytes] = []
@@ -925,7 +954,7 @@
 
 
 def main() -> int:
-    """The command line."""
+    """Run the command line and return its exit status."""
     if os.environ.get("PYTHONHASHSEED") != HASH_SEED:
         environment = os.environ | {"PYTHONHASHSEED": HASH_SEED}
         return subprocess.run([sys.executable, *sys.argv], env=environment, check=False).returncode
@@ -936,8 +965,8 @@
     action.add_argument("--dump", type=Path, help="write the events of all scenarios to a file")
     arguments = parser.parse_args()
     if arguments.write:
-        found = {name: scenario(None) for name, scenario in SCENARIOS.items()}
-        RECORD_FILE.write_text(record_text(found))
+        scenarios = {name: scenario(None) for name, scenario in SCENARIOS.items()}
+        RECORD_FILE.write_text(record_text(scenarios))
     elif arguments.dump is not None:
         dump(SCENARIOS, arguments.dump)
     else:
--- a/tests/test_behaviour_record.py
+++ b/tests/test_behaviour_record.py
@@ -1,6 +1,9 @@
-"""Everything that goes out is, byte for byte, what the stored record says; see
-`behaviour_record`. A change that is meant to alter behaviour writes the record anew, with a look
-at the difference; one that is not, like a renaming, leaves it as it is."""
+"""Guards against unintended changes of behaviour: all output must equal the stored record.
+
+`behaviour_record` says how the output is recorded. A change that is meant to alter behaviour
+replaces the stored record after a review of the difference; any other change, such as a rename,
+leaves the record as it is.
+"""
 
 import pytest
 
@@ -9,25 +12,25 @@
     RECORD_FILE,
     SCENARIOS,
     first_difference,
+    load_stored_record,
     record_text,
     replay,
-    stored,
 )
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_behaviour_is_as_recorded(name: str) -> None:
-    difference = first_difference(stored()[name], replay(name))
-    assert difference is None, f"{name} parts from the record {difference}"
+    difference = first_difference(load_stored_record()[name], replay(name))
+    assert difference is None, f"{name} diverges from the record {difference}"
 
 
-def test_record_is_of_these_scenarios_and_small() -> None:
-    assert list(stored()) == list(SCENARIOS)
-    assert RECORD_FILE.read_text() == record_text(stored())
+def test_stored_record_covers_all_scenarios_and_stays_small() -> None:
+    assert list(load_stored_record()) == list(SCENARIOS)
+    assert RECORD_FILE.read_text() == record_text(load_stored_record())
     assert RECORD_FILE.stat().st_size < 300_000
 
 
-def test_first_difference_names_the_second() -> None:
+def test_first_difference_gives_the_simulated_second() -> None:
     old = {"events": 5, "kinds": {COMMANDS: 5}, "seconds": [[100, 2, "a"], [101, 5, "b"]]}
     assert first_difference(old, old) is None
     changed = old | {"seconds": [[100, 2, "a"], [101, 5, "c"]]}
