--- a/tests/versions/adapters.py
+++ b/tests/versions/adapters.py
@@ -1,6 +1,7 @@
-"""A leader and a relay of an earlier version, with the methods of this version's: what the
-simulated world asks of either. Only plain values cross to `legacy.old_nodes`, whose methods begin
-with `old_`.
+"""Adapters that give a leader and a relay of an earlier version the interface of this version.
+
+They have the methods that the simulated world calls. Only plain values are passed to
+`legacy.old_nodes`, whose methods begin with `old_`.
 """
 
 from collections.abc import Iterable
@@ -36,13 +37,13 @@
 
 
 def listed(item: Item) -> OldRecord:
-    """As the state service lists it."""
+    """Return the record as the state service lists it."""
     return {"path": item.key, "v": item.value, "stamp": item.version, "tether": item.lease}
 
 
 @dataclass
 class Written:
-    """A transaction of the earlier version: its own bytes."""
+    """A transaction, as the bytes that the earlier version encoded."""
 
     content: bytes
 
@@ -52,13 +53,16 @@
 
 @dataclass
 class Pending:
-    """One that waits for its outcome."""
+    """A transaction whose outcome is pending."""
 
     transaction: Written
 
 
 class PartsAllowed:
-    """Where the simulated world says whether all nodes read finer parts."""
+    """Stands in for the transaction writer, of which the simulated world sets one attribute.
+
+    The value of any attribute is passed on as whether the leader may write subchunks.
+    """
 
     def __init__(self, old: OldController) -> None:
         self._old = old
@@ -71,7 +75,7 @@
 
 
 class EarlierLeader:
-    """An earlier version's leader."""
+    """A leader of an earlier version, with the interface of `Scheduler`."""
 
     def __init__(self, old: OldController, epoch: FencingToken) -> None:
         self.old = old
@@ -86,8 +90,8 @@
         now: MonotonicTime,
         memories: Iterable[Item] = (),
     ) -> None:
-        lists = [[listed(item) for item in items] for items in (jobs, places, gone, memories)]
-        self.old.old_load(lists[0], lists[1], lists[2], now, lists[3])
+        records = [[listed(item) for item in items] for items in (jobs, places, gone, memories)]
+        self.old.old_load(records[0], records[1], records[2], now, records[3])
 
     def add_job(
         self,
@@ -97,17 +101,20 @@
         now: MonotonicTime,
         elsewhere: DependencyListReference | None = None,
     ) -> None:
-        """It reads the record, whole: it does not remember where its list of dependencies is."""
+        """Add the job from a record with its dependencies inline.
+
+        The earlier leader is not given the reference to a dependency list.
+        """
         record = encode_job_record(spec, size, at)
         self.old.old_learn({"path": JOB_PREFIX + spec.id, "v": record, "stamp": 1}, now)
 
     def job_status(self, job: JobId) -> JobStatus | LookupFailure:
-        found = self.old.old_status(job)
-        return _VERDICTS[found[0]] if len(found) == 1 else JobStatus(*found)
+        fields = self.old.old_status(job)
+        return _VERDICTS[fields[0]] if len(fields) == 1 else JobStatus(*fields)
 
     def cancel_job(self, job: JobId, now: MonotonicTime) -> str | LookupFailure:
-        found = self.old.old_cancel(job, now)
-        return _VERDICTS.get(found, found)
+        state = self.old.old_cancel(job, now)
+        return _VERDICTS.get(state, state)
 
     def tick(self, now: MonotonicTime) -> None:
         self.old.old_tick(now)
@@ -134,12 +141,12 @@
         self.old.old_end_read(job, how, now)
 
     def next_learned_state_transaction(self, now: MonotonicTime) -> Written | None:
-        found = self.old.old_memo(now)
-        return None if found is None else Written(found)
+        body = self.old.old_memo(now)
+        return None if body is None else Written(body)
 
     def next_transaction(self, now: MonotonicTime, most: int) -> Pending | None:
-        found = self.old.old_transaction(now, most)
-        return None if found is None else Pending(Written(found))
+        body = self.old.old_transaction(now, most)
+        return None if body is None else Pending(Written(body))
 
     def on_transaction_result(
         self,
@@ -182,7 +189,7 @@
 
 
 class EarlierRelay:
-    """An earlier version's relay."""
+    """A relay of an earlier version, with the interface of `HeartbeatRelay`."""
 
     def __init__(self, old: OldRelay, label: NodeId) -> None:
         self.old = old
@@ -221,12 +228,12 @@
         reachable: bool,
     ) -> Decision:
         plain = (order.agent_epoch, order.number)
-        how, what = self.old.old_report(machine, plain, epoch, notice, tasks, now, reachable)
-        match how:
+        decision, value = self.old.old_report(machine, plain, epoch, notice, tasks, now, reachable)
+        match decision:
             case "Answer":
-                return Acknowledge(FencingToken(what))
+                return Acknowledge(FencingToken(value))
             case "Redirect":
-                return Redirect(None if what is None else NodeId(what))
+                return Redirect(None if value is None else NodeId(value))
             case "Forward":
                 return Forward()
         return Stale()
@@ -244,6 +251,6 @@
 
     def take_acknowledged(self, now: MonotonicTime) -> list[tuple[MachineId, HeartbeatSequence]]:
         return [
-            (MachineId(machine), HeartbeatSequence(AgentEpoch(session), number))
-            for machine, session, number in self.old.old_heard(now)
+            (MachineId(machine), HeartbeatSequence(AgentEpoch(agent_epoch), number))
+            for machine, agent_epoch, number in self.old.old_heard(now)
         ]
--- a/tests/versions/history.py
+++ b/tests/versions/history.py
@@ -1,4 +1,7 @@
-"""Earlier versions' sources and code, from the repository's history, once a process."""
+"""Recorded samples, sources and importable code of earlier versions.
+
+Sources come from the repository's history. Each is loaded once per process.
+"""
 
 import atexit
 import shutil
@@ -19,8 +22,8 @@
 
 @cache
 def samples(short: str) -> dict[str, Any]:
-    found: dict[str, Any] = orjson.loads(record.samples_path(short).read_bytes())
-    return found
+    recorded: dict[str, Any] = orjson.loads(record.samples_path(short).read_bytes())
+    return recorded
 
 
 @cache
@@ -31,12 +34,15 @@
 
 
 def tree(short: str) -> Path:
-    """Its sources; the test is skipped, and a warning says so, where there is no history."""
-    found = _tree(short)
-    if found is None:
+    """Return the folder with the sources of the version.
+
+    Without the repository's history the calling test is skipped with a warning.
+    """
+    folder = _tree(short)
+    if folder is None:
         warnings.warn(NOT_RUN.format(short), stacklevel=2)
         pytest.skip(NOT_RUN.format(short))
-    return found
+    return folder
 
 
 @cache
@@ -45,6 +51,6 @@
 
 
 def earlier(short: str) -> OldVersion:
-    """Its code in this process, under another package name."""
+    """Return the code of the version, imported into this process under another package name."""
     tree(short)
     return _version(short)
--- a/tests/versions/mixed.py
+++ b/tests/versions/mixed.py
@@ -15,8 +15,11 @@
 
 
 class MixedWorld(RelayWorld):
-    """Each node has the old version until it is replaced; one that crashes comes back with the
-    version that it had. The rules are checked at every step, as ever."""
+    """A world in which each node runs the earlier version until it is replaced.
+
+    A node that crashes restarts with the version that it had. The invariants are checked at every
+    step, as in `RelayWorld`.
+    """
 
     def __init__(
         self,
@@ -29,19 +32,19 @@
         self.earlier = earlier
         self.platform = faults.get("platform", PLATFORM)
         self.replaced = set(replaced)
-        self.wanted: bool | None = None  # whether the next leader should be a new one
-        self.led: list[bool] = []  # for each leader, whether it was a new one
-        self.rented: list[bytes] = []  # requests of earlier leaders to the cloud
+        self.wanted: bool | None = None  # whether the next leader should run this version
+        self.led: list[bool] = []  # for each leader, whether it ran this version
+        self.rented: list[bytes] = []  # bodies of rent requests by leaders of the earlier version
         super().__init__(seed, nodes, **faults)
 
     def choose(self, free: list[int]) -> int:
-        like = [i for i in free if self.wanted is None or (i in self.replaced) is self.wanted]
-        return self.rng.choice(like or free)
+        eligible = [i for i in free if self.wanted is None or (i in self.replaced) is self.wanted]
+        return self.rng.choice(eligible or free)
 
     def new_controller(self, epoch: FencingToken) -> Any:
-        new = self.leader in self.replaced
-        self.led.append(new)
-        if new:
+        is_replaced = self.leader in self.replaced
+        self.led.append(is_replaced)
+        if is_replaced:
             return super().new_controller(epoch)
         old = OldController(self.earlier, self.platform, CATALOG, epoch, self.now, self.incarnation)
         return EarlierLeader(old, epoch)
@@ -55,14 +58,14 @@
     def ask_leader(self, body: bytes, now: MonotonicTime, relay: NodeId) -> LeaderReply | None:
         if not isinstance(self.scheduler, EarlierLeader):
             return super().ask_leader(body, now, relay)
-        found = self.scheduler.old.old_report(orjson.loads(body), now, relay)
-        if found is None:
+        reply = self.scheduler.old.old_report(orjson.loads(body), now, relay)
+        if reply is None:
             return None
-        launches = [workers.Launch(TaskKey(key), Attempt(number)) for key, number in found[1]]
-        return LeaderReply(found[0], launches, found[2])
+        launches = [workers.Launch(TaskKey(key), Attempt(number)) for key, number in reply[1]]
+        return LeaderReply(reply[0], launches, reply[2])
 
     def serve_cloud(self, c: Any, now: MonotonicTime) -> None:
-        """With the requests as the earlier version writes them."""
+        """Serve one cloud request; an earlier leader encodes its requests itself."""
         if not isinstance(c, EarlierLeader):
             super().serve_cloud(c, now)
             return
@@ -106,18 +109,18 @@
             c.old.old_ordered(report, status == 200, now)
 
     def step(self, dt: float) -> None:
-        # No leader writes finer parts before every node has said that it reads them.
+        # No leader writes subchunks before every node has announced that it reads them.
         self.subchunks_supported = self.earlier.old_chains or self.all_replaced
         super().step(dt)
 
-    # -- the replacement
+    # -- replacing nodes
 
     def replace(self, i: int) -> None:
         self.replaced.add(i)
         self.crash(i)
 
     def put_back(self, i: int) -> None:
-        """The way back: the node gets the earlier version again."""
+        """Roll the node back to the earlier version."""
         self.replaced.remove(i)
         self.crash(i)
 
@@ -126,7 +129,7 @@
         return len(self.replaced) == self.nodes
 
     def hand_over(self, new: bool) -> None:
-        """The leader crashes while tasks run, and one of that version leads."""
+        """Crash the leader while tasks run; a node of the given version is elected."""
         assert any(m.on() for m in self.cloud.machines.values())
         self.wanted = new
         self.crash(self.leader)
--- a/tests/versions/reading.py
+++ b/tests/versions/reading.py
@@ -1,5 +1,7 @@
-"""What this version writes and what it makes of what is written, in plain values: the same as
-`legacy.old_reading` does with the code of an earlier version, under the same frozen names.
+"""Encodes frames and records with this version's code, and decodes them to plain values.
+
+`legacy.old_reading` does the same with the code of an earlier version. Both use the same frozen
+names for the decoded fields.
 """
 
 from collections.abc import Callable, Sequence
@@ -46,9 +48,9 @@
 from world import PLATFORM, submission
 
 NOW = MonotonicTime(100.0)
-Store = list[dict[str, Any]]  # as the state service lists it
+Store = list[dict[str, Any]]  # records as the state service lists them
 
-# -- what is written: the same things by each version
+# -- encoding: each version encodes the same content
 
 
 def _m(*names: str) -> list[MachineId]:
@@ -119,8 +121,8 @@
     "dropped": lambda: peers.encode_machines(peers.UNDELIVERED, _m("n-000003")),
 }
 
-# What 0782287 does not write.
-_NEWER = (("recut",), 3000)
+# Frames with fields that 0782287 does not write.
+_NEWER = (("recut",), 3000)  # supported features, remaining backoff in ms
 NEWER_FRAMES: dict[str, Callable[[], bytes]] = {
     "greet, of what it reads": lambda: peers.encode_peer_heartbeat(
         peers.PeerHeartbeat(NodeId("drover-1"), 17, FencingToken(9), True, 40, 3, _HEARD, *_NEWER)
@@ -165,12 +167,12 @@
 
 
 def job_records() -> Store:
-    out = []
+    records = []
     for body in SUBMISSIONS:
         spec = users.parse_submission(body)
         record = encode_job_record(spec, max_tasks_per_chunk(8192), 1234.5)
-        out.append({"path": JOB_PREFIX + spec.id, "v": _plain(record), "stamp": 7})
-    return out
+        records.append({"path": JOB_PREFIX + spec.id, "v": _plain(record), "stamp": 7})
+    return records
 
 
 AWAITED = ["wk-plain", "wk-a.b:1-c_d"]
@@ -178,7 +180,7 @@
 
 
 def chained_records() -> Store:
-    """A job that awaits others: named in its record, and in a list."""
+    """Return two records of a dependent job: with the dependencies inline, and in a list."""
     spec = users.parse_submission(CHAINED)
     size = max_tasks_per_chunk(8192)
     listed = encode_job_record(spec, size, 1234.5, DependencyListReference("nonce", 2))
@@ -193,13 +195,16 @@
 
 
 def chained_lists() -> Store:
-    """The two parts of the list."""
+    """Return the two parts of the dependency list that the second record refers to."""
     prefix = dependency_list_prefix(JobId("wk-chain"), DependencyListReference("nonce", 2))
     return [{"path": f"{prefix}{n}", "v": [name], "stamp": 6} for n, name in enumerate(AWAITED)]
 
 
 def read_lists(found: dict[str, Any], lists: Store) -> Any:
-    """A job record with the lists that it refers to."""
+    """Decode a job record together with the parts of its dependency list.
+
+    Return None if a part is missing.
+    """
     item = resolve_dependency_list(
         JobId(found["path"][len(JOB_PREFIX) :]), _item(found), map(_item, lists)
     )
@@ -209,14 +214,14 @@
 
 
 def lead_record() -> dict[str, Any]:
-    """As a claim of the leader key writes it."""
-    e = Election(NodeId("drover-1"), 3.0, 0.02, IncarnationId("life-1"))
-    e.on_leader_key_read(None, NOW)
-    e.next_action(NOW)
-    e.on_lease_granted(LeaseId(4), NOW)
-    claim = e.next_action(NOW)
-    assert isinstance(claim, Campaign)
-    put: Any = claim.transaction.operations[0]
+    """Return the leader key's record as a candidate writes it."""
+    election = Election(NodeId("drover-1"), 3.0, 0.02, IncarnationId("life-1"))
+    election.on_leader_key_read(None, NOW)
+    election.next_action(NOW)
+    election.on_lease_granted(LeaseId(4), NOW)
+    campaign = election.next_action(NOW)
+    assert isinstance(campaign, Campaign)
+    put: Any = campaign.transaction.operations[0]
     return {"path": put.key, "v": put.value, "stamp": 7, "tether": put.lease}
 
 
@@ -228,7 +233,7 @@
     }
 
 
-# -- what is read
+# -- decoding
 
 
 def _plain(value: Any) -> Any:
@@ -360,8 +365,10 @@
 
 
 def read_record(found: dict[str, Any]) -> Any:
-    """One record that stands for itself; placement records are read with their jobs, see
-    `take_over`."""
+    """Decode a record that is complete by itself.
+
+    Placement records are decoded together with their jobs, see `take_over`.
+    """
     item = _item(found)
     kind = item.key.partition("/")[0]
     if kind == "job":
@@ -377,14 +384,14 @@
             {name: _machine_type(t) for name, t in cloud.parse_catalog(item.value).items()}
         )
     if kind == LEADER_KEY:
-        e = Election(NodeId("drover-2"), 3.0, 0.02)
-        e.on_leader_key_read(item, NOW)
-        role = old_fields.READ_LEADER if e.role is Role.LEADER else old_fields.READ_FOLLOWER
-        return [role, e.leader, e.token]
+        election = Election(NodeId("drover-2"), 3.0, 0.02)
+        election.on_leader_key_read(item, NOW)
+        role = old_fields.READ_LEADER if election.role is Role.LEADER else old_fields.READ_FOLLOWER
+        return [role, election.leader, election.token]
     assert kind == "memo", item.key
-    c = _controller(FencingToken(10**6))
-    c.load([], [], [], NOW, [item])
-    return _remembered(c, item.key)
+    scheduler = _controller(FencingToken(10**6))
+    scheduler.load([], [], [], NOW, [item])
+    return _remembered(scheduler, item.key)
 
 
 def _number(job: Job, chunk: Chunk) -> str:
@@ -395,11 +402,11 @@
     )
 
 
-def _remembered(c: Scheduler, key: str) -> Any:
+def _remembered(scheduler: Scheduler, key: str) -> Any:
     return _plain(
-        c.cluster_state.predictor.run_time_sums()
+        scheduler.cluster_state.predictor.run_time_sums()
         if key == RUN_TIME_RATIOS_KEY
-        else c.inventory._restored_images
+        else scheduler.inventory._restored_images
     )
 
 
@@ -409,22 +416,25 @@
 
 
 def take_over(store: Store) -> dict[str, Any]:
-    """What a new leader knows once it has read the store."""
-    c = _controller(FencingToken(10**6))
+    """Return the state that a new leader restores from the store, as plain values."""
+    scheduler = _controller(FencingToken(10**6))
     items = [_item(found) for found in store]
 
-    def of(prefix: str) -> list[Item]:
+    def under(prefix: str) -> list[Item]:
         return [i for i in items if i.key.startswith(prefix)]
 
-    memories = of("memo/")
-    c.load(of(JOB_PREFIX), of(PLACEMENT_PREFIX), of("gone/"), NOW, memories)
-    placement_records = c.transaction_writer.placement_records.by_key.values()
-    jobs = {job.id: _job(job) for job in sorted(c.jobs.jobs.values(), key=lambda j: j.id)}
-    on = {m.id: sorted(m.placements) for m in sorted(c.inventory.machines.values(), key=_id)}
-    unread = sum(len(s.unreadable_parts) for s in placement_records)
-    orphans = sorted(key for key, _ in c.transaction_writer.orphaned_keys)
-    remembered = [_remembered(c, item.key) for item in memories]
-    return dict(_plain(_named(old_fields.READ_TAKEN_OVER, jobs, on, unread, orphans, remembered)))
+    learned = under("memo/")
+    scheduler.load(under(JOB_PREFIX), under(PLACEMENT_PREFIX), under("gone/"), NOW, learned)
+    placement_records = scheduler.transaction_writer.placement_records.by_key.values()
+    jobs = {j.id: _job(j) for j in sorted(scheduler.jobs.jobs.values(), key=lambda job: job.id)}
+    placed = {
+        machine.id: sorted(machine.placements)
+        for machine in sorted(scheduler.inventory.machines.values(), key=_id)
+    }
+    unread = sum(len(record.unreadable_parts) for record in placement_records)
+    orphans = sorted(key for key, _ in scheduler.transaction_writer.orphaned_keys)
+    restored = [_remembered(scheduler, item.key) for item in learned]
+    return dict(_plain(_named(old_fields.READ_TAKEN_OVER, jobs, placed, unread, orphans, restored)))
 
 
 def _job(job: Job) -> dict[str, Any]:
@@ -470,16 +480,16 @@
 
 
 def write_again(store: Store) -> dict[str, Any]:
-    """The placement records as a leader that took them over writes them."""
-    c = _controller(FencingToken(10**6))
+    """Return the placement records as a leader that restored them from the store writes them."""
+    scheduler = _controller(FencingToken(10**6))
     items = [_item(found) for found in store]
-    c.load(
-        [i for i in items if i.key.startswith(JOB_PREFIX)],
-        [i for i in items if i.key.startswith(PLACEMENT_PREFIX)],
+    scheduler.load(
+        [item for item in items if item.key.startswith(JOB_PREFIX)],
+        [item for item in items if item.key.startswith(PLACEMENT_PREFIX)],
         [],
         NOW,
     )
-    placement_records = c.transaction_writer.placement_records
+    placement_records = scheduler.transaction_writer.placement_records
     return {
         key: _plain(placement_records.encode_record(placement_record)[0])
         for key, placement_record in placement_records.by_key.items()
@@ -491,5 +501,5 @@
         "frames": {name: read_frame(data) for name, data in asked["frames"].items()},
         "records": [read_record(found) for found in asked["records"]],
         "stores": [take_over(store) for store in asked["stores"]],
-        "lists": [read_lists(a["record"], a["lists"]) for a in asked["lists"]],
+        "lists": [read_lists(item["record"], item["lists"]) for item in asked["lists"]],
     }
--- a/tests/versions/record.py
+++ b/tests/versions/record.py
@@ -1,9 +1,12 @@
-"""The versions that nodes of this one may meet, and samples of what each writes, recorded by
-running its own code from the repository's history. To record those that are missing:
+"""The earlier versions that may run beside this one, and recorded samples of what each writes.
+
+Samples are recorded by running the version's own code from the repository's history. This records
+those that are missing:
 
     python3 tests/versions/record.py
 
-What runs inside an earlier tree stands in `legacy`, in that tree's names.
+Scripts that run with the sources of an earlier version are in `legacy` and use that version's
+names.
 """
 
 import os
@@ -20,42 +23,44 @@
 SAMPLES = Path(__file__).parent
 LEGACY = SAMPLES / "legacy"
 
-# By short commit. Each was in production, or is.
+# By short commit. Each is or was in production.
 VERSIONS = {
-    "0782287": "0782287362839c261443f6977479afb61969b597",  # before jobs could await others
-    "852ab75": "852ab7514638f2ead938f98211431f15de9d0047",  # jobs await others, finer parts
+    "0782287": "0782287362839c261443f6977479afb61969b597",  # before jobs could depend on others
+    "852ab75": "852ab7514638f2ead938f98211431f15de9d0047",  # with job dependencies and subchunks
 }
 
 
 def production() -> str:
-    """The commit that runs when this version comes."""
+    """Return the commit that runs in production when this version is deployed."""
     return str(tomllib.loads((ROOT / "deploy" / "service.toml").read_text())["production"])
 
 
 def unpack(commit: str, into: Path) -> bool:
-    """The sources and tests of a version; False: no history is at hand."""
+    """Extract the sources and tests of a version; return False if the history lacks it."""
     command = ["git", "-C", str(ROOT), "archive", commit, "src", "tests"]
     try:
-        found = subprocess.run(command, capture_output=True, check=True)
+        archived = subprocess.run(command, capture_output=True, check=True)
     except (OSError, subprocess.CalledProcessError):
         return False
-    with tarfile.open(fileobj=BytesIO(found.stdout)) as archive:
+    with tarfile.open(fileobj=BytesIO(archived.stdout)) as archive:
         archive.extractall(into, filter="data")
     return True
 
 
 def run_as(tree: Path, script: str, *arguments: str, given: bytes = b"") -> bytes:
-    """A script of `legacy` with the sources of that tree. Hashes are fixed, as the order of what
-    is written may hang on them."""
+    """Run a script of `legacy` with the sources in `tree` and return what it prints.
+
+    The hash seed is fixed because the order of the output may depend on it.
+    """
     path = os.pathsep.join(map(str, (tree / "src", tree / "tests", DEPENDENCIES)))
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-B", str(LEGACY / script), *arguments],
         input=given,
         capture_output=True,
         env={**os.environ, "PYTHONPATH": path, "PYTHONHASHSEED": "0"},
     )
-    assert done.returncode == 0, done.stderr.decode()
-    return done.stdout
+    assert process.returncode == 0, process.stderr.decode()
+    return process.stdout
 
 
 def samples_path(short: str) -> Path:
@@ -69,7 +74,7 @@
 
 
 def record_missing() -> None:
-    """What is recorded stays as it is."""
+    """Record the versions without samples; existing samples are never overwritten."""
     for short, commit in VERSIONS.items():
         if not samples_path(short).exists():
             samples_path(short).write_bytes(record(commit))
--- a/tests/versions/writing.py
+++ b/tests/versions/writing.py
@@ -1,5 +1,6 @@
-"""States of the store as this version's leader leaves them in the simulated world: the same runs as
-`legacy.old_recording` has with an earlier version's.
+"""States of the store that this version's leader leaves in the simulated world.
+
+`legacy.old_recording` has the same runs with the leader of an earlier version.
 """
 
 from typing import Any
@@ -10,11 +11,11 @@
 
 
 def stores() -> list[list[dict[str, Any]]]:
-    """States of the store as a leader leaves them while jobs run, end and are cancelled."""
+    """Return states of the store from while jobs run, finish and are cancelled."""
     out: list[list[dict[str, Any]]] = []
     for seed in (1, 2):
         w = World(seed, txn_lost=0.1, answer_lost=0.05)
-        w.submit("wk-long", parcels=300, cpus=0.5, run_s=9.0, crew="t1")  # several parts
+        w.submit("wk-long", parcels=300, cpus=0.5, run_s=9.0, crew="t1")  # several chunks
         for i in range(6):
             w.submit(f"wk-{i:06d}", parcels=2 + 3 * i, run_s=3.0 + i, urgency="urgent", lot="quick")
         for after in (14, 11, 1, 25):
@@ -23,13 +24,16 @@
             w.run(0.3)
             out.append(w.store.range(""))
             if seed == 2:
-                w.elect()  # what it takes over stays where it is, and new placement records join it
+                w.elect()  # the new leader keeps the existing placement records and adds new ones
     return [*out, moved()]
 
 
 def moved() -> list[dict[str, Any]]:
-    """A state in which parts are on two placement records, as known earlier and as they are now:
-    the service has come to refuse a placement record, so each part gets its own."""
+    """Return a state in which two placement records hold different copies of a chunk.
+
+    From some time on the service rejects any placement record with several chunks, so each chunk
+    is moved to a record of its own while the old record keeps an earlier copy.
+    """
 
     class Refusing(World):
         refuses = False
@@ -64,7 +68,7 @@
 
 
 def changed_copies(placement_records: list[dict[str, Any]]) -> list[str]:
-    """Jobs of which two placement records say something else."""
+    """Return the jobs of chunks whose copies in two placement records have different attempts."""
     known: dict[tuple[str, int], Any] = {}
     out = []
     for job, number, part in (
@@ -76,7 +80,10 @@
 
 
 def chains() -> list[list[dict[str, Any]]]:
-    """States with jobs that await others: some waiting, some ready, some cancelled with another."""
+    """Return states with dependent jobs.
+
+    Some of these wait, some are ready, and some are cancelled with a job that they depend on.
+    """
     out: list[list[dict[str, Any]]] = []
     w = World(4, txn_lost=0.1, answer_lost=0.05)
     w.submit("wk-first", parcels=12, run_s=4.0)
@@ -93,7 +100,7 @@
 
 
 def finer() -> list[dict[str, Any]]:
-    """A state in which parts were cut anew, as the service came to refuse larger ones."""
+    """Return a state in which chunks were split because the service began to reject larger ones."""
     w = World(51)
     w.subchunks_supported = True
     w.submit("wk-000001", parcels=60, cpus=0.2, memGb=0.1, run_s=30.0)
