--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -1,11 +1,11 @@
-"""What named leases cost, and how they hold under long troubles; outside CI.
+"""Benchmarks and long fault tests of named leases; they do not run in CI.
 
-    python3 -m benchmarks.duties schedules FIRST LAST   seeded schedules, judged by the checker
-    python3 -m benchmarks.duties freezes NUMBER         real processes on loopback, stopped
-    python3 -m benchmarks.duties gaps NUMBER            simulated time without a holder
-    python3 -m benchmarks.duties requests               at the state service, feature on and off
-    python3 -m benchmarks.duties views                  persistent maps against copied ones
-    python3 -m benchmarks.duties starts NUMBER          processor time and memory of a start
+    python3 -m benchmarks.duties schedules FIRST LAST   check seeded schedules with random faults
+    python3 -m benchmarks.duties freezes NUMBER         stop and resume real processes on loopback
+    python3 -m benchmarks.duties gaps NUMBER            measure simulated time without a holder
+    python3 -m benchmarks.duties requests               count state service requests, leases on/off
+    python3 -m benchmarks.duties views                  time persistent maps against copied dicts
+    python3 -m benchmarks.duties starts NUMBER          measure CPU time and memory of a start
 
 Run from the root of the repository, with the libraries in `target/deps`.
 """
@@ -24,7 +24,7 @@
 ROOT = Path(__file__).resolve().parents[1]
 sys.path[:0] = [str(ROOT / part) for part in ("src", "target/deps", "tests")]
 
-# The paths above must be set before these are found.
+# These imports need the paths set above.
 from pyrsistent import pmap  # noqa: E402
 
 from duty_cluster import Cluster, StallPoint  # noqa: E402
@@ -42,7 +42,7 @@
 
 
 def summary(seconds: list[float]) -> str:
-    """Median, 99th percentile and worst."""
+    """Return the count, median, 99th percentile and maximum as text."""
     ordered = sorted(seconds)
     p99 = ordered[min(len(ordered) - 1, int(0.99 * len(ordered)))]
     median = statistics.median(ordered)
@@ -50,7 +50,7 @@
 
 
 def schedules(first: int, last: int) -> None:
-    """Plays each seed and judges its history; a broken one ends the run."""
+    """Run the schedule of each seed and check its history; the first violation aborts the run."""
     refused = effects = calls = 0
     for seed in range(first, last):
         world = World(seed, 3 + seed % 3)
@@ -65,8 +65,10 @@
 
 
 def freezes(number: int) -> None:
-    """Stops the leader at a random point, or at a random time, until another node holds its
-    named leases; then lets it go on."""
+    """Stop the leader `number` times until another node holds its named leases, then resume it.
+
+    Each time it stops at a random stall point or at a random time.
+    """
     rng = random.Random(5)
     gaps: list[float] = []
     load = os.getloadavg()[0]
@@ -110,25 +112,25 @@
 
 
 def gaps(number: int) -> None:
-    """Simulated seconds from a trouble of the holder until another node holds its lease."""
+    """Print the simulated seconds from a fault of the holder until another node holds its lease."""
     for lease_name in (LeaseName.SCALE_OUT, LeaseName.CATALOG):
-        for trouble in (fail_holder, stall_holder, hand_over_lease):
-            found = [_measure_gap(seed, lease_name, trouble) for seed in range(number)]
-            print(lease_name, trouble.__name__, summary(found))
+        for cause in (fail_holder, stall_holder, hand_over_lease):
+            gaps_s = [_measure_gap(seed, lease_name, cause) for seed in range(number)]
+            print(lease_name, cause.__name__, summary(gaps_s))
 
 
 def fail_holder(world: World, holder: Any, lease_name: LeaseName) -> None:
-    """Crash the holder; it stays away."""
+    """Crash the holder; it does not restart during the measurement."""
     holder.restart(1000.0)
 
 
 def stall_holder(world: World, holder: Any, lease_name: LeaseName) -> None:
-    """Freeze the holder's process."""
+    """Freeze the holder's process for the whole measurement."""
     holder.frozen_until = world.now + 1000.0
 
 
 def hand_over_lease(world: World, holder: Any, lease_name: LeaseName) -> None:
-    """Ask for a hand-over to another node."""
+    """Request a hand-over of the lease to another node."""
     receiver = next(node for node in world.nodes if node is not holder)
     value = wire.hand_over_value(wire.HandOverRecord(receiver.node_id, WallTime(world.now)))
     world.store.txn(Transaction({}, [Put(wire.hand_over_key(lease_name), value)]).body())
@@ -152,7 +154,10 @@
 
 
 def requests() -> None:
-    """A leader by itself, of whose machines one in a hundred is returned and rented each second."""
+    """Print the state service requests and changes per second of a single leader.
+
+    Each second one in a hundred of its machines is returned and as many are rented.
+    """
     for machines in (100, 1000, 4000):
         for on in (None, ALL_LEASES):
             world = ServiceWorld(on)
@@ -181,7 +186,10 @@
 
 
 def views() -> None:
-    """One change and one snapshot for each reader, of a view of 6,000 machines."""
+    """Print the time of a change with snapshot and of a look-up, in views of 60 to 6,000 machines.
+
+    A `dict` is copied for the snapshot; a `pmap` is its own snapshot.
+    """
     names = [f"n-{i:06d}" for i in range(6000)]
     for size in (60, 600, 6000):
         plain = dict.fromkeys(names[:size], 1)
@@ -208,7 +216,10 @@
 
 
 def starts(number: int) -> None:
-    """Of one node by itself, until it answers, with named leases off and on by turns."""
+    """Print the CPU time and memory of a single node 3 s after it leads.
+
+    Named leases are off and on by turns, `number` times each.
+    """
     for features in (None, {"duties": {"on": ALL_LEASES}}) * number:
         with tempfile.TemporaryDirectory() as folder:
             cluster = Cluster(Path(folder), number=1, features=features)
@@ -217,17 +228,17 @@
                 time.sleep(3.0)
                 pid = cluster.processes["node-0"].pid
                 fields = Path(f"/proc/{pid}/stat").read_text().split()
-                ticks = sum(int(fields[i]) for i in (13, 14)) / os.sysconf("SC_CLK_TCK")
+                cpu_s = sum(int(fields[i]) for i in (13, 14)) / os.sysconf("SC_CLK_TCK")
                 status = Path(f"/proc/{pid}/status").read_text().splitlines()
                 rss = next(line.split()[1] for line in status if line.startswith("VmRSS"))
-                report = {"duties": "on" if features else "off", "cpu_s": ticks, "rss_kb": int(rss)}
-                print(json.dumps(report))
+                usage = {"duties": "on" if features else "off", "cpu_s": cpu_s, "rss_kb": int(rss)}
+                print(json.dumps(usage))
             finally:
                 cluster.close()
 
 
 def main(args: Iterable[str]) -> None:
-    """One of the measurements above."""
+    """Run the named benchmark with its numeric arguments."""
     name, *numbers = args
     commands: dict[str, Callable[..., None]] = {
         "schedules": schedules,
--- a/benchmarks/relay_reports.py
+++ b/benchmarks/relay_reports.py
@@ -1,8 +1,8 @@
 """The cost of a worker's heartbeat at the node that answers it.
 
-The real HTTP channel is driven through a transport in memory, so nothing is sent and no clock is
-waited for: the number of Python calls repeats exactly on the same versions of the libraries, and
-the time is that of the processor alone. Run from the root of the repository:
+The real HTTP channel is driven through an in-memory transport: nothing is sent over a socket, and
+nothing waits for a timer. The number of Python calls is therefore reproducible with the same
+library versions, and the measured time is CPU time only. Run from the root of the repository:
 
     PYTHONPATH=src:target/deps:tests python3 -m benchmarks.relay_reports
 """
@@ -28,7 +28,7 @@
 from test_limits import node_with_clock
 
 TASKS_PER_MACHINE = 4
-WARM_UP_HEARTBEATS = 50  # before anything is counted
+WARM_UP_HEARTBEATS = 50  # before the measurement starts
 MICROSECONDS_PER_S = 1e6
 
 
@@ -41,16 +41,16 @@
 
 
 class WorkerConnection:
-    """A connection of a worker to the node that stays open between requests."""
+    """A persistent connection of a worker to the node."""
 
     def __init__(self, node: ControllerNode) -> None:
-        """Connect; the node counts the connection as any other."""
+        """Connect; the node counts the connection like one from the network."""
         self.transport = InMemoryTransport()
         self.http_channel: Any = node._http_factory.buildProtocol(None)
         self.http_channel.makeConnection(self.transport)
 
     def send(self, request: bytes) -> bytes:
-        """Send a request and return what the node writes at once."""
+        """Send a request and return what the node writes before the call returns."""
         self.transport.clear()
         self.http_channel.dataReceived(request)
         return bytes(self.transport.value())
@@ -68,7 +68,7 @@
 
 
 def relay_node() -> ControllerNode:
-    """Return a node that answers workers under a relay lease of another node."""
+    """Return a node that answers workers under a relay lease granted by another node."""
     node, clock = node_with_clock(None)
     now = MonotonicTime(clock())
     node.relay_service.relay.renew_lease(FencingToken(7), NodeId("drover-1"), now, now)
@@ -76,7 +76,7 @@
 
 
 def heartbeat_request(machine: str, sequence: int) -> bytes:
-    """Return an HTTP request with a heartbeat in which only the sequence number changes."""
+    """Return the HTTP request of a heartbeat; those of a machine differ only in the sequence."""
     tasks = [
         {"parcel": f"wk-{index:06d}/{index}", "try": 1, "standing": "running"}
         for index in range(TASKS_PER_MACHINE)
@@ -103,11 +103,11 @@
 
 
 def measure_unchanged_heartbeat(node: ControllerNode, heartbeats: int) -> RequestCost:
-    """Measure heartbeats without changes, sent one after the other on one connection."""
+    """Measure unchanged heartbeats sent one after another on one connection."""
     relay = node.relay_service.relay
     connection = WorkerConnection(node)
     first = heartbeat_request("n-1", 1)
-    connection.send(first)  # is forwarded, and the leader does not reply
+    connection.send(first)  # it is forwarded; no leader replies
     machine = MachineId("n-1")
     tasks = orjson.loads(first.partition(b"\r\n\r\n")[2])["parcels"]
     relay.on_leader_response(machine, HeartbeatSequence(AgentEpoch(1), 1), False, tasks, False)
@@ -115,7 +115,7 @@
     count = WARM_UP_HEARTBEATS + heartbeats
     requests = [heartbeat_request("n-1", sequence) for sequence in range(2, 2 + count)]
     for request in requests[:WARM_UP_HEARTBEATS]:
-        assert b'"whip":7' in connection.send(request), "answered here"
+        assert b'"whip":7' in connection.send(request), "the node must answer by itself"
     profiled_until = WARM_UP_HEARTBEATS + heartbeats // 2
     python_calls = _count_calls(connection, requests[WARM_UP_HEARTBEATS:profiled_until])
     spent_s = _time_requests(connection, requests[profiled_until:])
@@ -124,7 +124,7 @@
 
 
 def _count_calls(connection: WorkerConnection, requests: list[bytes]) -> float:
-    """Return the Python calls for each request on average."""
+    """Return the average number of Python calls per request."""
     profile = cProfile.Profile()
     profile.enable()
     for request in requests:
@@ -135,7 +135,7 @@
 
 
 def _time_requests(connection: WorkerConnection, requests: list[bytes]) -> float:
-    """Return the processor seconds for each request on average."""
+    """Return the average CPU seconds per request."""
     started_s = time.process_time()
     for request in requests:
         connection.send(request)
@@ -143,7 +143,7 @@
 
 
 def main() -> None:
-    """Print the costs."""
+    """Print the average cost of an unchanged heartbeat."""
     cost = measure_unchanged_heartbeat(relay_node(), 8000)
     print(f"unchanged report: {cost.python_calls:.1f} calls, {cost.microseconds:.0f} us")
 
