--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,8 +1,8 @@
-"""The pages name modules, classes and files that exist.
+"""Documentation pages must only name modules, classes and files that exist.
 
-The sources are parsed, never imported. Checked are names in backticks: dotted names that begin with
-a package of eldercart or with a test module, names in the columns of tables that tell modules or
-owners, class names standing alone, and paths below the repository.
+The sources are parsed, never imported. These names in backticks are checked: dotted names that
+begin with a package of eldercart or with a test module, names in table columns headed "module" or
+"owner", class names without a module, and paths in the repository.
 """
 
 import ast
@@ -24,9 +24,9 @@
     ROOT / "docs" / "design-duties.md",
     *sorted((ROOT / "docs").glob("operations*.md")),
 ]
-MODULE_COLUMNS = ("module", "owner")  # headers of columns that hold nothing but such names
+MODULE_COLUMNS = ("module", "owner")  # headers of columns that hold only module names
 REPOSITORY_FOLDERS = ("src", "tests", "docs", "deploy", "benchmarks", "journal")
-# Fields of the platform's settings file, which begin like the package `settings`.
+# Fields of the platform's settings file, which have the same prefix as the package `settings`.
 PLATFORM_FIELDS = re.compile(r"settings\.(state|cloud|workers|teams|objectives|members)\b")
 THIRD_PARTY_PACKAGES = ("twisted",)
 FILE_SUFFIXES = ("json", "toml", "md", "txt", "py")
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CodeSpan:
-    """A name in backticks, and where it stands."""
+    """A text in backticks and its position on the page."""
 
     line_number: int
     text: str
@@ -52,7 +52,7 @@
 
 @cache
 def modules() -> dict[str, Path]:
-    """Path of each module and package of eldercart and of the tests, by dotted name."""
+    """Return the path of each module and package of eldercart and the tests, by dotted name."""
     found: dict[str, Path] = {}
     for path in SOURCES.rglob("*.py"):
         parts = path.relative_to(SOURCES).with_suffix("").parts
@@ -66,13 +66,13 @@
 
 
 def is_package(name: str) -> bool:
-    """Whether modules lie below that name."""
+    """Return whether the name is that of a package."""
     return modules()[name].name == "__init__.py"
 
 
 @cache
 def defined_names(name: str) -> frozenset[str]:
-    """What the module defines at its top level; of a package, also what it imports there."""
+    """Return the names defined at the top level of a module; for a package, also imported names."""
     names: set[str] = set()
     for node in ast.parse(modules()[name].read_text()).body:
         if isinstance(node, ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef):
@@ -92,7 +92,7 @@
 
 @cache
 def all_classes() -> frozenset[str]:
-    """The names of all classes, type aliases and test helpers, wherever they are defined."""
+    """Return all top-level names of all modules: classes, type aliases, test helpers and others."""
     return frozenset(name for module in modules() for name in defined_names(module))
 
 
@@ -100,7 +100,7 @@
 
 
 def code_spans(page: Path) -> list[CodeSpan]:
-    """The names in backticks, without blocks of code."""
+    """Return the texts in backticks on a page, except in code blocks."""
     spans: list[CodeSpan] = []
     headers: list[str] = []
     in_block = False
@@ -122,7 +122,7 @@
 
 
 def complaint_about_name(name: str) -> str | None:
-    """What is wrong with a dotted name, or with one from a column of modules; None: nothing."""
+    """Return what is wrong with a dotted name or one from a module column; None if it exists."""
     parts = name.removeprefix("eldercart.").split(".")
     length = next((n for n in range(len(parts), 0, -1) if ".".join(parts[:n]) in modules()), 0)
     if not length:
@@ -138,25 +138,27 @@
 
 
 def is_exempt(name: str) -> bool:
-    """Whether the dotted name is of a file, a settings field or a library."""
+    """Return whether a dotted name is not checked: of a file, a setting, a library or a member."""
     first, _, _ = name.partition(".")
     if PLATFORM_FIELDS.match(name) or first in THIRD_PARTY_PACKAGES:
         return True
     if name.rpartition(".")[2] in FILE_SUFFIXES:
         return True
-    # `state.rps`, `settings.state.next` or `Class.member`: a module's name begins with a package.
+    # A module's name begins with a package; `state.rps` or `Class.member` does not.
     return first not in top_level_names() and not first.startswith("test_")
 
 
 @cache
 def top_level_names() -> frozenset[str]:
-    """The packages and modules directly below eldercart, those of the tests, and the package
-    names that eldercart had before (they must not come back on a page)."""
+    """Return the first parts of all module names, and former package names of eldercart.
+
+    Former names are included so that a page that still uses one is reported.
+    """
     return frozenset(name.partition(".")[0] for name in modules()) | {"eldercart", "core", "net"}
 
 
 def complaints_about(span: CodeSpan) -> list[str]:
-    """All that a name in backticks claims and the sources don't hold."""
+    """Return a line for each name or path in the span that doesn't exist in the repository."""
     found: list[str] = []
     dotted = DOTTED_NAME.findall(span.text)
     if span.is_module_column and not dotted and re.fullmatch(r"[a-z_]+", span.text):
@@ -177,18 +179,18 @@
 
 
 def complaints_about_page(page: Path) -> list[str]:
-    """All complaints, in the order of the page."""
+    """Return the complaints about all spans, in the order of the page."""
     return [text for span in code_spans(page) for text in complaints_about(span)]
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
-def test_what_a_page_names_exists(page: Path) -> None:
+def test_names_on_a_page_exist(page: Path) -> None:
     assert complaints_about_page(page) == []
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
 def test_made_up_names_on_a_page_are_found(page: Path, tmp_path: Path) -> None:
-    """The check itself: each line added to the page is complained about, and nothing else."""
+    """The check must report each made-up name that is added to a page, and nothing else."""
     made_up = [
         "`scheduling.no_such_module`",
         "`eldercart.no_such_package.module`",
@@ -207,8 +209,8 @@
     assert len(found) == len(complaints_about_page(page)) + len(made_up) - 1
 
 
-def test_pages_name_modules() -> None:
-    """So many names are checked that an empty list of complaints says something."""
+def test_architecture_page_names_many_modules() -> None:
+    """Guards against a check that finds no names on a page and therefore always passes."""
     architecture = ROOT / "docs" / "architecture.md"
     texts = [span.text for span in code_spans(architecture)]
     assert sum(text in modules() for text in texts) > 50
