--- a/src/eldercart/cluster/heartbeat_relay.py
+++ b/src/eldercart/cluster/heartbeat_relay.py
@@ -27,8 +27,8 @@
 SUPERSEDED_LEASE_S = 2.0  # time left on a relay lease once a peer reports a higher token
 SWEEP_INTERVAL_S = 5.0  # time between two removals of expired machines
 MACHINE_EXPIRY_S = 90.0  # time without a heartbeat after which a relay drops a machine's state
-# A relay without contact to the leader for longer than its lease divided by this redirects workers
-# that report changes to the leader.
+# A relay redirects workers with changes to report to the leader once it has had no contact to the
+# leader for longer than its lease divided by this.
 LEADER_CONTACT_DIVISOR = 3
 REDIRECT_COOLDOWN_S = 8.0  # a worker that returns within this time is not redirected again
 MACHINE_SHARE_HEADROOM = 1.25  # factor on the fair share; a node redirects new machines beyond it
@@ -68,7 +68,7 @@
     In an outage of the store alone, every node acknowledges heartbeats, and a node that had been
     elected would report its higher token: leases are renewed for as long as the outage lasts. A
     node that does not acknowledge may be the new leader: then the acknowledgements of the others
-    extend the lease by at most `extension_s`.
+    move the start to at most `extension_s` after `lease_until`, the end of the leader lease.
     """
     if not acknowledged_at:
         return now
@@ -155,7 +155,7 @@
         it redirects machines beyond that.
         """
         if token < max(self.token, self._newest_token):
-            # The sender has a successor and does not know it yet.
+            # A newer leader was elected, and this one does not know it yet.
             return
         if token > self.token:
             # The new leader has no record of the heartbeats that the previous one handled.
@@ -240,6 +240,7 @@
             and state.acknowledged_tasks == tasks
         )
         if unchanged:
+            # With a share of zero, this node also redirects machines that already report to it.
             if (
                 self._redirect_target is not None
                 and self._max_machines == 0
@@ -303,7 +304,7 @@
             self._remove_machine(machine)
 
     def on_leader_disconnected(self) -> None:
-        """Forward every machine's next heartbeat: requests of the leader may have been lost."""
+        """Forward every machine's next heartbeat: requests for some of them may have been lost."""
         self._forward_all_next_heartbeats()
 
     def _forward_all_next_heartbeats(self) -> None:
@@ -311,7 +312,10 @@
             state.acknowledged_tasks = None
 
     def request_next_heartbeat(self, machine: MachineId) -> None:
-        """Forward the machine's next heartbeat even if it reports no change."""
+        """Forward the machine's next heartbeat even if it reports no change.
+
+        The leader has commands for the machine, or has not replied to the last heartbeat.
+        """
         state = self._machines.get(machine)
         if state is not None:
             state.acknowledged_tasks = None
--- a/src/eldercart/persistence/transaction_writer.py
+++ b/src/eldercart/persistence/transaction_writer.py
@@ -72,12 +72,12 @@
 
     @property
     def is_cleanup_in_flight(self) -> bool:
-        """Whether the transaction in flight deletes records under a permit with conditions."""
+        """Whether the transaction in flight deletes records and depends on the cleanup lease."""
         return self._in_flight is not None and bool(self._in_flight.cleanup_permit.conditions)
 
     @property
     def subchunks_supported(self) -> bool:
-        """Whether every node can read parts of subchunks, so that they may be written."""
+        """Whether every node can read the parts of divided chunks, so that they may be written."""
         return self.placement_records.subchunks_supported
 
     @subchunks_supported.setter
@@ -160,7 +160,7 @@
                 self._splitter.split(pending, now)
             return False
         if outcome is TransactionOutcome.CONFLICT and _has_lost_permit(pending, failed_keys):
-            # The conflict does not show whether they are deleted.
+            # The conflict does not show whether the orphaned keys are deleted.
             self._cleanup.orphaned_keys += pending.orphaned_keys
         self._refresh_keys_of(pending)
         return False
@@ -176,7 +176,7 @@
             self._paused_until = MonotonicTime(now + WRITE_RETRY_DELAY_S)
 
     def _requeue_uncommitted(self, pending: PendingTransaction) -> None:
-        """Queue the ends and deletions of a transaction again that was certainly not applied."""
+        """Queue again the ends and deletions of a transaction that was certainly not applied."""
         for end in pending.ends:
             if end.job.end_write is EndWrite.SENT:
                 end.job.end_write = EndWrite.NOT_SENT
@@ -186,7 +186,7 @@
         """Request a fresh read of the keys of a transaction that may have been applied.
 
         An earlier attempt of one of these writes was applied, or this one may be, so only a read
-        shows the versions of the keys. A conflict on an orphaned key means that it is deleted.
+        shows the versions of the keys. A conflict on an orphaned key means that it was deleted.
         """
         uncertain_keys = self._limits.uncertain_keys
         uncertain_keys.update(
@@ -194,7 +194,7 @@
         )
         for end in pending.ends:
             # The write may still be applied after the fresh read, and other nodes may then report
-            # the end.
+            # the job's outcome.
             end.job.end_write = EndWrite.INDETERMINATE
             uncertain_keys.add(END_PREFIX + end.job.id)
         self.keys_to_refresh |= uncertain_keys - self.refreshes_in_flight
--- a/src/eldercart/prediction/soft_reservations.py
+++ b/src/eldercart/prediction/soft_reservations.py
@@ -14,7 +14,7 @@
 from eldercart.units import JobId, MonotonicTime
 
 Pipeline = tuple[str, str]  # team and class
-ChainId = int
+ChainId = int  # identifies a set of jobs that are connected by dependencies
 
 
 class ReservationOrigin(Enum):
@@ -30,7 +30,7 @@
     """Numbers of the reservations of one origin that were removed, by the cause of removal."""
 
     hits: int = 0  # the expected job claimed the reservation
-    misses: int = 0  # another job arrived instead, or the expected job was ruled out
+    misses: int = 0  # another job arrived instead, or the expected job can't arrive any more
     expired: int = 0  # no job claimed the reservation in time
 
     def __str__(self) -> str:
@@ -43,15 +43,15 @@
     """Capacity for one expected job of a pipeline; `image` is the job's most likely image."""
 
     pipeline: Pipeline
-    upstream: JobId
+    upstream: JobId  # the job that the expected job follows
     image: str
     cpus: float
     spot: bool  # whether the job may use spot machines
     expires_at: MonotonicTime
     origin: ReservationOrigin = ReservationOrigin.STREAM
     successor: JobId | None = None  # the expected job, if it is submitted already
-    # The chains that the job is expected to continue, each with its path. A job that depends on
-    # several chains (fan-in) has several entries.
+    # The chains that the job is expected to continue, each with the path that its jobs form so
+    # far. A job that depends on several chains (fan-in) has several entries.
     chains: dict[ChainId, Path] = field(default_factory=dict)
 
 
@@ -72,7 +72,10 @@
         self.outcomes = {origin: ReservationOutcomes() for origin in ReservationOrigin}
 
     def max_per_pipeline(self, load: float) -> int:
-        """Return how many reservations a pipeline may have at this load (share of all CPUs)."""
+        """Return how many reservations a pipeline may have at this load.
+
+        `load` is the share of the machines' CPUs that is placed or reserved.
+        """
         tuning = self._tuning
         if load > tuning.load_much:
             return int(tuning.depth_full)
@@ -110,7 +113,7 @@
         self.active.remove(reservation)
 
     def record_miss(self, reservation: SoftReservation) -> None:
-        """Remove a reservation because another job arrived instead, or the job was ruled out."""
+        """Remove a reservation: another job arrived, or the expected one can't any more."""
         self.outcomes[reservation.origin].misses += 1
         self.active.remove(reservation)
 
--- a/src/eldercart/scheduling/feasibility.py
+++ b/src/eldercart/scheduling/feasibility.py
@@ -64,7 +64,7 @@
 
 
 def is_feasible(spec: JobSpec, machine: Machine) -> bool:
-    """Return whether the job allows the machine's type, its zone and, if so, a spot machine."""
+    """Return whether the job allows the machine: its type, its zone, and spot if it is one."""
     return (
         (spec.allows_spot or not machine.is_spot)
         and (spec.machine_types is None or machine.type.name in spec.machine_types)
--- a/src/eldercart/scheduling/objectives.py
+++ b/src/eldercart/scheduling/objectives.py
@@ -38,10 +38,10 @@
     def preemption_allowed_at(self, job: Job, lead_s: float, patience_s: float) -> float:
         """Return the time from which a waiting job may preempt others.
 
-        This is `lead_s` before its first start objective, or earlier as `PREEMPTION_SHARE` limits
-        the wait; it is `patience_s` after readiness if its class has no start objective. Until
-        then, the job only uses capacity that ending tasks free: preempted work is lost, and most
-        of it would have ended soon.
+        This is `lead_s` before its first start objective, but not more than `PREEMPTION_SHARE` of
+        that objective after readiness. If its class has no start objective, it is `patience_s`
+        after readiness. Until then, the job only uses capacity that ending tasks free: preempted
+        work is lost, and most of it would have ended soon.
         """
         waits = self.start_within_s.get(job.spec.job_class)
         if not waits:
--- a/src/eldercart/server/leadership/leader_service.py
+++ b/src/eldercart/server/leadership/leader_service.py
@@ -64,7 +64,7 @@
         """Start a leadership with the records of earlier leaders under `stored_prefixes`."""
 
     def on_leadership_lost(self) -> None:
-        """Stop recording and sending requests for this leadership."""
+        """Stop recording and sending cloud requests for this leadership."""
 
 
 class RelayLease(Protocol):
@@ -192,6 +192,7 @@
             records.learned_state,
             resolved.unresolved,
         )
+        # The loaded state is long-lived, so the garbage collector need not scan it.
         gc.collect()
         gc.freeze()
         if self._singleton_tasks is not None:
@@ -216,7 +217,7 @@
         )
 
     def observe_token(self, token: FencingToken, reason: str) -> None:
-        """Step down if the fencing token is higher than any that this node has seen."""
+        """Step down if this node leads and the token is higher than its own."""
         if self._election.observe_token(token, self._clock()):
             self.end_leadership(reason)
 
@@ -322,7 +323,7 @@
         """Handle a heartbeat that a relay forwarded under the fencing token."""
         scheduler = self.scheduler
         if scheduler is None or not self.is_active or token != scheduler.token:
-            # This node has no state for the machine, so its next heartbeat is needed.
+            # This node has no state for the machine, so the machine's next heartbeat is needed.
             return HeartbeatResponse([], True)
         try:
             heartbeat = workers.parse_heartbeat(message)
--- a/src/eldercart/server/peers/relay_service.py
+++ b/src/eldercart/server/peers/relay_service.py
@@ -67,7 +67,7 @@
             self.leader_client.expire_pending(now)
 
     def exclude_stall(self, seconds: float) -> None:
-        """Exclude a stall of this process from the silence of its peers."""
+        """Exclude a stall of this process from the time since the peers' last frames."""
         for link in self.links.values():
             link.exclude_stall(seconds)
 
@@ -91,6 +91,7 @@
                 self.leader_client.on_replies(replies)
 
     def _request_own_next_heartbeats(self, machines: list[MachineId]) -> None:
+        """Forward the next heartbeats of machines that report to this node."""
         for machine in machines:
             self.relay.request_next_heartbeat(machine)
 
--- a/src/eldercart/server/users/acceptance_check.py
+++ b/src/eldercart/server/users/acceptance_check.py
@@ -28,7 +28,7 @@
     """The result of a check."""
 
     ALL_ACCEPTED = auto()
-    NOT_ALL_ACCEPTED = auto()  # a fresh read shows that at least one job was not
+    NOT_ALL_ACCEPTED = auto()  # a fresh read proves that a job was never accepted
     INDETERMINATE = auto()  # out of rate-limit tokens or time, or a request failed
 
 
@@ -50,9 +50,9 @@
 class AcceptanceCheck:
     """One check of whether all of some jobs were accepted.
 
-    The check asks this node's cache first, then the leader, then the state service. Only a
-    transaction whose conditions all hold, each of which requires a key to be absent, proves that
-    a job was never accepted.
+    The check asks this node's cache first, then the leader, then the state service. There it sends
+    transactions whose conditions require the keys of the jobs to be absent. Only if all conditions
+    of a transaction hold is it certain that its jobs were never accepted.
     """
 
     def __init__(
@@ -72,7 +72,10 @@
         self._has_failed = False
 
     def begin(self) -> None:
-        """Poll the leader: it knows nearly all unfinished jobs, and polls take no tokens."""
+        """Poll the leader, unless this node leads, before sending requests to the state service.
+
+        The leader knows nearly all unfinished jobs, and polls take no rate-limit tokens.
+        """
         if not self._remaining or self._context.leader.scheduler is not None:
             self._read_outcomes()
             return
@@ -124,6 +127,7 @@
         """Send as many transactions as tokens and time allow; responses trigger the next ones."""
         while self._may_send():
             if not self._take_token():
+                # The response to a request in flight triggers another attempt.
                 self._has_failed = not self._requests_in_flight
                 break
             self._send_condition_check(self._next_batch())
--- a/src/eldercart/server/users/dependencies.py
+++ b/src/eldercart/server/users/dependencies.py
@@ -39,7 +39,7 @@
     def __init__(
         self, context: LookupContext, outcomes: JobOutcomeCache, max_cache_weight: int
     ) -> None:
-        """Use `outcomes`, the node's cache, and add the outcomes that are read here.
+        """Use `outcomes`, the node's cache, and add to it the outcomes that are read here.
 
         `max_cache_weight` bounds the cache of accepted jobs and that of dependencies separately.
         """
@@ -52,11 +52,11 @@
     # -- acceptance
 
     def record_accepted(self, job: JobId) -> None:
-        """Cache that the job was accepted, by any node."""
+        """Cache that this or another node accepted the job."""
         self._accepted_jobs.put(job, True)
 
     def is_accepted(self, job: JobId) -> bool:
-        """Return whether this node knows that the job was accepted; this is never revoked."""
+        """Return whether the job is known to be accepted; an acceptance is never revoked."""
         if self.outcomes.get(job) is not None or self._accepted_jobs.get(job):
             return True
         scheduler = self._context.leader.scheduler
--- a/src/eldercart/singleton/eligibility.py
+++ b/src/eldercart/singleton/eligibility.py
@@ -19,7 +19,7 @@
     NOT_LEADER = "not_leader"  # only the leader may hold it
     BEING_HANDED_OVER = "being_handed_over"  # an operator hands it over to another node
     LAGGING = "lagging"  # the event loop of this node is late
-    UNBALANCED = "unbalanced"  # its load exceeds another node's too much: see `is_overloaded`
+    UNBALANCED = "unbalanced"  # another node has much less load: see `is_overloaded`
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/eldercart/wire/peers.py
+++ b/src/eldercart/wire/peers.py
@@ -71,7 +71,7 @@
     token: FencingToken  # the highest that the sender has seen
     store_ok: bool  # whether the state service answers the sender
     machine_count: int  # machines whose workers report to the sender
-    missing_rate_tokens: int  # state service tokens that the sender lacks to admit jobs
+    missing_rate_tokens: int  # rate-limit tokens that the sender lacks to admit jobs
     acknowledged: AcknowledgedHeartbeats  # workers' heartbeats that the sender acknowledged itself
     # Earlier versions do not send the following fields; the defaults apply to their frames.
     supported_features: tuple[str, ...] = ()
@@ -90,7 +90,7 @@
     store_ok: bool
     max_machines: int  # how many machines should send their heartbeats to the recipient
     redirect_target: NodeId | None  # node for the machines in excess of `max_machines`
-    lent_rate_tokens: int  # state service tokens that the leader lends to admit jobs
+    lent_rate_tokens: int  # rate-limit tokens that the leader lends to admit jobs
     # These two fields have the same meaning as in `PeerHeartbeat`.
     supported_features: tuple[str, ...] = ()
     backoff_remaining_ms: int = 0
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -131,7 +131,7 @@
     found = calendar(zone, window).next_window(instant(at))
     assert found == MaintenanceWindow(instant(opens), instant(closes)), name
     assert calendar(zone, window).is_open(instant(at)) is (instant(opens) <= instant(at))
-    assert not calendar(zone, window).is_open(instant(closes)), "it closes then"
+    assert not calendar(zone, window).is_open(instant(closes)), "a window excludes its closing time"
 
 
 def test_exceptions_close_a_date_or_give_it_another_window() -> None:
@@ -181,7 +181,7 @@
     assert not windows.is_open(instant("2026-02-01T03:30"))
     searches: list[WallTime] = []
     windows._find_window = searches.append  # type: ignore[method-assign,assignment]
-    assert not windows.is_open(instant("2026-02-01T04:00")), "it is not looked for all the time"
+    assert not windows.is_open(instant("2026-02-01T04:00")), "an empty search result is cached"
     assert searches == []
     assert not windows.is_open(instant("2026-02-01T06:00")) and len(searches) == 1
 
