--- a/src/eldercart/cluster/heartbeats.py
+++ b/src/eldercart/cluster/heartbeats.py
@@ -168,7 +168,7 @@
             machine.is_response_undelivered = True
 
     def on_relay_lost(self, relay: NodeId) -> None:
-        """Record that responses sent through the relay may be lost, which is no evidence."""
+        """Record that responses sent through the relay may be lost, by no fault of a machine."""
         for machine in self._cluster_state.inventory.machines.values():
             if machine.relay == relay:
                 machine.is_response_undelivered = True
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -197,7 +197,7 @@
 
 
 def test_burst_on_4000_machines_survives_node_crashes_and_a_silent_zone(burst: RelayWorld) -> None:
-    """The simulation checks the rules of the service at every step; all jobs must complete."""
+    """The simulation checks its invariants after every step; all jobs must complete."""
     for machine in burst.cloud.machines.values():
         if machine.zone == "b":
             machine.hangs_until = burst.now + 1.5 * burst.settings.lease_s
