--- a/src/eldercart/autoscaling/autoscaler.py
+++ b/src/eldercart/autoscaling/autoscaler.py
@@ -73,7 +73,7 @@
         on_demand_cpus, reserved_cpus = reserved
         cpus_by_team: dict[str, float] = {}
         for job in jobs:
-            if not job.is_ready or job.is_cancelled or job.backoff_until > now:
+            if not job.is_ready or job.is_cancellation_requested or job.backoff_until > now:
                 continue
             spec = job.spec
             cpus = self._demanded_cpus(job, cpus_by_team.get(spec.team, 0.0))
--- a/src/eldercart/autoscaling/cloud_requests.py
+++ b/src/eldercart/autoscaling/cloud_requests.py
@@ -201,13 +201,13 @@
     def _has_cancelled_task(self, machine_id: MachineId) -> bool:
         machine = self.cluster.inventory.get(machine_id)
         return machine is not None and any(
-            placement.job.is_cancelled for placement in machine.placements.values()
+            placement.job.is_cancellation_requested for placement in machine.placements.values()
         )
 
     def _has_overdue_kill(self, machine_id: MachineId, now: MonotonicTime) -> bool:
         machine = self.cluster.inventory.get(machine_id)
         return machine is not None and any(
-            placement.job.is_cancelled and now > placement.job.kill_deadline_at
+            placement.job.is_cancellation_requested and now > placement.job.kill_deadline_at
             for placement in machine.placements.values()
         )
 
--- a/src/eldercart/cluster/direct_kills.py
+++ b/src/eldercart/cluster/direct_kills.py
@@ -147,6 +147,6 @@
             if task.state != workers.TaskState.EXITED
         }
         for placement in machine.placements_being_cancelled():
-            launches_expired = sent_at - placement.job.cancelled_at >= LAUNCH_EXPIRY_S
+            launches_expired = sent_at - placement.job.cancellation_requested_at >= LAUNCH_EXPIRY_S
             if launches_expired and (placement.key, placement.attempt) not in live_tasks:
                 self._cluster_state.cancel_placement(placement, now)
--- a/src/eldercart/cluster/inventory.py
+++ b/src/eldercart/cluster/inventory.py
@@ -135,7 +135,7 @@
     """Return whether the task is being killed because its job was cancelled."""
     return (
         placement.is_terminating
-        and placement.job.is_cancelled
+        and placement.job.is_cancellation_requested
         and placement.phase is not PlacementPhase.ENDED
     )
 
--- a/src/eldercart/cluster/machine_monitor.py
+++ b/src/eldercart/cluster/machine_monitor.py
@@ -95,7 +95,7 @@
                 cluster_state.mark_needs_command(machine)
             if placement.is_terminating:
                 self._escalate_kill(machine, placement, now)
-                if placement.job.is_cancelled and now > placement.job.kill_deadline_at:
+                if placement.job.is_cancellation_requested and now > placement.job.kill_deadline_at:
                     log.info("kill overdue machine=%s task=%s", machine.id, placement.key)
                     cluster_state.request_deletion(machine, now)
                     return
@@ -115,7 +115,10 @@
         if placement.phase is not PlacementPhase.ENDED:
             self._cluster_state.mark_needs_command(machine)
         direct_after_s = DIRECT_KILL_AFTER_HEARTBEATS * self._cluster_state.settings.report_s
-        if is_being_cancelled(placement) and now - placement.job.cancelled_at > direct_after_s:
+        if (
+            is_being_cancelled(placement)
+            and now - placement.job.cancellation_requested_at > direct_after_s
+        ):
             self._cluster_state.pending_commands.request_direct_kill(machine.id)
 
     def _kill_straggler(self, machine: Machine, placement: Placement, now: MonotonicTime) -> None:
--- a/src/eldercart/cluster/reconciliation.py
+++ b/src/eldercart/cluster/reconciliation.py
@@ -153,7 +153,9 @@
             result.has_ignored_command = True
         placement.unacknowledged_commands += 1
         # A task of a cancelled job needs no checkpoint; any other gets the time to save one.
-        grace_s = 0.0 if placement.job.is_cancelled else placement.job.spec.checkpoint_save_s
+        grace_s = (
+            0.0 if placement.job.is_cancellation_requested else placement.job.spec.checkpoint_save_s
+        )
         result.commands.append(workers.Kill(placement.key, placement.attempt, grace_s))
 
     # -- tasks that have exited
--- a/src/eldercart/jobs/dependency_graph.py
+++ b/src/eldercart/jobs/dependency_graph.py
@@ -90,7 +90,9 @@
         # A new leader may load dependents before their dependency.
         for dependent in self.dependents(job.id):
             job.priority = max(job.priority, dependent.priority)
-            job.deadline_at = min(job.deadline_at, self._deadline_for_dependency(dependent))
+            job.inherited_deadline_at = min(
+                job.inherited_deadline_at, self._deadline_for_dependency(dependent)
+            )
         self._raise_upstream(job)
         return effect
 
@@ -237,15 +239,15 @@
             upstream = self._jobs.get(upstream_id)
             if upstream is None:
                 continue
-            if upstream.priority >= priority and upstream.deadline_at <= deadline_at:
+            if upstream.priority >= priority and upstream.inherited_deadline_at <= deadline_at:
                 continue
             upstream.priority = max(upstream.priority, priority)
-            upstream.deadline_at = min(upstream.deadline_at, deadline_at)
+            upstream.inherited_deadline_at = min(upstream.inherited_deadline_at, deadline_at)
             raised[upstream_id] = upstream
 
     def _deadline_for_dependency(self, dependent: Job) -> MonotonicTime:
         """Return when the dependencies of this job should be done."""
-        deadline_at = min(dependent.deadline_at, self._own_deadline(dependent))
+        deadline_at = min(dependent.inherited_deadline_at, self._own_deadline(dependent))
         return MonotonicTime(deadline_at - self._remaining_s(dependent))
 
     def _release_dependencies(self, job: Job) -> None:
@@ -280,8 +282,8 @@
         for dependent in self.dependents(job.id):
             priority = max(priority, dependent.priority)
             deadline_at = min(deadline_at, self._deadline_for_dependency(dependent))
-        is_changed = priority != job.priority or deadline_at != job.deadline_at
-        job.priority, job.deadline_at = priority, deadline_at
+        is_changed = priority != job.priority or deadline_at != job.inherited_deadline_at
+        job.priority, job.inherited_deadline_at = priority, deadline_at
         return is_changed
 
 
@@ -291,4 +293,4 @@
 
 def _may_be_cancelled(job: Job) -> bool:
     """Return whether the write of the job's cancellation was sent and is not confirmed yet."""
-    return job.is_cancelled and job.is_end_write_sent and job.outcome is None
+    return job.is_cancellation_requested and job.is_end_write_sent and job.outcome is None
--- a/src/eldercart/jobs/job.py
+++ b/src/eldercart/jobs/job.py
@@ -146,7 +146,7 @@
         # True if an upstream job is durably cancelled, which cancels this job durably as well.
         self.upstream_cancelled = False
         self.priority = spec.priority  # the highest of its own and those of its dependents
-        self.deadline_at = DISTANT_FUTURE  # inherited from its dependents; excludes its own
+        self.inherited_deadline_at = DISTANT_FUTURE  # from its dependents; excludes its own
         # Progress of its tasks.
         self.done_flags = bytearray(spec.task_count)
         self.done_count = 0
@@ -158,8 +158,9 @@
         self.chunks: dict[int, Chunk] = {}  # by first task index
         self.subchunk_starts: dict[int, list[int]] = {}  # first task indexes, by chunk number
         # Lifecycle.
-        self.is_cancelled = False  # a cancellation was requested; durable once `outcome` is set
-        self.cancelled_at = MonotonicTime(0)  # time of the request, possibly to an earlier leader
+        self.is_cancellation_requested = False  # the cancellation is durable once `outcome` is set
+        # The request may have been made to an earlier leader.
+        self.cancellation_requested_at = MonotonicTime(0)
         # Once cancelled, machines that still have its tasks after this time are deleted.
         self.kill_deadline_at = MonotonicTime(0)
         self.end_write = EndWrite.NOT_SENT
@@ -193,7 +194,7 @@
         return (
             self.outcome is None
             and self.is_ready
-            and not self.is_cancelled
+            and not self.is_cancellation_requested
             and not self.has_unreadable_record
         )
 
--- a/src/eldercart/jobs/registry.py
+++ b/src/eldercart/jobs/registry.py
@@ -235,5 +235,5 @@
         if chunk.placements.get(placement.index) is placement:
             del chunk.placements[placement.index]
         self.mark_dirty(job, chunk, now)
-        if retry and not job.is_cancelled and not job.done_flags[placement.index]:
+        if retry and not job.is_cancellation_requested and not job.done_flags[placement.index]:
             job.retry_indexes.append(placement.index)
--- a/src/eldercart/persistence/commit_effects.py
+++ b/src/eldercart/persistence/commit_effects.py
@@ -53,7 +53,7 @@
         job.outcome = outcome
         cluster_state.predictor.on_stream_job_ended(job, outcome)
         cluster_state.on_end_persisted(job)
-        if outcome == users.CANCELLED and not job.is_cancelled:
+        if outcome == users.CANCELLED and not job.is_cancellation_requested:
             cluster_state.mark_cancelled(job, now, now)
         cluster_state.kill_all_placements(job, now)
         cluster_state.add_finished_job(job.id, outcome)
--- a/src/eldercart/persistence/transaction_builder.py
+++ b/src/eldercart/persistence/transaction_builder.py
@@ -86,7 +86,7 @@
 
     def _add_end(self, pending: PendingTransaction, job: Job, key: str) -> None:
         transaction = pending.transaction
-        outcome = users.CANCELLED if job.is_cancelled else users.DONE
+        outcome = users.CANCELLED if job.is_cancellation_requested else users.DONE
         transaction.conditions[key] = ABSENT_REVISION
         transaction.operations.append(Put(key, encode_end_record(outcome, job.spec.task_count)))
         pending.ends.append(JobEnd(job, outcome))
@@ -94,8 +94,10 @@
         pending.size_bytes += END_BYTES
         if job.has_live_placements:
             # The marker shows a later leader that this job only waits to be cleaned up.
-            cancelled_at = round(job.cancelled_at + self._cluster_state.wall_clock_offset_s, 2)
-            marker = encode_cleanup_marker(outcome, cancelled_at)
+            requested_at = round(
+                job.cancellation_requested_at + self._cluster_state.wall_clock_offset_s, 2
+            )
+            marker = encode_cleanup_marker(outcome, requested_at)
             transaction.operations.append(Put(CLEANUP_PREFIX + job.id, marker))
         else:
             # The job has no live placements, so its record is deleted at once. That makes its
@@ -155,7 +157,7 @@
         """
         if (
             job.outcome is not None
-            or job.is_cancelled
+            or job.is_cancellation_requested
             or job.id in self._cluster_state.finalizing_jobs
         ):
             for chunk in job.chunks.values():
--- a/src/eldercart/scheduling/cluster_state.py
+++ b/src/eldercart/scheduling/cluster_state.py
@@ -217,7 +217,7 @@
             self.cancel_placement(placement, now)
         elif machine is not None:
             self.mark_needs_command(machine)
-            if placement.job.is_cancelled and placement.phase in (
+            if placement.job.is_cancellation_requested and placement.phase in (
                 PlacementPhase.COMMITTED,
                 PlacementPhase.FETCHING,
             ):
@@ -230,8 +230,8 @@
             if placement.phase is not PlacementPhase.ENDED:
                 self.kill_placement(placement, now)
 
-    def mark_cancelled(self, job: Job, cancelled_at: MonotonicTime, now: MonotonicTime) -> None:
-        """Record that a user requested the job's cancellation at `cancelled_at`.
+    def mark_cancelled(self, job: Job, requested_at: MonotonicTime, now: MonotonicTime) -> None:
+        """Record that a user requested the job's cancellation at `requested_at`.
 
         The time limit for its tasks to end counts from then, across any number of leaders. A leader
         that is elected late first gives the machines time to report that the tasks have ended, as
@@ -239,11 +239,11 @@
         """
         cancel_s = self.settings.cancel_s
         grace_until = now + FAILOVER_GRACE_HEARTBEATS * self.settings.report_s
-        if now < cancelled_at + cancel_s:
-            grace_until = min(grace_until, cancelled_at + MAX_KILL_TIMEOUT_SHARE * cancel_s)
-        kill_deadline_at = max(cancelled_at + KILL_TIMEOUT_SHARE * cancel_s, grace_until)
-        job.is_cancelled = True
-        job.cancelled_at = cancelled_at
+        if now < requested_at + cancel_s:
+            grace_until = min(grace_until, requested_at + MAX_KILL_TIMEOUT_SHARE * cancel_s)
+        kill_deadline_at = max(requested_at + KILL_TIMEOUT_SHARE * cancel_s, grace_until)
+        job.is_cancellation_requested = True
+        job.cancellation_requested_at = requested_at
         job.kill_deadline_at = MonotonicTime(kill_deadline_at)
 
     # -- machines
--- a/src/eldercart/scheduling/objectives.py
+++ b/src/eldercart/scheduling/objectives.py
@@ -30,8 +30,8 @@
         if spec.deadline_s is not None:
             factors = self.deadline_factors.get(spec.job_class, (1.0,))
             finish_by += [job.submitted_at + factor * spec.deadline_s for factor in factors]
-        if job.deadline_at < DISTANT_FUTURE:
-            finish_by.append(job.deadline_at)  # needed by the jobs that depend on it
+        if job.inherited_deadline_at < DISTANT_FUTURE:
+            finish_by.append(job.inherited_deadline_at)  # needed by the jobs that depend on it
         start_by += [finish - longest_run_s for finish in finish_by]
         return sorted(start_by)
 
--- a/src/eldercart/scheduling/scheduler.py
+++ b/src/eldercart/scheduling/scheduler.py
@@ -188,7 +188,7 @@
         """Return whether an upstream job may be durably cancelled without this leader knowing."""
         graph = self.cluster_state.graph
         is_any_end_uncertain = graph.has_end_lookups or any(
-            finalizing.is_cancelled and finalizing.is_end_write_sent
+            finalizing.is_cancellation_requested and finalizing.is_end_write_sent
             for finalizing in self.cluster_state.finalizing_jobs.values()
         )
         return is_any_end_uncertain and graph.may_be_cancelled_upstream(job)
@@ -206,7 +206,7 @@
         if job.upstream_cancelled:
             return users.CANCELLED  # it follows from the durable end of an upstream job
         # A complete job can no longer be cancelled: its end `done` may already be durable.
-        if not job.is_cancelled and not job.is_complete:
+        if not job.is_cancellation_requested and not job.is_complete:
             self.cluster_state.mark_cancelled(job, now, now)
             self.cluster_state.mark_finalizing(job)
             self.cluster_state.kill_all_placements(job, now)
--- a/src/eldercart/scheduling/state_loader.py
+++ b/src/eldercart/scheduling/state_loader.py
@@ -137,12 +137,12 @@
     def _load_finished_job(self, job: Job, marker: Item, now: MonotonicTime) -> None:
         job.outcome = decode_end_record(marker.value)
         if job.outcome == users.CANCELLED:
-            cancelled_at = self._decode_cancelled_at(marker, now)
-            self._cluster_state.mark_cancelled(job, cancelled_at, now)
+            requested_at = self._decode_request_time(marker, now)
+            self._cluster_state.mark_cancelled(job, requested_at, now)
         self._transaction_writer.jobs_to_clean_up[job.id] = job
         self._cluster_state.on_job_finished(job.id, job.outcome, now)
 
-    def _decode_cancelled_at(self, marker: Item, now: MonotonicTime) -> MonotonicTime:
+    def _decode_request_time(self, marker: Item, now: MonotonicTime) -> MonotonicTime:
         """Return when the cancellation was requested, or `now` if the marker lacks the time."""
         wall_time = decode_cancellation_time(marker.value)
         if wall_time is None:
--- a/src/eldercart/wire/stored_jobs.py
+++ b/src/eldercart/wire/stored_jobs.py
@@ -81,12 +81,12 @@
     return CANCELLED if cancelled else DONE
 
 
-def encode_cleanup_marker(outcome: str, cancelled_at: float) -> dict[str, Any]:
+def encode_cleanup_marker(outcome: str, cancellation_requested_at: float) -> dict[str, Any]:
     """Return the cleanup marker of an ended job, whose other records still have to be deleted.
 
-    `cancelled_at` is a time of day in seconds.
+    `cancellation_requested_at` is a time of day in seconds.
     """
-    return {"e": outcome, "t": cancelled_at}
+    return {"e": outcome, "t": cancellation_requested_at}
 
 
 def decode_cancellation_time(value: Any) -> float | None:
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -185,16 +185,23 @@
     a = harness.add("a", urgency="idle", haulS=10.0)
     b = harness.add("b", "a", urgency="idle", haulS=20.0)
     other = harness.add("other", urgency="idle")
-    assert a.priority == b.priority == 0 and a.deadline_at == DISTANT_FUTURE
+    assert a.priority == b.priority == 0 and a.inherited_deadline_at == DISTANT_FUTURE
     harness.add("c", "b", urgency="urgent", haulS=5.0, dueS=100.0)
     assert (a.priority, b.priority, other.priority) == (2, 2, 0)
-    assert (b.deadline_at, a.deadline_at) == (95.0, 75.0), "reduced by the longest path downstream"
+    assert (b.inherited_deadline_at, a.inherited_deadline_at) == (95.0, 75.0), (
+        "reduced by the longest path downstream"
+    )
     harness.add("d", "a", urgency="standard", haulS=40.0, dueS=100.0)
-    assert (a.deadline_at, b.deadline_at) == (60.0, 95.0)
+    assert (a.inherited_deadline_at, b.inherited_deadline_at) == (60.0, 95.0)
     harness.end("c", users.CANCELLED)
-    assert (a.priority, b.priority, a.deadline_at, b.deadline_at) == (1, 0, 60.0, DISTANT_FUTURE)
+    assert (a.priority, b.priority, a.inherited_deadline_at, b.inherited_deadline_at) == (
+        1,
+        0,
+        60.0,
+        DISTANT_FUTURE,
+    )
     harness.end("d", users.CANCELLED)
-    assert (a.priority, a.deadline_at) == (0, DISTANT_FUTURE)
+    assert (a.priority, a.inherited_deadline_at) == (0, DISTANT_FUTURE)
 
 
 def test_upstream_cancelled_job_no_longer_raises_its_other_dependencies() -> None:
@@ -207,10 +214,16 @@
     b = harness.add("b", "x", urgency="idle", haulS=5.0)
     harness.add("c", "a", "b", urgency="urgent", haulS=5.0, dueS=100.0)
     harness.add("d", "c", urgency="urgent", haulS=5.0, dueS=100.0)
-    assert (x.priority, b.priority) == (2, 2) and (x.deadline_at, b.deadline_at) == (85.0, 90.0)
+    assert (x.priority, b.priority) == (2, 2) and (
+        x.inherited_deadline_at,
+        b.inherited_deadline_at,
+    ) == (85.0, 90.0)
     harness.end("a", users.CANCELLED)
     assert harness.upstream_cancelled == ["c", "d"]
-    assert (x.priority, b.priority) == (0, 0) and (x.deadline_at, b.deadline_at) == (
+    assert (x.priority, b.priority) == (0, 0) and (
+        x.inherited_deadline_at,
+        b.inherited_deadline_at,
+    ) == (
         DISTANT_FUTURE,
         DISTANT_FUTURE,
     )
@@ -241,12 +254,12 @@
     harness.graph._remaining_s = remaining_s
     harness.add("last", *previous_layer, urgency="urgent", dueS=10_000.0)
     first = harness.registry.jobs[JobId("wk-0-0")]
-    assert first.priority == 2 and first.deadline_at == 10_000 - 1 - 2 * (
+    assert first.priority == 2 and first.inherited_deadline_at == 10_000 - 1 - 2 * (
         2.0 ** (layers - 30) - 2.0**-29
     )
     if is_cancelled:
         harness.end("last", users.CANCELLED)
-        assert first.priority == 0 and first.deadline_at == DISTANT_FUTURE
+        assert first.priority == 0 and first.inherited_deadline_at == DISTANT_FUTURE
 
 
 def test_job_inherits_from_dependents_that_were_loaded_first() -> None:
@@ -281,7 +294,7 @@
     harness = GraphHarness()
     a = harness.add("a")
     b = harness.add("b", "a")
-    a.is_cancelled = True
+    a.is_cancellation_requested = True
     assert not harness.graph.may_be_cancelled_upstream(b), (
         "requested but not sent: no node can have reported it"
     )
--- a/tests/test_duty_service.py
+++ b/tests/test_duty_service.py
@@ -247,7 +247,7 @@
         task_key(job.id, 0), job, 0, Attempt(1), machine.id, phase=PlacementPhase.RUNNING
     )
     machine.placements[placement.key] = placement
-    job.is_cancelled, job.kill_deadline_at = True, MonotonicTime(world.clock() - 1.0)
+    job.is_cancellation_requested, job.kill_deadline_at = True, MonotonicTime(world.clock() - 1.0)
 
 
 @pytest.mark.parametrize("trouble", ["the state service is out", "the duty is paused"])
--- a/tests/versions/reading.py
+++ b/tests/versions/reading.py
@@ -441,7 +441,7 @@
         attempts,
         job.unplaced_count,
         job.outcome,
-        job.is_cancelled,
+        job.is_cancellation_requested,
         job.has_unreadable_record,
         sorted(job.unmet_dependencies),
         job.is_ready,
