--- a/src/eldercart/scheduling/scheduler.py
+++ b/src/eldercart/scheduling/scheduler.py
@@ -73,7 +73,7 @@
 
     # The job is not in the leader's registry, or its state there may be outdated. The caller reads
     # the state from the store.
-    UNKNOWN_JOB = "unknown"
+    STATE_UNKNOWN = "unknown"
     # The job's end is waiting to be written, is being written, or may already be durable.
     UNDECIDED = "undecided"
 
@@ -166,7 +166,7 @@
         """Return the job's state, or why this leader cannot announce one."""
         job = self.jobs.get(job_id)
         if job is None:
-            return LookupFailure.UNKNOWN_JOB
+            return LookupFailure.STATE_UNKNOWN
         if job.outcome is not None:
             return JobStatus(job.outcome, job.done_count, 0)
         if job.upstream_cancelled:
@@ -176,7 +176,7 @@
             # contradict that. Until the write is sent, no node can have read the end.
             return LookupFailure.UNDECIDED
         if job.unmet_dependencies and self._may_be_upstream_cancelled(job):
-            return LookupFailure.UNKNOWN_JOB  # the caller reads the current state from the store
+            return LookupFailure.STATE_UNKNOWN  # the caller reads the current state from the store
         return JobStatus(
             users.RUNNING if job.running_count else users.PENDING,
             job.done_count,
@@ -200,7 +200,7 @@
         """
         job = self.jobs.get(job_id)
         if job is None:
-            return LookupFailure.UNKNOWN_JOB
+            return LookupFailure.STATE_UNKNOWN
         if job.outcome is not None:
             return job.outcome
         if job.upstream_cancelled:
--- a/src/eldercart/server/leadership/user_answers.py
+++ b/src/eldercart/server/leadership/user_answers.py
@@ -71,7 +71,7 @@
             on_reply(outcome or peers.NOT_LEADER)
             return
         result = scheduler.cancel_job(job, self._clock())
-        if result is LookupFailure.UNKNOWN_JOB:
+        if result is LookupFailure.STATE_UNKNOWN:
             self._read_state_and_cancel(job, on_reply)
         elif isinstance(result, str):
             on_reply(result)
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -933,7 +933,7 @@
     assert scheduler.job_status(JobId("wk-a")) is LookupFailure.UNDECIDED
     dependent_status = scheduler.job_status(JobId("wk-b"))
     if outcome == users.CANCELLED:
-        assert dependent_status is LookupFailure.UNKNOWN_JOB, "only a read of the store can tell"
+        assert dependent_status is LookupFailure.STATE_UNKNOWN, "only a read of the store can tell"
     else:
         assert isinstance(dependent_status, JobStatus) and dependent_status.state == users.PENDING
 
--- a/tests/test_leading.py
+++ b/tests/test_leading.py
@@ -377,7 +377,7 @@
     ("name", "after", "renewed", "leads", "outcome", "status", "expected_state"),
     [
         ("within the lease", 2.9, False, True, None, RUNNING, users.RUNNING),
-        ("unknown job", 2.9, False, True, None, LookupFailure.UNKNOWN_JOB, peers.UNKNOWN),
+        ("unknown job", 2.9, False, True, None, LookupFailure.STATE_UNKNOWN, peers.UNKNOWN),
         ("undecided", 2.9, False, True, None, LookupFailure.UNDECIDED, peers.UNDECIDED),
         ("lease expired", 2.95, False, True, None, RUNNING, peers.NOT_LEADER),
         (
@@ -386,7 +386,7 @@
             False,
             True,
             None,
-            LookupFailure.UNKNOWN_JOB,
+            LookupFailure.STATE_UNKNOWN,
             peers.NOT_LEADER,
         ),
         ("lease renewed", 2.95, True, True, None, RUNNING, users.RUNNING),
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -485,12 +485,12 @@
         c.on_transaction_result(pending, TransactionOutcome.COMMITTED, version, (), now)
     status = c.job_status(ONE)
     if isinstance(expected_status, str):
-        assert status is LookupFailure.UNKNOWN_JOB or status.state == expected_status
+        assert status is LookupFailure.STATE_UNKNOWN or status.state == expected_status
         # The scheduler drops a finished job at once. The node answers from the outcomes that it has
         # just taken.
         assert c.take_finished_jobs() == [(ONE, expected_status)]
         w.tell(ONE, expected_status)
-        assert c.cancel_job(ONE, now) in (cancel_result, LookupFailure.UNKNOWN_JOB)
+        assert c.cancel_job(ONE, now) in (cancel_result, LookupFailure.STATE_UNKNOWN)
     elif expected_status is JobStatus:
         assert isinstance(status, JobStatus) and status.state in ("pending", "running")
         assert c.cancel_job(ONE, now) is cancel_result
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -58,7 +58,7 @@
             status = world.scheduler.job_status(JobId(job))
             if isinstance(status, JobStatus):
                 unanswered.discard(job)
-            elif status is LookupFailure.UNKNOWN_JOB and f"end/{job}" in world.store.keys:
+            elif status is LookupFailure.STATE_UNKNOWN and f"end/{job}" in world.store.keys:
                 unanswered.discard(job)  # a node reads the end from the store
     assert not unanswered, name
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -594,7 +594,7 @@
         if not new and not chains:
             # Nothing like it is asked for yet; all the same, it waits for a leader that reads it.
             w.submit("wk-early", parcels=3, awaits=["wk-11", "wk-000000"])
-            assert w.scheduler.job_status(JobId("wk-early")) is LookupFailure.UNKNOWN_JOB
+            assert w.scheduler.job_status(JobId("wk-early")) is LookupFailure.STATE_UNKNOWN
     for i in sorted(set(range(w.nodes)) - w.replaced):
         w.replace(i)
         w.watch(3)
--- a/tests/versions/adapters.py
+++ b/tests/versions/adapters.py
@@ -32,7 +32,7 @@
     TransactionOutcome.INVALID: "malformed",
     TransactionOutcome.INDETERMINATE: "unknown",
 }
-_VERDICTS = {"UNKNOWN_JOB": LookupFailure.UNKNOWN_JOB, "UNDECIDED": LookupFailure.UNDECIDED}
+_VERDICTS = {"UNKNOWN_JOB": LookupFailure.STATE_UNKNOWN, "UNDECIDED": LookupFailure.UNDECIDED}
 
 
 def listed(item: Item) -> OldRecord:
