--- a/src/eldercart/autoscaling/autoscaler.py
+++ b/src/eldercart/autoscaling/autoscaler.py
@@ -152,7 +152,7 @@
         for machine in machines:
             if is_serving(machine):
                 supply.add(machine.type.cpus, is_spot=machine.is_spot)
-                if _is_idle(machine) and now - machine.idle_since >= idle_s:
+                if _is_idle(machine) and now - machine.last_release_at >= idle_s:
                     idle.append(machine)
         idle.sort(key=lambda machine: -_price_per_cpu(machine))
         surplus = []
@@ -171,7 +171,7 @@
     """Return whether the machine is up and, as its heartbeats confirm, runs no task."""
     return (
         machine.state is MachineState.UP
-        and machine.is_confirmed
+        and machine.has_shown_current_token
         and not machine.placements
         and not machine.has_unknown_tasks
     )
--- a/src/eldercart/autoscaling/cloud_requests.py
+++ b/src/eldercart/autoscaling/cloud_requests.py
@@ -112,7 +112,7 @@
                 machines, cluster.types, self._constrained_jobs(), self._name_prefix, now
             )
         for machine in autoscaler.plan_scale_in(machines, now):
-            idle_s = now - machine.idle_since
+            idle_s = now - machine.last_release_at
             log.info("scale-in machine=%s idle_s=%.0f", machine.id, idle_s)
             cluster.request_deletion(machine, now)
 
--- a/src/eldercart/cluster/heartbeats.py
+++ b/src/eldercart/cluster/heartbeats.py
@@ -71,8 +71,8 @@
         self._update_description(machine, heartbeat)
         if heartbeat.preemption_notice_s is not None and machine.reclaim_at is None:
             self._schedule_reclaim(machine, heartbeat.preemption_notice_s, now)
-        if not machine.is_confirmed:
-            machine.is_confirmed = True
+        if not machine.has_shown_current_token:
+            machine.has_shown_current_token = True
             cluster_state.request_planning()
         elif lease_has_expired:
             self._record_ignored_response(machine, UnresponsiveReason.LEASE_EXPIRED, now)
@@ -102,7 +102,7 @@
 
     def _mark_up(self, machine: Machine, now: MonotonicTime) -> None:
         machine.state = MachineState.UP
-        machine.idle_since = machine.last_heartbeat_at = now
+        machine.last_release_at = machine.last_heartbeat_at = now
         self._cluster_state.request_planning()
         log.debug("machine up machine=%s boot_s=%.1f", machine.id, now - machine.provisioned_at)
 
@@ -176,7 +176,7 @@
     def needs_next_heartbeat(self, machine_id: MachineId) -> bool:
         """Return whether a relay must forward the machine's next heartbeat even if unchanged."""
         machine = self._cluster_state.inventory.get(machine_id)
-        if machine is None or not machine.is_confirmed or machine.has_unknown_tasks:
+        if machine is None or not machine.has_shown_current_token or machine.has_unknown_tasks:
             return True
         return bool(machine.prelaunch_queue) and machine.free_cpus + RESOURCE_EPSILON >= min(
             placement.job.spec.cpus for placement in machine.prelaunch_queue.values()
--- a/src/eldercart/cluster/inventory.py
+++ b/src/eldercart/cluster/inventory.py
@@ -67,7 +67,7 @@
     address: str = ""
     relay: NodeId | None = None  # the node that received its last heartbeat
     heartbeat_sequence: HeartbeatSequence = NO_HEARTBEAT
-    is_confirmed: bool = False  # a heartbeat carried this leader's fencing token
+    has_shown_current_token: bool = False  # a heartbeat has carried this leader's fencing token
     placements: dict[TaskKey, Placement] = field(default_factory=dict)
     # Placements that are recorded before the machine has room for them; not launched yet.
     prelaunch_queue: dict[TaskKey, Placement] = field(default_factory=dict)
@@ -87,7 +87,9 @@
     terminating_memory_gb: float = 0.0
     # CPUs in use by tasks that are not being killed.
     cpus_by_priority: dict[int, float] = field(default_factory=dict)
-    idle_since: MonotonicTime = MONOTONIC_ZERO
+    # When a task's resources were last released. It begins as `last_heartbeat_at` and is set again
+    # when the machine becomes up; an allocation does not change it.
+    last_release_at: MonotonicTime = MONOTONIC_ZERO
     # No new task may start: cordoned, being deleted, or under a preemption notice.
     is_unschedulable: bool = False
     is_cordoned: bool = False
@@ -119,7 +121,7 @@
         """Whether new tasks may start on the machine."""
         return (
             self.state is MachineState.UP
-            and self.is_confirmed
+            and self.has_shown_current_token
             and not self.is_unschedulable
             and not self.has_unknown_tasks
         )
@@ -195,7 +197,7 @@
             free_cpus=machine_type.cpus,
             free_gpus=machine_type.gpus,
             free_memory_gb=machine_type.memory_gb,
-            idle_since=last_heartbeat_at,
+            last_release_at=last_heartbeat_at,
             cached_images=self._restored_images.pop(machine_id, {}),
         )
         self.machines[machine_id] = machine
@@ -264,7 +266,7 @@
         self.gpus_by_team[spec.team] -= spec.gpus
         if not spec.allows_spot and not machine.is_spot:
             self.on_demand_only_cpus -= spec.cpus
-        machine.idle_since = now
+        machine.last_release_at = now
 
     def mark_terminating(self, machine: Machine | None, placement: Placement) -> None:
         """Record that the task is being killed or is about to be; idempotent."""
--- a/src/eldercart/scheduling/planning_pass.py
+++ b/src/eldercart/scheduling/planning_pass.py
@@ -136,13 +136,13 @@
         Free capacity there may be reserved for a larger task, kept for jobs that need on-demand
         machines, or unused because other machines scored better. After this time without change,
         the jobs that it was kept for have not used it."""
-        idle_since = self._now - UNUSED_CAPACITY_TIMEOUT_S
+        unused_since = self._now - UNUSED_CAPACITY_TIMEOUT_S
         overdue = [
             entry
             for entry in self._queue
             if entry.starvation_limit is None
             and _has_waiting_tasks(entry.job)
-            and max(entry.job.ready_at, entry.job.last_placed_at) <= idle_since
+            and max(entry.job.ready_at, entry.job.last_placed_at) <= unused_since
             and self._quota_headroom(entry.job.spec) > 0
         ]
         if not overdue:
@@ -151,7 +151,7 @@
         self._open_machines = [
             machine
             for machine in self._machines
-            if machine.idle_since <= idle_since
+            if machine.last_release_at <= unused_since
             and machine.free_cpus + RESOURCE_EPSILON >= self._min_task_cpus
             and machine.launch_backoff_until <= self._now
         ]
