--- a/src/eldercart/autoscaling/autoscaler.py
+++ b/src/eldercart/autoscaling/autoscaler.py
@@ -8,7 +8,7 @@
 from eldercart.autoscaling.request_types import MachineOffering, ScaleOutRequest
 from eldercart.autoscaling.scale_out import (
     ConstrainedJob,
-    ScaleOutRound,
+    ScaleOutPass,
     Supply,
     is_serving,
     waiting_cpus,
@@ -129,7 +129,7 @@
         """Return the requests to send now, with names that begin with `name_prefix`.
 
         `constrained` lists the waiting jobs that can run only on some machines."""
-        scale_out = ScaleOutRound(
+        scale_out = ScaleOutPass(
             types=types,
             machines=[machine for machine in machines if is_serving(machine)],
             outstanding_requests=self.outstanding_requests,
--- a/src/eldercart/autoscaling/scale_out.py
+++ b/src/eldercart/autoscaling/scale_out.py
@@ -57,8 +57,8 @@
 
 
 @dataclass(slots=True)
-class ScaleOutRound:
-    """State of one planning run of the autoscaler for scaling out.
+class ScaleOutPass:
+    """State of one pass of the autoscaler that plans a scale-out.
 
     New requests are collected in `requests` and also added to `outstanding_requests`."""
 
@@ -70,7 +70,7 @@
     name_prefix: str
     numbers: Iterator[int]  # sequence numbers for the names of requests
     now: MonotonicTime
-    requests: list[ScaleOutRequest] = field(default_factory=list)  # made by this run
+    requests: list[ScaleOutRequest] = field(default_factory=list)  # made by this pass
     # The key is the zone and whether the machines are spot machines.
     _machines_per_zone: dict[tuple[str, bool], int] = field(default_factory=dict)
 
