--- a/src/eldercart/autoscaling/successor_reservations.py
+++ b/src/eldercart/autoscaling/successor_reservations.py
@@ -5,7 +5,7 @@
 
 from eldercart.cluster.inventory import MachineState
 from eldercart.jobs.job import Job, PlacementPhase
-from eldercart.prediction.predictor import ReservationWindow
+from eldercart.prediction.predictor import ReservationContext
 from eldercart.scheduling.cluster_state import ClusterState
 from eldercart.units import JobId, MonotonicTime
 
@@ -16,17 +16,17 @@
     predictor = cluster.predictor
     predictor.expire(now)
     boot_s = min(machine_type.boot_s for machine_type in cluster.types.values())
-    window = ReservationWindow(boot_s=boot_s, load=_load(cluster), now=now)
+    context = ReservationContext(boot_s=boot_s, load=_load(cluster), now=now)
     ending = _jobs_ending_within(cluster, boot_s, now)
     if not cluster.autoscaler.is_quiet:  # submissions go on, so a stream may bring a successor
         for job_id, ends_in_s in ending.items():
-            predictor.reserve_for_stream(cluster.jobs.jobs[job_id], ends_in_s, window)
+            predictor.reserve_for_stream(cluster.jobs.jobs[job_id], ends_in_s, context)
     for job_id in ending:
         for successor in cluster.graph.dependents(job_id):
-            _reserve_for_submitted(cluster, successor, ending, window)
+            _reserve_for_submitted(cluster, successor, ending, context)
     for prediction in predictor.chains.predict_successors(ending):
         cpus = _cap_at_team_quota(cluster, prediction.pipeline[0], prediction.cpus)
-        predictor.reserve_for_chain(prediction, cpus, window)
+        predictor.reserve_for_chain(prediction, cpus, context)
 
 
 def held_cpus(cluster: ClusterState, job_id: JobId) -> float:
@@ -38,7 +38,7 @@
 
 
 def _reserve_for_submitted(
-    cluster: ClusterState, successor: Job, ending: dict[JobId, float], window: ReservationWindow
+    cluster: ClusterState, successor: Job, ending: dict[JobId, float], context: ReservationContext
 ) -> None:
     """Reserve for a submitted successor if all its unmet dependencies are in `ending`."""
     upstream = successor.unmet_dependencies
@@ -47,7 +47,7 @@
     last = max(upstream, key=lambda job_id: ending[job_id])
     spec = successor.spec
     cpus = _cap_at_team_quota(cluster, spec.team, spec.cpus * spec.task_count)
-    cluster.predictor.reserve_for_submitted(successor, cpus, last, ending[last], window)
+    cluster.predictor.reserve_for_submitted(successor, cpus, last, ending[last], context)
 
 
 def _load(cluster: ClusterState) -> float:
--- a/src/eldercart/prediction/chain_predictor.py
+++ b/src/eldercart/prediction/chain_predictor.py
@@ -173,7 +173,7 @@
             self._count(job)
         return job.chain.chain_id
 
-    def settle_ended_chains(self, now: MonotonicTime) -> None:
+    def expire_ended_jobs(self, now: MonotonicTime) -> None:
         """Remove the ended jobs whose successor timeout has passed.
 
         A job without a successor is counted as the end of its chain.
--- a/src/eldercart/prediction/predictor.py
+++ b/src/eldercart/prediction/predictor.py
@@ -58,8 +58,8 @@
         return min(MAX_RUN_TIME_RATIO, max(MIN_RUN_TIME_RATIO, ratio))
 
 
-class ReservationWindow(NamedTuple):
-    """Time, load and boot time with which reservations are made."""
+class ReservationContext(NamedTuple):
+    """The boot time, load and current time on which new reservations are based."""
 
     boot_s: float  # boot time of the machine type that boots fastest
     load: float  # share of the machines' CPUs that is placed or reserved
@@ -156,7 +156,7 @@
             for reservation in self._reservations.for_chains({chain_id}):
                 self._reservations.record_miss(reservation)
 
-    def predict(self, team: str, job_class: str, path: Path) -> str | None:
+    def predict_stream_image(self, team: str, job_class: str, path: Path) -> str | None:
         """Return the image that most likely follows a path of images in a stream, if any."""
         return self._streams.predict_image((team, job_class), path)
 
@@ -187,16 +187,16 @@
         """Number of reservations of all origins that no job claimed in time."""
         return sum(outcomes.expired for outcomes in self.reservation_outcomes.values())
 
-    def reserve_for_stream(self, job: Job, ends_in_s: float, window: ReservationWindow) -> None:
+    def reserve_for_stream(self, job: Job, ends_in_s: float, context: ReservationContext) -> None:
         """Reserve for the job that is expected to follow this one in its stream.
 
         The reservation is made at most one boot time before the estimated end of this job. Jobs
         with dependencies are not part of the stream.
         """
-        if ends_in_s > window.boot_s:
+        if ends_in_s > context.boot_s:
             return
         pipeline = (job.spec.team, job.spec.job_class)
-        if not self._reservations.is_below_limit(pipeline, window.load):
+        if not self._reservations.is_below_limit(pipeline, context.load):
             return
         in_stream = self._reservations.for_pipeline(pipeline, ReservationOrigin.STREAM)
         if any(reservation.upstream == job.id for reservation in in_stream):
@@ -210,7 +210,7 @@
             image=expected.image,
             cpus=expected.cpus,
             spot=expected.spot,
-            expires_at=window.expires_at(ends_in_s),
+            expires_at=context.expires_at(ends_in_s),
         )
         self._add(reservation)
 
@@ -220,14 +220,14 @@
         cpus: float,
         upstream: JobId,
         ends_in_s: float,
-        window: ReservationWindow,
+        context: ReservationContext,
     ) -> None:
         """Reserve for a submitted successor whose last dependency to end is `upstream`.
 
         This needs no prediction. The load limits the reservations here as well.
         """
         pipeline = (successor.spec.team, successor.spec.job_class)
-        if not self._reservations.is_below_limit(pipeline, window.load):
+        if not self._reservations.is_below_limit(pipeline, context.load):
             return
         in_pipeline = self._reservations.for_pipeline(pipeline)
         if any(reservation.successor == successor.id for reservation in in_pipeline):
@@ -238,27 +238,27 @@
             image=successor.spec.image,
             cpus=cpus,
             spot=successor.spec.allows_spot,
-            expires_at=window.expires_at(ends_in_s),
+            expires_at=context.expires_at(ends_in_s),
             origin=ReservationOrigin.SUBMITTED,
             successor=successor.id,
         )
         self._add(reservation)
 
     def reserve_for_chain(
-        self, prediction: SuccessorPrediction, cpus: float, window: ReservationWindow
+        self, prediction: SuccessorPrediction, cpus: float, context: ReservationContext
     ) -> None:
         """Reserve for a predicted successor along a chain that is not submitted yet.
 
         A successor of several chains (fan-in) has only one reservation: the first chain creates it,
         and the others are added to it.
         """
-        expires_at = window.expires_at(prediction.ends_in_s)
+        expires_at = context.expires_at(prediction.ends_in_s)
         existing = self._find_reservation(prediction)
         if existing is not None:
             existing.chains[prediction.chain_id] = prediction.path
             existing.expires_at = max(existing.expires_at, expires_at)
             return
-        if not self._reservations.is_below_limit(prediction.pipeline, window.load):
+        if not self._reservations.is_below_limit(prediction.pipeline, context.load):
             return
         reservation = SoftReservation(
             pipeline=prediction.pipeline,
@@ -280,7 +280,7 @@
     def expire(self, now: MonotonicTime) -> None:
         """Remove the reservations that no job claimed in time, and count the chains that ended."""
         self._reservations.expire(now)
-        self.chains.settle_ended_chains(now)
+        self.chains.expire_ended_jobs(now)
 
     def reserved_cpus(
         self, held_cpus: Callable[[JobId], float] = lambda job_id: 0.0
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -20,7 +20,7 @@
 from eldercart.election.state_machine import Election, Role
 from eldercart.jobs.job import Job
 from eldercart.jobs.registry import JobRegistry
-from eldercart.prediction.predictor import Predictor, ReservationWindow
+from eldercart.prediction.predictor import Predictor, ReservationContext
 from eldercart.scheduling.machine_selection import score
 from eldercart.scheduling.objectives import ServiceLevelObjectives
 from eldercart.scheduling.queue_order import QueueOrderContext, order_jobs
@@ -314,15 +314,15 @@
     done, that of a cancelled job if at most 40% were, and otherwise none."""
     predictor = Predictor(load_tuning(values={"path_length": 1}))
     train(predictor, "abababab", outcomes)
-    assert predictor.predict("t2", "slow", ("a",)) == expected
+    assert predictor.predict_stream_image("t2", "slow", ("a",)) == expected
 
 
 def test_prediction_distinguishes_branches_by_path() -> None:
     predictor = Predictor(load_tuning(values={"path_length": 2}))
     train(predictor, "abcxbyabcxbyabcxby", "d" * 18)
-    assert predictor.predict("t2", "slow", ("a", "b")) == "c"
-    assert predictor.predict("t2", "slow", ("x", "b")) == "y"
-    assert predictor.predict("t2", "slow", ("y", "y")) is None
+    assert predictor.predict_stream_image("t2", "slow", ("a", "b")) == "c"
+    assert predictor.predict_stream_image("t2", "slow", ("x", "b")) == "y"
+    assert predictor.predict_stream_image("t2", "slow", ("y", "y")) is None
 
 
 @pytest.mark.parametrize(("load", "depth"), [(0.5, 6), (0.75, 5), (0.9, 4)])
@@ -330,24 +330,24 @@
     predictor = Predictor(load_tuning(values={"path_length": 1}))
     jobs = train(predictor, "ab" * 12, "d" * 14)
     for job in jobs[14:]:
-        predictor.reserve_for_stream(job, 1.0, ReservationWindow(10.0, load, MonotonicTime(30.0)))
+        predictor.reserve_for_stream(job, 1.0, ReservationContext(10.0, load, MonotonicTime(30.0)))
     assert len(predictor.soft_reservations) == depth
 
 
 def test_soft_reservations_are_made_late_matched_and_expired() -> None:
     predictor = Predictor(load_tuning(values={"path_length": 1}))
     jobs = train(predictor, "ababab", "ddddd")
-    predictor.reserve_for_stream(jobs[5], 30.0, ReservationWindow(10.0, 0.0, MonotonicTime(10.0)))
+    predictor.reserve_for_stream(jobs[5], 30.0, ReservationContext(10.0, 0.0, MonotonicTime(10.0)))
     assert not predictor.soft_reservations, "more than a boot ahead"
-    predictor.reserve_for_stream(jobs[5], 5.0, ReservationWindow(10.0, 0.0, MonotonicTime(10.0)))
+    predictor.reserve_for_stream(jobs[5], 5.0, ReservationContext(10.0, 0.0, MonotonicTime(10.0)))
     assert [reservation.image for reservation in predictor.soft_reservations] == ["a"]
     assert predictor.reserved_cpus() == pytest.approx((0.0, 12.0))
     predictor.on_job_ready(make_job(20, "a"))
     assert (predictor.hits, predictor.misses, predictor.soft_reservations) == (1, 0, [])
-    predictor.reserve_for_stream(jobs[5], 5.0, ReservationWindow(10.0, 0.0, MonotonicTime(10.0)))
+    predictor.reserve_for_stream(jobs[5], 5.0, ReservationContext(10.0, 0.0, MonotonicTime(10.0)))
     predictor.on_job_ready(make_job(21, "z"))
     assert (predictor.hits, predictor.misses, predictor.soft_reservations) == (1, 1, [])
-    predictor.reserve_for_stream(jobs[5], 5.0, ReservationWindow(10.0, 0.0, MonotonicTime(10.0)))
+    predictor.reserve_for_stream(jobs[5], 5.0, ReservationContext(10.0, 0.0, MonotonicTime(10.0)))
     predictor.expire(MonotonicTime(99.0))
     assert (predictor.expired, predictor.soft_reservations) == (1, [])
 
--- a/tests/test_prediction.py
+++ b/tests/test_prediction.py
@@ -9,7 +9,7 @@
 import pytest
 
 from eldercart.jobs.job import Job
-from eldercart.prediction.predictor import Predictor, ReservationWindow
+from eldercart.prediction.predictor import Predictor, ReservationContext
 from eldercart.prediction.soft_reservations import ReservationOrigin, ReservationOutcomes
 from eldercart.settings import load_tuning
 from eldercart.units import JobId, MachineId, MonotonicTime
@@ -53,7 +53,7 @@
             self.predictor.reserve_for_chain(
                 prediction,
                 prediction.cpus,
-                ReservationWindow(BOOT_S, load, MonotonicTime(self.now)),
+                ReservationContext(BOOT_S, load, MonotonicTime(self.now)),
             )
 
     def advance(self, seconds: float) -> None:
@@ -406,14 +406,14 @@
         chains.predictor.on_job_ready(job)
         chains.predictor.on_stream_job_ended(job, users.DONE)
     chains.predictor.reserve_for_stream(
-        independent[-1], 1.0, ReservationWindow(BOOT_S, 0.0, MonotonicTime(chains.now))
+        independent[-1], 1.0, ReservationContext(BOOT_S, 0.0, MonotonicTime(chains.now))
     )
     assert chains.reserved() == [("c", pytest.approx(12.0))]
     chains.submit("b-1")
     late = chains.submit("c-9", "b-1")
     chains.predictor.on_job_ready(late)
     chains.predictor.reserve_for_stream(
-        late, 1.0, ReservationWindow(BOOT_S, 0.0, MonotonicTime(chains.now))
+        late, 1.0, ReservationContext(BOOT_S, 0.0, MonotonicTime(chains.now))
     )
     assert chains.reserved() == [("c", pytest.approx(12.0))]
     assert chains.predictor.reservation_outcomes[ReservationOrigin.STREAM] == ReservationOutcomes()
