--- a/src/eldercart/autoscaling/cloud_requests.py
+++ b/src/eldercart/autoscaling/cloud_requests.py
@@ -19,7 +19,7 @@
 from eldercart.scheduling.machine_selection import required_zone
 from eldercart.units import DISTANT_PAST, MachineId, MonotonicTime
 from eldercart.wire import MalformedMessageError, cloud
-from eldercart.wire.checks import load_response
+from eldercart.wire.checks import load_unbounded_object
 
 log = logging.getLogger("eldercart.controller")
 
@@ -267,7 +267,7 @@
                 self._in_flight.discard(_ExclusiveRequest.CATALOG)
 
     def _apply_catalog(self, body: bytes, now: MonotonicTime) -> None:
-        types = cloud.parse_catalog(load_response(body))
+        types = cloud.parse_catalog(load_unbounded_object(body))
         if types != self.cluster.types:
             self.catalog_changed = True
         inventory_updates.apply_catalog(self.cluster, types, now)
--- a/src/eldercart/cli/client.py
+++ b/src/eldercart/cli/client.py
@@ -12,7 +12,7 @@
 import orjson
 
 from eldercart.wire import MalformedMessageError
-from eldercart.wire.checks import load_response
+from eldercart.wire.checks import load_unbounded_object
 from eldercart.wire.users import is_valid_job_id, parse_submission
 
 EXIT_OK, EXIT_REJECTED, EXIT_USAGE, EXIT_UNREACHABLE = 0, 1, 2, 3
@@ -66,7 +66,7 @@
     try:
         if args.awaits:
             body = _with_awaits(body, args.awaits)
-        spec = parse_submission(load_response(body))
+        spec = parse_submission(load_unbounded_object(body))
     except MalformedMessageError as err:
         raise UsageError(f"the job is malformed: {err}") from None
     return Request(spec.id, "POST", "/work", body)
@@ -128,7 +128,7 @@
 
 def _with_awaits(body: bytes, jobs: list[str]) -> bytes:
     """Return the submission with `jobs` added to the dependencies that it names itself."""
-    submission = load_response(body)
+    submission = load_unbounded_object(body)
     dependencies = submission.get("awaits")
     if dependencies is not None and not isinstance(dependencies, list):
         raise MalformedMessageError("awaits")
@@ -152,7 +152,7 @@
 def _print_result(job: str, response: Response, *, as_json: bool) -> int:
     answer: dict[str, Any] = {}
     with contextlib.suppress(MalformedMessageError):
-        answer = load_response(response.body) if response.body else {}
+        answer = load_unbounded_object(response.body) if response.body else {}
     if as_json:
         print(orjson.dumps({"status": response.status, **answer}).decode())
     elif response.status in ACCEPTED_STATUSES:
--- a/src/eldercart/cli/duties.py
+++ b/src/eldercart/cli/duties.py
@@ -20,7 +20,7 @@
     send_with_retries,
 )
 from eldercart.wire import MalformedMessageError
-from eldercart.wire.checks import load_response
+from eldercart.wire.checks import load_unbounded_object
 from eldercart.wire.named_leases import encode_hand_over_request, encode_pause_request
 
 ACCEPTED = 200
@@ -68,7 +68,7 @@
 
 def _parse_answer(response: Response) -> Fields:
     try:
-        return load_response(response.body) if response.body else {}
+        return load_unbounded_object(response.body) if response.body else {}
     except MalformedMessageError:
         return {}
 
--- a/src/eldercart/server/singleton/catalog_refresh.py
+++ b/src/eldercart/server/singleton/catalog_refresh.py
@@ -18,7 +18,7 @@
 from eldercart.singleton.lease_candidate import LeaseCandidate
 from eldercart.units import ABSENT_REVISION, DISTANT_PAST, LeaseToken, MonotonicTime, Revision
 from eldercart.wire import MalformedMessageError, cloud
-from eldercart.wire.checks import load_response
+from eldercart.wire.checks import load_unbounded_object
 from eldercart.wire.cloud import MachineType
 from eldercart.wire.named_leases import LeaseName, holder_key
 from eldercart.wire.state import Item, Put, Transaction
@@ -99,7 +99,7 @@
         try:
             if status != 200:
                 raise MalformedMessageError("HTTP status of GET /catalog is not 200")
-            types = cloud.parse_catalog(load_response(body))
+            types = cloud.parse_catalog(load_unbounded_object(body))
         except MalformedMessageError as err:
             log.info("catalog not read status=%s error=%s", status, err)
             self._finish(RETRY_S)
--- a/src/eldercart/wire/checks.py
+++ b/src/eldercart/wire/checks.py
@@ -24,7 +24,7 @@
     """
     if len(body) > MAX_BODY_BYTES:
         raise MalformedMessageError("body over 64 KiB")
-    return load_response(body)
+    return load_unbounded_object(body)
 
 
 def load_nested_object(body: bytes) -> dict[str, Any]:
@@ -42,8 +42,11 @@
     return value
 
 
-def load_response(body: bytes) -> dict[str, Any]:
-    """Parse the body of a response, which may be longer than a request."""
+def load_unbounded_object(body: bytes) -> dict[str, Any]:
+    """Parse a JSON object of any length, such as the body of a response or a peer's frame.
+
+    Raises `MalformedMessageError` if the text is not a JSON object.
+    """
     try:
         value = orjson.loads(body)
     except orjson.JSONDecodeError:
--- a/src/eldercart/wire/cloud.py
+++ b/src/eldercart/wire/cloud.py
@@ -8,7 +8,7 @@
 from eldercart.units import MachineId
 from eldercart.wire.checks import (
     MalformedMessageError,
-    load_response,
+    load_unbounded_object,
     optional_number,
     require_boolean,
     require_number,
@@ -131,7 +131,7 @@
 
 def parse_created_machines(body: bytes) -> list[MachineId]:
     """Parse the ids of the created machines."""
-    return [MachineId(name) for name in require_texts(load_response(body), "wagons")]
+    return [MachineId(name) for name in require_texts(load_unbounded_object(body), "wagons")]
 
 
 def delete_machines_body(machines: list[MachineId]) -> bytes:
@@ -153,7 +153,7 @@
 
 def parse_machine_page(body: bytes) -> MachinePage:
     """Parse a page of the machine list."""
-    obj = load_response(body)
+    obj = load_unbounded_object(body)
     machines = []
     for item in require_objects(obj, "wagons"):
         machines.append(
--- a/src/eldercart/wire/peers.py
+++ b/src/eldercart/wire/peers.py
@@ -25,7 +25,7 @@
 )
 from eldercart.wire.checks import (
     MalformedMessageError,
-    load_response,
+    load_unbounded_object,
     require_integer,
     require_objects,
     require_text,
@@ -191,7 +191,7 @@
 
 def parse_frame(data: bytes) -> dict[str, Any]:
     """Return the JSON object of a frame. Raises `MalformedMessageError` if there is none."""
-    return load_response(data)
+    return load_unbounded_object(data)
 
 
 def frame_kind(frame: dict[str, Any]) -> str:
--- a/src/eldercart/wire/state.py
+++ b/src/eldercart/wire/state.py
@@ -9,7 +9,7 @@
 from eldercart.units import LeaseId, Revision
 from eldercart.wire.checks import (
     MalformedMessageError,
-    load_response,
+    load_unbounded_object,
     require_integer,
     require_objects,
     require_text,
@@ -100,7 +100,7 @@
 
 def parse_item(body: bytes) -> Item:
     """Parse the response to the read of one key."""
-    obj = load_response(body)
+    obj = load_unbounded_object(body)
     lease = obj.get("tether")
     return Item(
         require_text(obj, "path"),
@@ -120,7 +120,7 @@
 
 def parse_range(body: bytes) -> RangePage:
     """Parse the response to the read of a page of keys."""
-    obj = load_response(body)
+    obj = load_unbounded_object(body)
     items = [
         Item(require_text(pair, "path"), pair.get("v"), Revision(require_integer(pair, "stamp", 1)))
         for pair in require_objects(obj, "pairs")
@@ -131,17 +131,17 @@
 
 def parse_revision(body: bytes) -> Revision:
     """Parse the response to an applied transaction: the revision that it created."""
-    return Revision(require_integer(load_response(body), "ledgerRev"))
+    return Revision(require_integer(load_unbounded_object(body), "ledgerRev"))
 
 
 def parse_failed_conditions(body: bytes) -> tuple[str, ...]:
     """Parse the response to a rejected transaction: the keys whose conditions did not hold."""
-    return require_texts(load_response(body), "failed")
+    return require_texts(load_unbounded_object(body), "failed")
 
 
 def parse_lease(body: bytes) -> LeaseId:
     """Parse the response to a request for a lease: the id of the new lease."""
-    return LeaseId(require_integer(load_response(body), "tether"))
+    return LeaseId(require_integer(load_unbounded_object(body), "tether"))
 
 
 class WatchResult(NamedTuple):
@@ -153,7 +153,7 @@
 
 def parse_watch(body: bytes) -> WatchResult:
     """Parse the response to a watch."""
-    obj = load_response(body)
+    obj = load_unbounded_object(body)
     events: list[Item | DeleteKey] = []
     for event in require_objects(obj, "log"):
         if "put" in event:
