--- a/src/eldercart/server/leadership/leader_service.py
+++ b/src/eldercart/server/leadership/leader_service.py
@@ -248,7 +248,7 @@
             self.end_leadership("isolated")
             return
         scheduler.transaction_writer.subchunks_supported = self._peers.peer_heartbeats.all_support(
-            peers.RECHUNKING
+            peers.SUBCHUNKS_FEATURE
         )
         started_at = self._clock()
         scheduler.tick(now)
--- a/src/eldercart/wire/peers.py
+++ b/src/eldercart/wire/peers.py
@@ -53,8 +53,8 @@
 CANCEL_REPLIES = "cancelled"
 NEXT_HEARTBEAT_REQUESTS = "want"
 
-RECHUNKING = "recut"  # the node can read placement records with parts of subchunks
-SUPPORTED_FEATURES = (RECHUNKING,)  # features that earlier versions may lack
+SUBCHUNKS_FEATURE = "recut"  # the node can read placement records with subchunks
+SUPPORTED_FEATURES = (SUBCHUNKS_FEATURE,)  # features that earlier versions may lack
 
 # Sent in place of a job's state if the node can't give it: the job is unknown, its outcome is being
 # written, or the node does not lead.
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -696,9 +696,9 @@
             peers.PeerHeartbeat(NodeId(node), 1, FencingToken(0), True, 0, 0, (), takes),
             now,
         )
-        return relay_service.peer_heartbeats.all_support(peers.RECHUNKING)
+        return relay_service.peer_heartbeats.all_support(peers.SUBCHUNKS_FEATURE)
 
-    assert not relay_service.peer_heartbeats.all_support(peers.RECHUNKING)
+    assert not relay_service.peer_heartbeats.all_support(peers.SUBCHUNKS_FEATURE)
     assert not record_heartbeat("drover-1", peers.SUPPORTED_FEATURES)
     assert not record_heartbeat("drover-2", ())
     assert not record_heartbeat("drover-9", peers.SUPPORTED_FEATURES), "not a member"
@@ -706,7 +706,7 @@
     assert not record_heartbeat("drover-1", ()), "it restarted with the previous version"
     assert ControllerNode(
         settings_of(NEXT), load_tuning()
-    ).relay_service.peer_heartbeats.all_support(peers.RECHUNKING), (
+    ).relay_service.peer_heartbeats.all_support(peers.SUBCHUNKS_FEATURE), (
         "a single node needs no support of others"
     )
 
