--- a/src/eldercart/server/singleton/lease_service.py
+++ b/src/eldercart/server/singleton/lease_service.py
@@ -180,7 +180,7 @@
                 for lease_name in self.features.on
             },
             leader=self.node.election.leader,
-            window=None if calendar is None else calendar.next_window(wall_time),
+            window=None if calendar is None else calendar.current_or_next_window(wall_time),
             has_calendar=calendar is not None,
         )
 
--- a/src/eldercart/singleton/maintenance_calendar.py
+++ b/src/eldercart/singleton/maintenance_calendar.py
@@ -34,10 +34,10 @@
 
     def is_open(self, at: WallTime) -> bool:
         """Return whether a window is open at `at`."""
-        window = self.next_window(at)
+        window = self.current_or_next_window(at)
         return window is not None and window.opens_at <= at
 
-    def next_window(self, at: WallTime) -> MaintenanceWindow | None:
+    def current_or_next_window(self, at: WallTime) -> MaintenanceWindow | None:
         """Return the window that is open at `at`, or else the next one, or None if no window opens
         within a year."""
         if not self._is_cache_valid(at):
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -128,7 +128,7 @@
 def test_windows_open_and_close_by_local_time(
     name: str, zone: str, window: tuple[str, str, str], at: str, opens: str, closes: str
 ) -> None:
-    found = calendar(zone, window).next_window(instant(at))
+    found = calendar(zone, window).current_or_next_window(instant(at))
     assert found == MaintenanceWindow(instant(opens), instant(closes)), name
     assert calendar(zone, window).is_open(instant(at)) is (instant(opens) <= instant(at))
     assert not calendar(zone, window).is_open(instant(closes)), "it closes then"
@@ -143,7 +143,7 @@
             {"date": "2026-12-26", "start": "12:00", "end": "13:00"},
         ],
     )
-    found = windows.next_window(instant("2026-12-24T04:00"))
+    found = windows.current_or_next_window(instant("2026-12-24T04:00"))
     assert found == MaintenanceWindow(instant("2026-12-26T10:00"), instant("2026-12-26T11:00"))
     assert not windows.is_open(instant("2026-12-24T23:30")) and windows.is_open(
         instant("2026-12-26T10:30")
@@ -153,7 +153,7 @@
 def test_windows_of_one_day_are_ordered_by_opening_time() -> None:
     windows = calendar("UTC", (ALL_DAYS, "20:00", "21:00"), (ALL_DAYS, "03:00", "04:00"))
     times = ["2026-12-02T01:00", "2026-12-02T05:00", "2026-12-02T20:30"]
-    opens = [windows.next_window(instant(at)) for at in times]
+    opens = [windows.current_or_next_window(instant(at)) for at in times]
     assert [w and w.opens_at for w in opens] == [
         instant("2026-12-02T03:00"),
         instant("2026-12-02T20:00"),
@@ -177,7 +177,7 @@
         for n in range(800)
     ]
     windows = calendar("UTC", (ALL_DAYS, "03:00", "04:00"), exceptions=days)
-    assert windows.next_window(instant("2026-02-01T00:00")) is None
+    assert windows.current_or_next_window(instant("2026-02-01T00:00")) is None
     assert not windows.is_open(instant("2026-02-01T03:30"))
     searches: list[WallTime] = []
     windows._find_window = searches.append  # type: ignore[method-assign,assignment]
