--- a/src/eldercart/scheduling/cluster_state.py
+++ b/src/eldercart/scheduling/cluster_state.py
@@ -62,7 +62,7 @@
         self.jobs = JobRegistry()
         self.inventory = MachineInventory()
         self.objectives = ServiceLevelObjectives(
-            settings.waits, settings.finishes, settings.deadlines
+            settings.start_within_s, settings.finish_within_s, settings.deadline_factors
         )
         self.autoscaler = Autoscaler(tuning, settings.teams)
         self.predictor = Predictor(tuning)
--- a/src/eldercart/server/controller_node.py
+++ b/src/eldercart/server/controller_node.py
@@ -111,7 +111,7 @@
         )
         max_connections = max(MIN_HTTP_SOCKETS, int(settings.sockets * HTTP_SOCKETS_SHARE))
         self._http_factory = JsonFactory(self.user_service.route, max_connections)
-        self._http_server = JsonServer(settings.front, self._http_factory)
+        self._http_server = JsonServer(settings.http_endpoint, self._http_factory)
         self.graceful_shutdown = GracefulShutdown(
             self._http_server, self.election_service, self.leader_service, clock
         )
@@ -151,7 +151,7 @@
     def start(self) -> None:
         """Listen for users, workers and peers, and start the tick timer."""
         self._http_server.listen()
-        connections.listen(self.settings.mesh, self.relay_service.peer_server)
+        connections.listen(self.settings.peer_endpoint, self.relay_service.peer_server)
         log.info(
             "started label=%s zone=%s incarnation=%s",
             self.settings.label,
--- a/src/eldercart/server/peers/relay_service.py
+++ b/src/eldercart/server/peers/relay_service.py
@@ -41,7 +41,7 @@
         self.peer_server = PeerServer(
             self._on_request_frame,
             self._on_connection_lost,
-            CONNECTIONS_PER_NODE * settings.nodes + EXTRA_CONNECTIONS,
+            CONNECTIONS_PER_NODE * settings.node_count + EXTRA_CONNECTIONS,
         )
         self.peer_heartbeats = PeerHeartbeats(
             host,
--- a/src/eldercart/server/store/client.py
+++ b/src/eldercart/server/store/client.py
@@ -92,13 +92,13 @@
     def _set_rate(
         self, bucket: TokenBucket, limit: float, leader_share: float, now: MonotonicTime
     ) -> None:
-        nodes = self._settings.nodes
-        if nodes == 1:
+        node_count = self._settings.node_count
+        if node_count == 1:
             share = 1.0
         elif self._is_leader:
             share = leader_share
         else:
-            share = (1.0 - leader_share) / (nodes - 1)
+            share = (1.0 - leader_share) / (node_count - 1)
         burst = max(MIN_ADMISSIONS + 1.0, BURST_USAGE_RATIO * limit * share)
         bucket.set_rate(RATE_USAGE_RATIO * limit * share, burst, now)
 
--- a/src/eldercart/settings/platform.py
+++ b/src/eldercart/settings/platform.py
@@ -48,17 +48,18 @@
 
     label: NodeId
     zone: str
-    front: Endpoint
-    mesh: Endpoint
+    http_endpoint: Endpoint  # for users and workers
+    peer_endpoint: Endpoint  # for the other nodes
     members: tuple[Member, ...]
     cloud: Endpoint
     state: Endpoint
-    nodes: int
+    node_count: int
     teams: dict[str, Team]
-    # Service level objectives by job class.
-    waits: dict[str, tuple[float, ...]]  # seconds within which a job should start
-    finishes: dict[str, tuple[float, ...]]  # seconds within which a job should finish
-    deadlines: dict[str, tuple[float, ...]]  # multiples of a job's own deadline to finish within
+    # Service level objectives by job class: the seconds within which a job should start and finish.
+    start_within_s: dict[str, tuple[float, ...]]
+    finish_within_s: dict[str, tuple[float, ...]]
+    # Multiples of a job's own deadline within which it should finish.
+    deadline_factors: dict[str, tuple[float, ...]]
     report_s: float
     lease_s: float
     cancel_s: float
@@ -220,16 +221,16 @@
     return NodeSettings(
         label=NodeId(reader.text("label")),
         zone=reader.text("location"),
-        front=reader.endpoint("front"),
-        mesh=reader.endpoint("mesh_addr"),
+        http_endpoint=reader.endpoint("front"),
+        peer_endpoint=reader.endpoint("mesh_addr"),
         members=_members(reader),
         cloud=reader.endpoint("endpoints.cloud"),
         state=reader.endpoint("endpoints.state"),
-        nodes=int(reader.number("settings.count", 1)),
+        node_count=int(reader.number("settings.count", 1)),
         teams=teams,
-        waits=objectives["wait"],
-        finishes=objectives["finished"],
-        deadlines=objectives["deadline"],
+        start_within_s=objectives["wait"],
+        finish_within_s=objectives["finished"],
+        deadline_factors=objectives["deadline"],
         report_s=reader.number("settings.workers.report_s", 0.001),
         lease_s=reader.number("settings.workers.lease_s", 0.001),
         cancel_s=reader.number("settings.workers.cancel_s", 0.001),
