--- a/src/eldercart/cli/__init__.py
+++ b/src/eldercart/cli/__init__.py
@@ -140,4 +140,4 @@
 def _feature_summary(features: "Features") -> str:
     if features.duties is None:
         return "none"
-    return "duties " + " ".join(features.duties.on)
+    return "duties " + " ".join(features.duties.enabled_leases)
--- a/src/eldercart/server/singleton/lease_service.py
+++ b/src/eldercart/server/singleton/lease_service.py
@@ -65,11 +65,13 @@
         self.node = node
         self.features = features
         self.stored_prefixes = (INTENT_PREFIX,)  # key prefixes that a new leader reads
-        self.supported_features = tuple(feature_name(lease_name) for lease_name in features.on)
+        self.supported_features = tuple(
+            feature_name(lease_name) for lease_name in features.enabled_leases
+        )
         self.candidate = LeaseCandidate(
             node.settings.label,
             node.incarnation,
-            features.on,
+            features.enabled_leases,
             LeaseTimings(
                 features.lease_s,
                 node.tuning.drift_margin,
@@ -79,7 +81,7 @@
         )
         self.calendar = _load_calendar(features.maintenance)
         self._policies = DispatchPolicies(
-            features.on, self.candidate, self.is_supported_by_all, node.store
+            features.enabled_leases, self.candidate, self.is_supported_by_all, node.store
         )
         self.cloud_requests = GatedCloudRequests(
             node.store,
@@ -102,13 +104,13 @@
             self._on_machine_types,
         )
         self._candidate_runner = CandidateRunner(
-            self.candidate, features.on, node.store, self._now, self._cluster_view
+            self.candidate, features.enabled_leases, node.store, self._now, self._cluster_view
         )
         self._leadership_hand_over = LeadershipHandOver(
             node.election,
             node.leader_service,
             self.candidate,
-            features.on,
+            features.enabled_leases,
             self.is_supported_by_all,
         )
         self._is_lagging = False
@@ -140,7 +142,9 @@
             wall_time=WallTime(time.time()),
             leader=node.election.leader,
             leader_token=node.election.token if is_leading else NO_FENCING_TOKEN,
-            supported_leases=[name for name in self.features.on if self.is_supported_by_all(name)],
+            supported_leases=[
+                name for name in self.features.enabled_leases if self.is_supported_by_all(name)
+            ],
             candidates=[node.settings.label, *connected],
             busy_leases=self._busy_leases(),
             is_lagging=self._is_lagging,
@@ -174,10 +178,10 @@
         calendar = self.calendar
         return StatusContext(
             wall_time=wall_time,
-            enabled_leases=frozenset(self.features.on),
+            enabled_leases=frozenset(self.features.enabled_leases),
             nodes_without_support={
                 lease_name: self.nodes_without_support(lease_name)
-                for lease_name in self.features.on
+                for lease_name in self.features.enabled_leases
             },
             leader=self.node.election.leader,
             window=None if calendar is None else calendar.current_or_next_window(wall_time),
--- a/src/eldercart/settings/features.py
+++ b/src/eldercart/settings/features.py
@@ -58,10 +58,10 @@
 class SingletonFeatures:
     """The named leases ("duties") that a node takes part in, and their settings.
 
-    `on` holds the names of the leases; the schema describes the other fields.
+    The schema describes the fields; `enabled_leases` is its list `on`.
     """
 
-    on: tuple[LeaseName, ...]
+    enabled_leases: tuple[LeaseName, ...]
     lease_s: float
     hand_over_s: float
     stay_s: float
@@ -102,7 +102,7 @@
 def _singleton_features(values: dict[str, Any]) -> SingletonFeatures:
     maintenance = values.get("maintenance")
     return SingletonFeatures(
-        on=tuple(LeaseName(name) for name in values["on"]),
+        enabled_leases=tuple(LeaseName(name) for name in values["on"]),
         lease_s=float(values["lease_s"]),
         hand_over_s=float(values["hand_over_s"]),
         stay_s=float(values["stay_s"]),
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -236,7 +236,7 @@
 
 def test_deployed_feature_file_is_valid() -> None:
     duties = load_features(str(ROOT / "deploy" / "features.json")).duties
-    assert duties is not None and set(duties.on) <= set(LeaseName)
+    assert duties is not None and set(duties.enabled_leases) <= set(LeaseName)
 
 
 def test_check_settings_lists_the_features(
