--- a/src/eldercart/autoscaling/autoscaler.py
+++ b/src/eldercart/autoscaling/autoscaler.py
@@ -8,7 +8,7 @@
 from eldercart.autoscaling.request_types import MachineOffering, ScaleOutRequest
 from eldercart.autoscaling.scale_out import (
     ConstrainedJob,
-    ScaleOutRound,
+    ScaleOutPass,
     Supply,
     is_serving,
     waiting_cpus,
@@ -73,7 +73,7 @@
         on_demand_cpus, reserved_cpus = reserved
         cpus_by_team: dict[str, float] = {}
         for job in jobs:
-            if not job.is_ready or job.is_cancelled or job.backoff_until > now:
+            if not job.is_ready or job.is_cancellation_requested or job.backoff_until > now:
                 continue
             spec = job.spec
             cpus = self._demanded_cpus(job, cpus_by_team.get(spec.team, 0.0))
@@ -129,7 +129,7 @@
         """Return the requests to send now, with names that begin with `name_prefix`.
 
         `constrained` lists the waiting jobs that can run only on some machines."""
-        scale_out = ScaleOutRound(
+        scale_out = ScaleOutPass(
             types=types,
             machines=[machine for machine in machines if is_serving(machine)],
             outstanding_requests=self.outstanding_requests,
@@ -152,7 +152,7 @@
         for machine in machines:
             if is_serving(machine):
                 supply.add(machine.type.cpus, is_spot=machine.is_spot)
-                if _is_idle(machine) and now - machine.idle_since >= idle_s:
+                if _is_idle(machine) and now - machine.last_release_at >= idle_s:
                     idle.append(machine)
         idle.sort(key=lambda machine: -_price_per_cpu(machine))
         surplus = []
@@ -171,7 +171,7 @@
     """Return whether the machine is up and, as its heartbeats confirm, runs no task."""
     return (
         machine.state is MachineState.UP
-        and machine.is_confirmed
+        and machine.has_shown_current_token
         and not machine.placements
         and not machine.has_unknown_tasks
     )
--- a/src/eldercart/autoscaling/cloud_requests.py
+++ b/src/eldercart/autoscaling/cloud_requests.py
@@ -19,7 +19,7 @@
 from eldercart.scheduling.machine_selection import required_zone
 from eldercart.units import DISTANT_PAST, MachineId, MonotonicTime
 from eldercart.wire import MalformedMessageError, cloud
-from eldercart.wire.checks import load_response
+from eldercart.wire.checks import load_unbounded_object
 
 log = logging.getLogger("eldercart.controller")
 
@@ -112,7 +112,7 @@
                 machines, cluster.types, self._constrained_jobs(), self._name_prefix, now
             )
         for machine in autoscaler.plan_scale_in(machines, now):
-            idle_s = now - machine.idle_since
+            idle_s = now - machine.last_release_at
             log.info("scale-in machine=%s idle_s=%.0f", machine.id, idle_s)
             cluster.request_deletion(machine, now)
 
@@ -201,13 +201,13 @@
     def _has_cancelled_task(self, machine_id: MachineId) -> bool:
         machine = self.cluster.inventory.get(machine_id)
         return machine is not None and any(
-            placement.job.is_cancelled for placement in machine.placements.values()
+            placement.job.is_cancellation_requested for placement in machine.placements.values()
         )
 
     def _has_overdue_kill(self, machine_id: MachineId, now: MonotonicTime) -> bool:
         machine = self.cluster.inventory.get(machine_id)
         return machine is not None and any(
-            placement.job.is_cancelled and now > placement.job.kill_deadline_at
+            placement.job.is_cancellation_requested and now > placement.job.kill_deadline_at
             for placement in machine.placements.values()
         )
 
@@ -267,7 +267,7 @@
                 self._in_flight.discard(_ExclusiveRequest.CATALOG)
 
     def _apply_catalog(self, body: bytes, now: MonotonicTime) -> None:
-        types = cloud.parse_catalog(load_response(body))
+        types = cloud.parse_catalog(load_unbounded_object(body))
         if types != self.cluster.types:
             self.catalog_changed = True
         inventory_updates.apply_catalog(self.cluster, types, now)
--- a/src/eldercart/wire/peers.py
+++ b/src/eldercart/wire/peers.py
@@ -25,7 +25,7 @@
 )
 from eldercart.wire.checks import (
     MalformedMessageError,
-    load_response,
+    load_unbounded_object,
     require_integer,
     require_objects,
     require_text,
@@ -53,8 +53,8 @@
 CANCEL_REPLIES = "cancelled"
 NEXT_HEARTBEAT_REQUESTS = "want"
 
-RECHUNKING = "recut"  # the node can read placement records with parts of subchunks
-SUPPORTED_FEATURES = (RECHUNKING,)  # features that earlier versions may lack
+SUBCHUNKS_FEATURE = "recut"  # the node can read placement records with subchunks
+SUPPORTED_FEATURES = (SUBCHUNKS_FEATURE,)  # features that earlier versions may lack
 
 # Sent in place of a job's state if the node can't give it: the job is unknown, its outcome is being
 # written, or the node does not lead.
@@ -191,7 +191,7 @@
 
 def parse_frame(data: bytes) -> dict[str, Any]:
     """Return the JSON object of a frame. Raises `MalformedMessageError` if there is none."""
-    return load_response(data)
+    return load_unbounded_object(data)
 
 
 def frame_kind(frame: dict[str, Any]) -> str:
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -648,7 +648,7 @@
             # Users submit no dependent jobs at this stage. If one is submitted anyway, it must wait
             # for a leader that can read its record.
             world.submit("wk-early", parcels=3, awaits=["wk-11", "wk-000000"])
-            assert world.scheduler.job_status(JobId("wk-early")) is LookupFailure.UNKNOWN_JOB
+            assert world.scheduler.job_status(JobId("wk-early")) is LookupFailure.STATE_UNKNOWN
     for i in sorted(set(range(world.nodes)) - world.replaced):
         world.replace(i)
         world.watch(3)
