--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -27,16 +27,16 @@
 # These imports need the paths set above.
 from pyrsistent import pmap  # noqa: E402
 
-from duty_cluster import Cluster, StallPoint  # noqa: E402
-from duty_history import check_history  # noqa: E402
-from duty_world import World, check_end  # noqa: E402
 from eldercart.autoscaling.request_types import MachineOffering, ScaleOutRequest  # noqa: E402
 from eldercart.units import WallTime  # noqa: E402
 from eldercart.wire import named_leases as wire  # noqa: E402
 from eldercart.wire.named_leases import LeaseName, holder_key  # noqa: E402
 from eldercart.wire.state import Put, Transaction  # noqa: E402
-from region import until  # noqa: E402
-from test_duty_service import ALL_LEASES, ServiceWorld  # noqa: E402
+from loopback_region import until  # noqa: E402
+from named_lease_cluster import Cluster, StallPoint  # noqa: E402
+from named_lease_history import check_history  # noqa: E402
+from named_lease_world import World, check_end  # noqa: E402
+from test_named_lease_service import ALL_LEASES, ServiceWorld  # noqa: E402
 
 SCHEDULE_LENGTH_S = 60.0
 
--- a/benchmarks/relay_reports.py
+++ b/benchmarks/relay_reports.py
@@ -25,7 +25,7 @@
     MonotonicTime,
     NodeId,
 )
-from test_limits import node_with_clock
+from test_store_limits import node_with_clock
 
 TASKS_PER_MACHINE = 4
 WARM_UP_HEARTBEATS = 50  # before the measurement starts
--- a/tests/behaviour_record.py
+++ b/tests/behaviour_record.py
@@ -34,8 +34,6 @@
 
 import orjson
 
-from duty_world import SimulatedNode
-from duty_world import World as NamedLeaseWorld
 from eldercart.autoscaling.cloud_requests import RequestAdmission
 from eldercart.autoscaling.request_types import MachineOffering, ScaleOutRequest
 from eldercart.cluster.failure_detector import Probe
@@ -80,6 +78,8 @@
 from eldercart.wire import cloud, peers, state, users, workers
 from eldercart.wire.named_leases import LeaseName
 from eldercart.wire.state import Transaction
+from named_lease_world import SimulatedNode
+from named_lease_world import World as NamedLeaseWorld
 from relay_world import Flight, RelayWorld
 from simulators import CATALOG, StoreSim, WorkerSim
 from test_election import ElectionWorld
--- a/tests/duty_cluster.py
+++ b/tests/named_lease_cluster.py
@@ -1,7 +1,7 @@
 """A cluster of node processes on loopback, with named leases enabled.
 
 The simulated state service and cloud have separate ports for each node, so they know which node
-sends a request. They expire leases and record the history that `duty_history.check_history`
+sends a request. They expire leases and record the history that `named_lease_history.check_history`
 checks."""
 
 import copy
@@ -21,8 +21,8 @@
 
 import orjson
 
-from duty_history import AppliedChange, CloudEffect, History, NodeEvent
-from region import ROOT, Region, call, free_ports, until
+from loopback_region import ROOT, Region, call, free_ports, until
+from named_lease_history import AppliedChange, CloudEffect, History, NodeEvent
 from simulators import CloudSim, WorkerSim
 from world import PLATFORM, submission
 
@@ -248,7 +248,7 @@
         command = [sys.executable, str(root / "run.py")]
         if self.has_false_clocks and root == ROOT:
             offset = 3600.0 * (self.node_ids.index(node_id) - 1)
-            command = [sys.executable, str(ROOT / "tests" / "falsified_node.py"), str(offset)]
+            command = [sys.executable, str(ROOT / "tests" / "faulty_clock_node.py"), str(offset)]
         command += [
             "serve",
             "--config",
--- a/tests/duty_node.py
+++ b/tests/named_lease_node.py
@@ -39,7 +39,7 @@
 from eldercart.wire.state import Put, Transaction
 
 if TYPE_CHECKING:
-    from duty_world import World
+    from named_lease_world import World
 
 STEP_S = 0.1
 OUTCOMES = {200: WriteOutcome.COMMITTED, 409: WriteOutcome.CONFLICT, 503: WriteOutcome.REJECTED}
--- a/tests/duty_world.py
+++ b/tests/named_lease_world.py
@@ -3,8 +3,8 @@
 Its faults are lost, delayed and duplicated messages, nodes that stall and restart, clocks that jump
 or run at a wrong rate, and a state service that rejects the requests of one node or of all nodes.
 
-The simulation records what the state service and the cloud accepted. `duty_history.check_history`
-verifies this history without inspecting any node.
+The simulation records what the state service and the cloud accepted.
+`named_lease_history.check_history` verifies this history without inspecting any node.
 """
 
 import heapq
@@ -14,8 +14,6 @@
 
 import orjson
 
-from duty_history import AppliedChange, CloudEffect, History
-from duty_node import STEP_S, AnswerCallback, SimulatedNode
 from eldercart.autoscaling.request_types import DeleteMachines, ScaleOut, ScaleOutRequest
 from eldercart.units import (
     LeaseId,
@@ -28,6 +26,8 @@
 from eldercart.wire import state
 from eldercart.wire.named_leases import LeaseName
 from eldercart.wire.state import DeleteKey, Item, Put, Transaction
+from named_lease_history import AppliedChange, CloudEffect, History
+from named_lease_node import STEP_S, AnswerCallback, SimulatedNode
 from simulators import StoreSim
 
 
--- a/tests/test_meetings.py
+++ b/tests/test_coinciding_faults.py
@@ -34,7 +34,7 @@
 from eldercart.wire import cloud, state, workers
 from relay_world import RelayWorld
 from simulators import CATALOG, StoreSim, WorkerSim
-from test_core import finish, submit_all
+from test_scheduler_faults import finish, submit_all
 from world import PLATFORM, World, submission
 
 ONE, TWO = JobId("wk-000001"), JobId("wk-000002")
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -22,7 +22,7 @@
 from eldercart.units import MachineId, MonotonicTime
 from eldercart.wire import cloud
 from simulators import CATALOG
-from test_limits import leading_node
+from test_store_limits import leading_node
 
 # Of 222 calls before an optimization, 58 served unused addresses, unused headers, timers that were
 # restarted, and a proxy in front of a table.
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -12,7 +12,7 @@
 import pytest
 
 from eldercart.cli import main
-from region import Region, Service, call, until
+from loopback_region import Region, Service, call, until
 from world import submission
 
 
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -27,8 +27,8 @@
 from eldercart.wire import peers, workers
 from relay_world import RelayWorld
 from simulators import CATALOG
-from test_core import finish
-from test_limits import node_with_clock
+from test_scheduler_faults import finish
+from test_store_limits import node_with_clock
 from world import World
 
 SIZES = [4000, 6000]
--- a/tests/test_ending.py
+++ b/tests/test_graceful_shutdown.py
@@ -26,7 +26,7 @@
 from eldercart.election.state_machine import Election, Role
 from eldercart.units import LeaseId, MonotonicTime, NodeId, Revision
 from eldercart.wire.state import Item, Transaction
-from region import LIMIT_S, Region, Service, call, until
+from loopback_region import LIMIT_S, Region, Service, call, until
 from world import submission
 
 
--- a/tests/test_chains.py
+++ b/tests/test_job_dependencies.py
@@ -19,8 +19,8 @@
 from eldercart.units import DISTANT_FUTURE, JobId, MonotonicTime, Revision
 from eldercart.wire import peers, users
 from eldercart.wire.state import DeleteKey
-from test_acceptance import Place, names
-from test_core import finish
+from test_scheduler_faults import finish
+from test_user_requests import Place, names
 from world import World, submission
 
 
--- a/tests/test_gap.py
+++ b/tests/test_leader_store_outage.py
@@ -20,7 +20,7 @@
 from eldercart.wire import peers, workers
 from relay_world import RelayWorld
 from simulators import WorkerSim
-from test_core import finish
+from test_scheduler_faults import finish
 from world import PLATFORM, World
 
 LEADER_LEASE = (100.0, 102.0)  # the send time of the last renewal, and the time of expiry
--- a/tests/test_leading.py
+++ b/tests/test_leadership.py
@@ -44,7 +44,7 @@
 from eldercart.wire.stored_learned_state import LEARNED_STATE_PREFIX
 from eldercart.wire.stored_placements import PLACEMENT_PREFIX
 from simulators import CATALOG
-from test_limits import leading_node
+from test_store_limits import leading_node
 from world import submission
 
 NOW = MonotonicTime(5.0)
--- a/tests/test_many.py
+++ b/tests/test_mass_events.py
@@ -5,7 +5,7 @@
 import pytest
 
 from relay_world import RelayWorld
-from test_core import finish
+from test_scheduler_faults import finish
 
 MACHINES = 240
 
--- a/tests/test_duty_schedules.py
+++ b/tests/test_named_lease_fault_schedules.py
@@ -8,8 +8,6 @@
 
 import pytest
 
-from duty_history import check_history
-from duty_world import World, check_end
 from eldercart.autoscaling.request_types import MachineOffering, ScaleOut, ScaleOutRequest
 from eldercart.singleton.intents import IntentLog
 from eldercart.singleton.write_ahead_gate import WriteAheadGate
@@ -24,6 +22,8 @@
     pause_value,
 )
 from eldercart.wire.state import Put, Transaction
+from named_lease_history import check_history
+from named_lease_world import World, check_end
 
 BLOCKS, SEEDS_PER_BLOCK = 6, 8
 MUTANT_SEEDS = range(41, 66)  # each removed guard must make at least one of these fail
--- a/tests/test_duty_loopback.py
+++ b/tests/test_named_lease_loopback.py
@@ -12,10 +12,10 @@
 import orjson
 import pytest
 
-from duty_cluster import FEATURES, Cluster, StallPoint
-from duty_history import AppliedChange, CloudEffect, History, NodeEvent, check_history
 from eldercart.cli import main
-from region import ROOT, call, until
+from loopback_region import ROOT, call, until
+from named_lease_cluster import FEATURES, Cluster, StallPoint
+from named_lease_history import AppliedChange, CloudEffect, History, NodeEvent, check_history
 from versions import history, record
 
 ROUNDS = 2  # stalls at each point
--- a/tests/test_duty_service.py
+++ b/tests/test_named_lease_service.py
@@ -23,7 +23,7 @@
 from eldercart.wire.named_leases import LeaseName, holder_key
 from eldercart.wire.state import Put, Transaction
 from simulators import CATALOG, StoreSim
-from test_limits import Clock
+from test_store_limits import Clock
 from world import PLATFORM, submission
 
 ROOT = Path(__file__).resolve().parents[1]
--- a/tests/test_duties.py
+++ b/tests/test_named_leases.py
@@ -31,7 +31,7 @@
     PauseRecord,
 )
 from eldercart.wire.state import DeleteKey, Item
-from test_duty_intents import scale_in_intent
+from test_intents import scale_in_intent
 
 ME, OTHER, THIRD = NodeId("node-1"), NodeId("node-0"), NodeId("node-2")
 LEASE_S = 6.0
--- a/tests/test_prediction.py
+++ b/tests/test_prediction.py
@@ -1,7 +1,7 @@
 """Tests of the predictions along dependency chains, and of the soft reservations made for them.
 
 The tests cover chains whose last job is submitted late. The predictor of independent streams is
-tested in `test_parts`.
+tested in `test_components`.
 """
 
 from typing import Any
--- a/tests/test_standstill.py
+++ b/tests/test_process_stalls.py
@@ -27,7 +27,7 @@
 from eldercart.wire import workers
 from eldercart.wire.leader_key import LEADER_KEY
 from relay_world import RelayWorld
-from test_core import finish
+from test_scheduler_faults import finish
 from world import World
 
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -28,7 +28,7 @@
 from eldercart.wire import workers
 from relay_world import RelayWorld
 from simulators import CATALOG
-from test_core import finish, submit_all
+from test_scheduler_faults import finish, submit_all
 
 MACHINE = MachineId("n-1")
 LEADER = NodeId("n0")
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -17,7 +17,7 @@
 from eldercart.wire import cloud
 from relay_world import RelayWorld
 from simulators import CATALOG
-from test_core import finish, submit_all
+from test_scheduler_faults import finish, submit_all
 from world import World
 
 MAX_TIME_TO_STATUS_S = 75.0
--- a/tests/test_limits.py
+++ b/tests/test_store_limits.py
@@ -46,7 +46,7 @@
 from eldercart.wire.stored_learned_state import LEARNED_STATE_PREFIX
 from eldercart.wire.stored_placements import max_tasks_per_chunk
 from simulators import CATALOG
-from test_acceptance import Place
+from test_user_requests import Place
 from world import PLATFORM, World, submission
 
 NEXT = {"write_rps": 18, "value_kb": 2.0, "txn_ops": 6}
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -17,7 +17,7 @@
 
 from eldercart.settings.platform import parse_platform
 from eldercart.wire import users
-from test_limits import NEXT, fall, platform
+from test_store_limits import NEXT, fall, platform
 from versions import history, record
 from versions.adapters import EarlierLeader, EarlierRelay
 from versions.mixed import MixedWorld
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -48,9 +48,9 @@
 from eldercart.wire.stored_jobs import dependency_list_prefix, encode_job_record
 from eldercart.wire.users import DependencyListReference
 from simulators import CATALOG
-from test_core import finish, submit_all
-from test_gap import RelayServiceFixture
-from test_limits import NEXT, platform
+from test_leader_store_outage import RelayServiceFixture
+from test_scheduler_faults import finish, submit_all
+from test_store_limits import NEXT, platform
 from versions import history, reading, record, writing
 from versions.adapters import EarlierRelay
 from versions.legacy.old_nodes import OldRelay
