--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -35,7 +35,7 @@
 from loopback_region import wait_until  # noqa: E402
 from named_lease_cluster import Cluster, StallPoint  # noqa: E402
 from named_lease_history import check_history  # noqa: E402
-from named_lease_world import World, check_end  # noqa: E402
+from named_lease_world import NamedLeaseWorld, check_final_state  # noqa: E402
 from test_named_lease_service import ALL_LEASES, ServiceWorld  # noqa: E402
 
 SCHEDULE_LENGTH_S = 60.0
@@ -53,11 +53,11 @@
     """Run the schedule of each seed and check its history; the first violation aborts the run."""
     refused = effects = calls = 0
     for seed in range(first, last):
-        world = World(seed, 3 + seed % 3)
+        world = NamedLeaseWorld(seed, 3 + seed % 3)
         world.run(SCHEDULE_LENGTH_S)
         world.settle()
         check_history(world.history)
-        check_end(world)
+        check_final_state(world)
         refused += world.history.rejected
         effects += len(world.history.effects)
         calls += world.history.cloud_calls
@@ -119,17 +119,17 @@
             print(lease_name, cause.__name__, summary(gaps_s))
 
 
-def fail_holder(world: World, holder: Any, lease_name: LeaseName) -> None:
+def fail_holder(world: NamedLeaseWorld, holder: Any, lease_name: LeaseName) -> None:
     """Crash the holder; it does not restart during the measurement."""
     holder.restart(1000.0)
 
 
-def stall_holder(world: World, holder: Any, lease_name: LeaseName) -> None:
+def stall_holder(world: NamedLeaseWorld, holder: Any, lease_name: LeaseName) -> None:
     """Freeze the holder's process for the whole measurement."""
     holder.frozen_until = world.now + 1000.0
 
 
-def hand_over_lease(world: World, holder: Any, lease_name: LeaseName) -> None:
+def hand_over_lease(world: NamedLeaseWorld, holder: Any, lease_name: LeaseName) -> None:
     """Request a hand-over of the lease to another node."""
     receiver = next(node for node in world.nodes if node is not holder)
     value = wire.hand_over_value(wire.HandOverRecord(receiver.node_id, WallTime(world.now)))
@@ -137,9 +137,9 @@
 
 
 def _measure_gap(
-    seed: int, lease_name: LeaseName, cause: Callable[[World, Any, LeaseName], None]
+    seed: int, lease_name: LeaseName, cause: Callable[[NamedLeaseWorld, Any, LeaseName], None]
 ) -> float:
-    world = World(seed, 3, faults=False)
+    world = NamedLeaseWorld(seed, 3, faults=False)
     world.run(15.0 + seed % 10 / 10)
     key = holder_key(lease_name)
     node_id = world.store.keys[key][0]["node"]
--- a/tests/behaviour_record.py
+++ b/tests/behaviour_record.py
@@ -78,8 +78,7 @@
 from eldercart.wire import cloud, peers, state, users, workers
 from eldercart.wire.named_leases import LeaseName
 from eldercart.wire.state import Transaction
-from named_lease_world import SimulatedNode
-from named_lease_world import World as NamedLeaseWorld
+from named_lease_world import NamedLeaseWorld, SimulatedNode
 from relay_world import Flight, RelayWorld
 from simulators import CATALOG, StoreSim, WorkerSim
 from test_election import ElectionWorld
--- a/tests/named_lease_node.py
+++ b/tests/named_lease_node.py
@@ -39,7 +39,7 @@
 from eldercart.wire.state import Put, Transaction
 
 if TYPE_CHECKING:
-    from named_lease_world import World
+    from named_lease_world import NamedLeaseWorld
 
 STEP_S = 0.1
 OUTCOMES = {200: WriteOutcome.COMMITTED, 409: WriteOutcome.CONFLICT, 503: WriteOutcome.REJECTED}
@@ -52,7 +52,7 @@
     Requests are sent one step after the state machines decide on them, so that a node can freeze
     between decision and sending."""
 
-    def __init__(self, world: World, node_id: NodeId, node_ids: list[NodeId]) -> None:
+    def __init__(self, world: NamedLeaseWorld, node_id: NodeId, node_ids: list[NodeId]) -> None:
         self.world = world
         self.node_id = node_id
         self.node_ids = node_ids
--- a/tests/named_lease_world.py
+++ b/tests/named_lease_world.py
@@ -31,7 +31,7 @@
 from simulators import StoreSim
 
 
-class World:
+class NamedLeaseWorld:
     """Simulates the nodes, the state service, the cloud and the messages between them."""
 
     def __init__(self, seed: int, nodes: int = 3, faults: bool = True) -> None:
@@ -41,7 +41,7 @@
         self.store = StoreSim()
         self.history = History()
         self.machines: set[str] = set()
-        self.rented: dict[str, list[str]] = {}
+        self.machines_by_request: dict[str, list[str]] = {}
         self.machine_count = 0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.event_number = 0
@@ -60,7 +60,7 @@
         heapq.heappush(self.events, (self.now + delay, self.event_number, callback))
 
     def send(
-        self, node: "SimulatedNode", serve: Callable[[], Any], answered: AnswerCallback
+        self, node: "SimulatedNode", serve: Callable[[], Any], on_answer: AnswerCallback
     ) -> None:
         """Send one request, and perhaps a delayed copy of it. The answer may be lost."""
         rng = self.rng
@@ -68,7 +68,7 @@
 
         def deliver_answer(value: Any) -> None:
             if node.incarnation_number == sent_by_incarnation:
-                node.receive(lambda: answered(*value))
+                node.receive(lambda: on_answer(*value))
 
         def deliver_request() -> None:
             value = serve()
@@ -92,7 +92,7 @@
         )
 
     def commit(
-        self, node: "SimulatedNode", transaction: Transaction, answered: AnswerCallback
+        self, node: "SimulatedNode", transaction: Transaction, on_answer: AnswerCallback
     ) -> None:
         body = transaction.body()
         sender = node.incarnation
@@ -112,21 +112,21 @@
                 )
             return status, value
 
-        self.send(node, serve, answered)
+        self.send(node, serve, on_answer)
 
     def read_items(self, prefix: str) -> list[Item]:
         return [state.parse_item(orjson.dumps(item)) for item in self.store.range(prefix)]
 
-    def read(self, node: "SimulatedNode", prefix: str, answered: AnswerCallback) -> None:
+    def read(self, node: "SimulatedNode", prefix: str, on_answer: AnswerCallback) -> None:
         def serve() -> tuple[int, Any]:
             if self._is_refusing(node):
                 return 503, None
             return 200, (self.read_items(prefix), Revision(self.store.revision))
 
-        self.send(node, serve, answered)
+        self.send(node, serve, on_answer)
 
     def serve_lease(
-        self, node: "SimulatedNode", action: str, value: Any, answered: AnswerCallback
+        self, node: "SimulatedNode", action: str, value: Any, on_answer: AnswerCallback
     ) -> None:
         def serve() -> tuple[int, Any]:
             if self._is_refusing(node):
@@ -143,7 +143,7 @@
             self.store.leases[value] = self.now + node.lease_ttl_s[value]
             return 200, None
 
-        self.send(node, serve, answered)
+        self.send(node, serve, on_answer)
 
     def _end_lease(self, lease: int) -> bool:
         keys = [key for key, (_, _, tether) in self.store.keys.items() if tether == lease]
@@ -155,7 +155,7 @@
     # -- the cloud
 
     def call_cloud(
-        self, node: "SimulatedNode", call: ScaleOut | DeleteMachines, answered: AnswerCallback
+        self, node: "SimulatedNode", call: ScaleOut | DeleteMachines, on_answer: AnswerCallback
     ) -> None:
         self.history.cloud_calls += 1
 
@@ -172,18 +172,18 @@
                 return 200, []
             return self._rent(node, call.request)
 
-        self.send(node, serve, answered)
+        self.send(node, serve, on_answer)
 
     def _rent(self, node: "SimulatedNode", request: ScaleOutRequest) -> tuple[int, Any]:
-        if request.name not in self.rented:
+        if request.name not in self.machines_by_request:
             if len(self.machines) >= 30:
                 return 503, b"no capacity"
             names = [f"n-{self.machine_count + i:06d}" for i in range(request.machine_count)]
             self.machine_count += request.machine_count
             self.machines |= set(names)
-            self.rented[request.name] = names
+            self.machines_by_request[request.name] = names
             self.history.effects.append(CloudEffect(self.now, node.node_id, request.name, "rent"))
-        return 200, self.rented[request.name]
+        return 200, self.machines_by_request[request.name]
 
     # -- time
 
@@ -262,7 +262,7 @@
         self.run(60.0)
 
 
-def check_end(world: World) -> None:
+def check_final_state(world: NamedLeaseWorld) -> None:
     """Check the state after `settle`.
 
     One node is the leader, every named lease is held, every machine is deleted and no intent is
--- a/tests/test_named_lease_fault_schedules.py
+++ b/tests/test_named_lease_fault_schedules.py
@@ -23,15 +23,15 @@
 )
 from eldercart.wire.state import Put, Transaction
 from named_lease_history import check_history
-from named_lease_world import World, check_end
+from named_lease_world import NamedLeaseWorld, check_final_state
 
 BLOCKS, SEEDS_PER_BLOCK = 6, 8
 MUTANT_SEEDS = range(41, 66)  # each removed guard must make at least one of these fail
 SCHEDULE_LENGTH_S = 60.0
 
 
-def run_schedule(seed: int) -> World:
-    world = World(seed, 3 + seed % 3)
+def run_schedule(seed: int) -> NamedLeaseWorld:
+    world = NamedLeaseWorld(seed, 3 + seed % 3)
     world.run(SCHEDULE_LENGTH_S)
     world.settle()
     return world
@@ -43,7 +43,7 @@
     for seed in range(block * SEEDS_PER_BLOCK, (block + 1) * SEEDS_PER_BLOCK):
         world = run_schedule(seed)
         check_history(world.history)
-        check_end(world)
+        check_final_state(world)
         rejected_writes += world.history.rejected
         rented += sum(effect.kind == "rent" for effect in world.history.effects)
         deleted += sum(effect.kind == "delete" for effect in world.history.effects)
@@ -85,17 +85,17 @@
 
 
 def catalogue_without_token(patch: pytest.MonkeyPatch) -> None:
-    original_commit = World.commit
+    original_commit = NamedLeaseWorld.commit
 
-    def mutant(world: World, node: Any, transaction: Any, answered: Any) -> None:
+    def mutant(world: NamedLeaseWorld, node: Any, transaction: Any, on_answer: Any) -> None:
         transaction.conditions.pop(
             holder_key(LeaseName.CATALOG), None
         ) if transaction.conditions.get(holder_key(LeaseName.CATALOG), ABSENT_REVISION) and not any(
             w.key.startswith("duty/") for w in transaction.operations
         ) else None
-        original_commit(world, node, transaction, answered)
+        original_commit(world, node, transaction, on_answer)
 
-    patch.setattr(World, "commit", mutant)
+    patch.setattr(NamedLeaseWorld, "commit", mutant)
 
 
 @pytest.mark.parametrize(
@@ -118,7 +118,7 @@
         try:
             world = run_schedule(seed)
             check_history(world.history)
-            check_end(world)
+            check_final_state(world)
         except AssertionError:
             return
     pytest.fail("no schedule showed it")
@@ -136,7 +136,7 @@
     """
     if not guarded:
         without_guards("duty")(monkeypatch)
-    world = World(1, faults=False)
+    world = NamedLeaseWorld(1, faults=False)
     for node in world.nodes:
         node.issues_requests = False
     world.run(10.0)
@@ -144,16 +144,16 @@
     send = world.send
     delayed_writes: list[Callable[[], Any]] = []
 
-    def delay_first_record_write(node: Any, serve: Callable[[], Any], answered: Any) -> None:
+    def delay_first_record_write(node: Any, serve: Callable[[], Any], on_answer: Any) -> None:
         if getattr(serve, "records", False) and not delayed_writes:
             delayed_writes.append(serve)
-            world.schedule(2.0, lambda: node.receive(lambda: answered(None, None)))
+            world.schedule(2.0, lambda: node.receive(lambda: on_answer(None, None)))
         else:
-            send(node, serve, answered)
+            send(node, serve, on_answer)
 
     original_commit = world.commit
 
-    def commit_marked(node: Any, transaction: Any, answered: Any) -> None:
+    def commit_marked(node: Any, transaction: Any, on_answer: Any) -> None:
         records = any(
             write.key == intents_key(LeaseName.SCALE_OUT) for write in transaction.operations
         )
@@ -165,7 +165,7 @@
                 delay_first_record_write(n, serve, a)
 
             world.send = send_marked  # type: ignore[method-assign]
-        original_commit(node, transaction, answered)
+        original_commit(node, transaction, on_answer)
         world.send = unmarked_send  # type: ignore[method-assign]
 
     world.commit = commit_marked  # type: ignore[method-assign]
