--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -73,12 +73,12 @@
     gaps: list[float] = []
     load = os.getloadavg()[0]
     with tempfile.TemporaryDirectory() as folder:
-        cluster = Cluster(Path(folder), has_false_clocks=True)
+        cluster = Cluster(Path(folder), has_faulty_clocks=True)
         try:
             cluster.wait_for_holders()
             for _ in range(number):
-                effects = cluster.effects()
-                wait_until(lambda before=effects: cluster.effects() > before)
+                effects = cluster.count_effects()
+                wait_until(lambda before=effects: cluster.count_effects() > before)
                 point = rng.choice([None, *StallPoint])
                 if point is None:
                     gaps.append(_freeze(cluster, rng))
@@ -222,7 +222,7 @@
     """
     for features in (None, {"duties": {"on": ALL_LEASES}}) * number:
         with tempfile.TemporaryDirectory() as folder:
-            cluster = Cluster(Path(folder), number=1, features=features)
+            cluster = Cluster(Path(folder), node_count=1, features=features)
             try:
                 wait_until(lambda c=cluster: c.leader() is not None)
                 time.sleep(3.0)
--- a/tests/faulty_clock_node.py
+++ b/tests/faulty_clock_node.py
@@ -1,4 +1,4 @@
-"""Runs a node with false clocks: `faulty_clock_node.py WALL_OFFSET_S ARGUMENTS…`.
+"""Runs a node with faulty clocks: `faulty_clock_node.py WALL_OFFSET_S ARGUMENTS…`.
 
 Its monotonic clock does not advance while the process is stopped, so that the node detects no stall
 and still trusts its leases. Its wall clock is off by the offset.
--- a/tests/named_lease_cluster.py
+++ b/tests/named_lease_cluster.py
@@ -196,15 +196,15 @@
     def __init__(
         self,
         folder: Path,
-        number: int = 3,
+        node_count: int = 3,
         features: Any = FEATURES,
-        has_false_clocks: bool = False,
+        has_faulty_clocks: bool = False,
     ) -> None:
-        self.node_ids = [f"node-{i}" for i in range(number)]
+        self.node_ids = [f"node-{i}" for i in range(node_count)]
         self.region = ObservedRegion(self.node_ids)
         self.folder = folder
-        self.has_false_clocks = has_false_clocks
-        ports = free_ports(2 * number)
+        self.has_faulty_clocks = has_faulty_clocks
+        ports = free_ports(2 * node_count)
         self.user_addresses = {
             node_id: f"127.0.0.1:{ports[2 * i]}" for i, node_id in enumerate(self.node_ids)
         }
@@ -246,7 +246,7 @@
         config.write_text(json.dumps(settings))
         root = self.source_roots[node_id]
         command = [sys.executable, str(root / "run.py")]
-        if self.has_false_clocks and root == ROOT:
+        if self.has_faulty_clocks and root == ROOT:
             offset = 3600.0 * (self.node_ids.index(node_id) - 1)
             command = [sys.executable, str(ROOT / "tests" / "faulty_clock_node.py"), str(offset)]
         command += [
@@ -353,7 +353,7 @@
         self.start(node_id)
         wait_until(lambda: call(self.user_addresses[node_id], "GET", "/healthz")[0] == 200)
 
-    def effects(self) -> int:
+    def count_effects(self) -> int:
         with self.region.lock:
             return len(self.region.history.effects)
 
--- a/tests/test_named_lease_loopback.py
+++ b/tests/test_named_lease_loopback.py
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def cluster(tmp_path: Path) -> Iterator[Cluster]:
-    cluster = Cluster(tmp_path, has_false_clocks=True)
+    cluster = Cluster(tmp_path, has_faulty_clocks=True)
     yield cluster
     cluster.close()
 
@@ -39,8 +39,8 @@
             cluster.stall_at(point)
             if point is StallPoint.BEFORE_WRITE:
                 wait_until(lambda before=refused: region.history.rejected > before)
-            effects = cluster.effects()
-            wait_until(lambda before=effects: cluster.effects() > before)
+            effects = cluster.count_effects()
+            wait_until(lambda before=effects: cluster.count_effects() > before)
     with region.lock:
         check_history(region.history, "node")
         assert region.history.rejected >= ROUNDS
@@ -115,8 +115,8 @@
     part, the leader works without lease tokens, and finishes the recorded intents."""
     cluster = Cluster(tmp_path, features=None)
     try:
-        effects = cluster.effects()
-        wait_until(lambda: cluster.effects() > effects)
+        effects = cluster.count_effects()
+        wait_until(lambda: cluster.count_effects() > effects)
         assert not any(key.startswith(("duty/", "intent/")) for key in cluster.region.store.keys)
         first = cluster.user_addresses["node-0"]
         # The effects may come from another leader, before node-0 is ready.
@@ -132,8 +132,8 @@
         follower = next(node_id for node_id in cluster.node_ids if node_id != cluster.leader())
         cluster.replace(follower, None)
         wait_until(lambda: not any(cluster.holder(d) for d in ("rental", "return", "catalog")))
-        effects = cluster.effects()
-        wait_until(lambda: cluster.effects() > effects)
+        effects = cluster.count_effects()
+        wait_until(lambda: cluster.count_effects() > effects)
         # That node then takes part in one lease only.
         one_lease = copy.deepcopy(FEATURES)
         one_lease["duties"]["on"] = ["return"]
@@ -160,8 +160,8 @@
             cluster.replace(node_id, None, earlier)
             wait_until(lambda: not any(cluster.holder(d) for d in ("rental", "return", "catalog")))
             for _ in range(3):
-                effects = cluster.effects()
-                wait_until(lambda before=effects: cluster.effects() > before)
+                effects = cluster.count_effects()
+                wait_until(lambda before=effects: cluster.count_effects() > before)
             assert call(cluster.user_addresses[node_id], "GET", "/duties")[0] == 404
             cluster.replace(node_id, FEATURES)
             cluster.wait_for_holders()
