--- a/tests/test_store_limits.py
+++ b/tests/test_store_limits.py
@@ -49,7 +49,7 @@
 from test_user_requests import UserServiceFixture
 from world import PLATFORM, World, submission
 
-NEXT = {"write_rps": 18, "value_kb": 2.0, "txn_ops": 6}
+ANNOUNCED_LIMITS = {"write_rps": 18, "value_kb": 2.0, "txn_ops": 6}
 
 
 def platform(next_: Any = None, **state: Any) -> dict[str, Any]:
@@ -78,12 +78,12 @@
     [
         (None, 70, 25, 32768, 20),
         ({}, 70, 25, 32768, 20),
-        (NEXT, 70, 18, 2048, 6),
+        (ANNOUNCED_LIMITS, 70, 18, 2048, 6),
         ({"rps": 40}, 40, 25, 32768, 20),
         ({"value_kb": 0.5, "txn_ops": 2, "rps": None}, 70, 25, 512, 2),
         # The current limits stay in force as long as the announced ones are higher.
         ({"rps": 90, "write_rps": 30, "value_kb": 64, "txn_ops": 40}, 70, 25, 32768, 20),
-        (NEXT | {"unheard_of": "x"}, 70, 18, 2048, 6),
+        (ANNOUNCED_LIMITS | {"unheard_of": "x"}, 70, 18, 2048, 6),
     ],
 )
 def test_announced_limits_are_read_from_the_settings(
@@ -266,7 +266,7 @@
 
 
 @pytest.mark.parametrize("nodes", [1, 2, 3, 5, 9])
-@pytest.mark.parametrize("next_", [NEXT, {"rps": 30}, {"rps": 9, "write_rps": 6}])
+@pytest.mark.parametrize("next_", [ANNOUNCED_LIMITS, {"rps": 30}, {"rps": 9, "write_rps": 6}])
 def test_shares_of_all_nodes_stay_within_the_reduced_rates(
     nodes: int, next_: dict[str, Any]
 ) -> None:
@@ -296,7 +296,7 @@
 
 
 def test_429_after_overdraft_does_not_reduce_rates() -> None:
-    (store,), clock, http = store_clients(1, NEXT)
+    (store,), clock, http = store_clients(1, ANNOUNCED_LIMITS)
     rate = store.writes.rate
     store.writes.force_take(clock(), 1000)
     receive_429(store, http)
@@ -307,7 +307,7 @@
 
 
 def test_429_for_a_watch_reduces_rates() -> None:
-    (store,), clock, http = store_clients(1, NEXT)
+    (store,), clock, http = store_clients(1, ANNOUNCED_LIMITS)
     http.status = 429
     store.watch("lead", Revision(1), 10.0, lambda status, revision, events: None)
     assert store.rate_limit_backoff.is_active(clock()) and store.writes.rate < 18
@@ -345,7 +345,7 @@
     allowed at the reduction and at each try of the old rates, and those tries become rare. In any
     five seconds the nodes achieve most of the lower rate. Without a reduction they use the old
     rates nearly all of the time."""
-    clients, clock, _ = store_clients(nodes, NEXT)
+    clients, clock, _ = store_clients(nodes, ANNOUNCED_LIMITS)
     began = clock.now
     service = WriteLimitedHttp(clock, 25, 18, began + 30 if falls else 1e12)
     for store in clients:
@@ -449,8 +449,8 @@
 def test_burst_after_idle_time_stays_within_the_share(nodes: int) -> None:
     """The state service allows a burst of one second's worth. After a long idle time a node has
     less than its share of that, or just enough tokens to admit a few submissions."""
-    clients, clock, _ = store_clients(nodes, NEXT)
-    settings = settings_of(NEXT, nodes)
+    clients, clock, _ = store_clients(nodes, ANNOUNCED_LIMITS)
+    settings = settings_of(ANNOUNCED_LIMITS, nodes)
     clock.now += 1000.0
     for i, store in enumerate(clients):
         for bucket, limit in (
@@ -466,7 +466,7 @@
 def test_lent_tokens_are_taken_from_the_leaders_share(lowered: bool, wanted: int) -> None:
     """A node without tokens for submissions gets some of the leader's, but never more than the
     leader has above its reserve. Lending does not increase the total."""
-    nodes, clock, http = store_clients(5, NEXT)
+    nodes, clock, http = store_clients(5, ANNOUNCED_LIMITS)
     if lowered:
         receive_429(nodes[0], http)
         clock.now += 5.0
@@ -494,7 +494,7 @@
 def test_rate_reduction_during_a_burst_and_leader_changes(at_s: float) -> None:
     """A new leader reads without waiting for tokens and so overdraws its share. Neither that nor a
     rate reduction near it causes lasting 429s or leaves a node without its share."""
-    nodes, clock, _ = store_clients(5, NEXT | {"rps": 40})
+    nodes, clock, _ = store_clients(5, ANNOUNCED_LIMITS | {"rps": 40})
     service = RequestAndWriteLimitedHttp(clock, clock.now + 30 + at_s, 40.0)
     for store in nodes:
         store._http = service  # type: ignore[assignment]
@@ -524,7 +524,7 @@
     """Nodes of an earlier version may not know the lower rates. Until they are replaced, some
     requests are rejected. Still all nodes can write, and the new nodes keep to their shares of the
     lower rates."""
-    nodes, clock, _ = store_clients(5, NEXT)
+    nodes, clock, _ = store_clients(5, ANNOUNCED_LIMITS)
     old_clients = store_clients(5, None)[0]
     for store in old_clients:
         store._clock = clock
@@ -687,7 +687,7 @@
 
 def test_rechunking_starts_only_when_all_nodes_support_it() -> None:
     """The next leader might be a node of the previous version or one that sent no heartbeat yet."""
-    relay_service = ControllerNode(settings_of(NEXT, 3), load_tuning()).relay_service
+    relay_service = ControllerNode(settings_of(ANNOUNCED_LIMITS, 3), load_tuning()).relay_service
     now = MonotonicTime(50)
 
     def record_heartbeat(node: str, takes: tuple[str, ...]) -> bool:
@@ -705,14 +705,14 @@
     assert record_heartbeat("drover-2", peers.SUPPORTED_FEATURES)
     assert not record_heartbeat("drover-1", ()), "it restarted with the previous version"
     assert ControllerNode(
-        settings_of(NEXT), load_tuning()
+        settings_of(ANNOUNCED_LIMITS), load_tuning()
     ).relay_service.peer_heartbeats.all_support(peers.RECHUNKING), (
         "a single node needs no support of others"
     )
 
 
 def test_backoff_announced_by_a_peer_reduces_rates() -> None:
-    node = ControllerNode(settings_of(NEXT, 3), load_tuning())
+    node = ControllerNode(settings_of(ANNOUNCED_LIMITS, 3), load_tuning())
     rate = node.store.writes.rate
     node.relay_service.peer_heartbeats.record_peer_status(
         NodeId("drover-1"), HEARTBEAT_ACK, node.clock()
@@ -1021,7 +1021,7 @@
 
 def test_placement_records_fit_the_value_limit_despite_long_machine_names() -> None:
     """The size estimate of a part is wrong if machine names are longer than usual."""
-    w = World(41, platform=platform(NEXT))
+    w = World(41, platform=platform(ANNOUNCED_LIMITS))
     w.store.value_bytes, w.store.txn_ops = 2048, 6
     assert w.scheduler is not None
     w.subchunks_supported = True
@@ -1057,7 +1057,7 @@
 
 
 def test_learned_state_records_fit_and_are_written_in_turn() -> None:
-    w = World(42, platform=platform(NEXT), tuning={"memo_s": 1.0})
+    w = World(42, platform=platform(ANNOUNCED_LIMITS), tuning={"memo_s": 1.0})
     scheduler = w.scheduler
     assert scheduler is not None
     rng = random.Random(5)
@@ -1089,7 +1089,7 @@
         assert txn is not None and len(txn.operations) <= 6
         seen |= {put.key: put.value for put in txn.operations if isinstance(put, Put)}
     assert seen == records, "every record has been written"
-    restored = World(43, platform=platform(NEXT)).scheduler
+    restored = World(43, platform=platform(ANNOUNCED_LIMITS)).scheduler
     assert restored is not None
     for key, value in records.items():
         learned_state.restore_learned_state(restored.cluster_state, key, value)
@@ -1147,7 +1147,7 @@
 def test_rejected_catalog_write_is_not_repeated(status: int | None, writes: int) -> None:
     """Repeating a rejected write (400, 413) of a catalog that is too large would use up the writes.
     A write that was not carried out (503, no response) is retried."""
-    node = ControllerNode(settings_of(NEXT), load_tuning())
+    node = ControllerNode(settings_of(ANNOUNCED_LIMITS), load_tuning())
     sent: list[Any] = []
 
     class RejectingHttp:
@@ -1187,7 +1187,7 @@
     """The leader checks the catalog in each iteration of the event loop. If it retried a failed
     write each time, it would have no write tokens left for long, and the service would stay at its
     limit."""
-    node, clock = node_with_clock(NEXT)
+    node, clock = node_with_clock(ANNOUNCED_LIMITS)
     sent: list[float] = []
     answers: list[int | None] = [status]
 
@@ -1278,7 +1278,7 @@
 def test_leader_stores_a_catalog_within_the_value_limit() -> None:
     type_ = cloud.parse_catalog(CATALOG)["small"]
     types = {f"t{i}": replace(type_, name=f"t{i}") for i in range(15)}
-    node, _, sent = leading_node(NEXT, types)
+    node, _, sent = leading_node(ANNOUNCED_LIMITS, types)
     scheduler = node.leader_service.scheduler
     assert scheduler is not None
     scheduler.cloud_requests.catalog_changed = True
@@ -1335,11 +1335,11 @@
 
 
 def upgrade(w: World) -> None:
-    w.settings = parse_platform(platform(NEXT))
+    w.settings = parse_platform(platform(ANNOUNCED_LIMITS))
     w.elect()
 
 
-def fall(w: World) -> None:
+def reduce_store_limits(w: World) -> None:
     w.store.value_bytes, w.store.txn_ops = 2048, 6
 
 
@@ -1373,7 +1373,7 @@
     w.subchunks_supported = True
     submit_small_job(w, "wk-000100", 60, 12.0)
     w.run(w.rng.uniform(0, 6))
-    fall(w)
+    reduce_store_limits(w)
     for n in range(4):
         submit_small_job(w, f"wk-00020{n}", w.rng.randrange(1, 120), w.rng.uniform(5, 20))
         w.run(w.rng.uniform(0, 8))
@@ -1396,7 +1396,7 @@
     are rejected. Other jobs continue, and the large ones finish once all nodes support it."""
     w = run_at_old_limits(seed, **faults)
     upgrade(w)
-    fall(w)
+    reduce_store_limits(w)
     submit_small_job(w, "wk-000100", 20, 5.0)
     w.run(60)
     assert "end/wk-000100" in w.store.keys and w.too_large
@@ -1410,7 +1410,7 @@
     delay between retries it would use up all writes of the leader."""
     w = run_at_old_limits(0)
     upgrade(w)
-    fall(w)
+    reduce_store_limits(w)
     w.run(20)
     before = w.too_large
     assert before
@@ -1420,7 +1420,7 @@
 
 def test_chunk_is_subdivided_until_its_record_is_accepted() -> None:
     """The service may accept less than the settings say; even then every record is written."""
-    w = World(51, platform=platform(NEXT))
+    w = World(51, platform=platform(ANNOUNCED_LIMITS))
     w.subchunks_supported = True
     submit_small_job(w, "wk-000001", 60, 30.0)
     submit_small_job(w, "wk-000002", 3, 5.0)
@@ -1474,5 +1474,5 @@
 
 
 def test_chunks_of_new_jobs_fit_the_value_limit() -> None:
-    settings = settings_of(NEXT)
+    settings = settings_of(ANNOUNCED_LIMITS)
     assert max_tasks_per_chunk(settings.value_bytes) * 48 <= settings.value_bytes
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -17,7 +17,7 @@
 
 from eldercart.settings.platform import parse_platform
 from eldercart.wire import users
-from test_store_limits import NEXT, fall, platform
+from test_store_limits import ANNOUNCED_LIMITS, platform, reduce_store_limits
 from versions import history, record
 from versions.adapters import EarlierLeader, EarlierRelay
 from versions.mixed import MixedWorld
@@ -95,7 +95,9 @@
         version = history.earlier(short_commit)
         # Without it, jobs with dependencies may be submitted only after the upgrade.
         self.supports_chains = version.old_chains
-        self.world = world = MixedWorld(seed, version, 5, platform=platform(NEXT), **case.faults)
+        self.world = world = MixedWorld(
+            seed, version, 5, platform=platform(ANNOUNCED_LIMITS), **case.faults
+        )
         world.store.value_bytes, world.store.txn_ops = 32 * 1024, 20
         self.submission_count = 0
         # Without faults and cancellations no task may run a second time, which `check_end` asserts.
@@ -204,12 +206,12 @@
         world = self.world
         assert world.all_replaced
         if self.case.reduction == AFTER_LAST_NODE:
-            fall(world)
+            reduce_store_limits(world)
         self.submit_chain("new")
         if self.case.reduction == DURING_FAILOVER:
             world.watch(1)
             world.crash(world.leader)
-            fall(world)
+            reduce_store_limits(world)
         self.submit_some()
         world.watch(2)
         world.crash(self.rng.randrange(world.nodes))
@@ -301,7 +303,7 @@
         )
         world.watch(12)
         if case.reduction == BEFORE:
-            fall(world)
+            reduce_store_limits(world)
             world.watch(6)
         for turn, batch in enumerate(self.batches()):
             if case.store_outage and turn == 1:
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -50,7 +50,7 @@
 from simulators import CATALOG
 from test_leader_store_outage import RelayServiceFixture
 from test_scheduler_faults import finish, submit_all
-from test_store_limits import NEXT, platform
+from test_store_limits import ANNOUNCED_LIMITS, platform
 from versions import history, reading, record, writing
 from versions.adapters import EarlierRelay
 from versions.legacy.old_nodes import OldRelay
@@ -118,7 +118,7 @@
     ("next_", "limits"),
     [
         (None, (32 * 1024, 20)),
-        (NEXT, (2048, 6)),
+        (ANNOUNCED_LIMITS, (2048, 6)),
         ({"value_kb": 2.0}, (2048, 20)),
         ({"txn_ops": 6, "unheard_of": "x"}, (32 * 1024, 6)),
         ({"value_kb": 64, "txn_ops": 40}, (32 * 1024, 20)),  # limits are never raised
