--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -27,16 +27,16 @@
 # These imports need the paths set above.
 from pyrsistent import pmap  # noqa: E402
 
-from duty_cluster import Cluster, StallPoint  # noqa: E402
-from duty_history import check_history  # noqa: E402
-from duty_world import World, check_end  # noqa: E402
 from eldercart.autoscaling.request_types import MachineOffering, ScaleOutRequest  # noqa: E402
 from eldercart.units import WallTime  # noqa: E402
 from eldercart.wire import named_leases as wire  # noqa: E402
 from eldercart.wire.named_leases import LeaseName, holder_key  # noqa: E402
 from eldercart.wire.state import Put, Transaction  # noqa: E402
-from region import until  # noqa: E402
-from test_duty_service import ALL_LEASES, ServiceWorld  # noqa: E402
+from loopback_region import wait_until  # noqa: E402
+from named_lease_cluster import Cluster, StallPoint  # noqa: E402
+from named_lease_history import check_history  # noqa: E402
+from named_lease_world import NamedLeaseWorld, check_final_state  # noqa: E402
+from test_named_lease_service import ALL_LEASES, ServiceWorld  # noqa: E402
 
 SCHEDULE_LENGTH_S = 60.0
 
@@ -53,11 +53,11 @@
     """Run the schedule of each seed and check its history; the first violation aborts the run."""
     refused = effects = calls = 0
     for seed in range(first, last):
-        world = World(seed, 3 + seed % 3)
+        world = NamedLeaseWorld(seed, 3 + seed % 3)
         world.run(SCHEDULE_LENGTH_S)
         world.settle()
         check_history(world.history)
-        check_end(world)
+        check_final_state(world)
         refused += world.history.rejected
         effects += len(world.history.effects)
         calls += world.history.cloud_calls
@@ -73,12 +73,12 @@
     gaps: list[float] = []
     load = os.getloadavg()[0]
     with tempfile.TemporaryDirectory() as folder:
-        cluster = Cluster(Path(folder), has_false_clocks=True)
+        cluster = Cluster(Path(folder), has_faulty_clocks=True)
         try:
             cluster.wait_for_holders()
             for _ in range(number):
-                effects = cluster.effects()
-                until(lambda before=effects: cluster.effects() > before)
+                effects = cluster.count_effects()
+                wait_until(lambda before=effects: cluster.count_effects() > before)
                 point = rng.choice([None, *StallPoint])
                 if point is None:
                     gaps.append(_freeze(cluster, rng))
@@ -99,12 +99,12 @@
 
 
 def _freeze(cluster: Cluster, rng: random.Random) -> float:
-    until(lambda: cluster.leader() is not None)
+    wait_until(lambda: cluster.leader() is not None)
     node_id = cluster.leader() or ""
     cluster.freeze(node_id)
     began_at = time.monotonic()
-    until(lambda: cluster.leader() not in (None, node_id))
-    until(lambda: cluster.holder("rental") == cluster.leader() == cluster.holder("return"))
+    wait_until(lambda: cluster.leader() not in (None, node_id))
+    wait_until(lambda: cluster.holder("rental") == cluster.leader() == cluster.holder("return"))
     waited_s = time.monotonic() - began_at
     time.sleep(rng.uniform(0.0, 1.0))
     cluster.thaw(node_id)
@@ -119,17 +119,17 @@
             print(lease_name, cause.__name__, summary(gaps_s))
 
 
-def fail_holder(world: World, holder: Any, lease_name: LeaseName) -> None:
+def fail_holder(world: NamedLeaseWorld, holder: Any, lease_name: LeaseName) -> None:
     """Crash the holder; it does not restart during the measurement."""
     holder.restart(1000.0)
 
 
-def stall_holder(world: World, holder: Any, lease_name: LeaseName) -> None:
+def stall_holder(world: NamedLeaseWorld, holder: Any, lease_name: LeaseName) -> None:
     """Freeze the holder's process for the whole measurement."""
     holder.frozen_until = world.now + 1000.0
 
 
-def hand_over_lease(world: World, holder: Any, lease_name: LeaseName) -> None:
+def hand_over_lease(world: NamedLeaseWorld, holder: Any, lease_name: LeaseName) -> None:
     """Request a hand-over of the lease to another node."""
     receiver = next(node for node in world.nodes if node is not holder)
     value = wire.hand_over_value(wire.HandOverRecord(receiver.node_id, WallTime(world.now)))
@@ -137,9 +137,9 @@
 
 
 def _measure_gap(
-    seed: int, lease_name: LeaseName, cause: Callable[[World, Any, LeaseName], None]
+    seed: int, lease_name: LeaseName, cause: Callable[[NamedLeaseWorld, Any, LeaseName], None]
 ) -> float:
-    world = World(seed, 3, faults=False)
+    world = NamedLeaseWorld(seed, 3, faults=False)
     world.run(15.0 + seed % 10 / 10)
     key = holder_key(lease_name)
     node_id = world.store.keys[key][0]["node"]
@@ -222,9 +222,9 @@
     """
     for features in (None, {"duties": {"on": ALL_LEASES}}) * number:
         with tempfile.TemporaryDirectory() as folder:
-            cluster = Cluster(Path(folder), number=1, features=features)
+            cluster = Cluster(Path(folder), node_count=1, features=features)
             try:
-                until(lambda c=cluster: c.leader() is not None)
+                wait_until(lambda c=cluster: c.leader() is not None)
                 time.sleep(3.0)
                 pid = cluster.processes["node-0"].pid
                 fields = Path(f"/proc/{pid}/stat").read_text().split()
--- a/tests/duty_cluster.py
+++ b/tests/named_lease_cluster.py
@@ -1,7 +1,7 @@
 """A cluster of node processes on loopback, with named leases enabled.
 
 The simulated state service and cloud have separate ports for each node, so they know which node
-sends a request. They expire leases and record the history that `duty_history.check_history`
+sends a request. They expire leases and record the history that `named_lease_history.check_history`
 checks."""
 
 import copy
@@ -21,8 +21,8 @@
 
 import orjson
 
-from duty_history import AppliedChange, CloudEffect, History, NodeEvent
-from region import ROOT, Region, call, free_ports, until
+from loopback_region import ROOT, Region, call, free_ports, wait_until
+from named_lease_history import AppliedChange, CloudEffect, History, NodeEvent
 from simulators import CloudSim, WorkerSim
 from world import PLATFORM, submission
 
@@ -101,7 +101,7 @@
             answer = self._observe_transaction(node_id, body) if path == "/txn" else None
         if writes_intents and answer is not None and answer[0] == 200:
             self.on_stall_point(node_id, StallPoint.BEFORE_SEND)
-        return answer or self.state(method, path, body)
+        return answer or self.handle_store_request(method, path, body)
 
     def _serve_lease(self, method: str, path: str, body: bytes) -> tuple[int, Any]:
         now = time.monotonic()
@@ -139,7 +139,7 @@
         now = time.monotonic()  # the closest observable time to the sending
         with self.lock:
             before, answered = set(self.cloud.machines), set(self.cloud.answers)
-            status, value = self.rent(method, path, body)
+            status, value = self.handle_cloud_request(method, path, body)
             if method == "POST":
                 self.history.cloud_calls += 1
             for name in sorted(before - set(self.cloud.machines)):
@@ -196,15 +196,15 @@
     def __init__(
         self,
         folder: Path,
-        number: int = 3,
+        node_count: int = 3,
         features: Any = FEATURES,
-        has_false_clocks: bool = False,
+        has_faulty_clocks: bool = False,
     ) -> None:
-        self.node_ids = [f"node-{i}" for i in range(number)]
+        self.node_ids = [f"node-{i}" for i in range(node_count)]
         self.region = ObservedRegion(self.node_ids)
         self.folder = folder
-        self.has_false_clocks = has_false_clocks
-        ports = free_ports(2 * number)
+        self.has_faulty_clocks = has_faulty_clocks
+        ports = free_ports(2 * node_count)
         self.user_addresses = {
             node_id: f"127.0.0.1:{ports[2 * i]}" for i, node_id in enumerate(self.node_ids)
         }
@@ -246,9 +246,9 @@
         config.write_text(json.dumps(settings))
         root = self.source_roots[node_id]
         command = [sys.executable, str(root / "run.py")]
-        if self.has_false_clocks and root == ROOT:
+        if self.has_faulty_clocks and root == ROOT:
             offset = 3600.0 * (self.node_ids.index(node_id) - 1)
-            command = [sys.executable, str(ROOT / "tests" / "falsified_node.py"), str(offset)]
+            command = [sys.executable, str(ROOT / "tests" / "faulty_clock_node.py"), str(offset)]
         command += [
             "serve",
             "--config",
@@ -295,11 +295,11 @@
 
     def wait_for_holders(self) -> None:
         """Wait until the leases are held and each node knows that all nodes take part."""
-        until(
+        wait_until(
             lambda: all(self.holder(lease_name) for lease_name in ("rental", "return", "catalog"))
         )
         for node_id in self.node_ids:
-            until(lambda node_id=node_id: self._has_been_candidate(node_id))
+            wait_until(lambda node_id=node_id: self._has_been_candidate(node_id))
             with self.region.lock:
                 event = NodeEvent(time.monotonic(), node_id)
                 self.region.history.support_confirmations.append(event)
@@ -331,13 +331,13 @@
             stopped.append(node_id)
             self.freeze(node_id)
             try:
-                until(lambda: self.leader() not in (None, node_id))
-                until(lambda: self.holder("rental") == self.leader() == self.holder("return"))
+                wait_until(lambda: self.leader() not in (None, node_id))
+                wait_until(lambda: self.holder("rental") == self.leader() == self.holder("return"))
             finally:
                 is_over.set()
 
         self.region.on_stall_point = stop_at_point
-        until(is_over.is_set)
+        wait_until(is_over.is_set)
         self.region.on_stall_point = lambda node_id, point: None
         self.thaw(stopped[0])
         return stopped[0]
@@ -351,9 +351,9 @@
         self.kill(node_id)
         self.features[node_id], self.source_roots[node_id] = features, root
         self.start(node_id)
-        until(lambda: call(self.user_addresses[node_id], "GET", "/healthz")[0] == 200)
+        wait_until(lambda: call(self.user_addresses[node_id], "GET", "/healthz")[0] == 200)
 
-    def effects(self) -> int:
+    def count_effects(self) -> int:
         with self.region.lock:
             return len(self.region.history.effects)
 
