--- a/tests/behaviour_record.py
+++ b/tests/behaviour_record.py
@@ -80,7 +80,7 @@
 from eldercart.wire import cloud, peers, state, users, workers
 from eldercart.wire.named_leases import LeaseName
 from eldercart.wire.state import Transaction
-from relay_world import Flight, RelayWorld
+from relay_world import HeartbeatInFlight, RelayWorld
 from simulators import CATALOG, StoreSim, WorkerSim
 from test_election import ElectionWorld
 from world import PLATFORM
@@ -443,7 +443,7 @@
         relay.recording = self.recording
         return relay
 
-    def answer(self, worker: WorkerSim, flight: Flight, body: bytes) -> None:
+    def answer(self, worker: WorkerSim, flight: HeartbeatInFlight, body: bytes) -> None:
         self.recording.add(WORKER_RESPONSE, worker.id, body)
         super().answer(worker, flight, body)
 
@@ -663,11 +663,11 @@
     hanging.hangs_until = w.now + 45.0
     faulty.faulty = True
     preempted.notice = 10.0
-    w.silent = {disconnected.id}
+    w.disconnected_machines = {disconnected.id}
     w.run(8)
     w.cancel("wk-1")
     w.run(12)
-    w.silent.clear()
+    w.disconnected_machines.clear()
     faulty.faulty = False
     w.unresponsive = {machine.id for machine in busy(w)[:1]}
     w.cancel("wk-2")
@@ -748,20 +748,20 @@
     for i in range(5):
         w.submit(f"wk-{i}", parcels=8, run_s=60.0, haulS=60.0, crew="t1" if i % 2 else "t2")
     w.run(25)
-    w.sleep(w.leader, 12.0)
+    w.stall_node(w.leader, 12.0)
     w.run(5)
     w.cancel("wk-0")
     w.crash(w.leader)
     w.run(5)
-    w.stale = {machine.id for machine in busy(w)[:3]}
-    w.stale_epoch = leader(w).token
+    w.machines_with_stale_leader = {machine.id for machine in busy(w)[:3]}
+    w.stale_leader_token = leader(w).token
     w.elect()
     w.cancel("wk-1")
     w.outage_until = w.now + 15.0
     w.run(20)
-    w.cut = {(w.leader + 1) % w.nodes}
+    w.cut_off_nodes = {(w.leader + 1) % w.nodes}
     w.run(10)
-    w.cut.clear()
+    w.cut_off_nodes.clear()
     for _ in range(4):
         w.run(w.rng.uniform(1.0, 10.0))
         w.crash(w.leader)
--- a/tests/relay_world.py
+++ b/tests/relay_world.py
@@ -37,7 +37,7 @@
 
 
 @dataclass
-class Flight:
+class HeartbeatInFlight:
     """A heartbeat that awaits its response; each worker has at most one, and it times out."""
 
     sent_at: float
@@ -65,20 +65,21 @@
         self.nodes = nodes
         self.leader = 0
         self.relays: list[HeartbeatRelay] = []
-        self.heartbeats_in_flight: dict[str, Flight] = {}
-        self.at: dict[str, int] = {}  # worker -> node that it sends heartbeats to
+        self.heartbeats_in_flight: dict[str, HeartbeatInFlight] = {}
+        self.node_by_worker: dict[str, int] = {}  # worker -> node that it sends heartbeats to
         self.scheduled_actions: list[tuple[float, int, Any]] = []  # (due time, number, action)
         self.action_number = 0
-        self.cut: set[int] = set()  # nodes that reach neither store nor peers
-        self.shared_out = True  # nodes redirect workers beyond their machine share
+        self.cut_off_nodes: set[int] = set()  # nodes that reach neither store nor peers
+        self.enforces_machine_shares = True  # nodes redirect workers beyond their machine share
         self.unreachable_nodes: set[int] = set()  # nodes that no worker reaches
-        self.asleep: int | None = None  # a node whose process is stalled
-        self.silent: set[str] = set()  # machines that reach no node but can be probed
-        self.cut_zone: str | None = None  # its machines reach only the nodes in `cut`
+        self.stalled_node: int | None = None  # a node whose process is stalled
+        # Machines that reach no node but can be probed.
+        self.disconnected_machines: set[str] = set()
+        self.cut_zone: str | None = None  # its machines reach only the nodes in `cut_off_nodes`
         self.delayed_copies = 0
         # Machines whose heartbeats are answered by a node that still acts for an earlier leader.
-        self.stale: set[str] = set()
-        self.stale_epoch = 0
+        self.machines_with_stale_leader: set[str] = set()
+        self.stale_leader_token = 0
         super().__init__(seed, **faults)
         self.relays = [self.new_relay(i) for i in range(nodes)]
 
@@ -100,25 +101,25 @@
     def crash(self, i: int) -> None:
         """Restart the node at once, with an empty relay."""
         self.relays[i] = self.new_relay(i)
-        for name in [worker for worker, at in self.at.items() if at == i]:
+        for name in [worker for worker, at in self.node_by_worker.items() if at == i]:
             self.heartbeats_in_flight.pop(name, None)
         if i == self.leader:
             self.elect()
 
-    def sleep(self, i: int, seconds: float) -> None:
+    def stall_node(self, i: int, seconds: float) -> None:
         """Stall node `i`. If it leads, another node is elected once its lease has ended; its relay
         is kept as `stale_relay`, for checks of how it behaves after the stall."""
-        self.asleep = i
+        self.stalled_node = i
         end = self.now + seconds
         if i == self.leader:
             self.run(min(seconds, LEADER_LEASE_S))
             if self.now < end - 1e-6:
                 self.stale_relay = self.relays[i]
-                self.stale_order = HeartbeatSequence(AgentEpoch(1), 10**6)
+                self.stale_sequence = HeartbeatSequence(AgentEpoch(1), 10**6)
                 self.elect()
         if end > self.now:
             self.run(end - self.now)
-        self.asleep = None
+        self.stalled_node = None
 
     def after(self, seconds: float, action: Any) -> None:
         self.action_number += 1
@@ -131,7 +132,7 @@
         ]
         for _, _, action in due:
             action()
-        if self.asleep != self.leader:
+        if self.stalled_node != self.leader:
             self.exchange_peer_heartbeats(MonotonicTime(self.now))
         super().step(dt)
         assert self.scheduler is not None
@@ -142,16 +143,19 @@
                 self.scheduler.record_probe_success(machine, MonotonicTime(self.now))
         for node, machines in self.scheduler.take_machines_needing_command().items():
             i = int(node[1:])
-            if not self.chance("mesh_lost") and i not in self.cut:
+            if not self.chance("mesh_lost") and i not in self.cut_off_nodes:
                 for machine in machines:
                     self.relays[i].request_next_heartbeat(machine)
 
     def isolated_nodes(self) -> set[int | None]:
-        """Return the nodes that can't communicate with peers; workers may reach those in `cut`."""
-        return self.cut | {self.asleep}
+        """Return the nodes that can't communicate with peers.
+
+        Workers may reach those in `cut_off_nodes`.
+        """
+        return self.cut_off_nodes | {self.stalled_node}
 
     def leader_runs(self) -> bool:
-        return self.asleep != self.leader
+        return self.stalled_node != self.leader
 
     def exchange_peer_heartbeats(self, now: MonotonicTime) -> None:
         """Exchange heartbeats between the leader and its peers, which renews relay leases."""
@@ -166,7 +170,9 @@
             if i in isolated_nodes or self.chance("mesh_lost"):
                 continue
             unlimited = MachineShare(500, None)
-            share = shares.get(relay.label, unlimited) if self.shared_out else unlimited
+            share = (
+                shares.get(relay.label, unlimited) if self.enforces_machine_shares else unlimited
+            )
             leader_scheduler.record_relayed_heartbeats(
                 relay.label, relay.take_acknowledged(now), now
             )
@@ -200,7 +206,7 @@
         body = orjson.dumps(worker.report())
         obj = orjson.loads(body)
         sequence = HeartbeatSequence(AgentEpoch(obj["stint"]), obj["tally"])
-        heartbeat = Flight(
+        heartbeat = HeartbeatInFlight(
             self.now,
             worker.agent_epoch,
             sequence,
@@ -210,9 +216,9 @@
             worker.token,
         )
         self.heartbeats_in_flight[worker.id] = heartbeat
-        if self.chance("report_lost") or worker.id in self.silent:
+        if self.chance("report_lost") or worker.id in self.disconnected_machines:
             return
-        at = self.at.setdefault(worker.id, self.rng.randrange(self.nodes))
+        at = self.node_by_worker.setdefault(worker.id, self.rng.randrange(self.nodes))
         if self.chance("report_twice"):
             node = self.rng.randrange(self.nodes)
             self.delayed_copies += 1
@@ -221,28 +227,31 @@
         self.receive_heartbeat(worker, heartbeat, at)
 
     def move_worker(self, worker: WorkerSim, target: int | None) -> None:
-        at = self.at.get(worker.id, 0)
-        self.at[worker.id] = (at + 1) % self.nodes if target is None else target
+        at = self.node_by_worker.get(worker.id, 0)
+        self.node_by_worker[worker.id] = (at + 1) % self.nodes if target is None else target
         self.reports_due[worker.id] = self.now + (1.0 if target is None else 0.3)
 
-    def receive_heartbeat(self, worker: WorkerSim, heartbeat: Flight, at: int) -> None:
+    def receive_heartbeat(self, worker: WorkerSim, heartbeat: HeartbeatInFlight, at: int) -> None:
         """Handle a heartbeat, or a delayed copy of it, at node `at`."""
-        if at == self.asleep or at in self.unreachable_nodes:
+        if at == self.stalled_node or at in self.unreachable_nodes:
             return
-        if worker.zone == self.cut_zone and at not in self.cut:
+        if worker.zone == self.cut_zone and at not in self.cut_off_nodes:
             return
         relay, now = self.relays[at], MonotonicTime(self.now)
-        if worker.id in self.stale:
-            if heartbeat.token > self.stale_epoch:
-                self.stale.discard(worker.id)  # the heartbeat shows the node a newer token
+        if worker.id in self.machines_with_stale_leader:
+            if heartbeat.token > self.stale_leader_token:
+                # The heartbeat shows the node a newer token.
+                self.machines_with_stale_leader.discard(worker.id)
             else:
                 self.answer(
                     worker,
                     heartbeat,
-                    workers.heartbeat_response_body(FencingToken(self.stale_epoch), []),
+                    workers.heartbeat_response_body(FencingToken(self.stale_leader_token), []),
                 )
                 return
-        leader_reachable = at == self.leader or (at not in self.cut and self.leader not in self.cut)
+        leader_reachable = at == self.leader or (
+            at not in self.cut_off_nodes and self.leader not in self.cut_off_nodes
+        )
         decision = relay.handle_heartbeat(
             MachineId(worker.id),
             heartbeat.sequence,
@@ -273,8 +282,10 @@
                     del self.heartbeats_in_flight[worker.id]
                     self.move_worker(worker, None)
 
-    def on_reply_timeout(self, worker: WorkerSim, heartbeat: Flight, relay: HeartbeatRelay) -> None:
-        asleep = self.asleep is not None and relay is self.relays[self.asleep]
+    def on_reply_timeout(
+        self, worker: WorkerSim, heartbeat: HeartbeatInFlight, relay: HeartbeatRelay
+    ) -> None:
+        asleep = self.stalled_node is not None and relay is self.relays[self.stalled_node]
         if (
             not asleep
             and self.heartbeats_in_flight.get(worker.id) is heartbeat
@@ -286,14 +297,14 @@
     def handle_forwarded(
         self,
         worker: WorkerSim,
-        heartbeat: Flight,
+        heartbeat: HeartbeatInFlight,
         at: int,
         relay: HeartbeatRelay,
         relay_token: FencingToken,
     ) -> None:
         leader_scheduler, now = self.scheduler, MonotonicTime(self.now)
         assert leader_scheduler is not None
-        if self.asleep in (at, self.leader):
+        if self.stalled_node in (at, self.leader):
             return
         if relay_token != leader_scheduler.token:
             return  # the leader has changed
@@ -312,7 +323,7 @@
         delay = self.rng.uniform(0.0, self.faults.get("mesh_delay", 0.05))
 
         def deliver_reply() -> None:
-            if self.relays[at] is relay and at != self.asleep:
+            if self.relays[at] is relay and at != self.stalled_node:
                 relay.on_leader_response(
                     machine, heartbeat.sequence, heartbeat.has_notice, heartbeat.tasks, wants_next
                 )
@@ -333,7 +344,7 @@
             workers.commands_response_body(self.scheduler.token, commands), launches, len(commands)
         )
 
-    def answer(self, worker: WorkerSim, heartbeat: Flight, body: bytes) -> None:
+    def answer(self, worker: WorkerSim, heartbeat: HeartbeatInFlight, body: bytes) -> None:
         if self.heartbeats_in_flight.get(worker.id) is not heartbeat:
             return  # for a copy, or too late: the worker no longer waits for it
         if self.chance("answer_lost") or worker.id in self.unresponsive:
@@ -346,7 +357,9 @@
             return
         self.deliver_response(worker, heartbeat, body)
 
-    def deliver_response(self, worker: WorkerSim, heartbeat: Flight, body: bytes) -> None:
+    def deliver_response(
+        self, worker: WorkerSim, heartbeat: HeartbeatInFlight, body: bytes
+    ) -> None:
         if (
             self.heartbeats_in_flight.get(worker.id) is not heartbeat
             or self.now - heartbeat.sent_at > RESPONSE_TIMEOUT_S
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -118,9 +118,9 @@
     """Without direct kills, the new leader would have to delete all these machines: they answer its
     `/show` probes, but it receives no heartbeats from them."""
     world = loaded_world(seed, order_lost=order_lost)
-    world.stale = set(world.cloud.machines)
+    world.machines_with_stale_leader = set(world.cloud.machines)
     assert world.scheduler is not None
-    world.stale_epoch = world.scheduler.token
+    world.stale_leader_token = world.scheduler.token
     world.elect()
     cancel_all(world)
     world.outage_until = world.now + 46.0
@@ -141,9 +141,9 @@
     cancelled tasks keep running unless the machines are deleted."""
     world = loaded_world(seed)
     victims = sorted(m.id for m in world.cloud.machines.values() if m.on())[:3]
-    world.stale = set(victims)
+    world.machines_with_stale_leader = set(victims)
     assert world.scheduler is not None
-    world.stale_epoch = world.scheduler.token
+    world.stale_leader_token = world.scheduler.token
     world.elect()
 
     def only_shows(scheduler: Scheduler, now: MonotonicTime) -> None:
@@ -164,7 +164,10 @@
     leader's token. Without a direct kill, a cancelled task would run until the cloud recovers."""
     world = loaded_world(2, order_lost=0.5)
     assert world.scheduler is not None
-    world.stale, world.stale_epoch = set(world.cloud.machines), world.scheduler.token
+    world.machines_with_stale_leader, world.stale_leader_token = (
+        set(world.cloud.machines),
+        world.scheduler.token,
+    )
     world.elect()
     world.run(9.0)  # by then, the list of the cloud contains the machines
     world.cloud_down_until = world.now + 60.0
@@ -549,7 +552,10 @@
     world = loaded_world(seed)
     scheduler = world.scheduler
     assert scheduler is not None
-    world.stale, world.stale_epoch = set(world.cloud.machines), scheduler.token
+    world.machines_with_stale_leader, world.stale_leader_token = (
+        set(world.cloud.machines),
+        scheduler.token,
+    )
     now = MonotonicTime(world.now)
     world.cancel("wk-0")
     pending = scheduler.next_transaction(now, 2)
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -44,7 +44,7 @@
     for i in range(world.nodes):
         if i != remaining:
             world.relays[i] = world.new_relay(i)
-            world.cut.add(i)
+            world.cut_off_nodes.add(i)
 
 
 def spot_machines_get_preemption_notice(world: RelayWorld) -> None:
@@ -94,7 +94,11 @@
     }
     world.run(12)
     if event is one_node_remains:
-        reporting_nodes = {world.at[name] for name in world.cloud.machines if name in world.at}
+        reporting_nodes = {
+            world.node_by_worker[name]
+            for name in world.cloud.machines
+            if name in world.node_by_worker
+        }
         assert reporting_nodes == {world.leader}, (
             "some machines did not switch to the remaining node"
         )
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -72,9 +72,9 @@
     w.submit(ONE, run_s=40.0, parcels=12)
     w.run(16)
     silent_machines = busy(w)[:2]
-    w.silent = {m.id for m in silent_machines}
+    w.disconnected_machines = {m.id for m in silent_machines}
     w.run(silence_s)
-    w.silent.clear()
+    w.disconnected_machines.clear()
     assert [m.deleted for m in silent_machines] == [deleted, deleted]
     w.run(5)
     w.left_waiting_s = WAIT_S
@@ -92,7 +92,7 @@
     if cancel_after_s < 0:
         w.cancel(ONE)
         w.run(-cancel_after_s)
-    w.silent = silent_machine_ids
+    w.disconnected_machines = silent_machine_ids
     w.run(max(0.0, cancel_after_s))
     w.cancel(ONE)
     assert_gone_within_cancel_s(w)
@@ -228,7 +228,7 @@
     unreachable = busy(w)[:2]
     unreachable_ids = {m.id for m in unreachable}
     w.unresponsive = unreachable_ids if how.startswith("unresponsive") else set()
-    w.silent = unreachable_ids if how == "silent" else set()
+    w.disconnected_machines = unreachable_ids if how == "silent" else set()
     for m in unreachable:
         m.hangs_until = w.now + 7.0 if how == "hang" else -1.0
     w.crash(w.leader)
@@ -237,7 +237,7 @@
         w.run(60)
         assert all(m.deleted for m in unreachable)
     else:
-        w.unresponsive, w.silent = set(), set()
+        w.unresponsive, w.disconnected_machines = set(), set()
         assert not any(m.deleted for m in unreachable)
     finish(w)
     if how == "hang":
@@ -260,11 +260,11 @@
     w.submit(TWO, run_s=30.0, parcels=20)
     w.run(18)
     node = w.leader if cut_node_leads else next(i for i in range(w.nodes) if i != w.leader)
-    w.shared_out = False
-    w.cut, w.cut_zone = {node}, "a"
+    w.enforces_machine_shares = False
+    w.cut_off_nodes, w.cut_zone = {node}, "a"
     for m in w.cloud.machines.values():
         if m.zone == "a":
-            w.at[m.id] = node
+            w.node_by_worker[m.id] = node
     if cloud_down:
         w.cloud_down_until = w.now + 60.0
     w.run(3)
@@ -272,7 +272,7 @@
         w.elect()
     w.cancel(ONE)
     w.run(45)
-    w.cut, w.cut_zone, w.shared_out = set(), None, True
+    w.cut_off_nodes, w.cut_zone, w.enforces_machine_shares = set(), None, True
     finish(w)
     assert w.told == {ONE: "aborted", TWO: "done"}
 
@@ -292,9 +292,9 @@
     w.cancel("wk-000090")
     w.run(1)
     machine_ids_before = set(w.cloud.machines)
-    w.asleep, w.unreachable_nodes = w.leader, set(range(w.nodes))
+    w.stalled_node, w.unreachable_nodes = w.leader, set(range(w.nodes))
     w.run(gap)
-    w.asleep, w.unreachable_nodes = None, set()
+    w.stalled_node, w.unreachable_nodes = None, set()
     for i in range(w.nodes):
         w.crash(i)
     w.unreachable_nodes = {i for i in range(w.nodes) if i != w.leader}  # the others return later
@@ -851,7 +851,7 @@
     unreachable = busy(w)[:2]
     unreachable_ids = {m.id for m in unreachable}
     w.unresponsive = unreachable_ids if how == "unresponsive" else set()
-    w.silent = unreachable_ids if how == "silent" else set()
+    w.disconnected_machines = unreachable_ids if how == "silent" else set()
     for m in unreachable:
         m.hangs_until = w.now + 30.0 if how == "hang" else -1.0
     w.submit(TWO, run_s=5.0, parcels=30, crew="t1")
@@ -861,7 +861,7 @@
     w.run(8)
     w.crash(w.leader)
     w.run(25)
-    w.unresponsive, w.silent = set(), set()
+    w.unresponsive, w.disconnected_machines = set(), set()
     w.left_waiting_s = WAIT_S
     finish(w)
     assert w.told == {ONE: "aborted", TWO: "done"}
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -268,14 +268,14 @@
         leader_scheduler.token, world.relays[old_leader].label, now, now, 500, None
     )
     for name in [name for name, m in world.cloud.machines.items() if m.tasks][:2]:
-        world.at[name] = old_leader
+        world.node_by_worker[name] = old_leader
     before = {name: m for name, m in world.cloud.machines.items() if m.tasks}
-    assert any(world.at[name] == old_leader for name in before)
-    world.cut.add(old_leader)
+    assert any(world.node_by_worker[name] == old_leader for name in before)
+    world.cut_off_nodes.add(old_leader)
     world.run(leader_lease_s := 3.0)
     world.elect()
     world.run(20 - leader_lease_s)
-    assert not any(world.at[name] == old_leader for name in world.cloud.machines)
+    assert not any(world.node_by_worker[name] == old_leader for name in world.cloud.machines)
     assert all(m.agent_epoch == 1 for m in before.values()), "a lease ran out"
     assert all(name in world.cloud.machines for name in before), "a healthy machine was deleted"
 
@@ -294,12 +294,12 @@
     leader_scheduler = world.scheduler
     assert leader_scheduler is not None
     node = world.leader if leads else next(i for i in range(world.nodes) if i != world.leader)
-    world.shared_out = False
+    world.enforces_machine_shares = False
     for name in world.cloud.machines:
-        world.at[name] = node
+        world.node_by_worker[name] = node
     world.run(3)
     before = {name for name, m in world.cloud.machines.items() if m.tasks}
-    assert sum(world.at[name] == node for name in before) >= 4
+    assert sum(world.node_by_worker[name] == node for name in before) >= 4
     for name in before:
         world.reports_due[name] = world.now + 1.25 * world.settings.report_s
     world.unreachable_nodes.add(node)
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -143,7 +143,7 @@
         before = {name for name, m in world.cloud.machines.items() if m.tasks}
         old, stalled_node = world.scheduler, world.leader
         assert old is not None
-        world.sleep(stalled_node, stall_s)
+        world.stall_node(stalled_node, stall_s)
         if stall_s > 3.0:
             assert world.scheduler is not old
             now = MonotonicTime(world.now)
@@ -165,7 +165,7 @@
             assert isinstance(
                 world.stale_relay.handle_heartbeat(
                     MachineId("n-000001"),
-                    world.stale_order,
+                    world.stale_sequence,
                     FencingToken(old.token),
                     False,
                     [],
@@ -192,7 +192,7 @@
     world.run(16)
     relay = next(i for i in range(world.nodes) if i != world.leader)
     before = {name for name, m in world.cloud.machines.items() if m.tasks}
-    world.sleep(relay, 20.0)
+    world.stall_node(relay, 20.0)
     assert all(
         world.cloud.machines[n].agent_epoch == 1 for n in before if n in world.cloud.machines
     )
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -696,7 +696,9 @@
         if rng.random() < 0.5:
             world.crash(rng.randrange(world.nodes))
         else:
-            world.sleep(rng.choice([world.leader, rng.randrange(world.nodes)]), rng.uniform(2, 8))
+            world.stall_node(
+                rng.choice([world.leader, rng.randrange(world.nodes)]), rng.uniform(2, 8)
+            )
         world.submit(f"wk-{len(todo)}", parcels=20, urgency="urgent")
         if version.old_chains:
             world.submit(f"wk-{len(todo)}c", parcels=5, awaits=[f"wk-{len(todo)}", "wk-000000"])
