--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -342,7 +342,7 @@
     finish(world, 1.0)
     for job in world.jobs:
         cancelled_jobs = [
-            n for n in (job, *world.before(job)) if world.end_in_store(n) == users.CANCELLED
+            n for n in (job, *world.upstream_jobs(job)) if world.end_in_store(n) == users.CANCELLED
         ]
         assert (world.end_in_store(job) == users.CANCELLED) is bool(cancelled_jobs)
 
@@ -368,7 +368,7 @@
         assert record["awaits"]
     for i in (1, 2, 3):
         assert scheduler.job_status(JobId(f"wk-0-{i}")).state == users.CANCELLED  # type: ignore[union-attr]
-    world.told = {f"wk-0-{i}": users.CANCELLED for i in range(4)}
+    world.reported_outcomes = {f"wk-0-{i}": users.CANCELLED for i in range(4)}
     from eldercart.wire.stored_jobs import encode_job_record
     from eldercart.wire.stored_placements import max_tasks_per_chunk
 
@@ -713,7 +713,7 @@
         world.submit(f"wk-{i}", parcels=1, awaits=[dependency], run_s=1.0)
     world.run(8.0)
     world.cancel("wk-root")
-    while "wk-root" not in world.told:
+    while "wk-root" not in world.reported_outcomes:
         world.step(0.1)
     if "leader" in trouble:
         world.elect()
@@ -895,7 +895,7 @@
     for _ in range(50):
         world.step(0.1)
         world.poll_all()
-    assert not world.told
+    assert not world.reported_outcomes
     finish(world)
     assert {world.end_in_store(job) for job in world.jobs} == {users.CANCELLED}
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -66,7 +66,7 @@
     submit_all(world)
     finish(world)
     world.run(5)
-    assert set(world.told.values()) == {"done"}, name
+    assert set(world.reported_outcomes.values()) == {"done"}, name
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -89,7 +89,7 @@
     world = World(1)
     world.submit("wk-000001", parcels=4)
     world.run(12)
-    assert world.started
+    assert world.started_attempts
     # A transaction with an unknown outcome may leave the end and its cleanup marker in the store,
     # with all other records unchanged.
     for key, value in (("end/wk-000001", {"e": "done", "n": 4}), ("gone/wk-000001", {"e": "done"})):
@@ -99,7 +99,7 @@
     world.submit("wk-000002")
     finish(world)
     world.run(20)
-    assert world.told["wk-000002"] == "done"
+    assert world.reported_outcomes["wk-000002"] == "done"
     assert (
         not world.store.range("job/")
         and not world.store.range("gone/")
@@ -153,11 +153,11 @@
     world = World(4, capacity=3)
     world.submit("wk-000001", run_s=5.0, parcels=60)
     world.run(25)
-    before = set(world.started)
+    before = set(world.started_attempts)
     world.outage_until = world.now + 20
     world.run(19)
     assert all(worker.agent_epoch == 1 for worker in world.cloud.machines.values())
-    assert world.started - before, "no task from a prelaunch queue was started"
+    assert world.started_attempts - before, "no task from a prelaunch queue was started"
     finish(world)
 
 
@@ -170,7 +170,7 @@
     world.run(at)
     world.cancel("wk-000001")
     finish(world)
-    assert world.told["wk-000001"] == "aborted"
+    assert world.reported_outcomes["wk-000001"] == "aborted"
     world.run(40)
     assert not any(
         key.startswith("wk-000001/")
@@ -202,7 +202,7 @@
     # state before it.
     status = leader.job_status(JobId("wk-000001"))
     assert isinstance(status, JobStatus) and status.state != "done" and status.done_count == 6
-    assert "wk-000001" not in world.told
+    assert "wk-000001" not in world.reported_outcomes
     finish(world)
 
 
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -204,7 +204,7 @@
     for node in range(burst.nodes):
         burst.crash(node)
     finish(burst, 200.0)
-    assert set(burst.told.values()) == {"done"} and len(burst.told) == 10
+    assert set(burst.reported_outcomes.values()) == {"done"} and len(burst.reported_outcomes) == 10
 
 
 def test_scale_out_requests_ask_for_many_machines_at_once() -> None:
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -568,12 +568,12 @@
             pending, TransactionOutcome.COMMITTED, Revision(answer["ledgerRev"]), (), now
         )
         for job, outcome in scheduler.take_finished_jobs():
-            world.tell(job, outcome)
+            world.record_reported_outcome(job, outcome)
     world.elect()
     if write == "carried out late":
         assert world.scheduler is not None
         assert world.scheduler.cancel_job(JobId("wk-0"), MonotonicTime(world.now)) == "aborted"
-        world.tell("wk-0", "aborted")
+        world.record_reported_outcome("wk-0", "aborted")
     cancel_all(world)
     world.outage_until = world.now + 46.0
     world.run(4.0)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1050,7 +1050,7 @@
             MonotonicTime(w.now),
         )
     assert not w.scheduler.cluster_state.dirty_jobs and not w.store.too_large
-    w.check_kept()
+    w.check_placements_are_stored()
     assert {s.key for s in placement_records.by_key.values() if s.version} >= {
         i["path"] for i in w.store.range("place/")
     }
@@ -1346,7 +1346,7 @@
 def run_until_all_ended(w: World, seconds: float = 500.0) -> None:
     for _ in range(int(seconds)):
         w.run(1)
-        w.check_kept()
+        w.check_placements_are_stored()
         if w.all_ended():
             return
     raise AssertionError([j for j in w.jobs if f"end/{j}" not in w.store.keys])
@@ -1378,7 +1378,7 @@
         submit_small_job(w, f"wk-00020{n}", w.rng.randrange(1, 120), w.rng.uniform(5, 20))
         w.run(w.rng.uniform(0, 8))
         w.elect()
-        w.check_kept()
+        w.check_placements_are_stored()
     if w.rng.random() < 0.5:
         w.cancel("wk-000200")
     run_until_all_ended(w)
@@ -1450,7 +1450,7 @@
         for key, names in large.items():
             if w.store.item(key) is None:
                 assert not [j for j in names if w.store.item(f"job/{j}")], key
-        w.check_kept()
+        w.check_placements_are_stored()
         if w.all_ended():
             break
     w.run(5)
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -104,4 +104,4 @@
         )
     assert initial_machines - affected <= set(world.cloud.machines), "a healthy machine was deleted"
     finish(world, 200.0)
-    assert set(world.told.values()) == {"done"} and len(world.told) == 12
+    assert set(world.reported_outcomes.values()) == {"done"} and len(world.reported_outcomes) == 12
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -55,7 +55,7 @@
 
     `World.check` fails meanwhile if a task outlives the limit."""
     w.run(w.settings.cancel_s + 3.0)
-    assert w.told[job] == "aborted"
+    assert w.reported_outcomes[job] == "aborted"
     assert not [k for m in w.cloud.machines.values() for k in m.on() if k.startswith(job)]
 
 
@@ -77,9 +77,9 @@
     w.disconnected_machines.clear()
     assert [m.deleted for m in silent_machines] == [deleted, deleted]
     w.run(5)
-    w.left_waiting_s = WAIT_S
+    w.max_wait_with_free_capacity_s = WAIT_S
     finish(w)
-    assert w.told[ONE] == "done"
+    assert w.reported_outcomes[ONE] == "done"
 
 
 @pytest.mark.parametrize("cancel_after_s", [-2.0, 0.0, 5.0])
@@ -149,7 +149,9 @@
     w.cancel("wk-000090")
     finish(w)
     w.run(35)
-    assert w.told.pop("wk-000090") == "aborted" and set(w.told.values()) == {"done"}
+    assert w.reported_outcomes.pop("wk-000090") == "aborted" and set(
+        w.reported_outcomes.values()
+    ) == {"done"}
 
 
 # -- jobs bound to one zone lose machines
@@ -176,9 +178,9 @@
             m.hangs_until = 1e9
     w.crash(w.leader)
     w.run(20)
-    w.left_waiting_s = WAIT_S
+    w.max_wait_with_free_capacity_s = WAIT_S
     finish(w)
-    assert set(w.told.values()) == {"done"}
+    assert set(w.reported_outcomes.values()) == {"done"}
 
 
 def test_scale_out_uses_the_only_zone_that_the_other_tasks_allow() -> None:
@@ -241,7 +243,9 @@
         assert not any(m.deleted for m in unreachable)
     finish(w)
     if how == "hang":
-        assert all(w.starts[key] == 1 for key in w.starts), "a task was started again without need"
+        assert all(w.start_counts[key] == 1 for key in w.start_counts), (
+            "a task was started again without need"
+        )
 
 
 # -- a zone is partitioned together with a node
@@ -274,7 +278,7 @@
     w.run(45)
     w.cut_off_nodes, w.cut_zone, w.enforces_machine_shares = set(), None, True
     finish(w)
-    assert w.told == {ONE: "aborted", TWO: "done"}
+    assert w.reported_outcomes == {ONE: "aborted", TWO: "done"}
 
 
 # -- nodes stop and return
@@ -308,10 +312,12 @@
         if c.inventory.is_deleted(MachineId(n))
     ]
     w.run(10)
-    w.left_waiting_s = WAIT_S
+    w.max_wait_with_free_capacity_s = WAIT_S
     finish(w)
     w.run(35)
-    assert w.told.pop("wk-000090", "aborted") == "aborted" and set(w.told.values()) == {"done"}
+    assert w.reported_outcomes.pop("wk-000090", "aborted") == "aborted" and set(
+        w.reported_outcomes.values()
+    ) == {"done"}
 
 
 @pytest.mark.parametrize("late_s", [0.0, 0.5, 3.0])
@@ -369,13 +375,15 @@
     w.submit("wk-000090", run_s=100.0)
     for i in range(40):
         w.run(1.0)
-        w.check_kept()
+        w.check_placements_are_stored()
         if i % 8 == 0:
             w.submit(f"wk-0001{i:02d}", run_s=3.0, parcels=5)
     w.cancel("wk-000090")
     finish(w)
     w.run(20)
-    assert w.told.pop("wk-000090") == "aborted" and set(w.told.values()) == {"done"}
+    assert w.reported_outcomes.pop("wk-000090") == "aborted" and set(
+        w.reported_outcomes.values()
+    ) == {"done"}
     assert not w.store.range("job/")
 
 
@@ -416,7 +424,7 @@
                 MonotonicTime(w.now),
             )
     assert pending is not None and (pending.deleted_records or pending.orphaned_keys)
-    w.told.update(c.take_finished_jobs())
+    w.reported_outcomes.update(c.take_finished_jobs())
     if is_committed:
         w.store.txn(pending.transaction.body())
     else:
@@ -427,7 +435,7 @@
     w.run(8)
     w.submit(TWO, run_s=3.0)
     w.run(40)
-    assert w.told[TWO] == "done"
+    assert w.reported_outcomes[TWO] == "done"
 
 
 # -- requests race with the end of the last task
@@ -489,7 +497,7 @@
         # The scheduler drops a finished job at once. The node answers from the outcomes that it has
         # just taken.
         assert c.take_finished_jobs() == [(ONE, expected_status)]
-        w.tell(ONE, expected_status)
+        w.record_reported_outcome(ONE, expected_status)
         assert c.cancel_job(ONE, now) in (cancel_result, LookupFailure.UNKNOWN_JOB)
     elif expected_status is JobStatus:
         assert isinstance(status, JobStatus) and status.state in ("pending", "running")
@@ -501,7 +509,7 @@
         version = Revision(w.store.txn(pending.transaction.body())[1]["ledgerRev"])
         c.on_transaction_result(pending, TransactionOutcome.COMMITTED, version, (), now)
     w.run(30)
-    assert w.told == {ONE: outcome}
+    assert w.reported_outcomes == {ONE: outcome}
     assert w.store.keys[f"end/{ONE}"][0]["e"] == outcome
 
 
@@ -592,7 +600,7 @@
     assert machine.placements == placements_before and machine.last_heartbeat_at == heartbeat_at
     assert not any(p.phase is PlacementPhase.ENDED for p in placements_before.values())
     finish(w)
-    assert all(n == 1 for n in w.starts.values())
+    assert all(n == 1 for n in w.start_counts.values())
 
 
 @pytest.mark.parametrize(
@@ -651,7 +659,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_jobs_finish_under_overload_with_slow_peer_links(seed: int) -> None:
     w = RelayWorld(seed, capacity=3, mesh_delay=2.5, mesh_lost=0.05, answer_slow=0.1)
-    w.left_waiting_s = WAIT_S
+    w.max_wait_with_free_capacity_s = WAIT_S
     for i in range(30):
         urgency = ("urgent", "standard", "idle")[i % 3]
         w.submit(
@@ -666,7 +674,7 @@
         w.run(1.0)
     w.faults = {}
     finish(w, 900.0)
-    assert set(w.told.values()) == {"done"}
+    assert set(w.reported_outcomes.values()) == {"done"}
 
 
 @pytest.mark.parametrize(
@@ -706,9 +714,9 @@
     c.jobs.jobs[TWO].prefers_on_demand = how == "kept, job prefers on-demand"
     if how == "avoided":
         c.jobs.jobs[TWO].avoid_machine(m.id, MonotonicTime(w.now))
-    w.left_waiting_s = WAIT_S
+    w.max_wait_with_free_capacity_s = WAIT_S
     w.run(within_s)
-    assert w.starts[f"{TWO}/0"] == 1
+    assert w.start_counts[f"{TWO}/0"] == 1
 
 
 # -- tasks that end far apart
@@ -734,8 +742,8 @@
         assert f"end/{ONE}" not in w.store.keys
         w.crash(w.leader)
     finish(w)
-    assert w.told == {ONE: "done"} and w.now > ends[-1]
-    assert dict(w.starts) == {f"{ONE}/{i}": 1 for i in range(task_count)}
+    assert w.reported_outcomes == {ONE: "done"} and w.now > ends[-1]
+    assert dict(w.start_counts) == {f"{ONE}/{i}": 1 for i in range(task_count)}
 
 
 # -- commands or answers are delayed, or a machine recovers before its deletion
@@ -759,7 +767,10 @@
     w.faults = {}
     finish(w)
     w.run(31)
-    assert {j for j, how in w.told.items() if how == "aborted"} == {"wk-000090", "wk-000091"}
+    assert {j for j, how in w.reported_outcomes.items() if how == "aborted"} == {
+        "wk-000090",
+        "wk-000091",
+    }
 
 
 @pytest.mark.parametrize(
@@ -800,7 +811,7 @@
     w = RelayWorld(seed, capacity=6)
     w.submit(ONE, run_s=60.0, parcels=8)
     w.submit(TWO, run_s=2.0, parcels=12)
-    while TWO not in w.told:
+    while TWO not in w.reported_outcomes:
         w.step(0.1)
     (hung, *_) = [m for m in busy(w) if any(k.startswith(ONE) for k in m.on())]
     w.cloud_down_until = w.now + 25.0
@@ -811,7 +822,7 @@
         and hung.on()
     )
     finish(w)
-    assert w.told == {ONE: "done", TWO: "done"}
+    assert w.reported_outcomes == {ONE: "done", TWO: "done"}
 
 
 def test_machines_with_cancelled_tasks_are_deleted_first() -> None:
@@ -862,6 +873,6 @@
     w.crash(w.leader)
     w.run(25)
     w.unresponsive, w.disconnected_machines = set(), set()
-    w.left_waiting_s = WAIT_S
+    w.max_wait_with_free_capacity_s = WAIT_S
     finish(w)
-    assert w.told == {ONE: "aborted", TWO: "done"}
+    assert w.reported_outcomes == {ONE: "aborted", TWO: "done"}
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -230,7 +230,7 @@
     world = RelayWorld(seed, **faults)
     submit_all(world)
     finish(world)
-    assert set(world.told.values()) == {"done"}
+    assert set(world.reported_outcomes.values()) == {"done"}
     answered = sum(r.machine_count for r in world.relays)
     assert answered > 0 and world.relays[world.leader].machine_count < answered
 
@@ -320,7 +320,7 @@
     world.run(60)
     assert victim.deleted
     finish(world)
-    assert world.told == {"wk-000001": "done", "wk-000002": "done"}
+    assert world.reported_outcomes == {"wk-000001": "done", "wk-000002": "done"}
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -371,7 +371,7 @@
         leader_scheduler.inventory.machines[MachineId("n-999998")]
     )
     finish(world)
-    assert world.told[JobId("wk-000001")] == "done"
+    assert world.reported_outcomes[JobId("wk-000001")] == "done"
 
 
 @pytest.mark.parametrize(("answers_probes", "deleted"), [(True, False), (False, True)])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -96,7 +96,7 @@
                 )
         for machine in list(world.cloud.machines.values()):
             world.serve_worker(scheduler, machine, now, 0.1)
-        world.check_kept()
+        world.check_placements_are_stored()
         if sum(f"end/{job}" in world.store.keys for job in world.jobs) == len(world.jobs) - 1:
             break
     assert {j for j in world.jobs if f"end/{j}" not in world.store.keys} == {"wk-000099"}
@@ -200,10 +200,10 @@
     )
     for _ in range(50):
         world.run(0.1)
-        world.check_kept()
+        world.check_placements_are_stored()
     assert len(world.store.range("place/")) == 3
     world.elect()
-    world.check_kept()
+    world.check_placements_are_stored()
 
 
 def test_placement_records_of_releases_before_0_2_are_read() -> None:
@@ -247,7 +247,7 @@
     world.run(10)
     world.submit("wk-900000", **({"parcels": 40, "run_s": 5.0, "dueS": 90.0} | largest))
     submitted_at = world.now
-    while not any(key.startswith("wk-900000/") for key, _, _ in world.started):
+    while not any(key.startswith("wk-900000/") for key, _, _ in world.started_attempts):
         assert world.now - submitted_at < 75.0, "the largest job starves"
         submit_small_job()
         world.run(1.0)
@@ -255,7 +255,7 @@
         submit_small_job()
         world.run(1.0)
     finish(world, 900.0)
-    assert set(world.told.values()) == {"done"}
+    assert set(world.reported_outcomes.values()) == {"done"}
 
 
 def test_ageing_delays_short_jobs_little() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -224,10 +224,12 @@
         end = world.now + 400
         while not world.all_ended() and world.now < end:
             world.watch(1)
-            self.check_kept()
+            self.check_placements_are_stored()
         world.watch(3)
         cancelled = {
-            job for job in world.jobs if {job, *world.before(job)} & world.cancelled_at.keys()
+            job
+            for job in world.jobs
+            if {job, *world.upstream_jobs(job)} & world.cancelled_at.keys()
         }
         for job in world.jobs:
             expected = users.CANCELLED if job in cancelled else users.DONE
@@ -237,11 +239,11 @@
         if self.case.reduction is not None:
             self.check_reduced_limits()
         if self.expects_no_rerun:
-            restarted_tasks = {task: n for task, n in world.starts.items() if n > 1}
+            restarted_tasks = {task: n for task, n in world.start_counts.items() if n > 1}
             assert not restarted_tasks, "an upgrade alone must not run a task again"
 
-    def check_kept(self) -> None:
-        self.world.check_kept()
+    def check_placements_are_stored(self) -> None:
+        self.world.check_placements_are_stored()
 
     def check_leader_versions(self) -> None:
         assert self.world.led[0] is False and self.world.led[-1] is True
@@ -329,7 +331,7 @@
         world.watch(2)
         self.check_end()
 
-    def check_kept(self) -> None:
+    def check_placements_are_stored(self) -> None:
         """Compare the store with the machines, as the state of an earlier leader can't be read."""
         for machine in self.world.cloud.machines.values():
             for key, task in machine.on().items():
--- a/tests/versions/writing.py
+++ b/tests/versions/writing.py
@@ -53,7 +53,7 @@
                 pending, TransactionOutcome.COMMITTED, Revision(answer["ledgerRev"]), (), now
             )
             for job, how in c.take_finished_jobs():
-                self.tell(job, how)
+                self.record_reported_outcome(job, how)
 
     w = Refusing(3)
     for i in range(6):
--- a/tests/world.py
+++ b/tests/world.py
@@ -111,18 +111,19 @@
         self.faults = faults
         self.jobs: dict[str, dict[str, Any]] = {}
         self.cancelled_at: dict[str, float] = {}  # when the cancellation was reported to the user
-        self.told: dict[str, str] = {}  # job -> final state that was reported to the user
+        # Job -> final state that was reported to the user.
+        self.reported_outcomes: dict[str, str] = {}
         self.ended_at: dict[str, float] = {}  # when the end was reported to the user
         self.late: list[tuple[float, bytes]] = []  # (when it arrives, transaction)
         self.reports_due: dict[str, float] = {}  # machine -> when it sends its next heartbeat
-        self.started: set[tuple[str, int, str]] = set()  # (task, attempt, machine)
+        self.started_attempts: set[tuple[str, int, str]] = set()  # (task, attempt, machine)
         self._running_before: set[tuple[str, str]] = set()  # (task, machine) at the last step
-        self.starts: Counter[str] = Counter()  # number of starts by task
+        self.start_counts: Counter[str] = Counter()  # number of starts by task
         # For each job with waiting tasks: the number of tasks that are placed or done, and when it
         # changed last.
         self._waiting: dict[str, tuple[int, float]] = {}
         # How long a task may wait while a machine has room for it; None: not checked.
-        self.left_waiting_s: float | None = None
+        self.max_wait_with_free_capacity_s: float | None = None
         self.outage_until = -1.0
         self.unresponsive: set[str] = set()  # machines that no response and no command reaches
         self.orders = 0  # number of direct commands that arrived
@@ -315,17 +316,17 @@
                     self.elect()
                     return
         for job, outcome in scheduler.take_finished_jobs():
-            self.tell(job, outcome)
+            self.record_reported_outcome(job, outcome)
 
-    def tell(self, job: str, outcome: str) -> None:
+    def record_reported_outcome(self, job: str, outcome: str) -> None:
         """Record that the leader reports the end of the job, which must be durable by then."""
-        assert self.told.setdefault(job, outcome) == outcome, (
-            f"went_back: {job} was {self.told[job]}, is {outcome} now"
+        assert self.reported_outcomes.setdefault(job, outcome) == outcome, (
+            f"went_back: {job} was {self.reported_outcomes[job]}, is {outcome} now"
         )
         self.ended_at.setdefault(job, self.now)
         ends = [self.end_in_store(job)]
         if outcome == users.CANCELLED:
-            ends += [self.end_in_store(name) for name in self.before(job)]
+            ends += [self.end_in_store(name) for name in self.upstream_jobs(job)]
         assert outcome in ends, f"{job} was reported {outcome} before that was durable"
         if outcome == users.CANCELLED:
             self.cancelled_at.setdefault(job, self.now)
@@ -389,7 +390,7 @@
 
     # -- the invariants
 
-    def check_kept(self) -> None:
+    def check_placements_are_stored(self) -> None:
         """Check that every placement that may be on a machine is in the store.
 
         A new leader can find it only there.
@@ -458,11 +459,11 @@
             if not isinstance(status, JobStatus):
                 continue
             if status.state not in (users.DONE, users.CANCELLED):
-                assert job not in self.told, (
-                    f"went_back: {job} was {self.told[job]}, is {status.state} now"
+                assert job not in self.reported_outcomes, (
+                    f"went_back: {job} was {self.reported_outcomes[job]}, is {status.state} now"
                 )
                 if self.now >= self.outage_until:
-                    for name in self.before(job):
+                    for name in self.upstream_jobs(job):
                         since = self.cancelled_at.get(name)
                         overdue = since is not None and self.now - since > self.settings.cancel_s
                         assert not overdue, (
@@ -470,7 +471,7 @@
                             f" depends, was cancelled at {since}"
                         )
                 continue
-            ends = [self.end_in_store(name) for name in (job, *self.before(job))]
+            ends = [self.end_in_store(name) for name in (job, *self.upstream_jobs(job))]
             assert status.state in (users.DONE, users.CANCELLED)
             if status.state == users.DONE:
                 assert ends[0] == users.DONE, f"{job} was reported done before that was durable"
@@ -478,12 +479,12 @@
                 assert users.CANCELLED in ends, (
                     f"{job} was reported cancelled before that was durable"
                 )
-            assert self.told.setdefault(job, status.state) == status.state, (
-                f"went_back: {job} was {self.told[job]}, is {status.state} now"
+            assert self.reported_outcomes.setdefault(job, status.state) == status.state, (
+                f"went_back: {job} was {self.reported_outcomes[job]}, is {status.state} now"
             )
             assert spec is not None
 
-    def before(self, job: str) -> set[str]:
+    def upstream_jobs(self, job: str) -> set[str]:
         """Return all jobs that the job depends on, directly or through others."""
         seen: set[str] = set()
         unvisited = list(self.jobs[job].get("awaits") or ())
@@ -522,12 +523,12 @@
                 assert since is None or self.now - since <= self.settings.cancel_s, (
                     f"ran_cancelled: {key} runs on {worker.id}"
                 )
-                self.started.add((key, task.attempt, worker.id))
+                self.started_attempts.add((key, task.attempt, worker.id))
         running = set(machine_by_task.items())
-        self.starts.update(key for key, _ in running - self._running_before)
+        self.start_counts.update(key for key, _ in running - self._running_before)
         self._running_before = running
-        if self.left_waiting_s is not None:
-            self._check_waiting(cpus_by_team, self.left_waiting_s)
+        if self.max_wait_with_free_capacity_s is not None:
+            self._check_waiting(cpus_by_team, self.max_wait_with_free_capacity_s)
         for team in self.settings.teams.values():
             if team.cpus_max:
                 assert cpus_by_team.get(team.name, 0.0) <= team.cpus_max + 1e-6, (
