--- a/tests/behaviour_record.py
+++ b/tests/behaviour_record.py
@@ -425,7 +425,7 @@
             self.store = RecordingStore(self.recording)
         super().elect()
 
-    def new_controller(self, epoch: FencingToken) -> RecordingScheduler:
+    def new_scheduler(self, epoch: FencingToken) -> RecordingScheduler:
         scheduler = RecordingScheduler(
             self.settings,
             self.tuning,
@@ -690,7 +690,7 @@
     w.submit("wk-b", parcels=8, run_s=8.0, haulS=8.0, awaits=["wk-a"], dueS=60.0)
     w.submit("wk-c", parcels=4, run_s=40.0, haulS=40.0, crew="t1")
     w.submit("wk-d", parcels=4, awaits=["wk-b", "wk-c"])
-    w.submit("wk-e", parcels=4, parts=2, awaits=["wk-a", "wk-b", "wk-c"])
+    w.submit("wk-e", parcels=4, dependency_list_parts=2, awaits=["wk-a", "wk-b", "wk-c"])
     w.submit("wk-f", parcels=4, awaits=["wk-e"], urgency="urgent")
     w.submit("wk-g", parcels=6, awaits=["wk-a"], together=True)
     w.run(22)
--- a/tests/relay_world.py
+++ b/tests/relay_world.py
@@ -198,9 +198,9 @@
                 del self.heartbeats_in_flight[worker.id]
                 self.move_worker(worker, None)
             return
-        if self.now < self.reports_due.get(worker.id, 0.0):
+        if self.now < self.next_heartbeat_at.get(worker.id, 0.0):
             return
-        self.reports_due[worker.id] = self.now + self.settings.report_s * self.rng.uniform(
+        self.next_heartbeat_at[worker.id] = self.now + self.settings.report_s * self.rng.uniform(
             0.75, 1.25
         )
         body = orjson.dumps(worker.report())
@@ -229,7 +229,7 @@
     def move_worker(self, worker: WorkerSim, target: int | None) -> None:
         at = self.node_by_worker.get(worker.id, 0)
         self.node_by_worker[worker.id] = (at + 1) % self.nodes if target is None else target
-        self.reports_due[worker.id] = self.now + (1.0 if target is None else 0.3)
+        self.next_heartbeat_at[worker.id] = self.now + (1.0 if target is None else 0.3)
 
     def receive_heartbeat(self, worker: WorkerSim, heartbeat: HeartbeatInFlight, at: int) -> None:
         """Handle a heartbeat, or a delayed copy of it, at node `at`."""
--- a/tests/simulators.py
+++ b/tests/simulators.py
@@ -52,7 +52,7 @@
         self.log: list[tuple[int, dict[str, Any]]] = []
         self.next_lease = 1
         self.value_bytes = self.txn_ops = 10**9
-        self.too_large = 0  # number of transactions rejected for their size
+        self.too_large_count = 0  # number of transactions rejected for their size
 
     def txn(self, body: bytes) -> tuple[int, dict[str, Any]]:
         """Apply a transaction; return the HTTP status and the body of the response."""
@@ -64,7 +64,7 @@
             or len(body) > 64 * 1024
             or max(value_sizes, default=0) > self.value_bytes
         ):
-            self.too_large += 1
+            self.too_large_count += 1
             return 400, {"error": "too large"}
         failed = [
             g["path"] for g in obj["guards"] if self.keys.get(g["path"], (0, 0, 0))[1] != g["stamp"]
--- a/tests/test_chains.py
+++ b/tests/test_chains.py
@@ -594,8 +594,8 @@
     world = World(seed, **faults)
     world.submit("wk-a", parcels=2, run_s=3.0)
     world.submit("wk-b", parcels=2, run_s=3.0)
-    world.submit("wk-c", parcels=3, awaits=["wk-a", "wk-b"], run_s=3.0, parts=2)
-    world.submit("wk-d", parcels=3, awaits=["wk-c"], run_s=3.0, parts=1)
+    world.submit("wk-c", parcels=3, awaits=["wk-a", "wk-b"], run_s=3.0, dependency_list_parts=2)
+    world.submit("wk-d", parcels=3, awaits=["wk-c"], run_s=3.0, dependency_list_parts=1)
     world.store.keys["needs/wk-e/other/0"] = (["wk-a"], 1, None)  # its acceptance may be in flight
     for turn in range(12):
         world.run(1.5)
@@ -623,7 +623,7 @@
     for name in names:
         world.store.keys[f"end/{name}"] = ({"e": users.DONE, "n": 1}, 1, None)
         world.jobs[name] = submission(name)
-    world.submit("wk-last", parcels=1, awaits=names, run_s=1.0, parts=50)
+    world.submit("wk-last", parcels=1, awaits=names, run_s=1.0, dependency_list_parts=50)
     scheduler = world.scheduler
     assert scheduler is not None
     for _ in range(400):
@@ -635,7 +635,7 @@
     assert (
         not stored_list_keys(world)
         and not scheduler.transaction_writer.dependency_list_keys
-        and not world.too_large
+        and not world.too_large_count
     )
 
 
@@ -654,7 +654,7 @@
     world = World(0)
     world.store.keys["end/wk-a"] = ({"e": users.CANCELLED, "n": 1}, 1, None)
     world.jobs["wk-a"] = submission("wk-a")
-    world.submit("wk-c", parcels=1, awaits=["wk-a"], parts=1)
+    world.submit("wk-c", parcels=1, awaits=["wk-a"], dependency_list_parts=1)
     scheduler = world.scheduler
     assert scheduler is not None
     now = MonotonicTime(world.now)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -274,9 +274,9 @@
     seen: dict[str, int] = {}
     for _ in range(40):
         world.run(1)
-        for part in world.parts("wk-000001"):
-            assert part["a"] >= seen.get("wk-000001", 0)
-            seen["wk-000001"] = part["a"]
+        for chunk in world.stored_chunks("wk-000001"):
+            assert chunk["a"] >= seen.get("wk-000001", 0)
+            seen["wk-000001"] = chunk["a"]
         if world.rng.random() < 0.2:
             world.elect()
     assert seen
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1049,7 +1049,7 @@
             (),
             MonotonicTime(w.now),
         )
-    assert not w.scheduler.cluster_state.dirty_jobs and not w.store.too_large
+    assert not w.scheduler.cluster_state.dirty_jobs and not w.store.too_large_count
     w.check_placements_are_stored()
     assert {s.key for s in placement_records.by_key.values() if s.version} >= {
         i["path"] for i in w.store.range("place/")
@@ -1382,7 +1382,7 @@
     if w.rng.random() < 0.5:
         w.cancel("wk-000200")
     run_until_all_ended(w)
-    assert not w.too_large
+    assert not w.too_large_count
     puts = [e for _, e in w.store.log if e.get("put", "").startswith("place/")]
     assert any("n" in p[2] for e in puts for p in e["v"]["p"]), "chunks were subdivided"
 
@@ -1399,7 +1399,7 @@
     fall(w)
     submit_small_job(w, "wk-000100", 20, 5.0)
     w.run(60)
-    assert "end/wk-000100" in w.store.keys and w.too_large
+    assert "end/wk-000100" in w.store.keys and w.too_large_count
     assert "end/wk-000000" not in w.store.keys
     w.subchunks_supported = True
     run_until_all_ended(w)
@@ -1412,10 +1412,10 @@
     upgrade(w)
     fall(w)
     w.run(20)
-    before = w.too_large
+    before = w.too_large_count
     assert before
     w.run(60)
-    assert 1 <= w.too_large - before <= 4, "one chunk is retried once in twenty seconds"
+    assert 1 <= w.too_large_count - before <= 4, "one chunk is retried once in twenty seconds"
 
 
 def test_chunk_is_subdivided_until_its_record_is_accepted() -> None:
@@ -1427,7 +1427,7 @@
     w.run(1)
     w.store.value_bytes = 400
     w.run(40)
-    assert w.store.too_large
+    assert w.store.too_large_count
     run_until_all_ended(w, 200)
     puts = [e for _, e in w.store.log if e.get("put", "").startswith("place/")]
     subchunk_sizes = {p[2]["n"] for e in puts for p in e["v"]["p"] if "n" in p[2]}
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -407,7 +407,7 @@
     for _ in range(400):
         w.now += 0.1
         now = MonotonicTime(w.now)
-        w.lead(c, now)
+        w.run_leader_tick(c, now)
         w.serve_cloud(c, now)
         for m in list(w.cloud.machines.values()):
             w.serve_worker(c, m, now, 0.1)
@@ -428,7 +428,7 @@
     if is_committed:
         w.store.txn(pending.transaction.body())
     else:
-        w.late.append((w.now + 5.0, pending.transaction.body()))
+        w.delayed_transactions.append((w.now + 5.0, pending.transaction.body()))
     c.on_transaction_result(
         pending, TransactionOutcome.INDETERMINATE, Revision(0), (), MonotonicTime(w.now)
     )
@@ -484,7 +484,7 @@
         pending = c.next_transaction(now, 20)
         assert pending is not None and pending.ends
     if pending is not None and moment == "end unsure":
-        w.late.append((w.now + 3.0, pending.transaction.body()))
+        w.delayed_transactions.append((w.now + 3.0, pending.transaction.body()))
         c.on_transaction_result(pending, TransactionOutcome.INDETERMINATE, Revision(0), (), now)
     elif pending is not None and moment == "end refused":
         c.on_transaction_result(pending, TransactionOutcome.REJECTED, Revision(0), (), now)
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -58,7 +58,7 @@
 
 
 def test_planner_runs_soon_after_process_stall() -> None:
-    planner = Planner(World(1).new_controller(5).cluster_state)
+    planner = Planner(World(1).new_scheduler(5).cluster_state)
     planner.plan(MonotonicTime(100.0))
     planner.record_pass_duration(60.0)
     assert planner.is_due(MonotonicTime(111.0), 0)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -301,7 +301,7 @@
     before = {name for name, m in world.cloud.machines.items() if m.tasks}
     assert sum(world.node_by_worker[name] == node for name in before) >= 4
     for name in before:
-        world.reports_due[name] = world.now + 1.25 * world.settings.report_s
+        world.next_heartbeat_at[name] = world.now + 1.25 * world.settings.report_s
     world.unreachable_nodes.add(node)
     world.run(15)
     assert before <= set(world.cloud.machines), "a healthy machine was deleted"
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -78,7 +78,7 @@
     for _ in range(4000):
         world.now += 0.1
         now = MonotonicTime(world.now)
-        world.lead(scheduler, now)
+        world.run_leader_tick(scheduler, now)
         world.serve_cloud(scheduler, now)
         pending = scheduler.next_transaction(now, 20)
         if pending is not None:
@@ -112,8 +112,8 @@
     world.submit("wk-000001", run_s=30.0)
     world.submit("wk-000002", run_s=5.0)
     world.run(12)
-    (part,) = world.parts("wk-000001")
-    part |= {"a": "x", "d": [[0]], "r": None}
+    (chunk,) = world.stored_chunks("wk-000001")
+    chunk |= {"a": "x", "d": [[0]], "r": None}
     world.elect()
     scheduler = world.scheduler
     assert scheduler is not None
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -251,7 +251,7 @@
     def check_reduced_limits(self) -> None:
         """No transaction was rejected for its size, and no placement record exceeds the limit."""
         world = self.world
-        assert not world.too_large
+        assert not world.too_large_count
         placement_records = [orjson.dumps(i["v"]) for i in world.store.range("place/")]
         assert all(len(placement_record) <= 2048 for placement_record in placement_records)
 
@@ -283,7 +283,13 @@
         awaits = [f"wk-{name}{i}" for i in "abcd"]
         self.submit(f"wk-{name}e", parcels=2, cpus=1.0, run_s=2.0, awaits=awaits)
         self.world.submit(
-            f"wk-{name}f", parts=3, parcels=2, cpus=1.0, memGb=1.0, run_s=2.0, awaits=awaits
+            f"wk-{name}f",
+            dependency_list_parts=3,
+            parcels=2,
+            cpus=1.0,
+            memGb=1.0,
+            run_s=2.0,
+            awaits=awaits,
         )
 
     def run(self) -> None:
@@ -294,7 +300,7 @@
         self.submit("wk-open", parcels=8, cpus=1.0, run_s=60.0)
         self.world.submit(
             "wk-listed",
-            parts=2,
+            dependency_list_parts=2,
             parcels=2,
             cpus=1.0,
             memGb=1.0,
@@ -337,7 +343,9 @@
             for key, task in machine.on().items():
                 job, index = key.split("/")
                 if self.world.end_in_store(job) is None:
-                    stored = [entry for part in self.world.parts(job) for entry in part["r"]]
+                    stored = [
+                        entry for chunk in self.world.stored_chunks(job) for entry in chunk["r"]
+                    ]
                     kept = [int(index), task.attempt, machine.id] in stored
                     assert kept, f"not kept: {key}"
 
--- a/tests/versions/mixed.py
+++ b/tests/versions/mixed.py
@@ -41,11 +41,11 @@
         eligible = [i for i in free if self.wanted is None or (i in self.replaced) is self.wanted]
         return self.rng.choice(eligible or free)
 
-    def new_controller(self, epoch: FencingToken) -> Any:
+    def new_scheduler(self, epoch: FencingToken) -> Any:
         is_replaced = self.leader in self.replaced
         self.led.append(is_replaced)
         if is_replaced:
-            return super().new_controller(epoch)
+            return super().new_scheduler(epoch)
         old = OldController(self.earlier, self.platform, CATALOG, epoch, self.now, self.incarnation)
         return EarlierLeader(old, epoch)
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -106,7 +106,8 @@
         self.now = 100.0
         self.settings = parse_platform(faults.pop("platform", PLATFORM))
         self.subchunks_supported = False  # whether all nodes can read subchunks
-        self.too_large = 0  # number of transactions rejected for their size, except late copies
+        # Number of transactions rejected for their size, except late copies.
+        self.too_large_count = 0
         self.tuning = load_tuning(values=faults.pop("tuning", None))
         self.faults = faults
         self.jobs: dict[str, dict[str, Any]] = {}
@@ -114,8 +115,8 @@
         # Job -> final state that was reported to the user.
         self.reported_outcomes: dict[str, str] = {}
         self.ended_at: dict[str, float] = {}  # when the end was reported to the user
-        self.late: list[tuple[float, bytes]] = []  # (when it arrives, transaction)
-        self.reports_due: dict[str, float] = {}  # machine -> when it sends its next heartbeat
+        self.delayed_transactions: list[tuple[float, bytes]] = []  # (when it arrives, transaction)
+        self.next_heartbeat_at: dict[str, float] = {}  # machine -> when it sends its next heartbeat
         self.started_attempts: set[tuple[str, int, str]] = set()  # (task, attempt, machine)
         self._running_before: set[tuple[str, str]] = set()  # (task, machine) at the last step
         self.start_counts: Counter[str] = Counter()  # number of starts by task
@@ -144,7 +145,7 @@
         status, answer = self.store.txn(body)
         assert status == 200
         now = MonotonicTime(self.now)
-        leader = self.new_controller(FencingToken(answer["ledgerRev"]))
+        leader = self.new_scheduler(FencingToken(answer["ledgerRev"]))
 
         def items(prefix: str) -> list[state.Item]:
             return [state.parse_item(orjson.dumps(i)) for i in self.store.range(prefix)]
@@ -157,7 +158,7 @@
         leader.load([i for i in jobs if i], items("place/"), items("gone/"), now, items("memo/"))
         self.scheduler = leader
 
-    def new_controller(self, epoch: FencingToken) -> Any:
+    def new_scheduler(self, epoch: FencingToken) -> Any:
         return Scheduler(
             self.settings,
             self.tuning,
@@ -168,19 +169,25 @@
             self.incarnation,
         )
 
-    def submit(self, job: str, run_s: float = 6.0, parts: int = 0, **changes: Any) -> None:
+    def submit(
+        self, job: str, run_s: float = 6.0, dependency_list_parts: int = 0, **changes: Any
+    ) -> None:
         """Store a job and give it to the leader.
 
-        `parts` is the number of parts of a dependency list that is stored outside the job record;
-        0 leaves the list in the record.
+        `dependency_list_parts` is the number of parts of a dependency list that is stored outside
+        the job record; 0 leaves the list in the record.
         """
         body = submission(job, **changes)
         spec = users.parse_submission(body)
         size = max_tasks_per_chunk(self.settings.value_bytes)
-        reference = users.DependencyListReference("abc", parts) if parts else None
+        reference = (
+            users.DependencyListReference("abc", dependency_list_parts)
+            if dependency_list_parts
+            else None
+        )
         record = encode_job_record(spec, size, self.now, reference)
         for number, key in enumerate(dependency_list_keys(spec.id, reference) if reference else ()):
-            part = list(spec.dependencies[number::parts])
+            part = list(spec.dependencies[number::dependency_list_parts])
             assert (
                 self.store.txn(
                     state.Transaction({key: ABSENT_REVISION}, [state.Put(key, part)]).body()
@@ -213,12 +220,12 @@
         self.now += dt
         leader, now = self.scheduler, MonotonicTime(self.now)
         assert leader is not None
-        for body in [b for t, b in self.late if t <= self.now]:
+        for body in [b for t, b in self.delayed_transactions if t <= self.now]:
             self.store.txn(body)  # long after its sender timed out
-        self.late = [(t, b) for t, b in self.late if t > self.now]
+        self.delayed_transactions = [(t, b) for t, b in self.delayed_transactions if t > self.now]
         if self.leader_runs():
             leader.transaction_writer.subchunks_supported = self.subchunks_supported
-            self.lead(leader, now)
+            self.run_leader_tick(leader, now)
             self.serve_store(leader, now)
             self.serve_cloud(leader, now)
             self.serve_orders(leader, now)
@@ -245,7 +252,7 @@
                 workers.parse_heartbeat(report), now, now, executed=status == 200
             )
 
-    def lead(self, scheduler: Scheduler, now: MonotonicTime) -> None:
+    def run_leader_tick(self, scheduler: Scheduler, now: MonotonicTime) -> None:
         """Run the leader's timers and a planning pass, if one is due."""
         scheduler.tick(now)
         if scheduler.is_planning_due(now):
@@ -286,25 +293,25 @@
             if self.rng.random() < 0.5:
                 self.store.txn(body)  # applied, but the response is lost
             else:
-                self.late.append((self.now + self.rng.uniform(0.5, 20.0), body))
+                self.delayed_transactions.append((self.now + self.rng.uniform(0.5, 20.0), body))
             scheduler.on_transaction_result(
                 pending, TransactionOutcome.INDETERMINATE, Revision(0), (), now
             )
         elif "txn_late" in self.faults and self.chance("txn_late"):
-            self.late.append((self.now + self.rng.uniform(2.0, 12.0), body))
+            self.delayed_transactions.append((self.now + self.rng.uniform(2.0, 12.0), body))
             scheduler.on_transaction_result(
                 pending, TransactionOutcome.INDETERMINATE, Revision(0), (), now
             )
         else:
             status, answer = self.store.txn(body)
             if self.chance("txn_twice"):
-                self.late.append((self.now + self.rng.uniform(0.5, 20.0), body))
+                self.delayed_transactions.append((self.now + self.rng.uniform(0.5, 20.0), body))
             if status == 200:
                 scheduler.on_transaction_result(
                     pending, TransactionOutcome.COMMITTED, Revision(answer["ledgerRev"]), (), now
                 )
             elif status == 400:
-                self.too_large += 1
+                self.too_large_count += 1
                 scheduler.on_transaction_result(
                     pending, TransactionOutcome.INVALID, Revision(0), (), now
                 )
@@ -368,9 +375,9 @@
         if self.now < worker.boots_at or self.now < worker.hangs_until:
             return
         worker.step(self.now, dt, self.settings.lease_s)
-        if self.now < self.reports_due.get(worker.id, 0.0):
+        if self.now < self.next_heartbeat_at.get(worker.id, 0.0):
             return
-        self.reports_due[worker.id] = self.now + self.settings.report_s * self.rng.uniform(
+        self.next_heartbeat_at[worker.id] = self.now + self.settings.report_s * self.rng.uniform(
             0.75, 1.25
         )
         sent_epoch, sent_at = worker.agent_epoch, self.now
@@ -397,12 +404,14 @@
         """
         assert self.scheduler is not None
         for job in self.scheduler.jobs.jobs.values():
-            stored = {(r[0], r[1], r[2]) for part in self.parts(job.id) for r in part["r"]}
+            stored = {
+                (r[0], r[1], r[2]) for chunk in self.stored_chunks(job.id) for r in chunk["r"]
+            }
             for p in job.placements():
                 if p.may_have_launched and p.phase is not PlacementPhase.ENDED:
                     assert (p.index, p.attempt, p.machine_id) in stored, f"not stored: {p.key}"
 
-    def parts(self, job: str) -> list[dict[str, Any]]:
+    def stored_chunks(self, job: str) -> list[dict[str, Any]]:
         """Return the stored chunks of the job's placements, without outdated copies.
 
         Of two copies of a chunk the one with the higher attempt counts, and for each task only the
@@ -435,7 +444,10 @@
         """Check that the placement is in the store, as it must be before the task is launched."""
         job, index = launch.key.split("/")
         entries = [
-            entry for part in self.parts(job) for entry in part["r"] if entry[0] == int(index)
+            entry
+            for chunk in self.stored_chunks(job)
+            for entry in chunk["r"]
+            if entry[0] == int(index)
         ]
         assert [int(index), launch.attempt, worker.id] in entries, (
             f"{launch.key} was launched on {worker.id} before its placement was stored"
@@ -579,8 +591,8 @@
             }
             done = {
                 f"{job}/{i}"
-                for part in self.parts(job)
-                for a, b in part["d"]
+                for chunk in self.stored_chunks(job)
+                for a, b in chunk["d"]
                 for i in range(a, b + 1)
             }
             placed_or_done = len(assigned | done)
