--- a/tests/behaviour_record.py
+++ b/tests/behaviour_record.py
@@ -575,7 +575,7 @@
     "cloud_lost": 0.1,
     "mesh_lost": 0.05,
     "mesh_delay": 0.5,
-    "order_lost": 0.3,
+    "direct_kill_lost": 0.3,
 }
 JOBS: list[dict[str, Any]] = [
     {},
@@ -669,10 +669,10 @@
     w.run(12)
     w.disconnected_machines.clear()
     faulty.faulty = False
-    w.unresponsive = {machine.id for machine in busy(w)[:1]}
+    w.machines_without_inbound_messages = {machine.id for machine in busy(w)[:1]}
     w.cancel("wk-2")
     w.run(35)
-    w.unresponsive.clear()
+    w.machines_without_inbound_messages.clear()
     for machine in list(w.cloud.machines.values())[:2]:
         machine.run_time_factor = 8.0
     for i in range(5, 8):
@@ -744,7 +744,7 @@
 
 def failover(sink: Sink, seed: int) -> dict[str, Any]:
     """Leaders stall, crash and are cut off; workers still report to a node of an earlier leader."""
-    w = RecordedWorld(sink, seed, capacity=8, mesh_lost=0.03, mesh_delay=0.3, order_lost=0.2)
+    w = RecordedWorld(sink, seed, capacity=8, mesh_lost=0.03, mesh_delay=0.3, direct_kill_lost=0.2)
     for i in range(5):
         w.submit(f"wk-{i}", parcels=8, run_s=60.0, haulS=60.0, crew="t1" if i % 2 else "t2")
     w.run(25)
--- a/tests/relay_world.py
+++ b/tests/relay_world.py
@@ -347,7 +347,7 @@
     def answer(self, worker: WorkerSim, heartbeat: HeartbeatInFlight, body: bytes) -> None:
         if self.heartbeats_in_flight.get(worker.id) is not heartbeat:
             return  # for a copy, or too late: the worker no longer waits for it
-        if self.chance("answer_lost") or worker.id in self.unresponsive:
+        if self.chance("answer_lost") or worker.id in self.machines_without_inbound_messages:
             return
         if "answer_slow" in self.faults and self.chance("answer_slow"):
             # The link delays the response, possibly beyond the timeout, and the machine hangs too.
--- a/tests/simulators.py
+++ b/tests/simulators.py
@@ -199,7 +199,7 @@
                 elif command["call"] == "clear" and task.state == "ended":
                     del self.tasks[key]
 
-    def orders(self, body: bytes) -> tuple[int, dict[str, Any]]:
+    def execute_direct_commands(self, body: bytes) -> tuple[int, dict[str, Any]]:
         """Execute direct commands, which do not renew the lease.
 
         Return the HTTP status and a heartbeat: 409 if the fencing token or the epoch is outdated.
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -110,14 +110,14 @@
     assert len(world.cancelled_at) == len(world.jobs), "not every cancellation was confirmed"
 
 
-@pytest.mark.parametrize("order_lost", [0.0, 0.5])
+@pytest.mark.parametrize("direct_kill_lost", [0.0, 0.5])
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 def test_cancelled_tasks_end_although_their_workers_report_to_the_old_leader(
-    seed: int, order_lost: float
+    seed: int, direct_kill_lost: float
 ) -> None:
     """Without direct kills, the new leader would have to delete all these machines: they answer its
     `/show` probes, but it receives no heartbeats from them."""
-    world = loaded_world(seed, order_lost=order_lost)
+    world = loaded_world(seed, direct_kill_lost=direct_kill_lost)
     world.machines_with_stale_leader = set(world.cloud.machines)
     assert world.scheduler is not None
     world.stale_leader_token = world.scheduler.token
@@ -125,9 +125,9 @@
     cancel_all(world)
     world.outage_until = world.now + 46.0
     machines = len(world.cloud.machines)
-    world.run(12.0 if order_lost == 0.0 else 20.0)
+    world.run(12.0 if direct_kill_lost == 0.0 else 20.0)
     assert not any(m.on() for m in world.cloud.machines.values())
-    assert world.orders > 0
+    assert world.direct_kill_count > 0
     assert len(world.cloud.machines) >= machines - 1, (
         "a machine was deleted although direct kills reach it"
     )
@@ -151,7 +151,7 @@
             # A machine that answers probes is not deleted for its silence alone.
             scheduler.record_probe_success(MachineId(name), now)
 
-    world.serve_orders = only_shows  # type: ignore[method-assign]
+    world.deliver_direct_kills = only_shows  # type: ignore[method-assign]
     cancel_all(world)
     world.outage_until = world.now + 46.0
     world.run(46.0)
@@ -162,7 +162,7 @@
 def test_machine_pending_deletion_receives_direct_kills() -> None:
     """The cloud is unavailable as well, and the machines' heartbeats are answered under an earlier
     leader's token. Without a direct kill, a cancelled task would run until the cloud recovers."""
-    world = loaded_world(2, order_lost=0.5)
+    world = loaded_world(2, direct_kill_lost=0.5)
     assert world.scheduler is not None
     world.machines_with_stale_leader, world.stale_leader_token = (
         set(world.cloud.machines),
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -229,7 +229,9 @@
     w.run(18)
     unreachable = busy(w)[:2]
     unreachable_ids = {m.id for m in unreachable}
-    w.unresponsive = unreachable_ids if how.startswith("unresponsive") else set()
+    w.machines_without_inbound_messages = (
+        unreachable_ids if how.startswith("unresponsive") else set()
+    )
     w.disconnected_machines = unreachable_ids if how == "silent" else set()
     for m in unreachable:
         m.hangs_until = w.now + 7.0 if how == "hang" else -1.0
@@ -239,7 +241,7 @@
         w.run(60)
         assert all(m.deleted for m in unreachable)
     else:
-        w.unresponsive, w.disconnected_machines = set(), set()
+        w.machines_without_inbound_messages, w.disconnected_machines = set(), set()
         assert not any(m.deleted for m in unreachable)
     finish(w)
     if how == "hang":
@@ -861,7 +863,7 @@
     assert running_count * 2.0 == quota_cpus
     unreachable = busy(w)[:2]
     unreachable_ids = {m.id for m in unreachable}
-    w.unresponsive = unreachable_ids if how == "unresponsive" else set()
+    w.machines_without_inbound_messages = unreachable_ids if how == "unresponsive" else set()
     w.disconnected_machines = unreachable_ids if how == "silent" else set()
     for m in unreachable:
         m.hangs_until = w.now + 30.0 if how == "hang" else -1.0
@@ -872,7 +874,7 @@
     w.run(8)
     w.crash(w.leader)
     w.run(25)
-    w.unresponsive, w.disconnected_machines = set(), set()
+    w.machines_without_inbound_messages, w.disconnected_machines = set(), set()
     w.max_wait_with_free_capacity_s = WAIT_S
     finish(w)
     assert w.reported_outcomes == {ONE: "aborted", TWO: "done"}
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -315,7 +315,7 @@
     world.submit("wk-000001", run_s=30.0, parcels=16)
     world.run(14)
     victim = next(m for m in world.cloud.machines.values() if m.on())
-    world.unresponsive.add(victim.id)
+    world.machines_without_inbound_messages.add(victim.id)
     world.submit("wk-000002", run_s=30.0, parcels=16)
     world.run(60)
     assert victim.deleted
--- a/tests/versions/mixed.py
+++ b/tests/versions/mixed.py
@@ -93,19 +93,21 @@
         else:
             c.old.old_cloud_done(status, orjson.dumps(answer), now)
 
-    def serve_orders(self, c: Any, now: MonotonicTime) -> None:
+    def deliver_direct_kills(self, c: Any, now: MonotonicTime) -> None:
         if not isinstance(c, EarlierLeader):
-            super().serve_orders(c, now)
+            super().deliver_direct_kills(c, now)
             return
         for machine, body in c.old.old_orders(now):
             w = self.cloud.machines.get(MachineId(machine))
             down = (
-                w is None or self.now < max(w.boots_at, w.hangs_until) or w.id in self.unresponsive
+                w is None
+                or self.now < max(w.boots_at, w.hangs_until)
+                or w.id in self.machines_without_inbound_messages
             )
-            if w is None or down or self.chance("order_lost"):
+            if w is None or down or self.chance("direct_kill_lost"):
                 continue
-            status, report = w.orders(body)
-            self.orders += 1
+            status, report = w.execute_direct_commands(body)
+            self.direct_kill_count += 1
             c.old.old_ordered(report, status == 200, now)
 
     def step(self, dt: float) -> None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -126,8 +126,9 @@
         # How long a task may wait while a machine has room for it; None: not checked.
         self.max_wait_with_free_capacity_s: float | None = None
         self.outage_until = -1.0
-        self.unresponsive: set[str] = set()  # machines that no response and no command reaches
-        self.orders = 0  # number of direct commands that arrived
+        # Machines that no response and no command reaches.
+        self.machines_without_inbound_messages: set[str] = set()
+        self.direct_kill_count = 0  # number of direct commands that arrived
         self.cloud_down_until = -1.0
         self.incarnation = DEFAULT_INCARNATION
         self.scheduler: Scheduler | None = None
@@ -228,26 +229,26 @@
             self.run_leader_tick(leader, now)
             self.serve_store(leader, now)
             self.serve_cloud(leader, now)
-            self.serve_orders(leader, now)
+            self.deliver_direct_kills(leader, now)
         for worker in list(self.cloud.machines.values()):
             self.serve_worker(leader, worker, now, dt)
         self.check()
 
-    def serve_orders(self, scheduler: Scheduler, now: MonotonicTime) -> None:
+    def deliver_direct_kills(self, scheduler: Scheduler, now: MonotonicTime) -> None:
         """Deliver the leader's direct kills to the workers."""
         for order in scheduler.take_direct_kills(now):
             worker = self.cloud.machines.get(order.machine_id)
             down = (
                 worker is None
                 or self.now < max(worker.boots_at, worker.hangs_until)
-                or worker.id in self.unresponsive
+                or worker.id in self.machines_without_inbound_messages
             )
-            if worker is None or down or self.chance("order_lost"):
+            if worker is None or down or self.chance("direct_kill_lost"):
                 continue
-            status, report = worker.orders(
+            status, report = worker.execute_direct_commands(
                 workers.direct_commands_body(scheduler.token, order.agent_epoch, order.commands)
             )
-            self.orders += 1
+            self.direct_kill_count += 1
             scheduler.on_direct_kill_response(
                 workers.parse_heartbeat(report), now, now, executed=status == 200
             )
