--- a/tests/duty_cluster.py
+++ b/tests/duty_cluster.py
@@ -138,13 +138,13 @@
             return 503, {"error": "trouble"}
         now = time.monotonic()  # the closest observable time to the sending
         with self.lock:
-            before, answered = set(self.cloud.machines), set(self.cloud.answers)
+            before, answered = set(self.cloud.machines), set(self.cloud.machines_by_request)
             status, value = self.rent(method, path, body)
             if method == "POST":
                 self.history.cloud_calls += 1
             for name in sorted(before - set(self.cloud.machines)):
                 self.history.effects.append(CloudEffect(now, node_id, name, "delete"))
-            for name in sorted(set(self.cloud.answers) - answered):
+            for name in sorted(set(self.cloud.machines_by_request) - answered):
                 self.history.effects.append(CloudEffect(now, node_id, name, "rent"))
         if method == "POST":
             self.on_stall_point(node_id, StallPoint.BEFORE_ANSWER)
--- a/tests/region.py
+++ b/tests/region.py
@@ -121,7 +121,7 @@
                 return self.cloud.delete(body)
             if method == "POST":
                 # With a rental time in the past, the machines have booted already.
-                return self.cloud.rent(body, time.monotonic() - 60.0)
+                return self.cloud.create_machines(body, time.monotonic() - 60.0)
             return 200, self.cloud.list(time.monotonic())
 
     def work(self, front: str) -> None:
--- a/tests/simulators.py
+++ b/tests/simulators.py
@@ -246,15 +246,15 @@
 
     def __init__(self, capacity: int, rng: random.Random) -> None:
         self.machines: dict[str, WorkerSim] = {}
-        self.answers: dict[str, list[str]] = {}
+        self.machines_by_request: dict[str, list[str]] = {}
         self.capacity = capacity
         self.created_count = 0
         self.rng = rng
 
-    def rent(self, body: bytes, now: float) -> tuple[int, dict[str, Any]]:
+    def create_machines(self, body: bytes, now: float) -> tuple[int, dict[str, Any]]:
         """Create machines; return the HTTP status and the body of the response."""
         obj = orjson.loads(body)
-        if obj["hire"] not in self.answers:
+        if obj["hire"] not in self.machines_by_request:
             number = min(obj["number"], self.capacity - len(self.machines))
             if number <= 0:
                 return 503, {"error": "no capacity"}
@@ -273,8 +273,8 @@
                     lease_renewed_at=now + boot_s,
                 )
                 names.append(name)
-            self.answers[obj["hire"]] = names
-        return 200, {"wagons": self.answers[obj["hire"]]}
+            self.machines_by_request[obj["hire"]] = names
+        return 200, {"wagons": self.machines_by_request[obj["hire"]]}
 
     def delete(self, body: bytes) -> tuple[int, dict[str, Any]]:
         """Delete the named machines; unknown ones are ignored."""
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -215,7 +215,9 @@
     create_request = (
         b'{"hire":"x","breed":"small","yard":"%s","loaners":false,"number":3}' % other_zone.encode()
     )
-    assert deleted_machine.deleted and w.cloud.rent(create_request, w.now - 60.0)[0] == 200
+    assert (
+        deleted_machine.deleted and w.cloud.create_machines(create_request, w.now - 60.0)[0] == 200
+    )
     w.run(40)
     zones = {w.cloud.machines[p.machine_id].zone for p in job.placements()}
     assert zones == {remaining_machine.zone} and job.unplaced_count == 0, (
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -522,13 +522,13 @@
     def __init__(self, *arguments: Any, **faults: Any) -> None:
         self.requests: list[bytes] = []
         super().__init__(*arguments, **faults)
-        rent = self.cloud.rent
+        create_machines = self.cloud.create_machines
 
         def recorded(body: bytes, now: float) -> Any:
             self.requests.append(body)
-            return rent(body, now)
+            return create_machines(body, now)
 
-        self.cloud.rent = recorded  # type: ignore[method-assign]
+        self.cloud.create_machines = recorded  # type: ignore[method-assign]
 
 
 HEARTBEAT_ACK_FRAMES = ("greeted by the leader", "greeted by another")
--- a/tests/versions/mixed.py
+++ b/tests/versions/mixed.py
@@ -81,7 +81,7 @@
         match kind:
             case "rent":
                 self.rented.append(body)
-                status, answer = self.cloud.rent(body, self.now)
+                status, answer = self.cloud.create_machines(body, self.now)
             case "delete":
                 status, answer = self.cloud.delete(body)
             case "list":
--- a/tests/world.py
+++ b/tests/world.py
@@ -358,7 +358,7 @@
                     offering.is_spot,
                     request.machine_count,
                 )
-                status, answer = self.cloud.rent(body, self.now)
+                status, answer = self.cloud.create_machines(body, self.now)
             case DeleteMachines(machines):
                 status, answer = self.cloud.delete(cloud.delete_machines_body(list(machines)))
             case ListMachines():
