--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -246,7 +246,10 @@
         self.world.check_placements_are_stored()
 
     def check_leader_versions(self) -> None:
-        assert self.world.led[0] is False and self.world.led[-1] is True
+        assert (
+            self.world.leader_ran_this_version[0] is False
+            and self.world.leader_ran_this_version[-1] is True
+        )
 
     def check_reduced_limits(self) -> None:
         """No transaction was rejected for its size, and no placement record exceeds the limit."""
@@ -271,7 +274,7 @@
         self.world.replaced = set(range(self.world.nodes))
         for i in range(self.world.nodes):
             self.world.crash(i)
-        assert self.world.led[-1] is True and self.supports_chains
+        assert self.world.leader_ran_this_version[-1] is True and self.supports_chains
 
     def pending_nodes(self) -> list[int]:
         """Return the nodes that still run this version."""
@@ -317,7 +320,7 @@
                 world.watch(3)
                 batch = [i for i in batch if i != world.leader]  # no new leader could be elected
             for i in batch:
-                world.put_back(i)
+                world.roll_back(i)
             while world.now < world.outage_until:
                 world.watch(1)
             assert world.store.range("needs/wk-listed/"), (
@@ -330,7 +333,9 @@
             world.watch(self.rng.uniform(0.5, 3))
             if case.cancels:
                 self.cancel_some()
-        assert world.end_in_store("wk-listed") is None and world.led[-1] is False
+        assert (
+            world.end_in_store("wk-listed") is None and world.leader_ran_this_version[-1] is False
+        )
         self.submit_chain("old")
         world.watch(2)
         world.crash(self.rng.randrange(world.nodes))
@@ -350,7 +355,10 @@
                     assert kept, f"not kept: {key}"
 
     def check_leader_versions(self) -> None:
-        assert self.world.led[-1] is False and True in self.world.led
+        assert (
+            self.world.leader_ran_this_version[-1] is False
+            and True in self.world.leader_ran_this_version
+        )
 
 
 ROLLBACK_CASES = [
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -232,7 +232,7 @@
     This covers placements, completed tasks, job ends and learned state.
     """
     sample = history.samples(short)["stores"][name]
-    assert reading.take_over(sample["store"]) == with_current_fields(short, sample["read"])
+    assert reading.restore_state(sample["store"]) == with_current_fields(short, sample["read"])
 
 
 # -- earlier versions read what this version writes
@@ -504,7 +504,7 @@
         world = RecordingWorld(7, history.earlier(short), 2, replaced={0, 1} if new else ())
         world.submit("wk-000001", parcels=6, cpus=2.0)
         world.watch(3)
-        assert world.led == [new]
+        assert world.leader_ran_this_version == [new]
         sent[new] = world.requests
         first_ids = {orjson.loads(body)["hire"] for body in world.requests}
         world.requests = []
@@ -656,8 +656,14 @@
     world.submit("wk-second", parcels=3, awaits=["wk-first"])
     finish(world)
     world.watch(3)
-    changes = [b for a, b in zip([None, *world.led], world.led, strict=False) if a is not b]
-    assert changes[:4] == [False, True, False, True], world.led
+    changes = [
+        b
+        for a, b in zip(
+            [None, *world.leader_ran_this_version], world.leader_ran_this_version, strict=False
+        )
+        if a is not b
+    ]
+    assert changes[:4] == [False, True, False, True], world.leader_ran_this_version
     assert {world.end_in_store(job) for job in world.jobs} == {users.DONE, users.CANCELLED}
     done = [
         "wk-second",
@@ -705,7 +711,7 @@
     finish(world)
     world.watch(3)
     assert {world.end_in_store(job) for job in world.jobs} == {users.DONE}
-    assert (world.led[0], world.led[-1]) == (False, True)
+    assert (world.leader_ran_this_version[0], world.leader_ran_this_version[-1]) == (False, True)
 
 
 @each_version
--- a/tests/versions/adapters.py
+++ b/tests/versions/adapters.py
@@ -33,7 +33,7 @@
     TransactionOutcome.INVALID: "malformed",
     TransactionOutcome.INDETERMINATE: "unknown",
 }
-_VERDICTS = {"UNKNOWN_JOB": LookupFailure.UNKNOWN_JOB, "UNDECIDED": LookupFailure.UNDECIDED}
+_LOOKUP_FAILURES = {"UNKNOWN_JOB": LookupFailure.UNKNOWN_JOB, "UNDECIDED": LookupFailure.UNDECIDED}
 
 
 def listed(item: Item) -> OldRecord:
@@ -42,7 +42,7 @@
 
 
 @dataclass
-class Written:
+class EncodedTransaction:
     """A transaction, as the bytes that the earlier version encoded."""
 
     content: bytes
@@ -52,13 +52,13 @@
 
 
 @dataclass
-class Pending:
+class PendingTransaction:
     """A transaction whose outcome is pending."""
 
-    transaction: Written
+    transaction: EncodedTransaction
 
 
-class PartsAllowed:
+class SubchunkSwitch:
     """Stands in for the transaction writer, of which the simulated world sets one attribute.
 
     The value of any attribute is passed on as whether the leader may write subchunks.
@@ -80,7 +80,7 @@
     def __init__(self, old: OldController, epoch: FencingToken) -> None:
         self.old = old
         self.token = epoch
-        self.transaction_writer = PartsAllowed(old)
+        self.transaction_writer = SubchunkSwitch(old)
 
     def load(
         self,
@@ -110,11 +110,11 @@
 
     def job_status(self, job: JobId) -> JobStatus | LookupFailure:
         fields = self.old.old_status(job)
-        return _VERDICTS[fields[0]] if len(fields) == 1 else JobStatus(*fields)
+        return _LOOKUP_FAILURES[fields[0]] if len(fields) == 1 else JobStatus(*fields)
 
     def cancel_job(self, job: JobId, now: MonotonicTime) -> str | LookupFailure:
         state = self.old.old_cancel(job, now)
-        return _VERDICTS.get(state, state)
+        return _LOOKUP_FAILURES.get(state, state)
 
     def tick(self, now: MonotonicTime) -> None:
         self.old.old_tick(now)
@@ -140,17 +140,17 @@
     def on_end_lookup_result(self, job: JobId, how: str | None, now: MonotonicTime) -> None:
         self.old.old_end_read(job, how, now)
 
-    def next_learned_state_transaction(self, now: MonotonicTime) -> Written | None:
+    def next_learned_state_transaction(self, now: MonotonicTime) -> EncodedTransaction | None:
         body = self.old.old_memo(now)
-        return None if body is None else Written(body)
+        return None if body is None else EncodedTransaction(body)
 
-    def next_transaction(self, now: MonotonicTime, most: int) -> Pending | None:
+    def next_transaction(self, now: MonotonicTime, most: int) -> PendingTransaction | None:
         body = self.old.old_transaction(now, most)
-        return None if body is None else Pending(Written(body))
+        return None if body is None else PendingTransaction(EncodedTransaction(body))
 
     def on_transaction_result(
         self,
-        pending: Pending,
+        pending: PendingTransaction,
         outcome: TransactionOutcome,
         revision: Revision,
         failed: tuple[str, ...],
--- a/tests/versions/mixed.py
+++ b/tests/versions/mixed.py
@@ -32,18 +32,24 @@
         self.earlier = earlier
         self.platform = faults.get("platform", PLATFORM)
         self.replaced = set(replaced)
-        self.wanted: bool | None = None  # whether the next leader should run this version
-        self.led: list[bool] = []  # for each leader, whether it ran this version
+        # Whether the next leader should run this version; None: either version will do.
+        self.next_leader_runs_this_version: bool | None = None
+        self.leader_ran_this_version: list[bool] = []  # one entry for each leader
         self.rented: list[bytes] = []  # bodies of rent requests by leaders of the earlier version
         super().__init__(seed, nodes, **faults)
 
     def choose(self, free: list[int]) -> int:
-        eligible = [i for i in free if self.wanted is None or (i in self.replaced) is self.wanted]
+        eligible = [
+            i
+            for i in free
+            if self.next_leader_runs_this_version is None
+            or (i in self.replaced) is self.next_leader_runs_this_version
+        ]
         return self.rng.choice(eligible or free)
 
     def new_scheduler(self, epoch: FencingToken) -> Any:
         is_replaced = self.leader in self.replaced
-        self.led.append(is_replaced)
+        self.leader_ran_this_version.append(is_replaced)
         if is_replaced:
             return super().new_scheduler(epoch)
         old = OldController(self.earlier, self.platform, CATALOG, epoch, self.now, self.incarnation)
@@ -121,7 +127,7 @@
         self.replaced.add(i)
         self.crash(i)
 
-    def put_back(self, i: int) -> None:
+    def roll_back(self, i: int) -> None:
         """Roll the node back to the earlier version."""
         self.replaced.remove(i)
         self.crash(i)
@@ -133,10 +139,10 @@
     def hand_over(self, new: bool) -> None:
         """Crash the leader while tasks run; a node of the given version is elected."""
         assert any(m.running_tasks() for m in self.cloud.machines.values())
-        self.wanted = new
+        self.next_leader_runs_this_version = new
         self.crash(self.leader)
-        self.wanted = None
-        assert self.led[-1] is new
+        self.next_leader_runs_this_version = None
+        assert self.leader_ran_this_version[-1] is new
 
     def watch(self, seconds: float) -> None:
         end = self.now + seconds
--- a/tests/versions/reading.py
+++ b/tests/versions/reading.py
@@ -367,7 +367,7 @@
 def read_record(found: dict[str, Any]) -> Any:
     """Decode a record that is complete by itself.
 
-    Placement records are decoded together with their jobs, see `take_over`.
+    Placement records are decoded together with their jobs, see `restore_state`.
     """
     item = _item(found)
     kind = item.key.partition("/")[0]
@@ -415,7 +415,7 @@
     return Scheduler(settings, load_tuning(), epoch, {}, NOW, WallTime(NOW))
 
 
-def take_over(store: Store) -> dict[str, Any]:
+def restore_state(store: Store) -> dict[str, Any]:
     """Return the state that a new leader restores from the store, as plain values."""
     scheduler = _controller(FencingToken(10**6))
     items = [_item(found) for found in store]
@@ -500,6 +500,6 @@
     return {
         "frames": {name: read_frame(data) for name, data in asked["frames"].items()},
         "records": [read_record(found) for found in asked["records"]],
-        "stores": [take_over(store) for store in asked["stores"]],
+        "stores": [restore_state(store) for store in asked["stores"]],
         "lists": [read_lists(item["record"], item["lists"]) for item in asked["lists"]],
     }
