--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -316,22 +316,22 @@
             supported_features=peers.SUPPORTED_FEATURES,
         )
         self.node = node
-        self.r = RelayService(node)  # type: ignore[arg-type]
+        self.relay_service = RelayService(node)  # type: ignore[arg-type]
 
     def tick(self, at: float) -> None:
         self.now = at
-        self.r.tick(MonotonicTime(at))
+        self.relay_service.tick(MonotonicTime(at))
 
     def receive_acknowledgement(self, peer: str, sent_at: float, at: float, **changes: Any) -> None:
         """Receive the peer's acknowledgement of the heartbeat that was sent at `sent_at`."""
-        link = self.r.links[NodeId(peer)]
+        link = self.relay_service.links[NodeId(peer)]
         link.pending_heartbeats[7] = MonotonicTime(sent_at)
         self.now = at
         values = {"epoch": FencingToken(5), "leads": False, "ready": True} | changes
         acknowledgement = peers.PeerHeartbeatAck(
             7, values["epoch"], values["leads"], False, 0, None, 0, is_ready=values["ready"]
         )
-        self.r._on_reply_frame(
+        self.relay_service._on_reply_frame(
             link, peers.parse_frame(peers.encode_peer_heartbeat_ack(acknowledgement))
         )
 
@@ -342,7 +342,7 @@
             peer=None, send=lambda data: self.sent_frames.append(peers.parse_frame(data))
         )
         heartbeat = peers.PeerHeartbeat(NodeId("drover-2"), 1, FencingToken(5), False, 0, 0, ())
-        self.r._on_request_frame(
+        self.relay_service._on_request_frame(
             channel,  # type: ignore[arg-type]
             peers.parse_frame(peers.encode_peer_heartbeat(heartbeat)),
         )
@@ -408,24 +408,24 @@
 def test_higher_token_of_a_peer_shortens_the_lease_and_makes_a_heartbeat_due() -> None:
     fixture = RelayServiceFixture()
     fixture.leader_service.is_active = False
-    fixture.r.relay.renew_lease(
+    fixture.relay_service.relay.renew_lease(
         FencingToken(5), NodeId("drover-1"), MonotonicTime(100.0), MonotonicTime(100.0)
     )
-    link = fixture.r.links[NodeId("drover-2")]
+    link = fixture.relay_service.links[NodeId("drover-2")]
     link.last_heartbeat_at = MonotonicTime(100.0)
     fixture.now = 100.5
     channel = SimpleNamespace(peer=None, send=lambda data: None)
     heartbeat = peers.PeerHeartbeat(NodeId("drover-2"), 1, FencingToken(9), False, 0, 0, ())
-    fixture.r._on_request_frame(
+    fixture.relay_service._on_request_frame(
         channel,  # type: ignore[arg-type]
         peers.parse_frame(peers.encode_peer_heartbeat(heartbeat)),
     )
     assert fixture.observed_tokens == [9] and link.last_heartbeat_at < 0, (
         "a heartbeat to the peer must be due immediately"
     )
-    assert fixture.r.relay.holds_lease(MonotonicTime(102.4)) and not fixture.r.relay.holds_lease(
-        MonotonicTime(102.6)
-    )
+    assert fixture.relay_service.relay.holds_lease(
+        MonotonicTime(102.4)
+    ) and not fixture.relay_service.relay.holds_lease(MonotonicTime(102.6))
 
 
 class RelayingFixture(RelayServiceFixture):
@@ -438,7 +438,7 @@
         self.leader_service.is_active = False
         self.node.election.leader = self.LEADER
         self.answers: list[Any] = []
-        self.link = self.r.links[self.LEADER]
+        self.link = self.relay_service.links[self.LEADER]
         transport = SimpleNamespace(disconnecting=False, doWrite=lambda: None)
         self.channel: Any = SimpleNamespace(transport=transport, send=lambda data: None)
         self.link._on_connection_made(self.channel)
@@ -447,7 +447,7 @@
 
     def renew_relay_lease(self, requested_at: float) -> None:
         """Renew the relay lease of this node for 3.92 s from `requested_at` on."""
-        self.r.relay.renew_lease(
+        self.relay_service.relay.renew_lease(
             FencingToken(5),
             self.LEADER,
             MonotonicTime(requested_at),
@@ -464,16 +464,20 @@
                 disconnected=False,
                 reply=lambda status, body, retry=None: self.answers.append((status, retry)),
             )
-            self.r.heartbeat_forwarding.handle_heartbeat(request)
+            self.relay_service.heartbeat_forwarding.handle_heartbeat(request)
         else:
-            send = self.r.leader_client.poll if kind == "poll" else self.r.leader_client.cancel
+            send = (
+                self.relay_service.leader_client.poll
+                if kind == "poll"
+                else self.relay_service.leader_client.cancel
+            )
             assert send(JobId("wk-1"), self.answers.append)
         if flushed:
             self.flush()
 
     def flush(self) -> None:
-        self.r.leader_client._flush()
-        self.r.heartbeat_forwarding._flush()
+        self.relay_service.leader_client._flush()
+        self.relay_service.heartbeat_forwarding._flush()
 
 
 LEASE_RENEWED, RETRY_LATER = (200, None), (503, 1)  # to a worker, with and without a relay lease
@@ -512,7 +516,7 @@
         fixture.link._on_connection_lost(fixture.channel)
     elif "no link" in event:
         # Another node leads now, to which this node has no connection. The old link is connected.
-        fixture.node.election.leader = fixture.r.relay.leader = NodeId("drover-2")
+        fixture.node.election.leader = fixture.relay_service.relay.leader = NodeId("drover-2")
         fixture.flush()
     else:
         fixture.tick(at)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -580,15 +580,21 @@
         fixture.node.election.observe_leader = lambda *leader, observed=observed: observed.append(
             leader
         )
-        link = fixture.r.links[NodeId("drover-1")]
+        link = fixture.relay_service.links[NodeId("drover-1")]
         link.pending_heartbeats[17] = MonotonicTime(100.0)
         fixture.now = 100.5
-        fixture.r._on_reply_frame(link, peers.parse_frame(frames[name]["data"].encode()))
+        fixture.relay_service._on_reply_frame(
+            link, peers.parse_frame(frames[name]["data"].encode())
+        )
         if name == HEARTBEAT_ACK_FRAMES[0]:
-            assert observed == [("drover-1", 9)] and fixture.r.relay.leader == "drover-1"
-            check_lease_granted(fixture.r.relay)
+            assert (
+                observed == [("drover-1", 9)] and fixture.relay_service.relay.leader == "drover-1"
+            )
+            check_lease_granted(fixture.relay_service.relay)
         else:
-            assert not observed and not fixture.r.relay.holds_lease(MonotonicTime(100.5))
+            assert not observed and not fixture.relay_service.relay.holds_lease(
+                MonotonicTime(100.5)
+            )
 
 
 @each_version
