--- a/tests/behaviour_record.py
+++ b/tests/behaviour_record.py
@@ -454,7 +454,7 @@
             self.record_statuses()
 
     def serve_cloud(self, scheduler: Scheduler, now: MonotonicTime) -> None:
-        if self.faults.get("cloud_given_back") and self.chance("cloud_given_back"):
+        if self.faults.get("cloud_request_requeued") and self.chance("cloud_request_requeued"):
             request = scheduler.next_cloud_request(now)
             if isinstance(request, ScaleOut | DeleteMachines):
                 scheduler.cloud_requests.requeue_unsent(request)
@@ -574,7 +574,7 @@
     "report_twice": 0.1,
     "cloud_lost": 0.1,
     "mesh_lost": 0.05,
-    "mesh_delay": 0.5,
+    "mesh_delay_s": 0.5,
     "direct_kill_lost": 0.3,
 }
 JOBS: list[dict[str, Any]] = [
@@ -744,7 +744,9 @@
 
 def failover(sink: Sink, seed: int) -> dict[str, Any]:
     """Leaders stall, crash and are cut off; workers still report to a node of an earlier leader."""
-    w = RecordedWorld(sink, seed, capacity=8, mesh_lost=0.03, mesh_delay=0.3, direct_kill_lost=0.2)
+    w = RecordedWorld(
+        sink, seed, capacity=8, mesh_lost=0.03, mesh_delay_s=0.3, direct_kill_lost=0.2
+    )
     for i in range(5):
         w.submit(f"wk-{i}", parcels=8, run_s=60.0, haulS=60.0, crew="t1" if i % 2 else "t2")
     w.run(25)
@@ -790,7 +792,7 @@
 
 def held_cloud_calls(sink: Sink, seed: int) -> dict[str, Any]:
     """Cloud requests are blocked, requeued unsent, and resumed from an earlier leader."""
-    w = RecordedWorld(sink, seed, capacity=6, cloud_given_back=0.2)
+    w = RecordedWorld(sink, seed, capacity=6, cloud_request_requeued=0.2)
     leader(w).cloud_requests.scale_out_admission = RequestAdmission.BLOCKED
     for i in range(4):
         w.submit(f"wk-{i}", parcels=10, run_s=15.0 + 20 * i, haulS=15.0)
@@ -818,7 +820,7 @@
 
 def lost_links(sink: Sink, seed: int) -> dict[str, Any]:
     """Connections between nodes break, the leader stalls, and peers report higher tokens."""
-    w = RecordedWorld(sink, seed, capacity=8, mesh_lost=0.1, mesh_delay=1.0, answer_slow=0.05)
+    w = RecordedWorld(sink, seed, capacity=8, mesh_lost=0.1, mesh_delay_s=1.0, answer_slow=0.05)
     for i in range(4):
         w.submit(f"wk-{i}", parcels=10, run_s=30.0, haulS=30.0)
     w.run(18)
--- a/tests/relay_world.py
+++ b/tests/relay_world.py
@@ -269,7 +269,7 @@
                     del self.heartbeats_in_flight[worker.id]
                     self.move_worker(worker, None if target is None else int(target[1:]))
             case Forward():
-                delay = self.rng.uniform(0.0, self.faults.get("mesh_delay", 0.05))
+                delay = self.rng.uniform(0.0, self.faults.get("mesh_delay_s", 0.05))
                 relay_token = relay.token
                 self.after(REPLY_TIMEOUT_S, lambda: self.on_reply_timeout(worker, heartbeat, relay))
                 if not self.chance("mesh_lost"):
@@ -320,7 +320,7 @@
         for launch in reply.launches:
             self.check_durable(launch, worker)
         wants_next = reply.commands > 0 or leader_scheduler.needs_next_heartbeat(machine)
-        delay = self.rng.uniform(0.0, self.faults.get("mesh_delay", 0.05))
+        delay = self.rng.uniform(0.0, self.faults.get("mesh_delay_s", 0.05))
 
         def deliver_reply() -> None:
             if self.relays[at] is relay and at != self.stalled_node:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -135,7 +135,7 @@
 @pytest.mark.parametrize("outage", [0.0, 40.0])
 @pytest.mark.parametrize("seed", [1, 2])
 def test_jobs_finish_despite_ten_leader_changes(seed: int, outage: float) -> None:
-    w = RelayWorld(seed, txn_lost=0.1, mesh_lost=0.05, mesh_delay=0.5)
+    w = RelayWorld(seed, txn_lost=0.1, mesh_lost=0.05, mesh_delay_s=0.5)
     submit_all(w)
     w.submit("wk-000090", run_s=200.0)
     w.run(10)
@@ -668,7 +668,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_jobs_finish_under_overload_with_slow_peer_links(seed: int) -> None:
-    w = RelayWorld(seed, capacity=3, mesh_delay=2.5, mesh_lost=0.05, answer_slow=0.1)
+    w = RelayWorld(seed, capacity=3, mesh_delay_s=2.5, mesh_lost=0.05, answer_slow=0.1)
     w.max_wait_with_free_capacity_s = WAIT_S
     for i in range(30):
         urgency = ("urgent", "standard", "idle")[i % 3]
@@ -763,7 +763,7 @@
 def test_jobs_end_correctly_when_commands_are_delayed_for_seconds(seed: int) -> None:
     """Some delays are longer than the worker waits for a response, some are not. The machine hangs
     during the delay, and jobs end, are cancelled and move to other machines."""
-    w = RelayWorld(seed, capacity=5, answer_slow=0.25, mesh_delay=1.0, report_twice=0.1)
+    w = RelayWorld(seed, capacity=5, answer_slow=0.25, mesh_delay_s=1.0, report_twice=0.1)
     submit_all(w)
     w.submit("wk-000090", run_s=100.0, parcels=10)
     w.submit("wk-000091", run_s=100.0, parcels=10)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -219,7 +219,7 @@
     "answer_lost": 0.05,
     "report_twice": 0.2,
     "mesh_lost": 0.1,
-    "mesh_delay": 0.8,
+    "mesh_delay_s": 0.8,
     "cloud_lost": 0.1,
 }
 
