--- a/tests/behaviour_record.py
+++ b/tests/behaviour_record.py
@@ -79,7 +79,7 @@
 from eldercart.wire.named_leases import LeaseName
 from eldercart.wire.state import Transaction
 from named_lease_world import NamedLeaseWorld, SimulatedNode
-from relay_world import Flight, RelayWorld
+from relay_world import HeartbeatInFlight, RelayWorld
 from simulators import CATALOG, StoreSim, WorkerSim
 from test_election import ElectionWorld
 from world import PLATFORM
@@ -424,7 +424,7 @@
             self.store = RecordingStore(self.recording)
         super().elect()
 
-    def new_controller(self, epoch: FencingToken) -> RecordingScheduler:
+    def new_scheduler(self, epoch: FencingToken) -> RecordingScheduler:
         scheduler = RecordingScheduler(
             self.settings,
             self.tuning,
@@ -442,7 +442,7 @@
         relay.recording = self.recording
         return relay
 
-    def answer(self, worker: WorkerSim, flight: Flight, body: bytes) -> None:
+    def answer(self, worker: WorkerSim, flight: HeartbeatInFlight, body: bytes) -> None:
         self.recording.add(WORKER_RESPONSE, worker.id, body)
         super().answer(worker, flight, body)
 
@@ -453,7 +453,7 @@
             self.record_statuses()
 
     def serve_cloud(self, scheduler: Scheduler, now: MonotonicTime) -> None:
-        if self.faults.get("cloud_given_back") and self.chance("cloud_given_back"):
+        if self.faults.get("cloud_request_requeued") and self.chance("cloud_request_requeued"):
             request = scheduler.next_cloud_request(now)
             if isinstance(request, ScaleOut | DeleteMachines):
                 scheduler.cloud_requests.requeue_unsent(request)
@@ -573,8 +573,8 @@
     "report_twice": 0.1,
     "cloud_lost": 0.1,
     "mesh_lost": 0.05,
-    "mesh_delay": 0.5,
-    "order_lost": 0.3,
+    "mesh_delay_s": 0.5,
+    "direct_kill_lost": 0.3,
 }
 JOBS: list[dict[str, Any]] = [
     {},
@@ -602,7 +602,7 @@
 
 def busy(w: RecordedWorld) -> list[WorkerSim]:
     """Return the machines on which a task runs, in the order of their creation."""
-    return [machine for machine in w.cloud.machines.values() if machine.on()]
+    return [machine for machine in w.cloud.machines.values() if machine.running_tasks()]
 
 
 def quiet(sink: Sink, seed: int) -> dict[str, Any]:
@@ -661,17 +661,17 @@
     del w.cloud.machines[lost.id]
     hanging.hangs_until = w.now + 45.0
     faulty.faulty = True
-    preempted.notice = 10.0
-    w.silent = {disconnected.id}
+    preempted.preemption_notice_s = 10.0
+    w.disconnected_machines = {disconnected.id}
     w.run(8)
     w.cancel("wk-1")
     w.run(12)
-    w.silent.clear()
+    w.disconnected_machines.clear()
     faulty.faulty = False
-    w.unresponsive = {machine.id for machine in busy(w)[:1]}
+    w.machines_without_inbound_messages = {machine.id for machine in busy(w)[:1]}
     w.cancel("wk-2")
     w.run(35)
-    w.unresponsive.clear()
+    w.machines_without_inbound_messages.clear()
     for machine in list(w.cloud.machines.values())[:2]:
         machine.run_time_factor = 8.0
     for i in range(5, 8):
@@ -689,7 +689,7 @@
     w.submit("wk-b", parcels=8, run_s=8.0, haulS=8.0, awaits=["wk-a"], dueS=60.0)
     w.submit("wk-c", parcels=4, run_s=40.0, haulS=40.0, crew="t1")
     w.submit("wk-d", parcels=4, awaits=["wk-b", "wk-c"])
-    w.submit("wk-e", parcels=4, parts=2, awaits=["wk-a", "wk-b", "wk-c"])
+    w.submit("wk-e", parcels=4, dependency_list_parts=2, awaits=["wk-a", "wk-b", "wk-c"])
     w.submit("wk-f", parcels=4, awaits=["wk-e"], urgency="urgent")
     w.submit("wk-g", parcels=6, awaits=["wk-a"], together=True)
     w.run(22)
@@ -743,24 +743,26 @@
 
 def failover(sink: Sink, seed: int) -> dict[str, Any]:
     """Leaders stall, crash and are cut off; workers still report to a node of an earlier leader."""
-    w = RecordedWorld(sink, seed, capacity=8, mesh_lost=0.03, mesh_delay=0.3, order_lost=0.2)
+    w = RecordedWorld(
+        sink, seed, capacity=8, mesh_lost=0.03, mesh_delay_s=0.3, direct_kill_lost=0.2
+    )
     for i in range(5):
         w.submit(f"wk-{i}", parcels=8, run_s=60.0, haulS=60.0, crew="t1" if i % 2 else "t2")
     w.run(25)
-    w.sleep(w.leader, 12.0)
+    w.stall_node(w.leader, 12.0)
     w.run(5)
     w.cancel("wk-0")
     w.crash(w.leader)
     w.run(5)
-    w.stale = {machine.id for machine in busy(w)[:3]}
-    w.stale_epoch = leader(w).token
+    w.machines_with_stale_leader = {machine.id for machine in busy(w)[:3]}
+    w.stale_leader_token = leader(w).token
     w.elect()
     w.cancel("wk-1")
     w.outage_until = w.now + 15.0
     w.run(20)
-    w.cut = {(w.leader + 1) % w.nodes}
+    w.cut_off_nodes = {(w.leader + 1) % w.nodes}
     w.run(10)
-    w.cut.clear()
+    w.cut_off_nodes.clear()
     for _ in range(4):
         w.run(w.rng.uniform(1.0, 10.0))
         w.crash(w.leader)
@@ -789,7 +791,7 @@
 
 def held_cloud_calls(sink: Sink, seed: int) -> dict[str, Any]:
     """Cloud requests are blocked, requeued unsent, and resumed from an earlier leader."""
-    w = RecordedWorld(sink, seed, capacity=6, cloud_given_back=0.2)
+    w = RecordedWorld(sink, seed, capacity=6, cloud_request_requeued=0.2)
     leader(w).cloud_requests.scale_out_admission = RequestAdmission.BLOCKED
     for i in range(4):
         w.submit(f"wk-{i}", parcels=10, run_s=15.0 + 20 * i, haulS=15.0)
@@ -817,7 +819,7 @@
 
 def lost_links(sink: Sink, seed: int) -> dict[str, Any]:
     """Connections between nodes break, the leader stalls, and peers report higher tokens."""
-    w = RecordedWorld(sink, seed, capacity=8, mesh_lost=0.1, mesh_delay=1.0, answer_slow=0.05)
+    w = RecordedWorld(sink, seed, capacity=8, mesh_lost=0.1, mesh_delay_s=1.0, answer_slow=0.05)
     for i in range(4):
         w.submit(f"wk-{i}", parcels=10, run_s=30.0, haulS=30.0)
     w.run(18)
--- a/tests/simulators.py
+++ b/tests/simulators.py
@@ -52,7 +52,7 @@
         self.log: list[tuple[int, dict[str, Any]]] = []
         self.next_lease = 1
         self.value_bytes = self.txn_ops = 10**9
-        self.too_large = 0  # number of transactions rejected for their size
+        self.too_large_count = 0  # number of transactions rejected for their size
 
     def txn(self, body: bytes) -> tuple[int, dict[str, Any]]:
         """Apply a transaction; return the HTTP status and the body of the response."""
@@ -64,7 +64,7 @@
             or len(body) > 64 * 1024
             or max(value_sizes, default=0) > self.value_bytes
         ):
-            self.too_large += 1
+            self.too_large_count += 1
             return 400, {"error": "too large"}
         failed = [
             g["path"] for g in obj["guards"] if self.keys.get(g["path"], (0, 0, 0))[1] != g["stamp"]
@@ -116,7 +116,7 @@
 
     attempt: int
     state: str = "pulling"
-    left: float = 0.0  # seconds to run
+    remaining_run_s: float = 0.0
     remaining_pull_s: float = 1.0  # of its image
     end_cause: str | None = None
 
@@ -134,12 +134,12 @@
     seq: int = 0
     token: int = 0
     tasks: dict[str, TaskSim] = field(default_factory=dict)
-    answered: float = 0.0  # when the heartbeat was sent that renewed its lease last
+    lease_renewed_at: float = 0.0  # when the heartbeat was sent that renewed its lease last
     deleted: bool = False
     hangs_until: float = -1.0
     faulty: bool = False  # every task fails as soon as its image is pulled
     run_time_factor: float = 1.0  # times the job's run time
-    notice: float | None = None  # the preemption notice that it reports, seconds
+    preemption_notice_s: float | None = None  # the preemption notice that it reports
 
     def report(self) -> dict[str, Any]:
         """Return the next heartbeat."""
@@ -153,7 +153,7 @@
             "stint": self.agent_epoch,
             "tally": self.seq,
             "whip": self.token,
-            "recallS": self.notice,
+            "recallS": self.preemption_notice_s,
             "parcels": [
                 {"parcel": k, "try": t.attempt, "standing": t.state}
                 | ({"cause": t.end_cause} if t.state == "ended" else {})
@@ -161,11 +161,13 @@
             ],
         }
 
-    def on(self) -> dict[str, TaskSim]:
+    def running_tasks(self) -> dict[str, TaskSim]:
         """Return the tasks that run or save their results."""
         return {k: t for k, t in self.tasks.items() if t.state in ("running", "saving")}
 
-    def obey(self, body: bytes, sent_at: float, sent_epoch: int, jobs: dict[str, Any]) -> None:
+    def execute_commands(
+        self, body: bytes, sent_at: float, sent_epoch: int, jobs: dict[str, Any]
+    ) -> None:
         """Execute the commands of a response; ignore it if its fencing token is outdated.
 
         `sent_at` and `sent_epoch` are time and agent epoch of the heartbeat that it answers.
@@ -174,7 +176,7 @@
         if obj["whip"] < self.token or sent_epoch != self.agent_epoch:
             return
         self.token = obj["whip"]
-        self.answered = sent_at
+        self.lease_renewed_at = sent_at
         for command in obj["calls"]:
             key, attempt = command["parcel"], command["try"]
             task = self.tasks.get(key)
@@ -192,14 +194,16 @@
                 if used_cpus + job["cpus"] > self.type["cpus"]:
                     self.tasks[key] = TaskSim(attempt, "ended", end_cause="full")
                 else:
-                    self.tasks[key] = TaskSim(attempt, left=job["runS"] * self.run_time_factor)
+                    self.tasks[key] = TaskSim(
+                        attempt, remaining_run_s=job["runS"] * self.run_time_factor
+                    )
             elif task is not None and task.attempt == attempt:
                 if command["call"] == "kill" and task.state != "ended":
                     task.state, task.end_cause = "ended", "stopped"
                 elif command["call"] == "clear" and task.state == "ended":
                     del self.tasks[key]
 
-    def orders(self, body: bytes) -> tuple[int, dict[str, Any]]:
+    def execute_direct_commands(self, body: bytes) -> tuple[int, dict[str, Any]]:
         """Execute direct commands, which do not renew the lease.
 
         Return the HTTP status and a heartbeat: 409 if the fencing token or the epoch is outdated.
@@ -210,16 +214,16 @@
         assert all(command["call"] == "kill" for command in obj["calls"]), (
             "a direct command other than a kill: a launch that the network delays would run late"
         )
-        answered = self.answered
-        self.obey(body, answered, self.agent_epoch, {})
+        lease_renewed_at = self.lease_renewed_at
+        self.execute_commands(body, lease_renewed_at, self.agent_epoch, {})
         return 200, self.report()
 
     def step(self, now: float, dt: float, lease_s: float) -> None:
         """Advance the tasks by `dt` seconds; if the lease has expired, drop them all."""
-        if now - self.answered > lease_s:
+        if now - self.lease_renewed_at > lease_s:
             self.tasks.clear()
             self.agent_epoch += 1
-            self.answered = now
+            self.lease_renewed_at = now
         for task in self.tasks.values():
             if task.state == "pulling":
                 task.remaining_pull_s -= dt
@@ -228,8 +232,8 @@
                     if self.faulty:
                         task.state, task.end_cause = "ended", "error"
             elif task.state == "running":
-                task.left -= dt
-                if task.left <= 0:
+                task.remaining_run_s -= dt
+                if task.remaining_run_s <= 0:
                     task.state, task.end_cause = "ended", "done"
 
 
@@ -242,15 +246,15 @@
 
     def __init__(self, capacity: int, rng: random.Random) -> None:
         self.machines: dict[str, WorkerSim] = {}
-        self.answers: dict[str, list[str]] = {}
+        self.machines_by_request: dict[str, list[str]] = {}
         self.capacity = capacity
         self.created_count = 0
         self.rng = rng
 
-    def rent(self, body: bytes, now: float) -> tuple[int, dict[str, Any]]:
+    def create_machines(self, body: bytes, now: float) -> tuple[int, dict[str, Any]]:
         """Create machines; return the HTTP status and the body of the response."""
         obj = orjson.loads(body)
-        if obj["hire"] not in self.answers:
+        if obj["hire"] not in self.machines_by_request:
             number = min(obj["number"], self.capacity - len(self.machines))
             if number <= 0:
                 return 503, {"error": "no capacity"}
@@ -266,11 +270,11 @@
                     obj["yard"],
                     obj["loaners"],
                     now + boot_s,
-                    answered=now + boot_s,
+                    lease_renewed_at=now + boot_s,
                 )
                 names.append(name)
-            self.answers[obj["hire"]] = names
-        return 200, {"wagons": self.answers[obj["hire"]]}
+            self.machines_by_request[obj["hire"]] = names
+        return 200, {"wagons": self.machines_by_request[obj["hire"]]}
 
     def delete(self, body: bytes) -> tuple[int, dict[str, Any]]:
         """Delete the named machines; unknown ones are ignored."""
--- a/tests/test_coinciding_faults.py
+++ b/tests/test_coinciding_faults.py
@@ -47,7 +47,7 @@
 
 
 def busy(w: World) -> list[WorkerSim]:
-    return [m for m in w.cloud.machines.values() if m.on()]
+    return [m for m in w.cloud.machines.values() if m.running_tasks()]
 
 
 def assert_gone_within_cancel_s(w: World, job: str = ONE) -> None:
@@ -55,8 +55,10 @@
 
     `World.check` fails meanwhile if a task outlives the limit."""
     w.run(w.settings.cancel_s + 3.0)
-    assert w.told[job] == "aborted"
-    assert not [k for m in w.cloud.machines.values() for k in m.on() if k.startswith(job)]
+    assert w.reported_outcomes[job] == "aborted"
+    assert not [
+        k for m in w.cloud.machines.values() for k in m.running_tasks() if k.startswith(job)
+    ]
 
 
 # -- workers reach no node, but direct commands reach the workers
@@ -72,14 +74,14 @@
     w.submit(ONE, run_s=40.0, parcels=12)
     w.run(16)
     silent_machines = busy(w)[:2]
-    w.silent = {m.id for m in silent_machines}
+    w.disconnected_machines = {m.id for m in silent_machines}
     w.run(silence_s)
-    w.silent.clear()
+    w.disconnected_machines.clear()
     assert [m.deleted for m in silent_machines] == [deleted, deleted]
     w.run(5)
-    w.left_waiting_s = WAIT_S
+    w.max_wait_with_free_capacity_s = WAIT_S
     finish(w)
-    assert w.told[ONE] == "done"
+    assert w.reported_outcomes[ONE] == "done"
 
 
 @pytest.mark.parametrize("cancel_after_s", [-2.0, 0.0, 5.0])
@@ -92,7 +94,7 @@
     if cancel_after_s < 0:
         w.cancel(ONE)
         w.run(-cancel_after_s)
-    w.silent = silent_machine_ids
+    w.disconnected_machines = silent_machine_ids
     w.run(max(0.0, cancel_after_s))
     w.cancel(ONE)
     assert_gone_within_cancel_s(w)
@@ -133,7 +135,7 @@
 @pytest.mark.parametrize("outage", [0.0, 40.0])
 @pytest.mark.parametrize("seed", [1, 2])
 def test_jobs_finish_despite_ten_leader_changes(seed: int, outage: float) -> None:
-    w = RelayWorld(seed, txn_lost=0.1, mesh_lost=0.05, mesh_delay=0.5)
+    w = RelayWorld(seed, txn_lost=0.1, mesh_lost=0.05, mesh_delay_s=0.5)
     submit_all(w)
     w.submit("wk-000090", run_s=200.0)
     w.run(10)
@@ -149,7 +151,9 @@
     w.cancel("wk-000090")
     finish(w)
     w.run(35)
-    assert w.told.pop("wk-000090") == "aborted" and set(w.told.values()) == {"done"}
+    assert w.reported_outcomes.pop("wk-000090") == "aborted" and set(
+        w.reported_outcomes.values()
+    ) == {"done"}
 
 
 # -- jobs bound to one zone lose machines
@@ -170,15 +174,15 @@
     w.submit(TWO, run_s=12.0, cpus=2.0, parcels=30)
     w.run(14)
     assert busy(w)
-    used_zones = {m.zone for m in busy(w) if any(k.startswith(ONE) for k in m.on())}
+    used_zones = {m.zone for m in busy(w) if any(k.startswith(ONE) for k in m.running_tasks())}
     for m in list(w.cloud.machines.values()):
         if m.zone in (zone or used_zones):
             m.hangs_until = 1e9
     w.crash(w.leader)
     w.run(20)
-    w.left_waiting_s = WAIT_S
+    w.max_wait_with_free_capacity_s = WAIT_S
     finish(w)
-    assert set(w.told.values()) == {"done"}
+    assert set(w.reported_outcomes.values()) == {"done"}
 
 
 def test_scale_out_uses_the_only_zone_that_the_other_tasks_allow() -> None:
@@ -191,10 +195,14 @@
     w.run(12)
     c = leader(w)
     job = c.jobs.jobs[TWO]
-    remaining_machine = next(m for m in busy(w) if any(k.startswith(TWO) for k in m.on()))
+    remaining_machine = next(
+        m for m in busy(w) if any(k.startswith(TWO) for k in m.running_tasks())
+    )
     other_zone = "b" if remaining_machine.zone == "a" else "a"
     deleted_machine = next(
-        m for m in busy(w) if m is not remaining_machine and any(k.startswith(TWO) for k in m.on())
+        m
+        for m in busy(w)
+        if m is not remaining_machine and any(k.startswith(TWO) for k in m.running_tasks())
     )
     for m in list(w.cloud.machines.values()):
         if (
@@ -207,7 +215,9 @@
     create_request = (
         b'{"hire":"x","breed":"small","yard":"%s","loaners":false,"number":3}' % other_zone.encode()
     )
-    assert deleted_machine.deleted and w.cloud.rent(create_request, w.now - 60.0)[0] == 200
+    assert (
+        deleted_machine.deleted and w.cloud.create_machines(create_request, w.now - 60.0)[0] == 200
+    )
     w.run(40)
     zones = {w.cloud.machines[p.machine_id].zone for p in job.placements()}
     assert zones == {remaining_machine.zone} and job.unplaced_count == 0, (
@@ -227,8 +237,10 @@
     w.run(18)
     unreachable = busy(w)[:2]
     unreachable_ids = {m.id for m in unreachable}
-    w.unresponsive = unreachable_ids if how.startswith("unresponsive") else set()
-    w.silent = unreachable_ids if how == "silent" else set()
+    w.machines_without_inbound_messages = (
+        unreachable_ids if how.startswith("unresponsive") else set()
+    )
+    w.disconnected_machines = unreachable_ids if how == "silent" else set()
     for m in unreachable:
         m.hangs_until = w.now + 7.0 if how == "hang" else -1.0
     w.crash(w.leader)
@@ -237,11 +249,13 @@
         w.run(60)
         assert all(m.deleted for m in unreachable)
     else:
-        w.unresponsive, w.silent = set(), set()
+        w.machines_without_inbound_messages, w.disconnected_machines = set(), set()
         assert not any(m.deleted for m in unreachable)
     finish(w)
     if how == "hang":
-        assert all(w.starts[key] == 1 for key in w.starts), "a task was started again without need"
+        assert all(w.start_counts[key] == 1 for key in w.start_counts), (
+            "a task was started again without need"
+        )
 
 
 # -- a zone is partitioned together with a node
@@ -260,11 +274,11 @@
     w.submit(TWO, run_s=30.0, parcels=20)
     w.run(18)
     node = w.leader if cut_node_leads else next(i for i in range(w.nodes) if i != w.leader)
-    w.shared_out = False
-    w.cut, w.cut_zone = {node}, "a"
+    w.enforces_machine_shares = False
+    w.cut_off_nodes, w.cut_zone = {node}, "a"
     for m in w.cloud.machines.values():
         if m.zone == "a":
-            w.at[m.id] = node
+            w.node_by_worker[m.id] = node
     if cloud_down:
         w.cloud_down_until = w.now + 60.0
     w.run(3)
@@ -272,9 +286,9 @@
         w.elect()
     w.cancel(ONE)
     w.run(45)
-    w.cut, w.cut_zone, w.shared_out = set(), None, True
+    w.cut_off_nodes, w.cut_zone, w.enforces_machine_shares = set(), None, True
     finish(w)
-    assert w.told == {ONE: "aborted", TWO: "done"}
+    assert w.reported_outcomes == {ONE: "aborted", TWO: "done"}
 
 
 # -- nodes stop and return
@@ -292,9 +306,9 @@
     w.cancel("wk-000090")
     w.run(1)
     machine_ids_before = set(w.cloud.machines)
-    w.asleep, w.unreachable_nodes = w.leader, set(range(w.nodes))
+    w.stalled_node, w.unreachable_nodes = w.leader, set(range(w.nodes))
     w.run(gap)
-    w.asleep, w.unreachable_nodes = None, set()
+    w.stalled_node, w.unreachable_nodes = None, set()
     for i in range(w.nodes):
         w.crash(i)
     w.unreachable_nodes = {i for i in range(w.nodes) if i != w.leader}  # the others return later
@@ -308,10 +322,12 @@
         if c.inventory.is_deleted(MachineId(n))
     ]
     w.run(10)
-    w.left_waiting_s = WAIT_S
+    w.max_wait_with_free_capacity_s = WAIT_S
     finish(w)
     w.run(35)
-    assert w.told.pop("wk-000090", "aborted") == "aborted" and set(w.told.values()) == {"done"}
+    assert w.reported_outcomes.pop("wk-000090", "aborted") == "aborted" and set(
+        w.reported_outcomes.values()
+    ) == {"done"}
 
 
 @pytest.mark.parametrize("late_s", [0.0, 0.5, 3.0])
@@ -369,13 +385,15 @@
     w.submit("wk-000090", run_s=100.0)
     for i in range(40):
         w.run(1.0)
-        w.check_kept()
+        w.check_placements_are_stored()
         if i % 8 == 0:
             w.submit(f"wk-0001{i:02d}", run_s=3.0, parcels=5)
     w.cancel("wk-000090")
     finish(w)
     w.run(20)
-    assert w.told.pop("wk-000090") == "aborted" and set(w.told.values()) == {"done"}
+    assert w.reported_outcomes.pop("wk-000090") == "aborted" and set(
+        w.reported_outcomes.values()
+    ) == {"done"}
     assert not w.store.range("job/")
 
 
@@ -399,7 +417,7 @@
     for _ in range(400):
         w.now += 0.1
         now = MonotonicTime(w.now)
-        w.lead(c, now)
+        w.run_leader_tick(c, now)
         w.serve_cloud(c, now)
         for m in list(w.cloud.machines.values()):
             w.serve_worker(c, m, now, 0.1)
@@ -416,18 +434,18 @@
                 MonotonicTime(w.now),
             )
     assert pending is not None and (pending.deleted_records or pending.orphaned_keys)
-    w.told.update(c.take_finished_jobs())
+    w.reported_outcomes.update(c.take_finished_jobs())
     if is_committed:
         w.store.txn(pending.transaction.body())
     else:
-        w.late.append((w.now + 5.0, pending.transaction.body()))
+        w.delayed_transactions.append((w.now + 5.0, pending.transaction.body()))
     c.on_transaction_result(
         pending, TransactionOutcome.INDETERMINATE, Revision(0), (), MonotonicTime(w.now)
     )
     w.run(8)
     w.submit(TWO, run_s=3.0)
     w.run(40)
-    assert w.told[TWO] == "done"
+    assert w.reported_outcomes[TWO] == "done"
 
 
 # -- requests race with the end of the last task
@@ -476,7 +494,7 @@
         pending = c.next_transaction(now, 20)
         assert pending is not None and pending.ends
     if pending is not None and moment == "end unsure":
-        w.late.append((w.now + 3.0, pending.transaction.body()))
+        w.delayed_transactions.append((w.now + 3.0, pending.transaction.body()))
         c.on_transaction_result(pending, TransactionOutcome.INDETERMINATE, Revision(0), (), now)
     elif pending is not None and moment == "end refused":
         c.on_transaction_result(pending, TransactionOutcome.REJECTED, Revision(0), (), now)
@@ -489,7 +507,7 @@
         # The scheduler drops a finished job at once. The node answers from the outcomes that it has
         # just taken.
         assert c.take_finished_jobs() == [(ONE, expected_status)]
-        w.tell(ONE, expected_status)
+        w.record_reported_outcome(ONE, expected_status)
         assert c.cancel_job(ONE, now) in (cancel_result, LookupFailure.STATE_UNKNOWN)
     elif expected_status is JobStatus:
         assert isinstance(status, JobStatus) and status.state in ("pending", "running")
@@ -501,7 +519,7 @@
         version = Revision(w.store.txn(pending.transaction.body())[1]["ledgerRev"])
         c.on_transaction_result(pending, TransactionOutcome.COMMITTED, version, (), now)
     w.run(30)
-    assert w.told == {ONE: outcome}
+    assert w.reported_outcomes == {ONE: outcome}
     assert w.store.keys[f"end/{ONE}"][0]["e"] == outcome
 
 
@@ -579,7 +597,7 @@
     w.run(8)
     m = next(m for m in w.cloud.machines.values() if m.boots_at <= w.now and not m.tasks)
     delayed = workers.parse_heartbeat(m.report())
-    while not m.on():
+    while not m.running_tasks():
         w.step(0.1)
     w.elect()
     if not is_first:
@@ -592,7 +610,7 @@
     assert machine.placements == placements_before and machine.last_heartbeat_at == heartbeat_at
     assert not any(p.phase is PlacementPhase.ENDED for p in placements_before.values())
     finish(w)
-    assert all(n == 1 for n in w.starts.values())
+    assert all(n == 1 for n in w.start_counts.values())
 
 
 @pytest.mark.parametrize(
@@ -615,9 +633,9 @@
     w.submit(ONE, run_s=200.0, parcels=2, cpus=4.0)
     w.run(12)
     sim = busy(w)[0]
-    sim.answered = -1e9  # its lease expires: the next session begins, and the tasks restart
+    sim.lease_renewed_at = -1e9  # its lease expires: the next session begins, and the tasks restart
     w.run(6)
-    assert sim.agent_epoch == 2 and len(sim.on()) == 2
+    assert sim.agent_epoch == 2 and len(sim.running_tasks()) == 2
     c = leader(w)
     p = next(p for m in c.inventory.machines.values() for p in m.placements.values())
     body = sim.report()
@@ -650,8 +668,8 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_jobs_finish_under_overload_with_slow_peer_links(seed: int) -> None:
-    w = RelayWorld(seed, capacity=3, mesh_delay=2.5, mesh_lost=0.05, answer_slow=0.1)
-    w.left_waiting_s = WAIT_S
+    w = RelayWorld(seed, capacity=3, mesh_delay_s=2.5, mesh_lost=0.05, answer_slow=0.1)
+    w.max_wait_with_free_capacity_s = WAIT_S
     for i in range(30):
         urgency = ("urgent", "standard", "idle")[i % 3]
         w.submit(
@@ -666,7 +684,7 @@
         w.run(1.0)
     w.faults = {}
     finish(w, 900.0)
-    assert set(w.told.values()) == {"done"}
+    assert set(w.reported_outcomes.values()) == {"done"}
 
 
 @pytest.mark.parametrize(
@@ -706,9 +724,9 @@
     c.jobs.jobs[TWO].prefers_on_demand = how == "kept, job prefers on-demand"
     if how == "avoided":
         c.jobs.jobs[TWO].avoid_machine(m.id, MonotonicTime(w.now))
-    w.left_waiting_s = WAIT_S
+    w.max_wait_with_free_capacity_s = WAIT_S
     w.run(within_s)
-    assert w.starts[f"{TWO}/0"] == 1
+    assert w.start_counts[f"{TWO}/0"] == 1
 
 
 # -- tasks that end far apart
@@ -727,15 +745,15 @@
     assert len(busy(w)) == task_count
     for i, m in enumerate(busy(w)):
         for task in m.tasks.values():
-            task.left = 4.0 + 9.0 * i
+            task.remaining_run_s = 4.0 + 9.0 * i
     ends = [w.now + 4.0 + 9.0 * i for i in range(task_count)]
     for end_at in ends[:-1]:
         w.run(end_at + 1.5 - w.now)
         assert f"end/{ONE}" not in w.store.keys
         w.crash(w.leader)
     finish(w)
-    assert w.told == {ONE: "done"} and w.now > ends[-1]
-    assert dict(w.starts) == {f"{ONE}/{i}": 1 for i in range(task_count)}
+    assert w.reported_outcomes == {ONE: "done"} and w.now > ends[-1]
+    assert dict(w.start_counts) == {f"{ONE}/{i}": 1 for i in range(task_count)}
 
 
 # -- commands or answers are delayed, or a machine recovers before its deletion
@@ -745,7 +763,7 @@
 def test_jobs_end_correctly_when_commands_are_delayed_for_seconds(seed: int) -> None:
     """Some delays are longer than the worker waits for a response, some are not. The machine hangs
     during the delay, and jobs end, are cancelled and move to other machines."""
-    w = RelayWorld(seed, capacity=5, answer_slow=0.25, mesh_delay=1.0, report_twice=0.1)
+    w = RelayWorld(seed, capacity=5, answer_slow=0.25, mesh_delay_s=1.0, report_twice=0.1)
     submit_all(w)
     w.submit("wk-000090", run_s=100.0, parcels=10)
     w.submit("wk-000091", run_s=100.0, parcels=10)
@@ -759,7 +777,10 @@
     w.faults = {}
     finish(w)
     w.run(31)
-    assert {j for j, how in w.told.items() if how == "aborted"} == {"wk-000090", "wk-000091"}
+    assert {j for j, how in w.reported_outcomes.items() if how == "aborted"} == {
+        "wk-000090",
+        "wk-000091",
+    }
 
 
 @pytest.mark.parametrize(
@@ -800,18 +821,18 @@
     w = RelayWorld(seed, capacity=6)
     w.submit(ONE, run_s=60.0, parcels=8)
     w.submit(TWO, run_s=2.0, parcels=12)
-    while TWO not in w.told:
+    while TWO not in w.reported_outcomes:
         w.step(0.1)
-    (hung, *_) = [m for m in busy(w) if any(k.startswith(ONE) for k in m.on())]
+    (hung, *_) = [m for m in busy(w) if any(k.startswith(ONE) for k in m.running_tasks())]
     w.cloud_down_until = w.now + 25.0
     hung.hangs_until = w.now + 8.5
     w.run(8)
     assert (
         leader(w).inventory.machines[MachineId(hung.id)].state is MachineState.DELETING
-        and hung.on()
+        and hung.running_tasks()
     )
     finish(w)
-    assert w.told == {ONE: "done", TWO: "done"}
+    assert w.reported_outcomes == {ONE: "done", TWO: "done"}
 
 
 def test_machines_with_cancelled_tasks_are_deleted_first() -> None:
@@ -846,12 +867,12 @@
     w = RelayWorld(seed, capacity=10)
     w.submit(ONE, run_s=100.0, parcels=30, crew="t1")
     w.run(20)
-    running_count = sum(len(m.on()) for m in w.cloud.machines.values())
+    running_count = sum(len(m.running_tasks()) for m in w.cloud.machines.values())
     assert running_count * 2.0 == quota_cpus
     unreachable = busy(w)[:2]
     unreachable_ids = {m.id for m in unreachable}
-    w.unresponsive = unreachable_ids if how == "unresponsive" else set()
-    w.silent = unreachable_ids if how == "silent" else set()
+    w.machines_without_inbound_messages = unreachable_ids if how == "unresponsive" else set()
+    w.disconnected_machines = unreachable_ids if how == "silent" else set()
     for m in unreachable:
         m.hangs_until = w.now + 30.0 if how == "hang" else -1.0
     w.submit(TWO, run_s=5.0, parcels=30, crew="t1")
@@ -861,7 +882,7 @@
     w.run(8)
     w.crash(w.leader)
     w.run(25)
-    w.unresponsive, w.silent = set(), set()
-    w.left_waiting_s = WAIT_S
+    w.machines_without_inbound_messages, w.disconnected_machines = set(), set()
+    w.max_wait_with_free_capacity_s = WAIT_S
     finish(w)
-    assert w.told == {ONE: "aborted", TWO: "done"}
+    assert w.reported_outcomes == {ONE: "aborted", TWO: "done"}
--- a/tests/test_job_dependencies.py
+++ b/tests/test_job_dependencies.py
@@ -355,7 +355,7 @@
     finish(world, 1.0)
     for job in world.jobs:
         cancelled_jobs = [
-            n for n in (job, *world.before(job)) if world.end_in_store(n) == users.CANCELLED
+            n for n in (job, *world.upstream_jobs(job)) if world.end_in_store(n) == users.CANCELLED
         ]
         assert (world.end_in_store(job) == users.CANCELLED) is bool(cancelled_jobs)
 
@@ -381,7 +381,7 @@
         assert record["awaits"]
     for i in (1, 2, 3):
         assert scheduler.job_status(JobId(f"wk-0-{i}")).state == users.CANCELLED  # type: ignore[union-attr]
-    world.told = {f"wk-0-{i}": users.CANCELLED for i in range(4)}
+    world.reported_outcomes = {f"wk-0-{i}": users.CANCELLED for i in range(4)}
     from eldercart.wire.stored_jobs import encode_job_record
     from eldercart.wire.stored_placements import max_tasks_per_chunk
 
@@ -607,8 +607,8 @@
     world = World(seed, **faults)
     world.submit("wk-a", parcels=2, run_s=3.0)
     world.submit("wk-b", parcels=2, run_s=3.0)
-    world.submit("wk-c", parcels=3, awaits=["wk-a", "wk-b"], run_s=3.0, parts=2)
-    world.submit("wk-d", parcels=3, awaits=["wk-c"], run_s=3.0, parts=1)
+    world.submit("wk-c", parcels=3, awaits=["wk-a", "wk-b"], run_s=3.0, dependency_list_parts=2)
+    world.submit("wk-d", parcels=3, awaits=["wk-c"], run_s=3.0, dependency_list_parts=1)
     world.store.keys["needs/wk-e/other/0"] = (["wk-a"], 1, None)  # its acceptance may be in flight
     for turn in range(12):
         world.run(1.5)
@@ -636,7 +636,7 @@
     for name in names:
         world.store.keys[f"end/{name}"] = ({"e": users.DONE, "n": 1}, 1, None)
         world.jobs[name] = submission(name)
-    world.submit("wk-last", parcels=1, awaits=names, run_s=1.0, parts=50)
+    world.submit("wk-last", parcels=1, awaits=names, run_s=1.0, dependency_list_parts=50)
     scheduler = world.scheduler
     assert scheduler is not None
     for _ in range(400):
@@ -648,7 +648,7 @@
     assert (
         not stored_list_keys(world)
         and not scheduler.transaction_writer.dependency_list_keys
-        and not world.too_large
+        and not world.too_large_count
     )
 
 
@@ -667,7 +667,7 @@
     world = World(0)
     world.store.keys["end/wk-a"] = ({"e": users.CANCELLED, "n": 1}, 1, None)
     world.jobs["wk-a"] = submission("wk-a")
-    world.submit("wk-c", parcels=1, awaits=["wk-a"], parts=1)
+    world.submit("wk-c", parcels=1, awaits=["wk-a"], dependency_list_parts=1)
     scheduler = world.scheduler
     assert scheduler is not None
     now = MonotonicTime(world.now)
@@ -726,7 +726,7 @@
         world.submit(f"wk-{i}", parcels=1, awaits=[dependency], run_s=1.0)
     world.run(8.0)
     world.cancel("wk-root")
-    while "wk-root" not in world.told:
+    while "wk-root" not in world.reported_outcomes:
         world.step(0.1)
     if "leader" in trouble:
         world.elect()
@@ -908,7 +908,7 @@
     for _ in range(50):
         world.step(0.1)
         world.poll_all()
-    assert not world.told
+    assert not world.reported_outcomes
     finish(world)
     assert {world.end_in_store(job) for job in world.jobs} == {users.CANCELLED}
 
--- a/tests/test_leader_store_outage.py
+++ b/tests/test_leader_store_outage.py
@@ -97,7 +97,7 @@
     for i in range(6):
         world.submit(f"wk-{i}", parcels=8, runS=200.0, run_s=200.0, cpus=2.0)
     world.run(40.0)
-    assert sum(len(m.on()) for m in world.cloud.machines.values()) > 20
+    assert sum(len(m.running_tasks()) for m in world.cloud.machines.values()) > 20
     return world
 
 
@@ -110,24 +110,24 @@
     assert len(world.cancelled_at) == len(world.jobs), "not every cancellation was confirmed"
 
 
-@pytest.mark.parametrize("order_lost", [0.0, 0.5])
+@pytest.mark.parametrize("direct_kill_lost", [0.0, 0.5])
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 def test_cancelled_tasks_end_although_their_workers_report_to_the_old_leader(
-    seed: int, order_lost: float
+    seed: int, direct_kill_lost: float
 ) -> None:
     """Without direct kills, the new leader would have to delete all these machines: they answer its
     `/show` probes, but it receives no heartbeats from them."""
-    world = loaded_world(seed, order_lost=order_lost)
-    world.stale = set(world.cloud.machines)
+    world = loaded_world(seed, direct_kill_lost=direct_kill_lost)
+    world.machines_with_stale_leader = set(world.cloud.machines)
     assert world.scheduler is not None
-    world.stale_epoch = world.scheduler.token
+    world.stale_leader_token = world.scheduler.token
     world.elect()
     cancel_all(world)
     world.outage_until = world.now + 46.0
     machines = len(world.cloud.machines)
-    world.run(12.0 if order_lost == 0.0 else 20.0)
-    assert not any(m.on() for m in world.cloud.machines.values())
-    assert world.orders > 0
+    world.run(12.0 if direct_kill_lost == 0.0 else 20.0)
+    assert not any(m.running_tasks() for m in world.cloud.machines.values())
+    assert world.direct_kill_count > 0
     assert len(world.cloud.machines) >= machines - 1, (
         "a machine was deleted although direct kills reach it"
     )
@@ -140,10 +140,10 @@
     """No command reaches these machines, and the old leader renews their leases indefinitely. The
     cancelled tasks keep running unless the machines are deleted."""
     world = loaded_world(seed)
-    victims = sorted(m.id for m in world.cloud.machines.values() if m.on())[:3]
-    world.stale = set(victims)
+    victims = sorted(m.id for m in world.cloud.machines.values() if m.running_tasks())[:3]
+    world.machines_with_stale_leader = set(victims)
     assert world.scheduler is not None
-    world.stale_epoch = world.scheduler.token
+    world.stale_leader_token = world.scheduler.token
     world.elect()
 
     def only_shows(scheduler: Scheduler, now: MonotonicTime) -> None:
@@ -151,7 +151,7 @@
             # A machine that answers probes is not deleted for its silence alone.
             scheduler.record_probe_success(MachineId(name), now)
 
-    world.serve_orders = only_shows  # type: ignore[method-assign]
+    world.deliver_direct_kills = only_shows  # type: ignore[method-assign]
     cancel_all(world)
     world.outage_until = world.now + 46.0
     world.run(46.0)
@@ -162,9 +162,12 @@
 def test_machine_pending_deletion_receives_direct_kills() -> None:
     """The cloud is unavailable as well, and the machines' heartbeats are answered under an earlier
     leader's token. Without a direct kill, a cancelled task would run until the cloud recovers."""
-    world = loaded_world(2, order_lost=0.5)
+    world = loaded_world(2, direct_kill_lost=0.5)
     assert world.scheduler is not None
-    world.stale, world.stale_epoch = set(world.cloud.machines), world.scheduler.token
+    world.machines_with_stale_leader, world.stale_leader_token = (
+        set(world.cloud.machines),
+        world.scheduler.token,
+    )
     world.elect()
     world.run(9.0)  # by then, the list of the cloud contains the machines
     world.cloud_down_until = world.now + 60.0
@@ -175,7 +178,7 @@
     cancel_all(world)
     world.outage_until = world.now + 50.0
     world.run(25.0)
-    assert not any(m.on() for m in world.cloud.machines.values())
+    assert not any(m.running_tasks() for m in world.cloud.machines.values())
     world.run(30.0)
 
 
@@ -187,7 +190,7 @@
         self.world.submit("wk-1", parcels=1, run_s=500.0, cpus=2.0)
         self.world.run(20.0)
         (self.machine,) = self.world.cloud.machines.values()
-        assert self.machine.on()
+        assert self.machine.running_tasks()
 
     @property
     def scheduler(self) -> Scheduler:
@@ -313,22 +316,22 @@
             supported_features=peers.SUPPORTED_FEATURES,
         )
         self.node = node
-        self.r = RelayService(node)  # type: ignore[arg-type]
+        self.relay_service = RelayService(node)  # type: ignore[arg-type]
 
     def tick(self, at: float) -> None:
         self.now = at
-        self.r.tick(MonotonicTime(at))
+        self.relay_service.tick(MonotonicTime(at))
 
     def receive_acknowledgement(self, peer: str, sent_at: float, at: float, **changes: Any) -> None:
         """Receive the peer's acknowledgement of the heartbeat that was sent at `sent_at`."""
-        link = self.r.links[NodeId(peer)]
+        link = self.relay_service.links[NodeId(peer)]
         link.pending_heartbeats[7] = MonotonicTime(sent_at)
         self.now = at
         values = {"epoch": FencingToken(5), "leads": False, "ready": True} | changes
         acknowledgement = peers.PeerHeartbeatAck(
             7, values["epoch"], values["leads"], False, 0, None, 0, is_ready=values["ready"]
         )
-        self.r._on_reply_frame(
+        self.relay_service._on_reply_frame(
             link, peers.parse_frame(peers.encode_peer_heartbeat_ack(acknowledgement))
         )
 
@@ -339,7 +342,7 @@
             peer=None, send=lambda data: self.sent_frames.append(peers.parse_frame(data))
         )
         heartbeat = peers.PeerHeartbeat(NodeId("drover-2"), 1, FencingToken(5), False, 0, 0, ())
-        self.r._on_request_frame(
+        self.relay_service._on_request_frame(
             channel,  # type: ignore[arg-type]
             peers.parse_frame(peers.encode_peer_heartbeat(heartbeat)),
         )
@@ -405,24 +408,24 @@
 def test_higher_token_of_a_peer_shortens_the_lease_and_makes_a_heartbeat_due() -> None:
     fixture = RelayServiceFixture()
     fixture.leader_service.is_active = False
-    fixture.r.relay.renew_lease(
+    fixture.relay_service.relay.renew_lease(
         FencingToken(5), NodeId("drover-1"), MonotonicTime(100.0), MonotonicTime(100.0)
     )
-    link = fixture.r.links[NodeId("drover-2")]
+    link = fixture.relay_service.links[NodeId("drover-2")]
     link.last_heartbeat_at = MonotonicTime(100.0)
     fixture.now = 100.5
     channel = SimpleNamespace(peer=None, send=lambda data: None)
     heartbeat = peers.PeerHeartbeat(NodeId("drover-2"), 1, FencingToken(9), False, 0, 0, ())
-    fixture.r._on_request_frame(
+    fixture.relay_service._on_request_frame(
         channel,  # type: ignore[arg-type]
         peers.parse_frame(peers.encode_peer_heartbeat(heartbeat)),
     )
     assert fixture.observed_tokens == [9] and link.last_heartbeat_at < 0, (
         "a heartbeat to the peer must be due immediately"
     )
-    assert fixture.r.relay.holds_lease(MonotonicTime(102.4)) and not fixture.r.relay.holds_lease(
-        MonotonicTime(102.6)
-    )
+    assert fixture.relay_service.relay.holds_lease(
+        MonotonicTime(102.4)
+    ) and not fixture.relay_service.relay.holds_lease(MonotonicTime(102.6))
 
 
 class RelayingFixture(RelayServiceFixture):
@@ -435,7 +438,7 @@
         self.leader_service.is_active = False
         self.node.election.leader = self.LEADER
         self.answers: list[Any] = []
-        self.link = self.r.links[self.LEADER]
+        self.link = self.relay_service.links[self.LEADER]
         transport = SimpleNamespace(disconnecting=False, doWrite=lambda: None)
         self.channel: Any = SimpleNamespace(transport=transport, send=lambda data: None)
         self.link._on_connection_made(self.channel)
@@ -444,7 +447,7 @@
 
     def renew_relay_lease(self, requested_at: float) -> None:
         """Renew the relay lease of this node for 3.92 s from `requested_at` on."""
-        self.r.relay.renew_lease(
+        self.relay_service.relay.renew_lease(
             FencingToken(5),
             self.LEADER,
             MonotonicTime(requested_at),
@@ -461,16 +464,20 @@
                 disconnected=False,
                 reply=lambda status, body, retry=None: self.answers.append((status, retry)),
             )
-            self.r.heartbeat_forwarding.handle_heartbeat(request)
+            self.relay_service.heartbeat_forwarding.handle_heartbeat(request)
         else:
-            send = self.r.leader_client.poll if kind == "poll" else self.r.leader_client.cancel
+            send = (
+                self.relay_service.leader_client.poll
+                if kind == "poll"
+                else self.relay_service.leader_client.cancel
+            )
             assert send(JobId("wk-1"), self.answers.append)
         if flushed:
             self.flush()
 
     def flush(self) -> None:
-        self.r.leader_client._flush()
-        self.r.heartbeat_forwarding._flush()
+        self.relay_service.leader_client._flush()
+        self.relay_service.heartbeat_forwarding._flush()
 
 
 LEASE_RENEWED, RETRY_LATER = (200, None), (503, 1)  # to a worker, with and without a relay lease
@@ -509,7 +516,7 @@
         fixture.link._on_connection_lost(fixture.channel)
     elif "no link" in event:
         # Another node leads now, to which this node has no connection. The old link is connected.
-        fixture.node.election.leader = fixture.r.relay.leader = NodeId("drover-2")
+        fixture.node.election.leader = fixture.relay_service.relay.leader = NodeId("drover-2")
         fixture.flush()
     else:
         fixture.tick(at)
@@ -549,7 +556,10 @@
     world = loaded_world(seed)
     scheduler = world.scheduler
     assert scheduler is not None
-    world.stale, world.stale_epoch = set(world.cloud.machines), scheduler.token
+    world.machines_with_stale_leader, world.stale_leader_token = (
+        set(world.cloud.machines),
+        scheduler.token,
+    )
     now = MonotonicTime(world.now)
     world.cancel("wk-0")
     pending = scheduler.next_transaction(now, 2)
@@ -562,18 +572,18 @@
             pending, TransactionOutcome.COMMITTED, Revision(answer["ledgerRev"]), (), now
         )
         for job, outcome in scheduler.take_finished_jobs():
-            world.tell(job, outcome)
+            world.record_reported_outcome(job, outcome)
     world.elect()
     if write == "carried out late":
         assert world.scheduler is not None
         assert world.scheduler.cancel_job(JobId("wk-0"), MonotonicTime(world.now)) == "aborted"
-        world.tell("wk-0", "aborted")
+        world.record_reported_outcome("wk-0", "aborted")
     cancel_all(world)
     world.outage_until = world.now + 46.0
     world.run(4.0)
     if elects_again:
         world.elect()  # its leader key was written just before the outage
     world.run(26.0)
-    assert not any(m.on() for m in world.cloud.machines.values())
+    assert not any(m.running_tasks() for m in world.cloud.machines.values())
     world.run(20.0)
     finish(world)
--- a/tests/test_mass_events.py
+++ b/tests/test_mass_events.py
@@ -12,7 +12,7 @@
 
 def all_worker_leases_expire(world: RelayWorld) -> None:
     for worker in world.cloud.machines.values():
-        worker.answered = -1e9
+        worker.lease_renewed_at = -1e9
 
 
 def a_third_of_machines_fails(world: RelayWorld) -> None:
@@ -44,13 +44,13 @@
     for i in range(world.nodes):
         if i != remaining:
             world.relays[i] = world.new_relay(i)
-            world.cut.add(i)
+            world.cut_off_nodes.add(i)
 
 
 def spot_machines_get_preemption_notice(world: RelayWorld) -> None:
     for worker in list(world.cloud.machines.values()):
         if worker.spot:
-            worker.notice = 5.0
+            worker.preemption_notice_s = 5.0
 
 
 def three_leaders_and_a_third_of_machines_fail(world: RelayWorld) -> None:
@@ -90,14 +90,18 @@
     affected = {
         name
         for name, worker in world.cloud.machines.items()
-        if worker.hangs_until > world.now or worker.notice
+        if worker.hangs_until > world.now or worker.preemption_notice_s
     }
     world.run(12)
     if event is one_node_remains:
-        reporting_nodes = {world.at[name] for name in world.cloud.machines if name in world.at}
+        reporting_nodes = {
+            world.node_by_worker[name]
+            for name in world.cloud.machines
+            if name in world.node_by_worker
+        }
         assert reporting_nodes == {world.leader}, (
             "some machines did not switch to the remaining node"
         )
     assert initial_machines - affected <= set(world.cloud.machines), "a healthy machine was deleted"
     finish(world, 200.0)
-    assert set(world.told.values()) == {"done"} and len(world.told) == 12
+    assert set(world.reported_outcomes.values()) == {"done"} and len(world.reported_outcomes) == 12
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -219,7 +219,7 @@
     "answer_lost": 0.05,
     "report_twice": 0.2,
     "mesh_lost": 0.1,
-    "mesh_delay": 0.8,
+    "mesh_delay_s": 0.8,
     "cloud_lost": 0.1,
 }
 
@@ -230,7 +230,7 @@
     world = RelayWorld(seed, **faults)
     submit_all(world)
     finish(world)
-    assert set(world.told.values()) == {"done"}
+    assert set(world.reported_outcomes.values()) == {"done"}
     answered = sum(r.machine_count for r in world.relays)
     assert answered > 0 and world.relays[world.leader].machine_count < answered
 
@@ -268,14 +268,14 @@
         leader_scheduler.token, world.relays[old_leader].label, now, now, 500, None
     )
     for name in [name for name, m in world.cloud.machines.items() if m.tasks][:2]:
-        world.at[name] = old_leader
+        world.node_by_worker[name] = old_leader
     before = {name: m for name, m in world.cloud.machines.items() if m.tasks}
-    assert any(world.at[name] == old_leader for name in before)
-    world.cut.add(old_leader)
+    assert any(world.node_by_worker[name] == old_leader for name in before)
+    world.cut_off_nodes.add(old_leader)
     world.run(leader_lease_s := 3.0)
     world.elect()
     world.run(20 - leader_lease_s)
-    assert not any(world.at[name] == old_leader for name in world.cloud.machines)
+    assert not any(world.node_by_worker[name] == old_leader for name in world.cloud.machines)
     assert all(m.agent_epoch == 1 for m in before.values()), "a lease ran out"
     assert all(name in world.cloud.machines for name in before), "a healthy machine was deleted"
 
@@ -294,14 +294,14 @@
     leader_scheduler = world.scheduler
     assert leader_scheduler is not None
     node = world.leader if leads else next(i for i in range(world.nodes) if i != world.leader)
-    world.shared_out = False
+    world.enforces_machine_shares = False
     for name in world.cloud.machines:
-        world.at[name] = node
+        world.node_by_worker[name] = node
     world.run(3)
     before = {name for name, m in world.cloud.machines.items() if m.tasks}
-    assert sum(world.at[name] == node for name in before) >= 4
+    assert sum(world.node_by_worker[name] == node for name in before) >= 4
     for name in before:
-        world.reports_due[name] = world.now + 1.25 * world.settings.report_s
+        world.next_heartbeat_at[name] = world.now + 1.25 * world.settings.report_s
     world.unreachable_nodes.add(node)
     world.run(15)
     assert before <= set(world.cloud.machines), "a healthy machine was deleted"
@@ -314,13 +314,13 @@
     world = RelayWorld(seed, capacity=4)
     world.submit("wk-000001", run_s=30.0, parcels=16)
     world.run(14)
-    victim = next(m for m in world.cloud.machines.values() if m.on())
-    world.unresponsive.add(victim.id)
+    victim = next(m for m in world.cloud.machines.values() if m.running_tasks())
+    world.machines_without_inbound_messages.add(victim.id)
     world.submit("wk-000002", run_s=30.0, parcels=16)
     world.run(60)
     assert victim.deleted
     finish(world)
-    assert world.told == {"wk-000001": "done", "wk-000002": "done"}
+    assert world.reported_outcomes == {"wk-000001": "done", "wk-000002": "done"}
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -371,7 +371,7 @@
         leader_scheduler.inventory.machines[MachineId("n-999998")]
     )
     finish(world)
-    assert world.told[JobId("wk-000001")] == "done"
+    assert world.reported_outcomes[JobId("wk-000001")] == "done"
 
 
 @pytest.mark.parametrize(("answers_probes", "deleted"), [(True, False), (False, True)])
@@ -416,7 +416,7 @@
     world.run(16)
     leader_scheduler = world.scheduler
     assert leader_scheduler is not None
-    worker = next(machine for machine in world.cloud.machines.values() if machine.on())
+    worker = next(machine for machine in world.cloud.machines.values() if machine.running_tasks())
     machine = leader_scheduler.inventory.get(MachineId(worker.id))
     assert machine is not None and worker.token == leader_scheduler.token
     copy = workers.parse_heartbeat(worker.report())
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -226,10 +226,12 @@
         end = world.now + 400
         while not world.all_ended() and world.now < end:
             world.watch(1)
-            self.check_kept()
+            self.check_placements_are_stored()
         world.watch(3)
         cancelled = {
-            job for job in world.jobs if {job, *world.before(job)} & world.cancelled_at.keys()
+            job
+            for job in world.jobs
+            if {job, *world.upstream_jobs(job)} & world.cancelled_at.keys()
         }
         for job in world.jobs:
             expected = users.CANCELLED if job in cancelled else users.DONE
@@ -239,19 +241,22 @@
         if self.case.reduction is not None:
             self.check_reduced_limits()
         if self.expects_no_rerun:
-            restarted_tasks = {task: n for task, n in world.starts.items() if n > 1}
+            restarted_tasks = {task: n for task, n in world.start_counts.items() if n > 1}
             assert not restarted_tasks, "an upgrade alone must not run a task again"
 
-    def check_kept(self) -> None:
-        self.world.check_kept()
+    def check_placements_are_stored(self) -> None:
+        self.world.check_placements_are_stored()
 
     def check_leader_versions(self) -> None:
-        assert self.world.led[0] is False and self.world.led[-1] is True
+        assert (
+            self.world.leader_ran_this_version[0] is False
+            and self.world.leader_ran_this_version[-1] is True
+        )
 
     def check_reduced_limits(self) -> None:
         """No transaction was rejected for its size, and no placement record exceeds the limit."""
         world = self.world
-        assert not world.too_large
+        assert not world.too_large_count
         placement_records = [orjson.dumps(i["v"]) for i in world.store.range("place/")]
         assert all(len(placement_record) <= 2048 for placement_record in placement_records)
 
@@ -271,7 +276,7 @@
         self.world.replaced = set(range(self.world.nodes))
         for i in range(self.world.nodes):
             self.world.crash(i)
-        assert self.world.led[-1] is True and self.supports_chains
+        assert self.world.leader_ran_this_version[-1] is True and self.supports_chains
 
     def pending_nodes(self) -> list[int]:
         """Return the nodes that still run this version."""
@@ -283,7 +288,13 @@
         awaits = [f"wk-{name}{i}" for i in "abcd"]
         self.submit(f"wk-{name}e", parcels=2, cpus=1.0, run_s=2.0, awaits=awaits)
         self.world.submit(
-            f"wk-{name}f", parts=3, parcels=2, cpus=1.0, memGb=1.0, run_s=2.0, awaits=awaits
+            f"wk-{name}f",
+            dependency_list_parts=3,
+            parcels=2,
+            cpus=1.0,
+            memGb=1.0,
+            run_s=2.0,
+            awaits=awaits,
         )
 
     def run(self) -> None:
@@ -294,7 +305,7 @@
         self.submit("wk-open", parcels=8, cpus=1.0, run_s=60.0)
         self.world.submit(
             "wk-listed",
-            parts=2,
+            dependency_list_parts=2,
             parcels=2,
             cpus=1.0,
             memGb=1.0,
@@ -311,7 +322,7 @@
                 world.watch(3)
                 batch = [i for i in batch if i != world.leader]  # no new leader could be elected
             for i in batch:
-                world.put_back(i)
+                world.roll_back(i)
             while world.now < world.outage_until:
                 world.watch(1)
             assert world.store.range("needs/wk-listed/"), (
@@ -324,25 +335,32 @@
             world.watch(self.rng.uniform(0.5, 3))
             if case.cancels:
                 self.cancel_some()
-        assert world.end_in_store("wk-listed") is None and world.led[-1] is False
+        assert (
+            world.end_in_store("wk-listed") is None and world.leader_ran_this_version[-1] is False
+        )
         self.submit_chain("old")
         world.watch(2)
         world.crash(self.rng.randrange(world.nodes))
         world.watch(2)
         self.check_end()
 
-    def check_kept(self) -> None:
+    def check_placements_are_stored(self) -> None:
         """Compare the store with the machines, as the state of an earlier leader can't be read."""
         for machine in self.world.cloud.machines.values():
-            for key, task in machine.on().items():
+            for key, task in machine.running_tasks().items():
                 job, index = key.split("/")
                 if self.world.end_in_store(job) is None:
-                    stored = [entry for part in self.world.parts(job) for entry in part["r"]]
+                    stored = [
+                        entry for chunk in self.world.stored_chunks(job) for entry in chunk["r"]
+                    ]
                     kept = [int(index), task.attempt, machine.id] in stored
                     assert kept, f"not kept: {key}"
 
     def check_leader_versions(self) -> None:
-        assert self.world.led[-1] is False and True in self.world.led
+        assert (
+            self.world.leader_ran_this_version[-1] is False
+            and True in self.world.leader_ran_this_version
+        )
 
 
 ROLLBACK_CASES = [
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -232,7 +232,7 @@
     This covers placements, completed tasks, job ends and learned state.
     """
     sample = history.samples(short)["stores"][name]
-    assert reading.take_over(sample["store"]) == with_current_fields(short, sample["read"])
+    assert reading.restore_state(sample["store"]) == with_current_fields(short, sample["read"])
 
 
 # -- earlier versions read what this version writes
@@ -504,7 +504,7 @@
         world = RecordingWorld(7, history.earlier(short), 2, replaced={0, 1} if new else ())
         world.submit("wk-000001", parcels=6, cpus=2.0)
         world.watch(3)
-        assert world.led == [new]
+        assert world.leader_ran_this_version == [new]
         sent[new] = world.requests
         first_ids = {orjson.loads(body)["hire"] for body in world.requests}
         world.requests = []
@@ -522,13 +522,13 @@
     def __init__(self, *arguments: Any, **faults: Any) -> None:
         self.requests: list[bytes] = []
         super().__init__(*arguments, **faults)
-        rent = self.cloud.rent
+        create_machines = self.cloud.create_machines
 
         def recorded(body: bytes, now: float) -> Any:
             self.requests.append(body)
-            return rent(body, now)
+            return create_machines(body, now)
 
-        self.cloud.rent = recorded  # type: ignore[method-assign]
+        self.cloud.create_machines = recorded  # type: ignore[method-assign]
 
 
 HEARTBEAT_ACK_FRAMES = ("greeted by the leader", "greeted by another")
@@ -580,15 +580,21 @@
         fixture.node.election.observe_leader = lambda *leader, observed=observed: observed.append(
             leader
         )
-        link = fixture.r.links[NodeId("drover-1")]
+        link = fixture.relay_service.links[NodeId("drover-1")]
         link.pending_heartbeats[17] = MonotonicTime(100.0)
         fixture.now = 100.5
-        fixture.r._on_reply_frame(link, peers.parse_frame(frames[name]["data"].encode()))
+        fixture.relay_service._on_reply_frame(
+            link, peers.parse_frame(frames[name]["data"].encode())
+        )
         if name == HEARTBEAT_ACK_FRAMES[0]:
-            assert observed == [("drover-1", 9)] and fixture.r.relay.leader == "drover-1"
-            check_lease_granted(fixture.r.relay)
+            assert (
+                observed == [("drover-1", 9)] and fixture.relay_service.relay.leader == "drover-1"
+            )
+            check_lease_granted(fixture.relay_service.relay)
         else:
-            assert not observed and not fixture.r.relay.holds_lease(MonotonicTime(100.5))
+            assert not observed and not fixture.relay_service.relay.holds_lease(
+                MonotonicTime(100.5)
+            )
 
 
 @each_version
@@ -656,8 +662,14 @@
     world.submit("wk-second", parcels=3, awaits=["wk-first"])
     finish(world)
     world.watch(3)
-    changes = [b for a, b in zip([None, *world.led], world.led, strict=False) if a is not b]
-    assert changes[:4] == [False, True, False, True], world.led
+    changes = [
+        b
+        for a, b in zip(
+            [None, *world.leader_ran_this_version], world.leader_ran_this_version, strict=False
+        )
+        if a is not b
+    ]
+    assert changes[:4] == [False, True, False, True], world.leader_ran_this_version
     assert {world.end_in_store(job) for job in world.jobs} == {users.DONE, users.CANCELLED}
     done = [
         "wk-second",
@@ -696,14 +708,16 @@
         if rng.random() < 0.5:
             world.crash(rng.randrange(world.nodes))
         else:
-            world.sleep(rng.choice([world.leader, rng.randrange(world.nodes)]), rng.uniform(2, 8))
+            world.stall_node(
+                rng.choice([world.leader, rng.randrange(world.nodes)]), rng.uniform(2, 8)
+            )
         world.submit(f"wk-{len(todo)}", parcels=20, urgency="urgent")
         if version.old_chains:
             world.submit(f"wk-{len(todo)}c", parcels=5, awaits=[f"wk-{len(todo)}", "wk-000000"])
     finish(world)
     world.watch(3)
     assert {world.end_in_store(job) for job in world.jobs} == {users.DONE}
-    assert (world.led[0], world.led[-1]) == (False, True)
+    assert (world.leader_ran_this_version[0], world.leader_ran_this_version[-1]) == (False, True)
 
 
 @each_version
--- a/tests/versions/mixed.py
+++ b/tests/versions/mixed.py
@@ -32,20 +32,26 @@
         self.earlier = earlier
         self.platform = faults.get("platform", PLATFORM)
         self.replaced = set(replaced)
-        self.wanted: bool | None = None  # whether the next leader should run this version
-        self.led: list[bool] = []  # for each leader, whether it ran this version
+        # Whether the next leader should run this version; None: either version will do.
+        self.next_leader_runs_this_version: bool | None = None
+        self.leader_ran_this_version: list[bool] = []  # one entry for each leader
         self.rented: list[bytes] = []  # bodies of rent requests by leaders of the earlier version
         super().__init__(seed, nodes, **faults)
 
     def choose(self, free: list[int]) -> int:
-        eligible = [i for i in free if self.wanted is None or (i in self.replaced) is self.wanted]
+        eligible = [
+            i
+            for i in free
+            if self.next_leader_runs_this_version is None
+            or (i in self.replaced) is self.next_leader_runs_this_version
+        ]
         return self.rng.choice(eligible or free)
 
-    def new_controller(self, epoch: FencingToken) -> Any:
+    def new_scheduler(self, epoch: FencingToken) -> Any:
         is_replaced = self.leader in self.replaced
-        self.led.append(is_replaced)
+        self.leader_ran_this_version.append(is_replaced)
         if is_replaced:
-            return super().new_controller(epoch)
+            return super().new_scheduler(epoch)
         old = OldController(self.earlier, self.platform, CATALOG, epoch, self.now, self.incarnation)
         return EarlierLeader(old, epoch)
 
@@ -81,7 +87,7 @@
         match kind:
             case "rent":
                 self.rented.append(body)
-                status, answer = self.cloud.rent(body, self.now)
+                status, answer = self.cloud.create_machines(body, self.now)
             case "delete":
                 status, answer = self.cloud.delete(body)
             case "list":
@@ -93,19 +99,21 @@
         else:
             c.old.old_cloud_done(status, orjson.dumps(answer), now)
 
-    def serve_orders(self, c: Any, now: MonotonicTime) -> None:
+    def deliver_direct_kills(self, c: Any, now: MonotonicTime) -> None:
         if not isinstance(c, EarlierLeader):
-            super().serve_orders(c, now)
+            super().deliver_direct_kills(c, now)
             return
         for machine, body in c.old.old_orders(now):
             w = self.cloud.machines.get(MachineId(machine))
             down = (
-                w is None or self.now < max(w.boots_at, w.hangs_until) or w.id in self.unresponsive
+                w is None
+                or self.now < max(w.boots_at, w.hangs_until)
+                or w.id in self.machines_without_inbound_messages
             )
-            if w is None or down or self.chance("order_lost"):
+            if w is None or down or self.chance("direct_kill_lost"):
                 continue
-            status, report = w.orders(body)
-            self.orders += 1
+            status, report = w.execute_direct_commands(body)
+            self.direct_kill_count += 1
             c.old.old_ordered(report, status == 200, now)
 
     def step(self, dt: float) -> None:
@@ -119,7 +127,7 @@
         self.replaced.add(i)
         self.crash(i)
 
-    def put_back(self, i: int) -> None:
+    def roll_back(self, i: int) -> None:
         """Roll the node back to the earlier version."""
         self.replaced.remove(i)
         self.crash(i)
@@ -130,11 +138,11 @@
 
     def hand_over(self, new: bool) -> None:
         """Crash the leader while tasks run; a node of the given version is elected."""
-        assert any(m.on() for m in self.cloud.machines.values())
-        self.wanted = new
+        assert any(m.running_tasks() for m in self.cloud.machines.values())
+        self.next_leader_runs_this_version = new
         self.crash(self.leader)
-        self.wanted = None
-        assert self.led[-1] is new
+        self.next_leader_runs_this_version = None
+        assert self.leader_ran_this_version[-1] is new
 
     def watch(self, seconds: float) -> None:
         end = self.now + seconds
--- a/tests/world.py
+++ b/tests/world.py
@@ -106,26 +106,29 @@
         self.now = 100.0
         self.settings = parse_platform(faults.pop("platform", PLATFORM))
         self.subchunks_supported = False  # whether all nodes can read subchunks
-        self.too_large = 0  # number of transactions rejected for their size, except late copies
+        # Number of transactions rejected for their size, except late copies.
+        self.too_large_count = 0
         self.tuning = load_tuning(values=faults.pop("tuning", None))
         self.faults = faults
         self.jobs: dict[str, dict[str, Any]] = {}
         self.cancelled_at: dict[str, float] = {}  # when the cancellation was reported to the user
-        self.told: dict[str, str] = {}  # job -> final state that was reported to the user
+        # Job -> final state that was reported to the user.
+        self.reported_outcomes: dict[str, str] = {}
         self.ended_at: dict[str, float] = {}  # when the end was reported to the user
-        self.late: list[tuple[float, bytes]] = []  # (when it arrives, transaction)
-        self.reports_due: dict[str, float] = {}  # machine -> when it sends its next heartbeat
-        self.started: set[tuple[str, int, str]] = set()  # (task, attempt, machine)
+        self.delayed_transactions: list[tuple[float, bytes]] = []  # (when it arrives, transaction)
+        self.next_heartbeat_at: dict[str, float] = {}  # machine -> when it sends its next heartbeat
+        self.started_attempts: set[tuple[str, int, str]] = set()  # (task, attempt, machine)
         self._running_before: set[tuple[str, str]] = set()  # (task, machine) at the last step
-        self.starts: Counter[str] = Counter()  # number of starts by task
+        self.start_counts: Counter[str] = Counter()  # number of starts by task
         # For each job with waiting tasks: the number of tasks that are placed or done, and when it
         # changed last.
         self._waiting: dict[str, tuple[int, float]] = {}
         # How long a task may wait while a machine has room for it; None: not checked.
-        self.left_waiting_s: float | None = None
+        self.max_wait_with_free_capacity_s: float | None = None
         self.outage_until = -1.0
-        self.unresponsive: set[str] = set()  # machines that no response and no command reaches
-        self.orders = 0  # number of direct commands that arrived
+        # Machines that no response and no command reaches.
+        self.machines_without_inbound_messages: set[str] = set()
+        self.direct_kill_count = 0  # number of direct commands that arrived
         self.cloud_down_until = -1.0
         self.incarnation = DEFAULT_INCARNATION
         self.scheduler: Scheduler | None = None
@@ -143,7 +146,7 @@
         status, answer = self.store.txn(body)
         assert status == 200
         now = MonotonicTime(self.now)
-        leader = self.new_controller(FencingToken(answer["ledgerRev"]))
+        leader = self.new_scheduler(FencingToken(answer["ledgerRev"]))
 
         def items(prefix: str) -> list[state.Item]:
             return [state.parse_item(orjson.dumps(i)) for i in self.store.range(prefix)]
@@ -156,7 +159,7 @@
         leader.load([i for i in jobs if i], items("place/"), items("gone/"), now, items("memo/"))
         self.scheduler = leader
 
-    def new_controller(self, epoch: FencingToken) -> Any:
+    def new_scheduler(self, epoch: FencingToken) -> Any:
         return Scheduler(
             self.settings,
             self.tuning,
@@ -167,19 +170,25 @@
             self.incarnation,
         )
 
-    def submit(self, job: str, run_s: float = 6.0, parts: int = 0, **changes: Any) -> None:
+    def submit(
+        self, job: str, run_s: float = 6.0, dependency_list_parts: int = 0, **changes: Any
+    ) -> None:
         """Store a job and give it to the leader.
 
-        `parts` is the number of parts of a dependency list that is stored outside the job record;
-        0 leaves the list in the record.
+        `dependency_list_parts` is the number of parts of a dependency list that is stored outside
+        the job record; 0 leaves the list in the record.
         """
         body = submission(job, **changes)
         spec = users.parse_submission(body)
         size = max_tasks_per_chunk(self.settings.value_bytes)
-        reference = users.DependencyListReference("abc", parts) if parts else None
+        reference = (
+            users.DependencyListReference("abc", dependency_list_parts)
+            if dependency_list_parts
+            else None
+        )
         record = encode_job_record(spec, size, self.now, reference)
         for number, key in enumerate(dependency_list_keys(spec.id, reference) if reference else ()):
-            part = list(spec.dependencies[number::parts])
+            part = list(spec.dependencies[number::dependency_list_parts])
             assert (
                 self.store.txn(
                     state.Transaction({key: ABSENT_REVISION}, [state.Put(key, part)]).body()
@@ -212,39 +221,39 @@
         self.now += dt
         leader, now = self.scheduler, MonotonicTime(self.now)
         assert leader is not None
-        for body in [b for t, b in self.late if t <= self.now]:
+        for body in [b for t, b in self.delayed_transactions if t <= self.now]:
             self.store.txn(body)  # long after its sender timed out
-        self.late = [(t, b) for t, b in self.late if t > self.now]
+        self.delayed_transactions = [(t, b) for t, b in self.delayed_transactions if t > self.now]
         if self.leader_runs():
             leader.transaction_writer.subchunks_supported = self.subchunks_supported
-            self.lead(leader, now)
+            self.run_leader_tick(leader, now)
             self.serve_store(leader, now)
             self.serve_cloud(leader, now)
-            self.serve_orders(leader, now)
+            self.deliver_direct_kills(leader, now)
         for worker in list(self.cloud.machines.values()):
             self.serve_worker(leader, worker, now, dt)
         self.check()
 
-    def serve_orders(self, scheduler: Scheduler, now: MonotonicTime) -> None:
+    def deliver_direct_kills(self, scheduler: Scheduler, now: MonotonicTime) -> None:
         """Deliver the leader's direct kills to the workers."""
         for order in scheduler.take_direct_kills(now):
             worker = self.cloud.machines.get(order.machine_id)
             down = (
                 worker is None
                 or self.now < max(worker.boots_at, worker.hangs_until)
-                or worker.id in self.unresponsive
+                or worker.id in self.machines_without_inbound_messages
             )
-            if worker is None or down or self.chance("order_lost"):
+            if worker is None or down or self.chance("direct_kill_lost"):
                 continue
-            status, report = worker.orders(
+            status, report = worker.execute_direct_commands(
                 workers.direct_commands_body(scheduler.token, order.agent_epoch, order.commands)
             )
-            self.orders += 1
+            self.direct_kill_count += 1
             scheduler.on_direct_kill_response(
                 workers.parse_heartbeat(report), now, now, executed=status == 200
             )
 
-    def lead(self, scheduler: Scheduler, now: MonotonicTime) -> None:
+    def run_leader_tick(self, scheduler: Scheduler, now: MonotonicTime) -> None:
         """Run the leader's timers and a planning pass, if one is due."""
         scheduler.tick(now)
         if scheduler.is_planning_due(now):
@@ -285,25 +294,25 @@
             if self.rng.random() < 0.5:
                 self.store.txn(body)  # applied, but the response is lost
             else:
-                self.late.append((self.now + self.rng.uniform(0.5, 20.0), body))
+                self.delayed_transactions.append((self.now + self.rng.uniform(0.5, 20.0), body))
             scheduler.on_transaction_result(
                 pending, TransactionOutcome.INDETERMINATE, Revision(0), (), now
             )
         elif "txn_late" in self.faults and self.chance("txn_late"):
-            self.late.append((self.now + self.rng.uniform(2.0, 12.0), body))
+            self.delayed_transactions.append((self.now + self.rng.uniform(2.0, 12.0), body))
             scheduler.on_transaction_result(
                 pending, TransactionOutcome.INDETERMINATE, Revision(0), (), now
             )
         else:
             status, answer = self.store.txn(body)
             if self.chance("txn_twice"):
-                self.late.append((self.now + self.rng.uniform(0.5, 20.0), body))
+                self.delayed_transactions.append((self.now + self.rng.uniform(0.5, 20.0), body))
             if status == 200:
                 scheduler.on_transaction_result(
                     pending, TransactionOutcome.COMMITTED, Revision(answer["ledgerRev"]), (), now
                 )
             elif status == 400:
-                self.too_large += 1
+                self.too_large_count += 1
                 scheduler.on_transaction_result(
                     pending, TransactionOutcome.INVALID, Revision(0), (), now
                 )
@@ -315,17 +324,17 @@
                     self.elect()
                     return
         for job, outcome in scheduler.take_finished_jobs():
-            self.tell(job, outcome)
+            self.record_reported_outcome(job, outcome)
 
-    def tell(self, job: str, outcome: str) -> None:
+    def record_reported_outcome(self, job: str, outcome: str) -> None:
         """Record that the leader reports the end of the job, which must be durable by then."""
-        assert self.told.setdefault(job, outcome) == outcome, (
-            f"went_back: {job} was {self.told[job]}, is {outcome} now"
+        assert self.reported_outcomes.setdefault(job, outcome) == outcome, (
+            f"went_back: {job} was {self.reported_outcomes[job]}, is {outcome} now"
         )
         self.ended_at.setdefault(job, self.now)
         ends = [self.end_in_store(job)]
         if outcome == users.CANCELLED:
-            ends += [self.end_in_store(name) for name in self.before(job)]
+            ends += [self.end_in_store(name) for name in self.upstream_jobs(job)]
         assert outcome in ends, f"{job} was reported {outcome} before that was durable"
         if outcome == users.CANCELLED:
             self.cancelled_at.setdefault(job, self.now)
@@ -349,7 +358,7 @@
                     offering.is_spot,
                     request.machine_count,
                 )
-                status, answer = self.cloud.rent(body, self.now)
+                status, answer = self.cloud.create_machines(body, self.now)
             case DeleteMachines(machines):
                 status, answer = self.cloud.delete(cloud.delete_machines_body(list(machines)))
             case ListMachines():
@@ -367,9 +376,9 @@
         if self.now < worker.boots_at or self.now < worker.hangs_until:
             return
         worker.step(self.now, dt, self.settings.lease_s)
-        if self.now < self.reports_due.get(worker.id, 0.0):
+        if self.now < self.next_heartbeat_at.get(worker.id, 0.0):
             return
-        self.reports_due[worker.id] = self.now + self.settings.report_s * self.rng.uniform(
+        self.next_heartbeat_at[worker.id] = self.now + self.settings.report_s * self.rng.uniform(
             0.75, 1.25
         )
         sent_epoch, sent_at = worker.agent_epoch, self.now
@@ -385,23 +394,25 @@
         for command in commands:
             if isinstance(command, workers.Launch):
                 self.check_durable(command, worker)
-        worker.obey(body, sent_at, sent_epoch, self.jobs)
+        worker.execute_commands(body, sent_at, sent_epoch, self.jobs)
 
     # -- the invariants
 
-    def check_kept(self) -> None:
+    def check_placements_are_stored(self) -> None:
         """Check that every placement that may be on a machine is in the store.
 
         A new leader can find it only there.
         """
         assert self.scheduler is not None
         for job in self.scheduler.jobs.jobs.values():
-            stored = {(r[0], r[1], r[2]) for part in self.parts(job.id) for r in part["r"]}
+            stored = {
+                (r[0], r[1], r[2]) for chunk in self.stored_chunks(job.id) for r in chunk["r"]
+            }
             for p in job.placements():
                 if p.may_have_launched and p.phase is not PlacementPhase.ENDED:
                     assert (p.index, p.attempt, p.machine_id) in stored, f"not stored: {p.key}"
 
-    def parts(self, job: str) -> list[dict[str, Any]]:
+    def stored_chunks(self, job: str) -> list[dict[str, Any]]:
         """Return the stored chunks of the job's placements, without outdated copies.
 
         Of two copies of a chunk the one with the higher attempt counts, and for each task only the
@@ -434,7 +445,10 @@
         """Check that the placement is in the store, as it must be before the task is launched."""
         job, index = launch.key.split("/")
         entries = [
-            entry for part in self.parts(job) for entry in part["r"] if entry[0] == int(index)
+            entry
+            for chunk in self.stored_chunks(job)
+            for entry in chunk["r"]
+            if entry[0] == int(index)
         ]
         assert [int(index), launch.attempt, worker.id] in entries, (
             f"{launch.key} was launched on {worker.id} before its placement was stored"
@@ -458,11 +472,11 @@
             if not isinstance(status, JobStatus):
                 continue
             if status.state not in (users.DONE, users.CANCELLED):
-                assert job not in self.told, (
-                    f"went_back: {job} was {self.told[job]}, is {status.state} now"
+                assert job not in self.reported_outcomes, (
+                    f"went_back: {job} was {self.reported_outcomes[job]}, is {status.state} now"
                 )
                 if self.now >= self.outage_until:
-                    for name in self.before(job):
+                    for name in self.upstream_jobs(job):
                         since = self.cancelled_at.get(name)
                         overdue = since is not None and self.now - since > self.settings.cancel_s
                         assert not overdue, (
@@ -470,7 +484,7 @@
                             f" depends, was cancelled at {since}"
                         )
                 continue
-            ends = [self.end_in_store(name) for name in (job, *self.before(job))]
+            ends = [self.end_in_store(name) for name in (job, *self.upstream_jobs(job))]
             assert status.state in (users.DONE, users.CANCELLED)
             if status.state == users.DONE:
                 assert ends[0] == users.DONE, f"{job} was reported done before that was durable"
@@ -478,12 +492,12 @@
                 assert users.CANCELLED in ends, (
                     f"{job} was reported cancelled before that was durable"
                 )
-            assert self.told.setdefault(job, status.state) == status.state, (
-                f"went_back: {job} was {self.told[job]}, is {status.state} now"
+            assert self.reported_outcomes.setdefault(job, status.state) == status.state, (
+                f"went_back: {job} was {self.reported_outcomes[job]}, is {status.state} now"
             )
             assert spec is not None
 
-    def before(self, job: str) -> set[str]:
+    def upstream_jobs(self, job: str) -> set[str]:
         """Return all jobs that the job depends on, directly or through others."""
         seen: set[str] = set()
         unvisited = list(self.jobs[job].get("awaits") or ())
@@ -499,7 +513,7 @@
         machine_by_task: dict[str, str] = {}
         cpus_by_team: dict[str, float] = {}
         for worker in self.cloud.machines.values():
-            for key, task in worker.on().items():
+            for key, task in worker.running_tasks().items():
                 assert key not in machine_by_task, (
                     f"ran_twice: {key} runs on {worker.id} and {machine_by_task[key]}"
                 )
@@ -522,12 +536,12 @@
                 assert since is None or self.now - since <= self.settings.cancel_s, (
                     f"ran_cancelled: {key} runs on {worker.id}"
                 )
-                self.started.add((key, task.attempt, worker.id))
+                self.started_attempts.add((key, task.attempt, worker.id))
         running = set(machine_by_task.items())
-        self.starts.update(key for key, _ in running - self._running_before)
+        self.start_counts.update(key for key, _ in running - self._running_before)
         self._running_before = running
-        if self.left_waiting_s is not None:
-            self._check_waiting(cpus_by_team, self.left_waiting_s)
+        if self.max_wait_with_free_capacity_s is not None:
+            self._check_waiting(cpus_by_team, self.max_wait_with_free_capacity_s)
         for team in self.settings.teams.values():
             if team.cpus_max:
                 assert cpus_by_team.get(team.name, 0.0) <= team.cpus_max + 1e-6, (
@@ -558,7 +572,8 @@
         running_machines = [
             worker
             for worker in self.cloud.machines.values()
-            if max(worker.boots_at, worker.hangs_until) <= self.now and worker.notice is None
+            if max(worker.boots_at, worker.hangs_until) <= self.now
+            and worker.preemption_notice_s is None
         ]
         free_cpus = {
             worker.id: worker.type["cpus"]
@@ -578,8 +593,8 @@
             }
             done = {
                 f"{job}/{i}"
-                for part in self.parts(job)
-                for a, b in part["d"]
+                for chunk in self.stored_chunks(job)
+                for a, b in chunk["d"]
                 for i in range(a, b + 1)
             }
             placed_or_done = len(assigned | done)
