--- a/src/eldercart/scheduling/state_loader.py
+++ b/src/eldercart/scheduling/state_loader.py
@@ -79,7 +79,7 @@
         try:
             spec, tasks_per_chunk, accepted_at = decode_job_record(job_id, item.value)
         except (MalformedMessageError, KeyError, TypeError, ValueError) as err:
-            log.error("job record unreadable job=%s: %s", job_id, err)
+            log.error("job record unreadable job=%s error=%s", job_id, err)
             return
         reference = resolved_list_reference(item.value)
         self.add_job(spec, tasks_per_chunk, WallTime(accepted_at), now, reference)
--- a/src/eldercart/server/http/client.py
+++ b/src/eldercart/server/http/client.py
@@ -146,4 +146,4 @@
 
 
 def _log_failure(failure: Any) -> None:
-    logging.getLogger("eldercart.net").error("handler failed: %s", failure.getTraceback())
+    logging.getLogger("eldercart.net").error("handler failed traceback=%s", failure.getTraceback())
--- a/src/eldercart/server/leadership/leader_service.py
+++ b/src/eldercart/server/leadership/leader_service.py
@@ -244,7 +244,7 @@
         if scheduler is None:
             return
         if self._is_isolated(scheduler, now):
-            log.info("no peer or worker heard: leadership handed over")
+            log.info("leadership resigned reason=isolated")
             self._election.resign(now)
             self.end_leadership("isolated")
             return
--- a/src/eldercart/server/peers/connections.py
+++ b/src/eldercart/server/peers/connections.py
@@ -65,7 +65,7 @@
             self._on_frame(self, peers.parse_frame(data))
         except MalformedMessageError as error:
             # Only this frame is dropped: the sender's other frames may be valid.
-            log.error("peer frame malformed peer=%s: %s", self.peer, error)
+            log.error("peer frame malformed peer=%s error=%s", self.peer, error)
         except Exception:
             log.exception("peer frame failed peer=%s", self.peer)
 
--- a/src/eldercart/server/peers/relay_service.py
+++ b/src/eldercart/server/peers/relay_service.py
@@ -186,9 +186,10 @@
         settings.cancel_s, settings.lease_s, relay_lease_s, tuning.drift_margin
     )
     if extension_s <= 0:
+        # In a store outage, relay leases then expire as soon as one node doesn't acknowledge
+        # heartbeats.
         log.warning(
-            "cancel_s=%g leaves nothing beyond lease_s=%g and two relay leases of %g s: "
-            "in a store outage leases expire as soon as one node does not acknowledge heartbeats",
+            "lease extension not positive cancel_s=%g lease_s=%g relay_lease_s=%g",
             settings.cancel_s,
             settings.lease_s,
             relay_lease_s,
--- a/src/eldercart/server/users/job_admission.py
+++ b/src/eldercart/server/users/job_admission.py
@@ -128,7 +128,7 @@
         if not machine_types:
             # The node has just started. If another node has accepted this job already, the answer
             # is the job's state: see `reject_unless_known`.
-            log.info("submission rejected: machine types unknown")
+            log.info("submission rejected reason=machine_types_unknown")
             return Rejection(503, "machine types unknown")
         reason = feasibility.rejection_reason(spec, machine_types, teams)
         if reason is not None:
