--- a/src/eldercart/prediction/chain_predictor.py
+++ b/src/eldercart/prediction/chain_predictor.py
@@ -1,9 +1,10 @@
 """Predicts the next job of a dependency chain before its user submits it.
 
-This is the sequence table of the paper (V-A), applied to job dependencies. A stage consists of a
-team, a job class and an image. The path of a job is the stages of its recent ancestors, followed by
-its own stage. The statistics of a path count the outcomes of its jobs (done, aborted) and, for each
-outcome, the successors; the end of a chain is counted like a successor.
+This applies the sequence table of the SpecFaaS paper, section V-A ("SpecFaaS: Accelerating
+Serverless Applications with Speculative Function Execution"), to job dependencies. A stage consists
+of a team, a job class and an image. The path of a job is the stages of its recent ancestors,
+followed by its own stage. The statistics of a path count the outcomes of its jobs (done, aborted)
+and, for each outcome, the successors; the end of a chain is counted like a successor.
 
 The cost of submitting a job is proportional to the number of its dependencies. The cost of its end
 doesn't depend on the number of jobs. Nothing is persisted: a new leader starts without statistics.
--- a/src/eldercart/prediction/path_statistics.py
+++ b/src/eldercart/prediction/path_statistics.py
@@ -1,7 +1,9 @@
-"""Counts of the outcomes and successors of paths: the sequence table of the paper (V-A).
+"""Counts of the outcomes and successors of paths.
 
-A path is the sequence of labels (images or stages) of the last jobs up to a point, the latest job
-last. Only events that have really happened are counted (V-E).
+This is the sequence table of the SpecFaaS paper, section V-A ("SpecFaaS: Accelerating Serverless
+Applications with Speculative Function Execution"). A path is the sequence of labels (images or
+stages) of the last jobs up to a point, the latest job last. Only events that have really happened
+are counted, as in section V-E of the paper.
 """
 
 from collections.abc import Callable
--- a/src/eldercart/prediction/soft_reservations.py
+++ b/src/eldercart/prediction/soft_reservations.py
@@ -1,7 +1,8 @@
 """Soft reservations: capacity that counts as demand until the expected job claims it.
 
-The paper calls them soft bookings. A soft reservation isn't bound to a machine, and any waiting
-task may use the capacity meanwhile. It only makes the leader rent, or keep, that many CPUs.
+A soft reservation isn't bound to a machine, and any waiting task may use the capacity meanwhile. It
+only makes the leader rent, or keep, that many CPUs. The SpecFaaS paper ("SpecFaaS: Accelerating
+Serverless Applications with Speculative Function Execution") calls them soft bookings.
 """
 
 from collections.abc import Callable, Collection
--- a/src/eldercart/prediction/stream_predictor.py
+++ b/src/eldercart/prediction/stream_predictor.py
@@ -1,9 +1,10 @@
 """Predicts the next job in a stream of independent jobs.
 
-This follows the paper's sequence table (V-A). A pipeline is the stream of one team's jobs of one
-class. Its nodes are images, and its branches are the outcomes of the upstream job (done or
-aborted). The statistics of a path of recent images count the outcomes and, for each outcome, the
-images that followed.
+This follows the sequence table of the SpecFaaS paper, section V-A ("SpecFaaS: Accelerating
+Serverless Applications with Speculative Function Execution"). A pipeline is the stream of one
+team's jobs of one class. Its nodes are images, and its branches are the outcomes of the upstream
+job (done or aborted). The statistics of a path of recent images count the outcomes and, for each
+outcome, the images that followed.
 """
 
 from collections import deque
--- a/src/eldercart/scheduling/cluster_state.py
+++ b/src/eldercart/scheduling/cluster_state.py
@@ -231,11 +231,11 @@
                 self.kill_placement(placement, now)
 
     def mark_cancelled(self, job: Job, requested_at: MonotonicTime, now: MonotonicTime) -> None:
-        """Record that a user requested the job's cancellation at `requested_at`.
+        """Record that the job is cancelled, at its user's request or with an upstream job.
 
-        The time limit for its tasks to end counts from then, across any number of leaders. A leader
-        that is elected late first gives the machines time to report that the tasks have ended, as
-        far as the limit allows.
+        The time limit for its tasks to end counts from `requested_at`, across any number of
+        leaders. A leader that is elected late first gives the machines time to report that the
+        tasks have ended, as far as the limit allows.
         """
         cancel_s = self.settings.cancel_s
         grace_until = now + FAILOVER_GRACE_HEARTBEATS * self.settings.report_s
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -616,7 +616,7 @@
 @each_version
 @pytest.mark.parametrize("faults", FAULT_MIXES, ids=lambda f: " ".join(f) or "quiet")
 def test_jobs_survive_leaders_of_alternating_versions(short: str, faults: dict[str, Any]) -> None:
-    """Jobs must survive leaders of the old, to_new_version, old and to_new_version version in turn.
+    """Jobs must survive leaders of the earlier, new, earlier and new version in turn.
 
     Jobs run and are cancelled throughout. Then the remaining nodes are replaced and dependent jobs
     are submitted. If the earlier version supports dependencies, dependent jobs are also submitted
