--- a/src/eldercart/cluster/direct_kills.py
+++ b/src/eldercart/cluster/direct_kills.py
@@ -11,7 +11,7 @@
 from eldercart.wire import workers
 
 MIN_KILL_INTERVAL_S = 2.0  # between two direct kills to the same machine
-# The rate on one whole core. Each direct kill opens a connection, which costs a millisecond.
+# Direct kills per second on one whole core. Each opens a connection, which costs a millisecond.
 KILLS_PER_CORE_SECOND = 120.0
 MIN_CORE_SHARE = 0.1  # lower bound on the core share from which the rate is computed
 MAX_BUDGET_WINDOW_S = 1.0  # the send budget stops growing after this time without a kill
--- a/src/eldercart/cluster/heartbeats.py
+++ b/src/eldercart/cluster/heartbeats.py
@@ -27,7 +27,7 @@
     """Handles the heartbeats that reach the leader and returns the commands that answer them."""
 
     def __init__(self, cluster_state: ClusterState, planner: Planner) -> None:
-        """Read and change `cluster_state`; launches leave room for unplaced jobs of `planner`."""
+        """Read and change `cluster_state`; keep capacity free for unplaced jobs of `planner`."""
         self._cluster_state = cluster_state
         self._reconciler = Reconciler(cluster_state, planner)
 
--- a/src/eldercart/cluster/inventory.py
+++ b/src/eldercart/cluster/inventory.py
@@ -94,7 +94,7 @@
     is_unschedulable: bool = False
     is_cordoned: bool = False
     cordoned_at: MonotonicTime = MONOTONIC_ZERO
-    reclaim_at: MonotonicTime | None = None  # when the cloud reclaims the spot machine
+    reclaim_at: MonotonicTime | None = None  # time of the spot machine's reclaim by the cloud
     cached_images: dict[str, float] = field(default_factory=dict)  # GB by name, least recent first
     failed_job_ids: set[JobId] = field(default_factory=set)
     # One entry for each of the last tasks that completed on the machine.
--- a/src/eldercart/cluster/machine_monitor.py
+++ b/src/eldercart/cluster/machine_monitor.py
@@ -18,7 +18,7 @@
 # Heartbeat intervals that a kill in a response has to take effect before it is sent directly.
 DIRECT_KILL_AFTER_HEARTBEATS = 2.5
 DRAINABLE_PHASES = (PlacementPhase.COMMITTED, PlacementPhase.FETCHING, PlacementPhase.RUNNING)
-# Time that tasks on a cordoned machine may keep running while a pending task needs their room.
+# Time that tasks on a cordoned machine may keep running while a pending task needs their capacity.
 CORDON_GRACE_S = 45.0
 
 
--- a/src/eldercart/cluster/reconciliation.py
+++ b/src/eldercart/cluster/reconciliation.py
@@ -40,7 +40,7 @@
     """
 
     def __init__(self, cluster_state: ClusterState, planner: Planner) -> None:
-        """Read the planner's unplaced jobs to decide which room must be kept."""
+        """Read the planner's unplaced jobs to decide which capacity must be kept free."""
         self._cluster_state = cluster_state
         self._planner = planner
         # Number of the current heartbeat; it is stored in each placement that the heartbeat lists.
@@ -118,8 +118,8 @@
             if placement is None:
                 log.debug("unknown task machine=%s task=%s", machine.id, task.key)
         if placement is not None:
-            # The worker would reject a launch beside the old attempt: count the placement as listed
-            # so that it is not launched before the old attempt is cleared.
+            # The worker would reject a launch while the old attempt exists. Count the placement as
+            # listed, so that it is not launched before the old attempt is cleared.
             placement.last_heartbeat_number = self._heartbeat_number
 
     def _on_first_listed(
@@ -247,7 +247,7 @@
         if machine.state is not MachineState.UP or machine.is_unschedulable:
             return True
         if min(machine.free_cpus, machine.free_gpus, machine.free_memory_gb) < -RESOURCE_EPSILON:
-            # An earlier leader enqueued the task for room that the machine doesn't have.
+            # An earlier leader enqueued the task for capacity that the machine doesn't have.
             return True
         # An earlier leader may have enqueued the task, and would have counted it against the team's
         # quota only at its launch. This leader has counted all such tasks, and together they may
@@ -295,10 +295,10 @@
             self._launch(machine, placement, result, now)
 
     def _fits_beside_waiting_jobs(self, machine: Machine, job: Job) -> bool:
-        """Return whether a task of the job fits beside the room kept for unplaced jobs.
+        """Return whether a task of the job fits into the capacity that is not kept for other jobs.
 
-        Room is kept for the tasks of unplaced jobs of higher priority. A starving job may use that
-        room, so the result is then True.
+        Capacity is kept for the tasks of unplaced jobs of higher priority. A starving job may use
+        that capacity, so the result is then True.
         """
         if job.is_starving:
             return True
--- a/src/eldercart/jobs/job.py
+++ b/src/eldercart/jobs/job.py
@@ -146,7 +146,7 @@
         # True if an upstream job is durably cancelled, which cancels this job durably as well.
         self.upstream_cancelled = False
         self.priority = spec.priority  # the highest of its own and those of its dependents
-        self.inherited_deadline_at = DISTANT_FUTURE  # from its dependents; excludes its own
+        self.inherited_deadline_at = DISTANT_FUTURE  # the earliest of its dependents, not its own
         # Progress of its tasks.
         self.done_flags = bytearray(spec.task_count)
         self.done_count = 0
--- a/src/eldercart/prediction/chain_predictor.py
+++ b/src/eldercart/prediction/chain_predictor.py
@@ -22,7 +22,7 @@
 from eldercart.units import MONOTONIC_ZERO, JobId, MonotonicTime
 
 MAX_PATHS = 4096  # the table then evicts the least recently counted path
-SUCCESSOR_TIMEOUT_S = 60.0  # after a job's end; if no successor is submitted, the chain has ended
+SUCCESSOR_TIMEOUT_S = 60.0  # a chain without a successor for this long after a job has ended
 MAX_FAN_IN = 16  # dependencies' paths that are recorded for one successor
 MIN_ROOT_JOBS = 3  # jobs to count on a path before a job without dependencies gets a prediction
 SIZE_DECAY = 0.7  # weight of the earlier sizes in the average size of a successor
--- a/src/eldercart/prediction/stream_predictor.py
+++ b/src/eldercart/prediction/stream_predictor.py
@@ -20,7 +20,7 @@
 MAX_RECENT_JOBS = 64  # latest jobs of each pipeline; the end of an older job is not counted
 SIZE_DECAY = 0.7  # weight of the earlier sizes in the average size of an image's jobs
 
-ImageCounts = dict[str, int]  # by image: how many jobs with it followed a path
+ImageCounts = dict[str, int]  # number of jobs that followed a path, by image
 
 
 @dataclass(slots=True)
--- a/src/eldercart/scheduling/machine_selection.py
+++ b/src/eldercart/scheduling/machine_selection.py
@@ -86,7 +86,7 @@
     The criteria, in order:
     - On-demand machines are left for jobs that can't use spot machines.
     - A cached image, as known from heartbeats and starts, or the shortest fetch.
-    - The cheaper machine type, so that dearer machines become empty and are returned.
+    - The cheaper machine type, so that more expensive machines become empty and are returned.
     - The fullest machine, so that whole machines become empty.
 
     `prefers_on_demand` is for jobs that the reclaim of a spot machine has interrupted. A task that
--- a/src/eldercart/scheduling/preemption.py
+++ b/src/eldercart/scheduling/preemption.py
@@ -7,7 +7,7 @@
 from eldercart.scheduling.feasibility import count_fitting
 from eldercart.units import MonotonicTime
 
-RESTART_COST_S = 1.5  # work lost by restarting a task, besides its lost run time
+RESTART_COST_S = 1.5  # time lost by a restart in addition to the lost run time of the task
 DEFERRED_COST_FACTOR = 0.7  # preempting a job that misses its objective anyway costs less
 
 
--- a/src/eldercart/scheduling/scheduler.py
+++ b/src/eldercart/scheduling/scheduler.py
@@ -90,7 +90,7 @@
 
 
 class Scheduler:
-    """The leader's state machine: processes timed events and hands out the resulting work."""
+    """The leader's state machine: processes timed events and returns the resulting work."""
 
     def __init__(
         self,
--- a/src/eldercart/server/controller_node.py
+++ b/src/eldercart/server/controller_node.py
@@ -41,14 +41,15 @@
 PEER_STORE_OK_MAX_AGE_S = 3.0  # a peer's report that the store serves it is valid for this long
 CATALOG_RETRY_S = 1.0  # between two reads of the stored machine types
 LOAD_LOG_INTERVAL_S = 10.0  # between two log lines about the node's load
-HTTP_SOCKETS_SHARE, MIN_HTTP_SOCKETS = 0.75, 16  # of a node's sockets, for users and workers
+# Share and minimum number of a node's sockets that serve users and workers.
+HTTP_SOCKETS_SHARE, MIN_HTTP_SOCKETS = 0.75, 16
 
 
 def is_healthy(is_ready: bool, store_failing_s: float, peer_store_ok_ago_s: float) -> bool:
     """Return whether the load balancer should send users to this node.
 
     An outage of the store affects all nodes alike. If all of them became unhealthy, users would be
-    turned away for longer than the outage lasts. Only a node that the store does not serve while it
+    rejected for longer than the outage lasts. Only a node that the store does not serve while it
     serves the node's peers is left out. `store_failing_s` is how long this node's requests to the
     store have been failing, and `peer_store_ok_ago_s` how long ago a peer reported that the store
     serves it.
--- a/src/eldercart/server/graceful_shutdown.py
+++ b/src/eldercart/server/graceful_shutdown.py
@@ -19,7 +19,7 @@
 reactor: Any = _reactor
 log = logging.getLogger("eldercart.node")
 
-DRAIN_TIMEOUT_S = 2.5  # for pending requests; a worker ignores a response after 4 s
+DRAIN_TIMEOUT_S = 2.5  # limit for pending requests; a worker ignores a response after 4 s
 DRAIN_POLL_S = 0.05
 FLUSH_DELAY_S = 0.1  # between the last response and the end of the process
 
--- a/src/eldercart/server/http/client.py
+++ b/src/eldercart/server/http/client.py
@@ -18,8 +18,8 @@
 ResponseCallback = Callable[[int | None, bytes], None]
 _CLOSE_HEADERS = {b"Connection": [b"close"]}
 _JSON_HEADERS = {b"Content-Type": [b"application/json"]}
-WORKER_TIMEOUT_S = 2.0  # for the whole response of a worker
-CONNECT_TIMEOUT_S = 1.0  # for connecting to a worker's host
+WORKER_TIMEOUT_S = 2.0  # limit for the whole response of a worker
+CONNECT_TIMEOUT_S = 1.0  # limit for connecting to a worker's host
 
 
 @implementer(IAgentEndpointFactory)
--- a/src/eldercart/server/leadership/catalog_record.py
+++ b/src/eldercart/server/leadership/catalog_record.py
@@ -67,8 +67,8 @@
         self._clock = clock
         self._max_value_bytes = max_value_bytes
         self.catalog_owner: CatalogOwner | None = None  # None: the leader writes the catalogue
-        self.is_stored = True  # whether this node's types are stored, as far as it can tell
-        self.has_any_stored = True  # whether any catalogue is stored, as far as it can tell
+        self.is_stored = True  # this node's types are stored, as far as it knows
+        self.has_any_stored = True  # any catalogue is stored, as far as this node knows
         self._next_write_at = DISTANT_PAST  # earliest time of the next write
 
     def sync(self, scheduler: Scheduler) -> None:
--- a/src/eldercart/server/leadership/leader_service.py
+++ b/src/eldercart/server/leadership/leader_service.py
@@ -36,7 +36,7 @@
 
 log = logging.getLogger("eldercart.node")
 
-ISOLATION_TIMEOUT_S = 5.0  # without any message from a peer or worker, the leader resigns
+ISOLATION_TIMEOUT_S = 5.0  # a leader without messages from peers or workers then resigns
 EVENT_BATCH_DELAY_S = 0.02  # events of this period are processed together
 
 
@@ -137,7 +137,7 @@
         self._cloud_requests = CloudRequests(self, election, store, settings, clock)
         self._worker_requests = WorkerRequests(self, settings.sockets, clock)
         self._started_at = clock()
-        self.last_heartbeat_at = clock()  # from any worker, received here or by a relay
+        self.last_heartbeat_at = clock()  # latest of any worker, received here or by a relay
 
     def connect(self, peer_nodes: Peers, singleton_tasks: SingletonTasks | None) -> None:
         """Set the components that are built later; `singleton_tasks` is None if disabled."""
--- a/src/eldercart/server/leadership/state_store_requests.py
+++ b/src/eldercart/server/leadership/state_store_requests.py
@@ -31,7 +31,7 @@
     503: TransactionOutcome.REJECTED,
 }  # any other status, or no response: INDETERMINATE
 MAX_OUTCOME_READS = 20  # end records of dependencies that one pass reads
-MAX_LOGGED_BYTES = 300  # of a transaction that failed unexpectedly
+MAX_LOGGED_BYTES = 300  # logged part of a transaction that failed unexpectedly
 
 
 class CleanupPolicy(Protocol):
--- a/src/eldercart/server/peers/heartbeat_forwarding.py
+++ b/src/eldercart/server/peers/heartbeat_forwarding.py
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class PendingHeartbeat:
-    """A heartbeat that awaits the leader's reply, with the worker's HTTP request."""
+    """A heartbeat that waits for the leader's reply, with the worker's HTTP request."""
 
     request: JsonRequest
     header: workers.HeartbeatHeader
@@ -43,7 +43,7 @@
 class HeartbeatForwarding:
     """Carries out the relay's decision on each worker's heartbeat.
 
-    It owns the heartbeats that were forwarded and await the leader's reply.
+    It owns the heartbeats that were forwarded and wait for the leader's reply.
     """
 
     def __init__(
--- a/src/eldercart/server/peers/peer_heartbeats.py
+++ b/src/eldercart/server/peers/peer_heartbeats.py
@@ -23,7 +23,7 @@
 # MIN_SILENCE_TIMEOUT_S and SILENCE_TIMEOUT_INTERVALS heartbeat intervals.
 MIN_SILENCE_TIMEOUT_S, SILENCE_TIMEOUT_INTERVALS = 2.5, 2.5
 MAX_PENDING_HEARTBEATS = 8  # per link; acknowledgements of older heartbeats extend no lease
-MACHINE_COUNT_MAX_AGE_S = 2.5  # after which the machine count of a peer is ignored
+MACHINE_COUNT_MAX_AGE_S = 2.5  # a peer's machine count is ignored once it is this old
 WORKER_SOCKETS_SHARE = 0.55  # share of a node's sockets that is available to workers
 MS_PER_S = 1000
 
--- a/src/eldercart/server/store/client.py
+++ b/src/eldercart/server/store/client.py
@@ -22,11 +22,12 @@
 CONNECT_TIMEOUT_S = 1.0
 MAX_IDLE_CONNECTIONS = 8
 REQUEST_TIMEOUT_S = 2.0
-RANGE_TIMEOUT_S = 5.0  # for one page
+RANGE_TIMEOUT_S = 5.0  # limit for the read of one page
 LEASE_TIMEOUT_S = 1.0  # short: a lease request is of no use once the lease has expired
 WATCH_TIMEOUT_MARGIN_S = 3.0  # added to the time for which the state service may hold a watch
 MIN_ADMISSIONS = 5  # submissions that a node should be able to admit in one burst
-LEADER_REQUEST_SHARE, LEADER_WRITE_SHARE = 0.6, 0.7  # of the limits; followers share the rest
+# The leader's shares of the rate limits; the followers share the rest.
+LEADER_REQUEST_SHARE, LEADER_WRITE_SHARE = 0.6, 0.7
 # Fractions of the limit's rate and burst that the nodes use. Both are below 1 because two clocks
 # never agree on where a second ends.
 RATE_USAGE_RATIO, BURST_USAGE_RATIO = 0.92, 0.8
--- a/src/eldercart/server/users/acceptance_check.py
+++ b/src/eldercart/server/users/acceptance_check.py
@@ -17,7 +17,7 @@
 from eldercart.wire.state import Transaction
 from eldercart.wire.stored_jobs import END_PREFIX, JOB_PREFIX
 
-MAX_REQUESTS_IN_FLIGHT = 4  # for one check
+MAX_REQUESTS_IN_FLIGHT = 4  # concurrent requests of one check
 CONDITION_OVERHEAD_BYTES = 30  # size of a condition without its key
 KEYS_PER_JOB = 2  # the keys of the record and of the outcome
 # Users wait 5 s for an acceptance, and the last request of a check may itself take 2 s.
--- a/src/eldercart/server/users/ancestor_search.py
+++ b/src/eldercart/server/users/ancestor_search.py
@@ -23,7 +23,7 @@
 # After this many rounds of reading job records, the records of all unfinished jobs are read at
 # once: a long chain would otherwise take a request for each of its jobs.
 FULL_SCAN_DEPTH = 4
-MAX_BYTES_PER_CONDITION = 120
+MAX_BYTES_PER_CONDITION = 120  # upper bound of the size of one condition
 # Users wait 2 s for the response to a poll.
 SEARCH_TIMEOUT_S = 1.2
 
--- a/src/eldercart/server/users/job_states.py
+++ b/src/eldercart/server/users/job_states.py
@@ -15,7 +15,7 @@
 from eldercart.wire.state import Item
 from eldercart.wire.stored_jobs import END_PREFIX, JOB_PREFIX, decode_end_record
 
-STATE_READ_REQUESTS = 2  # for one fresh read: the job's record and its outcome
+STATE_READ_REQUESTS = 2  # one fresh read takes two: the job's record and its outcome
 
 
 class JobStateFound(NamedTuple):
--- a/src/eldercart/settings/platform.py
+++ b/src/eldercart/settings/platform.py
@@ -48,8 +48,8 @@
 
     label: NodeId
     zone: str
-    http_endpoint: Endpoint  # for users and workers
-    peer_endpoint: Endpoint  # for the other nodes
+    http_endpoint: Endpoint  # users and workers connect to it
+    peer_endpoint: Endpoint  # the other nodes connect to it
     members: tuple[Member, ...]
     cloud: Endpoint
     state: Endpoint
--- a/src/eldercart/singleton/intents.py
+++ b/src/eldercart/singleton/intents.py
@@ -127,7 +127,7 @@
         return self._write_in_flight is not None or self.needs_refresh
 
     def capacity_for(self, intents: list[Intent]) -> int:
-        """Return how many of these intents, in order, fit into the record beside the open ones."""
+        """Return how many of these intents, in order, the record can take besides the open ones."""
         size = EMPTY_RECORD_BYTES + sum(
             intent_bytes(intent)
             for name, intent in [*self._durable.items(), *self._created.items()]
--- a/src/eldercart/units.py
+++ b/src/eldercart/units.py
@@ -22,7 +22,7 @@
 MonotonicTime = NewType("MonotonicTime", float)  # seconds on this process's monotonic clock
 WallTime = NewType("WallTime", float)  # seconds since the Unix epoch
 
-DEFAULT_INCARNATION = IncarnationId("0")  # for processes that start only once, as in tests
+DEFAULT_INCARNATION = IncarnationId("0")  # used by processes that start only once, as in tests
 ABSENT_REVISION = Revision(0)
 NO_FENCING_TOKEN = FencingToken(0)
 NO_LEASE_TOKEN = LeaseToken(0)
