--- a/src/eldercart/cluster/health.py
+++ b/src/eldercart/cluster/health.py
@@ -12,7 +12,8 @@
 from eldercart.units import MonotonicTime
 
 SLOW_RUN_TIME_RATIO = 1.8  # mean of run time / median run time of the job
-# Run times of a job's tasks vary by a factor of three, so a single task proves nothing.
+# A machine counts as slow only after this many tasks, from this many jobs: the run times of a job's
+# tasks vary by a factor of three, so a single task proves nothing.
 SLOW_MIN_TASKS = 5
 SLOW_MIN_JOBS = 2
 STRAGGLER_RUN_TIME_RATIO = 3.0  # run time / longest run time of the job
--- a/src/eldercart/cluster/inventory.py
+++ b/src/eldercart/cluster/inventory.py
@@ -27,7 +27,7 @@
 
 _Key = TypeVar("_Key", int, str)
 
-RESOURCE_EPSILON = 1e-6  # tolerance when sums of resources are compared
+RESOURCE_EPSILON = 1e-6  # tolerance when sums of CPUs, GPUs or GB are compared
 # The number of deleted machines that are remembered is the larger of this minimum and a multiple of
 # the cluster's peak size.
 MIN_DELETED_MACHINES_REMEMBERED = 5000
--- a/src/eldercart/prediction/chain_predictor.py
+++ b/src/eldercart/prediction/chain_predictor.py
@@ -21,7 +21,7 @@
 from eldercart.settings import Tuning
 from eldercart.units import MONOTONIC_ZERO, JobId, MonotonicTime
 
-MAX_PATHS = 4096  # the table then evicts the least recently counted path
+MAX_PATHS = 4096  # paths in the table; beyond that, the least recently counted is evicted
 SUCCESSOR_TIMEOUT_S = 60.0  # a chain without a successor for this long after a job has ended
 MAX_FAN_IN = 16  # dependencies' paths that are recorded for one successor
 MIN_ROOT_JOBS = 3  # jobs to count on a path before a job without dependencies gets a prediction
--- a/src/eldercart/prediction/stream_predictor.py
+++ b/src/eldercart/prediction/stream_predictor.py
@@ -16,7 +16,7 @@
 from eldercart.settings import Tuning
 from eldercart.units import JobId
 
-MAX_PATHS = 512  # each pipeline's table then evicts the least recently counted path
+MAX_PATHS = 512  # paths in a pipeline's table; beyond that, the least recently counted is evicted
 MAX_RECENT_JOBS = 64  # latest jobs of each pipeline; the end of an older job is not counted
 SIZE_DECAY = 0.7  # weight of the earlier sizes in the average size of an image's jobs
 
--- a/src/eldercart/settings/platform.py
+++ b/src/eldercart/settings/platform.py
@@ -63,8 +63,8 @@
     report_s: float
     lease_s: float
     cancel_s: float
-    state_rps: float
-    state_write_rps: float
+    state_rps: float  # requests per second
+    state_write_rps: float  # operations in transactions per second
     # The rates after the state service reduces its limits, which it does without notice. They are
     # never above the current ones.
     state_rps_next: float
@@ -73,7 +73,7 @@
     # reduction still fit after it.
     value_bytes: int
     txn_ops: int  # the lower of the current and the next limit
-    cloud_rps: float
+    cloud_rps: float  # requests per second
     list_lag_s: float
     core_share: float
     mem_mb: float
--- a/src/eldercart/wire/checks.py
+++ b/src/eldercart/wire/checks.py
@@ -10,7 +10,7 @@
 
 MAX_BODY_BYTES = 64 * 1024
 INTEGER_LIMIT = 2**64  # exclusive
-MAX_AMOUNT = 1e12
+MAX_AMOUNT = 1e12  # largest accepted value of a number, in the unit of its field
 
 
 class MalformedMessageError(Exception):
