--- a/src/eldercart/cluster/inventory.py
+++ b/src/eldercart/cluster/inventory.py
@@ -27,7 +27,7 @@
 
 _Key = TypeVar("_Key", int, str)
 
-RESOURCE_EPSILON = 1e-6  # tolerance when sums of resources are compared
+RESOURCE_EPSILON = 1e-6  # tolerance when sums of CPUs, GPUs or GB are compared
 # The number of deleted machines that are remembered is the larger of this minimum and a multiple of
 # the cluster's peak size.
 MIN_DELETED_MACHINES_REMEMBERED = 5000
@@ -94,7 +94,7 @@
     is_unschedulable: bool = False
     is_cordoned: bool = False
     cordoned_at: MonotonicTime = MONOTONIC_ZERO
-    reclaim_at: MonotonicTime | None = None  # when the cloud reclaims the spot machine
+    reclaim_at: MonotonicTime | None = None  # time of the spot machine's reclaim by the cloud
     cached_images: dict[str, float] = field(default_factory=dict)  # GB by name, least recent first
     failed_job_ids: set[JobId] = field(default_factory=set)
     # One entry for each of the last tasks that completed on the machine.
--- a/src/eldercart/prediction/chain_predictor.py
+++ b/src/eldercart/prediction/chain_predictor.py
@@ -1,9 +1,10 @@
 """Predicts the next job of a dependency chain before its user submits it.
 
-This is the sequence table of the paper (V-A), applied to job dependencies. A stage consists of a
-team, a job class and an image. The path of a job is the stages of its recent ancestors, followed by
-its own stage. The statistics of a path count the outcomes of its jobs (done, aborted) and, for each
-outcome, the successors; the end of a chain is counted like a successor.
+This applies the sequence table of the SpecFaaS paper, section V-A ("SpecFaaS: Accelerating
+Serverless Applications with Speculative Function Execution"), to job dependencies. A stage consists
+of a team, a job class and an image. The path of a job is the stages of its recent ancestors,
+followed by its own stage. The statistics of a path count the outcomes of its jobs (done, aborted)
+and, for each outcome, the successors; the end of a chain is counted like a successor.
 
 The cost of submitting a job is proportional to the number of its dependencies. The cost of its end
 doesn't depend on the number of jobs. Nothing is persisted: a new leader starts without statistics.
@@ -20,8 +21,8 @@
 from eldercart.settings import Tuning
 from eldercart.units import MONOTONIC_ZERO, JobId, MonotonicTime
 
-MAX_PATHS = 4096  # the table then evicts the least recently counted path
-SUCCESSOR_TIMEOUT_S = 60.0  # after a job's end; if no successor is submitted, the chain has ended
+MAX_PATHS = 4096  # paths in the table; beyond that, the least recently counted is evicted
+SUCCESSOR_TIMEOUT_S = 60.0  # a chain without a successor for this long after a job has ended
 MAX_FAN_IN = 16  # dependencies' paths that are recorded for one successor
 MIN_ROOT_JOBS = 3  # jobs to count on a path before a job without dependencies gets a prediction
 SIZE_DECAY = 0.7  # weight of the earlier sizes in the average size of a successor
--- a/src/eldercart/prediction/stream_predictor.py
+++ b/src/eldercart/prediction/stream_predictor.py
@@ -1,9 +1,10 @@
 """Predicts the next job in a stream of independent jobs.
 
-This follows the paper's sequence table (V-A). A pipeline is the stream of one team's jobs of one
-class. Its nodes are images, and its branches are the outcomes of the upstream job (done or
-aborted). The statistics of a path of recent images count the outcomes and, for each outcome, the
-images that followed.
+This follows the sequence table of the SpecFaaS paper, section V-A ("SpecFaaS: Accelerating
+Serverless Applications with Speculative Function Execution"). A pipeline is the stream of one
+team's jobs of one class. Its nodes are images, and its branches are the outcomes of the upstream
+job (done or aborted). The statistics of a path of recent images count the outcomes and, for each
+outcome, the images that followed.
 """
 
 from collections import deque
@@ -15,11 +16,11 @@
 from eldercart.settings import Tuning
 from eldercart.units import JobId
 
-MAX_PATHS = 512  # each pipeline's table then evicts the least recently counted path
+MAX_PATHS = 512  # paths in a pipeline's table; beyond that, the least recently counted is evicted
 MAX_RECENT_JOBS = 64  # latest jobs of each pipeline; the end of an older job is not counted
 SIZE_DECAY = 0.7  # weight of the earlier sizes in the average size of an image's jobs
 
-ImageCounts = dict[str, int]  # by image: how many jobs with it followed a path
+ImageCounts = dict[str, int]  # number of jobs that followed a path, by image
 
 
 @dataclass(slots=True)
