--- a/tests/behaviour_record.py
+++ b/tests/behaviour_record.py
@@ -588,122 +588,126 @@
 ]
 
 
-def submit_mix(w: RecordedWorld) -> None:
+def submit_mix(world: RecordedWorld) -> None:
     """Submit one job of each kind."""
     for i, changes in enumerate(JOBS):
-        w.submit(f"wk-{i:06d}", **changes)
+        world.submit(f"wk-{i:06d}", **changes)
 
 
-def leader(w: RecordedWorld) -> Scheduler:
+def leader(world: RecordedWorld) -> Scheduler:
     """Return the leader's state machine."""
-    assert w.scheduler is not None
-    return w.scheduler
+    assert world.scheduler is not None
+    return world.scheduler
 
 
-def busy(w: RecordedWorld) -> list[WorkerSim]:
+def busy(world: RecordedWorld) -> list[WorkerSim]:
     """Return the machines on which a task runs, in the order of their creation."""
-    return [machine for machine in w.cloud.machines.values() if machine.running_tasks()]
+    return [machine for machine in world.cloud.machines.values() if machine.running_tasks()]
 
 
 def quiet(sink: Sink, seed: int) -> dict[str, Any]:
     """No faults: machines are created for the jobs and deleted after them."""
-    w = RecordedWorld(sink, seed, capacity=8)
-    submit_mix(w)
-    w.run(30)
-    w.submit("wk-late", parcels=12, run_s=15.0, haulS=15.0, crew="t1")
-    w.finish()
-    w.run(60)
-    return w.recording.result()
+    world = RecordedWorld(sink, seed, capacity=8)
+    submit_mix(world)
+    world.run(30)
+    world.submit("wk-late", parcels=12, run_s=15.0, haulS=15.0, crew="t1")
+    world.finish()
+    world.run(60)
+    return world.recording.result()
 
 
 def lost_messages(sink: Sink, seed: int) -> dict[str, Any]:
     """Any message may be lost, repeated or delayed; the store and the cloud fail for a while."""
-    w = RecordedWorld(sink, seed, capacity=8, **MESSAGE_FAULTS)
-    submit_mix(w)
-    w.submit("wk-cancelled", run_s=200.0, haulS=200.0, parcels=10)
-    w.run(15)
-    w.outage_until = w.now + 10.0
-    w.run(5)
-    w.cancel("wk-cancelled")
-    w.run(10)
-    w.cloud_down_until = w.now + 8.0
-    w.cancel("wk-000006")
-    w.run(15)
-    w.crash((w.leader + 1) % w.nodes)
-    w.run(5)
-    w.cancel("wk-cancelled")
-    return w.finish()
+    world = RecordedWorld(sink, seed, capacity=8, **MESSAGE_FAULTS)
+    submit_mix(world)
+    world.submit("wk-cancelled", run_s=200.0, haulS=200.0, parcels=10)
+    world.run(15)
+    world.outage_until = world.now + 10.0
+    world.run(5)
+    world.cancel("wk-cancelled")
+    world.run(10)
+    world.cloud_down_until = world.now + 8.0
+    world.cancel("wk-000006")
+    world.run(15)
+    world.crash((world.leader + 1) % world.nodes)
+    world.run(5)
+    world.cancel("wk-cancelled")
+    return world.finish()
 
 
 def preemption(sink: Sink, seed: int) -> dict[str, Any]:
     """Low-priority jobs fill few machines; then prod and urgent jobs of a limited team arrive."""
-    w = RecordedWorld(sink, seed, capacity=3, report_lost=0.05)
+    world = RecordedWorld(sink, seed, capacity=3, report_lost=0.05)
     for i, urgency in enumerate(["idle", "idle", "standard"]):
-        w.submit(f"wk-low-{i}", run_s=60.0, haulS=60.0, parcels=12, urgency=urgency, waypointS=10.0)
-    w.run(25)
-    w.submit("wk-prod", parcels=8, cpus=4.0, run_s=10.0, urgency="prod", crew="t1", lot="quick")
-    w.run(8)
-    w.submit("wk-urgent", parcels=6, run_s=10.0, urgency="urgent", crew="t1", stowS=2.0)
-    w.run(12)
-    w.elect()
-    w.submit("wk-together", parcels=5, run_s=10.0, urgency="urgent", together=True)
-    w.cancel("wk-low-1")
-    return w.finish()
+        world.submit(
+            f"wk-low-{i}", run_s=60.0, haulS=60.0, parcels=12, urgency=urgency, waypointS=10.0
+        )
+    world.run(25)
+    world.submit("wk-prod", parcels=8, cpus=4.0, run_s=10.0, urgency="prod", crew="t1", lot="quick")
+    world.run(8)
+    world.submit("wk-urgent", parcels=6, run_s=10.0, urgency="urgent", crew="t1", stowS=2.0)
+    world.run(12)
+    world.elect()
+    world.submit("wk-together", parcels=5, run_s=10.0, urgency="urgent", together=True)
+    world.cancel("wk-low-1")
+    return world.finish()
 
 
 def machines_fail(sink: Sink, seed: int) -> dict[str, Any]:
     """Machines disappear, hang, fail all tasks, are preempted or reach no node."""
-    w = RecordedWorld(sink, seed, capacity=10, report_lost=0.03)
+    world = RecordedWorld(sink, seed, capacity=10, report_lost=0.03)
     for i in range(5):
-        w.submit(f"wk-{i}", parcels=10, run_s=30.0, haulS=30.0, cpus=2.0, spread=i == 3)
-    w.run(20)
-    lost, hanging, faulty, preempted, disconnected = (busy(w) + list(w.cloud.machines.values()))[:5]
-    del w.cloud.machines[lost.id]
-    hanging.hangs_until = w.now + 45.0
+        world.submit(f"wk-{i}", parcels=10, run_s=30.0, haulS=30.0, cpus=2.0, spread=i == 3)
+    world.run(20)
+    lost, hanging, faulty, preempted, disconnected = (
+        busy(world) + list(world.cloud.machines.values())
+    )[:5]
+    del world.cloud.machines[lost.id]
+    hanging.hangs_until = world.now + 45.0
     faulty.faulty = True
     preempted.preemption_notice_s = 10.0
-    w.disconnected_machines = {disconnected.id}
-    w.run(8)
-    w.cancel("wk-1")
-    w.run(12)
-    w.disconnected_machines.clear()
+    world.disconnected_machines = {disconnected.id}
+    world.run(8)
+    world.cancel("wk-1")
+    world.run(12)
+    world.disconnected_machines.clear()
     faulty.faulty = False
-    w.machines_without_inbound_messages = {machine.id for machine in busy(w)[:1]}
-    w.cancel("wk-2")
-    w.run(35)
-    w.machines_without_inbound_messages.clear()
-    for machine in list(w.cloud.machines.values())[:2]:
+    world.machines_without_inbound_messages = {machine.id for machine in busy(world)[:1]}
+    world.cancel("wk-2")
+    world.run(35)
+    world.machines_without_inbound_messages.clear()
+    for machine in list(world.cloud.machines.values())[:2]:
         machine.run_time_factor = 8.0
     for i in range(5, 8):
-        w.submit(f"wk-{i}", parcels=16, run_s=10.0, haulS=10.0, cpus=2.0, crew="t1")
-    w.run(15)
-    for machine in busy(w)[:1]:
+        world.submit(f"wk-{i}", parcels=16, run_s=10.0, haulS=10.0, cpus=2.0, crew="t1")
+    world.run(15)
+    for machine in busy(world)[:1]:
         machine.faulty = True
-    return w.finish()
+    return world.finish()
 
 
 def chains(sink: Sink, seed: int) -> dict[str, Any]:
     """Jobs that depend on others, by lists in their records and outside; one is cancelled."""
-    w = RecordedWorld(sink, seed, capacity=8, txn_lost=0.05, answer_lost=0.05)
-    w.submit("wk-a", parcels=8, run_s=8.0, haulS=8.0)
-    w.submit("wk-b", parcels=8, run_s=8.0, haulS=8.0, awaits=["wk-a"], dueS=60.0)
-    w.submit("wk-c", parcels=4, run_s=40.0, haulS=40.0, crew="t1")
-    w.submit("wk-d", parcels=4, awaits=["wk-b", "wk-c"])
-    w.submit("wk-e", parcels=4, dependency_list_parts=2, awaits=["wk-a", "wk-b", "wk-c"])
-    w.submit("wk-f", parcels=4, awaits=["wk-e"], urgency="urgent")
-    w.submit("wk-g", parcels=6, awaits=["wk-a"], together=True)
-    w.run(22)
-    w.elect()
-    w.submit("wk-h", parcels=4, awaits=["wk-g", "wk-a"])
-    w.run(10)
-    w.cancel("wk-c")
-    w.run(3)
-    w.crash(w.leader)
-    w.submit("wk-i", parcels=2, awaits=["wk-h"])
-    w.submit("wk-early", parcels=2, awaits=["wk-unknown"])
-    w.run(4)
-    w.submit("wk-unknown", parcels=2)
-    return w.finish()
+    world = RecordedWorld(sink, seed, capacity=8, txn_lost=0.05, answer_lost=0.05)
+    world.submit("wk-a", parcels=8, run_s=8.0, haulS=8.0)
+    world.submit("wk-b", parcels=8, run_s=8.0, haulS=8.0, awaits=["wk-a"], dueS=60.0)
+    world.submit("wk-c", parcels=4, run_s=40.0, haulS=40.0, crew="t1")
+    world.submit("wk-d", parcels=4, awaits=["wk-b", "wk-c"])
+    world.submit("wk-e", parcels=4, dependency_list_parts=2, awaits=["wk-a", "wk-b", "wk-c"])
+    world.submit("wk-f", parcels=4, awaits=["wk-e"], urgency="urgent")
+    world.submit("wk-g", parcels=6, awaits=["wk-a"], together=True)
+    world.run(22)
+    world.elect()
+    world.submit("wk-h", parcels=4, awaits=["wk-g", "wk-a"])
+    world.run(10)
+    world.cancel("wk-c")
+    world.run(3)
+    world.crash(world.leader)
+    world.submit("wk-i", parcels=2, awaits=["wk-h"])
+    world.submit("wk-early", parcels=2, awaits=["wk-unknown"])
+    world.run(4)
+    world.submit("wk-unknown", parcels=2)
+    return world.finish()
 
 
 def limited_platform(next_limits: dict[str, float] | None) -> dict[str, Any]:
@@ -716,143 +720,143 @@
 
 def limits_fall(sink: Sink, seed: int) -> dict[str, Any]:
     """The state service's size limits are lowered; leaders change before, during and after that."""
-    w = RecordedWorld(
+    world = RecordedWorld(
         sink, seed, platform=limited_platform(None), txn_lost=0.05, txn_twice=0.1, report_lost=0.05
     )
-    w.store.value_bytes, w.store.txn_ops = 32 * 1024, 20
+    world.store.value_bytes, world.store.txn_ops = 32 * 1024, 20
     small: dict[str, Any] = {"cpus": 0.2, "memGb": 0.1}
     for i, tasks in enumerate([600, 90, 30, 6]):
-        w.submit(f"wk-{i}", parcels=tasks, run_s=20.0 + 5 * i, haulS=20.0, **small)
-    w.run(15)
+        world.submit(f"wk-{i}", parcels=tasks, run_s=20.0 + 5 * i, haulS=20.0, **small)
+    world.run(15)
     next_limits = {"write_rps": 18, "value_kb": 2.0, "txn_ops": 6}
-    w.settings = parse_platform(limited_platform(next_limits))
-    w.elect()
-    w.run(3)
-    w.submit("wk-between", parcels=60, run_s=12.0, **small)
-    w.run(3)
-    w.store.value_bytes, w.store.txn_ops = 2048, 6
-    w.run(6)
-    w.subchunks_supported = True
-    w.elect()
-    w.submit("wk-after", parcels=70, run_s=10.0, **small)
-    w.run(6)
-    w.cancel("wk-3")
-    w.crash(w.leader)
-    return w.finish()
+    world.settings = parse_platform(limited_platform(next_limits))
+    world.elect()
+    world.run(3)
+    world.submit("wk-between", parcels=60, run_s=12.0, **small)
+    world.run(3)
+    world.store.value_bytes, world.store.txn_ops = 2048, 6
+    world.run(6)
+    world.subchunks_supported = True
+    world.elect()
+    world.submit("wk-after", parcels=70, run_s=10.0, **small)
+    world.run(6)
+    world.cancel("wk-3")
+    world.crash(world.leader)
+    return world.finish()
 
 
 def failover(sink: Sink, seed: int) -> dict[str, Any]:
     """Leaders stall, crash and are cut off; workers still report to a node of an earlier leader."""
-    w = RecordedWorld(
+    world = RecordedWorld(
         sink, seed, capacity=8, mesh_lost=0.03, mesh_delay_s=0.3, direct_kill_lost=0.2
     )
     for i in range(5):
-        w.submit(f"wk-{i}", parcels=8, run_s=60.0, haulS=60.0, crew="t1" if i % 2 else "t2")
-    w.run(25)
-    w.stall_node(w.leader, 12.0)
-    w.run(5)
-    w.cancel("wk-0")
-    w.crash(w.leader)
-    w.run(5)
-    w.machines_with_stale_leader = {machine.id for machine in busy(w)[:3]}
-    w.stale_leader_token = leader(w).token
-    w.elect()
-    w.cancel("wk-1")
-    w.outage_until = w.now + 15.0
-    w.run(20)
-    w.cut_off_nodes = {(w.leader + 1) % w.nodes}
-    w.run(10)
-    w.cut_off_nodes.clear()
+        world.submit(f"wk-{i}", parcels=8, run_s=60.0, haulS=60.0, crew="t1" if i % 2 else "t2")
+    world.run(25)
+    world.stall_node(world.leader, 12.0)
+    world.run(5)
+    world.cancel("wk-0")
+    world.crash(world.leader)
+    world.run(5)
+    world.machines_with_stale_leader = {machine.id for machine in busy(world)[:3]}
+    world.stale_leader_token = leader(world).token
+    world.elect()
+    world.cancel("wk-1")
+    world.outage_until = world.now + 15.0
+    world.run(20)
+    world.cut_off_nodes = {(world.leader + 1) % world.nodes}
+    world.run(10)
+    world.cut_off_nodes.clear()
     for _ in range(4):
-        w.run(w.rng.uniform(1.0, 10.0))
-        w.crash(w.leader)
-    return w.finish()
+        world.run(world.rng.uniform(1.0, 10.0))
+        world.crash(world.leader)
+    return world.finish()
 
 
 def values_shrink(sink: Sink, seed: int) -> dict[str, Any]:
     """The limit on values drops below the announced one; records are split and leaders change."""
     limits = {"write_rps": 18, "value_kb": 2.0, "txn_ops": 6}
-    w = RecordedWorld(sink, seed, platform=limited_platform(limits), txn_lost=0.1)
+    world = RecordedWorld(sink, seed, platform=limited_platform(limits), txn_lost=0.1)
     small: dict[str, Any] = {"cpus": 0.2, "memGb": 0.1}
-    w.subchunks_supported = True
+    world.subchunks_supported = True
     for i, tasks in enumerate([60, 3, 20, 45]):
-        w.submit(f"wk-{i}", parcels=tasks, run_s=30.0, haulS=30.0, **small)
-    w.run(4)
-    w.store.value_bytes = 400
-    w.run(16)
-    w.crash(w.leader)
-    w.run(6)
-    w.submit("wk-later", parcels=25, run_s=10.0, **small)
-    w.run(10)
-    w.elect()
-    w.cancel("wk-2")
-    return w.finish()
+        world.submit(f"wk-{i}", parcels=tasks, run_s=30.0, haulS=30.0, **small)
+    world.run(4)
+    world.store.value_bytes = 400
+    world.run(16)
+    world.crash(world.leader)
+    world.run(6)
+    world.submit("wk-later", parcels=25, run_s=10.0, **small)
+    world.run(10)
+    world.elect()
+    world.cancel("wk-2")
+    return world.finish()
 
 
 def held_cloud_calls(sink: Sink, seed: int) -> dict[str, Any]:
     """Cloud requests are blocked, requeued unsent, and resumed from an earlier leader."""
-    w = RecordedWorld(sink, seed, capacity=6, cloud_request_requeued=0.2)
-    leader(w).cloud_requests.scale_out_admission = RequestAdmission.BLOCKED
+    world = RecordedWorld(sink, seed, capacity=6, cloud_request_requeued=0.2)
+    leader(world).cloud_requests.scale_out_admission = RequestAdmission.BLOCKED
     for i in range(4):
-        w.submit(f"wk-{i}", parcels=10, run_s=15.0 + 20 * i, haulS=15.0)
-    w.run(4)
-    leader(w).cloud_requests.scale_out_admission = RequestAdmission.OPEN
-    w.run(18)
-    hanging = busy(w)[0]
-    hanging.hangs_until = w.now + 100.0
-    w.cancel("wk-3")
-    leader(w).cloud_requests.deletion_admission = RequestAdmission.OVERDUE_ONLY
-    w.run(28)
-    leader(w).cloud_requests.deletion_admission = RequestAdmission.OPEN
-    w.elect()
-    now = MonotonicTime(w.now)
-    leader(w).cloud_requests.resume_deletion(MachineId(next(iter(w.cloud.machines))), now)
-    leader(w).cloud_requests.resume_scale_out(
+        world.submit(f"wk-{i}", parcels=10, run_s=15.0 + 20 * i, haulS=15.0)
+    world.run(4)
+    leader(world).cloud_requests.scale_out_admission = RequestAdmission.OPEN
+    world.run(18)
+    hanging = busy(world)[0]
+    hanging.hangs_until = world.now + 100.0
+    world.cancel("wk-3")
+    leader(world).cloud_requests.deletion_admission = RequestAdmission.OVERDUE_ONLY
+    world.run(28)
+    leader(world).cloud_requests.deletion_admission = RequestAdmission.OPEN
+    world.elect()
+    now = MonotonicTime(world.now)
+    leader(world).cloud_requests.resume_deletion(MachineId(next(iter(world.cloud.machines))), now)
+    leader(world).cloud_requests.resume_scale_out(
         ScaleOutRequest("earlier", MachineOffering("small", "a", False), 2)
     )
-    leader(w).cloud_requests.deletion_admission = RequestAdmission.BLOCKED
-    w.run(8)
-    leader(w).cloud_requests.deletion_admission = RequestAdmission.OPEN
-    w.submit("wk-last", parcels=12, run_s=8.0)
-    return w.finish()
+    leader(world).cloud_requests.deletion_admission = RequestAdmission.BLOCKED
+    world.run(8)
+    leader(world).cloud_requests.deletion_admission = RequestAdmission.OPEN
+    world.submit("wk-last", parcels=12, run_s=8.0)
+    return world.finish()
 
 
 def lost_links(sink: Sink, seed: int) -> dict[str, Any]:
     """Connections between nodes break, the leader stalls, and peers report higher tokens."""
-    w = RecordedWorld(sink, seed, capacity=8, mesh_lost=0.1, mesh_delay_s=1.0, answer_slow=0.05)
+    world = RecordedWorld(sink, seed, capacity=8, mesh_lost=0.1, mesh_delay_s=1.0, answer_slow=0.05)
     for i in range(4):
-        w.submit(f"wk-{i}", parcels=10, run_s=30.0, haulS=30.0)
-    w.run(18)
-    for i in range(w.nodes):
-        leader(w).on_relay_lost(NodeId(f"n{i}"))
-        w.relays[i].on_leader_disconnected()
-        w.run(2)
-    leader(w).exclude_stall(3.0)
-    relay = w.relays[(w.leader + 1) % w.nodes]
-    relay.observe_newer_token(FencingToken(relay.token + 1), MonotonicTime(w.now))
-    w.run(4)
-    relay.confirm_token(relay.token, MonotonicTime(w.now))
-    w.relays[w.leader].revoke_lease()
-    w.elect()
-    leader(w).record_tick_duration(0.2)
-    w.unreachable_nodes = {w.leader}
-    w.run(8)
-    w.unreachable_nodes = set()
-    w.cancel("wk-3")
-    return w.finish()
+        world.submit(f"wk-{i}", parcels=10, run_s=30.0, haulS=30.0)
+    world.run(18)
+    for i in range(world.nodes):
+        leader(world).on_relay_lost(NodeId(f"n{i}"))
+        world.relays[i].on_leader_disconnected()
+        world.run(2)
+    leader(world).exclude_stall(3.0)
+    relay = world.relays[(world.leader + 1) % world.nodes]
+    relay.observe_newer_token(FencingToken(relay.token + 1), MonotonicTime(world.now))
+    world.run(4)
+    relay.confirm_token(relay.token, MonotonicTime(world.now))
+    world.relays[world.leader].revoke_lease()
+    world.elect()
+    leader(world).record_tick_duration(0.2)
+    world.unreachable_nodes = {world.leader}
+    world.run(8)
+    world.unreachable_nodes = set()
+    world.cancel("wk-3")
+    return world.finish()
 
 
 def election(sink: Sink, seed: int) -> dict[str, Any]:
     """Nodes restart one after another while requests are delayed or lost."""
-    w = RecordedElection(sink, seed, 5)
+    world = RecordedElection(sink, seed, 5)
     for _ in range(30):
-        w.run(w.rng.uniform(0.1, 2.5))
-        w.restart(w.rng.randrange(len(w.nodes)))
+        world.run(world.rng.uniform(0.1, 2.5))
+        world.restart(world.rng.randrange(len(world.nodes)))
     for _ in range(20):
-        w.run(1.0)
+        world.run(1.0)
     for step in range(8):
-        now = MonotonicTime(w.now)
-        for candidate in w.nodes:
+        now = MonotonicTime(world.now)
+        for candidate in world.nodes:
             candidate.on_leader_key_changed(now)
             if candidate.role is not Role.LEADER:
                 continue
@@ -862,19 +866,19 @@
                 candidate.on_write_fenced(now)
             else:
                 candidate.observe_token(FencingToken(candidate.token + 1), now)
-        w.run(5.0)
-    w.nodes[0].defer_candidacy(MonotonicTime(w.now + 3.0))
-    w.nodes[1].resign_permanently(MonotonicTime(w.now))
+        world.run(5.0)
+    world.nodes[0].defer_candidacy(MonotonicTime(world.now + 3.0))
+    world.nodes[1].resign_permanently(MonotonicTime(world.now))
     for _ in range(10):
-        w.run(1.0)
-    return w.recording.result()
+        world.run(1.0)
+    return world.recording.result()
 
 
 def duties(sink: Sink, seed: int) -> dict[str, Any]:
     """Nodes acquire and lose named leases under the faults of their simulation."""
-    w = RecordedNamedLeases(sink, seed, 3 + seed % 2)
-    w.run(90.0)
-    return w.finish()
+    world = RecordedNamedLeases(sink, seed, 3 + seed % 2)
+    world.run(90.0)
+    return world.finish()
 
 
 Scenario = Callable[[Sink, int], dict[str, Any]]
--- a/tests/named_lease_history.py
+++ b/tests/named_lease_history.py
@@ -84,9 +84,12 @@
                         name: deletion_recorded_by.get(name, change.sender) for name in names
                     }
             if key.startswith("use/"):
-                # One sender's writes may be reordered: it knows which deletions it has recorded.
+                # A sender's own writes are allowed: they may be applied out of order, and it
+                # knows which deletions it has recorded.
                 marked_by = deletion_recorded_by.get(key[len("use/") :], change.sender)
-                assert marked_by == change.sender, f"{key} after {marked_by} had condemned it"
+                assert marked_by == change.sender, (
+                    f"{key} after {marked_by} had recorded its deletion"
+                )
             if key == "lead" or key.startswith(wire.HOLDER_PREFIX):
                 holders[key] = write["v"][sender_field] if "put" in write else None
     effects: set[str] = set()
--- a/tests/named_lease_world.py
+++ b/tests/named_lease_world.py
@@ -45,9 +45,8 @@
         self.machine_count = 0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.event_number = 0
-        self.outage_until: dict[
-            str, float
-        ] = {}  # outages of the state service, by node; "" means all
+        # Ends of the state service's outages, by node; "" means all nodes.
+        self.outage_until: dict[str, float] = {}
         self.cloud_outage_until = 0.0
         self.paused_leases: set[LeaseName] = set()
         node_ids = [NodeId(f"drover-{i}") for i in range(nodes)]
@@ -253,7 +252,7 @@
         for lease_name in LeaseName:
             self.store.txn(Transaction({}, [DeleteKey(wire.pause_key(lease_name))]).body())
         self.run(seconds)
-        # The list has every machine, also one whose name no leader received.
+        # The list has every machine, even one whose name no node received from the cloud.
         for node in self.nodes:
             if node.is_leader:
                 listed = sorted(self.machines - node.marked_for_deletion)
@@ -271,9 +270,9 @@
     if not all(wire.holder_key(lease_name) in world.store.keys for lease_name in LeaseName):
         world.run(15.0)  # a lease is just being acquired by its next holder
     leaders = [node for node in world.nodes if node.is_leader]
-    assert len(leaders) == 1, "one leader"
+    assert len(leaders) == 1, "there must be exactly one leader"
     for lease_name in LeaseName:
-        assert wire.holder_key(lease_name) in world.store.keys, f"nobody holds {lease_name}"
-    assert not world.machines, "machines that nobody can return"
+        assert wire.holder_key(lease_name) in world.store.keys, f"no node holds {lease_name}"
+    assert not world.machines, "some machines were not deleted"
     for item in world.read_items(wire.INTENT_PREFIX):
-        assert item.value["i"] == [], f"left open: {item.key} {item.value}"
+        assert item.value["i"] == [], f"intents are still open: {item.key} {item.value}"
--- a/tests/simulators.py
+++ b/tests/simulators.py
@@ -134,12 +134,12 @@
     seq: int = 0
     token: int = 0
     tasks: dict[str, TaskSim] = field(default_factory=dict)
-    lease_renewed_at: float = 0.0  # when the heartbeat was sent that renewed its lease last
+    lease_renewed_at: float = 0.0  # send time of the heartbeat that renewed its lease last
     deleted: bool = False
     hangs_until: float = -1.0
     faulty: bool = False  # every task fails as soon as its image is pulled
-    run_time_factor: float = 1.0  # times the job's run time
-    preemption_notice_s: float | None = None  # the preemption notice that it reports
+    run_time_factor: float = 1.0  # multiplies the job's run time
+    preemption_notice_s: float | None = None  # notice time that it reports; None: no notice
 
     def report(self) -> dict[str, Any]:
         """Return the next heartbeat."""
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -50,7 +50,7 @@
     )
     monkeypatch.setattr(node.store, "_http", None)
     measure_unchanged_heartbeat(node, 10)
-    assert len(forwarded) == 1, "the first one of all"
+    assert len(forwarded) == 1, "the relay must forward only the first heartbeat"
 
 
 def idle_connection() -> tuple[Clock, WorkerConnection]:
@@ -102,7 +102,7 @@
     whole = heartbeat_request("n-1", 1).replace(b'"whip":7', b'"whip":6')
     for byte in range(len(whole) - 1):
         assert connection.send(whole[byte : byte + 1]) == b""
-    assert b'"whip":7' in connection.send(whole[-1:]), "it learns the epoch"
+    assert b'"whip":7' in connection.send(whole[-1:]), "the response must carry the relay's token"
 
 
 def test_outgoing_request_is_written_without_delay() -> None:
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -234,11 +234,11 @@
     assert election.next_action(NOW) == RevokeLease(LeaseId(4))
 
 
-@pytest.mark.parametrize("under_way", ["a claim", "a revocation that was refused"])
-def test_hand_over_lasts_as_long_as_the_leader_key_may_exist(under_way: str) -> None:
+@pytest.mark.parametrize("in_flight", ["a claim", "a revocation that was refused"])
+def test_hand_over_lasts_as_long_as_the_leader_key_may_exist(in_flight: str) -> None:
     """No node could lead until the lease expires if the process exited while its key may exist."""
     election = election_with_campaign_in_flight()
-    if under_way == "a claim":
+    if in_flight == "a claim":
         election.resign_permanently(NOW)
     else:
         election.on_campaign_result(Revision(9), NOW)
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -67,7 +67,7 @@
         "intent/rental": 0,
     }
     assert not log.is_recorded("r-1") and log.stage("r-1") is IntentStage.CREATED
-    assert next_write(log) is None, "one write at a time"
+    assert next_write(log) is None, "only one write may be in flight"
     log.on_write_result(intent_write, WriteOutcome.COMMITTED, Revision(30), MonotonicTime(1.1))
     assert log.is_recorded("r-1") and log.stage("r-1") is IntentStage.RECORDED
     log.mark_sent("r-1")
@@ -92,7 +92,9 @@
     value = intent_write.transaction.operations[0].value
     log.refresh(Item("intent/rental", value, Revision(30)) if applied else None)
     assert log.is_recorded("r-1") is applied
-    assert (next_write(log, 9.0) is None) is applied, "written again only if it was not"
+    assert (next_write(log, 9.0) is None) is applied, (
+        "the record must be written again only if the first write was not applied"
+    )
 
 
 def test_intents_that_are_not_urgent_are_batched() -> None:
@@ -121,7 +123,7 @@
     value = intent_write.transaction.operations[0].value
     log.refresh(Item("intent/rental", value, Revision(30)) if applied else None)
     assert log.is_recorded("r-1") is applied
-    assert next_write(log, 9.0) is None, "nothing is left to be written"
+    assert next_write(log, 9.0) is None, "no write must remain"
 
 
 def test_rejected_write_is_retried() -> None:
@@ -142,7 +144,7 @@
         log.create(intent)
     assert log.capacity_for([scale_in_intent("n-000100")]) == 0
     assert log.capacity_for(list(intents[:capacity])) == capacity, (
-        "what is in it already needs no room"
+        "intents that the record already holds must need no capacity"
     )
     intent_write = next_write(log)
     assert len(orjson.dumps(intent_write.transaction.operations[0].value)) <= 600
@@ -216,7 +218,9 @@
     (intent_write,) = output.writes
     gate.on_write_result(intent_write, WriteOutcome.COMMITTED, Revision(9), MonotonicTime(1.1))
     assert gate.process(policies, MonotonicTime(1.2), may_write=True).calls_to_send == [call]
-    assert gate.is_busy(LeaseName.SCALE_OUT), "until it is answered"
+    assert gate.is_busy(LeaseName.SCALE_OUT), (
+        "the lease must stay busy until the request is answered"
+    )
     gate.on_answer(call, MonotonicTime(1.3), is_final=True)
     assert not gate.is_busy(LeaseName.SCALE_OUT)
 
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -317,7 +317,7 @@
     for number, prefix in enumerate(expected_prefixes):
         assert not reads.done
         items = [job_item()] if prefix == JOB_PREFIX else []
-        assert reads.answer(None) == prefix, "failed read"
+        assert reads.answer(None) == prefix, "the read that fails"
         reads.retries.pop()()
         assert reads.answer(items, 10 + number) == prefix
     (records,) = reads.done
--- a/tests/test_named_leases.py
+++ b/tests/test_named_leases.py
@@ -62,7 +62,7 @@
     directory.apply_read([holder_item(LeaseName.CATALOG, OTHER, 8)], Revision(11))
     directory.apply_watch_events([DeleteKey(own_items.key)], Revision(10))
     assert directory.entry(LeaseName.CATALOG).token == 12
-    assert directory.revision == 11, "the watch goes on where the reads were"
+    assert directory.revision == 11, "the watch must resume at the revision of the reads"
     directory.apply_watch_events([DeleteKey(own_items.key)], Revision(13))
     directory.apply_read([own_items], Revision(12))
     assert not directory.entry(LeaseName.CATALOG).is_held
@@ -168,20 +168,24 @@
         assert action.transaction.conditions[wire.pause_key(action.lease_name)] == ABSENT_REVISION
         assert node.candidate.usable_token(action.lease_name, node.view.now) is not None
     node.wait(LEASE_S / 3)
-    assert [type(a) for a in node.settle()] == [KeepLeaseAlive], "one renewal for all of them"
+    assert [type(a) for a in node.settle()] == [KeepLeaseAlive], (
+        "one keep-alive must renew all named leases"
+    )
 
 
 def test_acquired_lease_is_not_moved_for_balance_before_the_minimum_hold_time() -> None:
     node = settled_leader()
     node.wait(LEASE_S)
     node.settle()
-    assert node.state(LeaseName.CATALOG) is LeaseState.HOLDER, "nobody else took it"
+    assert node.state(LeaseName.CATALOG) is LeaseState.HOLDER, (
+        "the leader must hold the lease if no other node acquires it"
+    )
     node.wait(59.0)
     node.settle()
     assert node.state(LeaseName.CATALOG) is LeaseState.HOLDER
     node.wait(2.0)
     released = [action.lease_name for action in node.settle() if isinstance(action, Release)]
-    assert released == [LeaseName.CATALOG], "two nodes without any stand by"
+    assert released == [LeaseName.CATALOG], "two other nodes hold no lease"
 
 
 def test_new_leader_replaces_the_holder_key_at_its_known_version() -> None:
@@ -228,11 +232,13 @@
     node.read_directory(*own_items, *items)
     node.settle()
     assert node.candidate.ineligibility(LeaseName.SCALE_OUT) is obstacle
-    assert node.state(LeaseName.SCALE_OUT) is LeaseState.DRAINING, "something is under way"
+    assert node.state(LeaseName.SCALE_OUT) is LeaseState.DRAINING, "the lease is still in use"
     assert node.candidate.usable_token(LeaseName.SCALE_OUT, node.view.now) is None, (
-        "nothing new begins"
+        "a draining holder must start no new work"
+    )
+    assert node.candidate.held_token(LeaseName.SCALE_OUT) == held, (
+        "work in progress must be able to finish"
     )
-    assert node.candidate.held_token(LeaseName.SCALE_OUT) == held, "what began may be finished"
     node.change(busy_leases=())
     released = [
         a for a in node.settle() if isinstance(a, Release) and a.lease_name is LeaseName.SCALE_OUT
@@ -255,7 +261,9 @@
                 node.candidate.on_lease_granted(LeaseId(7))
     node.candidate.on_action_failed(node.view.now)
     node.wait(1.0)
-    assert isinstance(node.next_action(), ReadDirectory), "nothing else can tell"
+    assert isinstance(node.next_action(), ReadDirectory), (
+        "only a read shows whether the acquisition was committed"
+    )
     node.read_directory(holder_item(action.lease_name, ME, 30, "me"))
     assert node.state(action.lease_name) is LeaseState.HOLDER
     assert node.candidate.usable_token(action.lease_name, node.view.now) == 30
@@ -288,7 +296,9 @@
     node.wait(LEASE_S)
     assert isinstance(node.next_action(), KeepLeaseAlive)
     node.candidate.on_keep_alive(False)
-    assert isinstance(node.next_action(), ReadDirectory), "its keys went with the lease"
+    assert isinstance(node.next_action(), ReadDirectory), (
+        "the holder keys were deleted with the store lease"
+    )
 
 
 def test_fenced_write_causes_a_directory_read() -> None:
@@ -311,11 +321,13 @@
         assert node.state(LeaseName.CATALOG) is LeaseState.OBSERVER
         node.wait(10.1)
         node.settle()
-        node.wait(LEASE_S)  # longer than any candidate's turn
+        node.wait(LEASE_S)  # longer than any candidate waits because of its rank
     done = [a for a in node.settle() if isinstance(a, Acquire)]
     held = node.candidate.directory.entry(LeaseName.CATALOG)
-    assert held.holder is not None and held.holder.node == ME, "its receiver may be dead"
-    assert held.hand_over is None, "done with the acquisition"
+    assert held.holder is not None and held.holder.node == ME, (
+        "another node may acquire an expired hand-over: its receiver may have failed"
+    )
+    assert held.hand_over is None, "the acquisition must delete the hand-over record"
     assert all(a.transaction.conditions[wire.hand_over_key(LeaseName.CATALOG)] == 5 for a in done)
 
 
@@ -327,18 +339,22 @@
     released = [a.lease_name for a in node.settle() if isinstance(a, Release)]
     assert released == [LeaseName.CATALOG]
     assert node.candidate.ineligibility(LeaseName.CATALOG) is IneligibilityReason.LAGGING
-    assert node.state(LeaseName.SCALE_OUT) is LeaseState.HOLDER, "the leader's stay with it"
+    assert node.state(LeaseName.SCALE_OUT) is LeaseState.HOLDER, (
+        "a lagging leader must keep the leases that only the leader can hold"
+    )
 
 
 def test_candidates_rank_by_load_and_then_by_name() -> None:
     directory = LeaseDirectory()
     nodes = (OTHER, ME, THIRD)
     assert [candidate_rank(n, nodes, ME, directory.snapshot) for n in nodes] == [0, 2, 1], (
-        "the leader last"
+        "the leader must rank last"
     )
     directory.apply_read([holder_item(LeaseName.CATALOG, OTHER, 3)], Revision(3))
     assert [candidate_rank(n, nodes, ME, directory.snapshot) for n in nodes] == [1, 2, 0]
-    assert not is_overloaded(OTHER, nodes, ME, directory.snapshot), "it would only change sides"
+    assert not is_overloaded(OTHER, nodes, ME, directory.snapshot), (
+        "moving the lease would only reverse the imbalance"
+    )
     assert is_overloaded(OTHER, nodes, OTHER, directory.snapshot)
 
 
--- a/tests/test_process_stalls.py
+++ b/tests/test_process_stalls.py
@@ -39,7 +39,7 @@
     stall_detected: bool, then_silent_s: float, deleted: bool
 ) -> None:
     """At the first check after a stall, every machine seems to have been silent for long, and a
-    booting one seems overdue. Their timeouts start anew then, and are not extended further."""
+    booting one seems overdue. Their timeouts restart then, and are not extended further."""
     world = World(4, capacity=4)
     world.submit("wk-000001", run_s=200.0, parcels=20)
     scheduler = world.scheduler
@@ -173,7 +173,7 @@
                     True,
                 ),
                 Redirect,
-            ), "its relay lease has not expired"
+            ), "the relay lease of the stalled node must have expired"
         kept = {
             n
             for n in before
--- a/tests/test_store_limits.py
+++ b/tests/test_store_limits.py
@@ -81,7 +81,7 @@
         (ANNOUNCED_LIMITS, 70, 18, 2048, 6),
         ({"rps": 40}, 40, 25, 32768, 20),
         ({"value_kb": 0.5, "txn_ops": 2, "rps": None}, 70, 25, 512, 2),
-        # The current limits stay in force as long as the announced ones are higher.
+        # Announced increases are ignored: the current limits hold until the settings change.
         ({"rps": 90, "write_rps": 30, "value_kb": 64, "txn_ops": 40}, 70, 25, 32768, 20),
         (ANNOUNCED_LIMITS | {"unheard_of": "x"}, 70, 18, 2048, 6),
     ],
@@ -785,7 +785,7 @@
             set(),
             {0: 9, 9: 9},
         ),
-        # A subchunk part in two placement records: the higher attempt or else the newer one counts.
+        # A subchunk part in two records: the higher attempt counts, or the newer of equal ones.
         (
             [[encoded_part(0, 6, [], [(1, 6)], 3)], [encoded_part(0, 5, [], [(1, 5)], 3)]],
             {1: 6},
@@ -937,7 +937,7 @@
         elif draw < 0.97 and self.late_writes:
             self.apply_late_write(number)
         else:
-            self.take_over(now)
+            self.fail_over(now)
         check_tasks_and_chunks(self.job)
 
     def place(self, now: MonotonicTime) -> None:
@@ -993,7 +993,7 @@
         if self.stored.get(key, (None, 0))[1] == guard:
             self.stored[key] = (value, number + 1)
 
-    def take_over(self, now: MonotonicTime) -> None:
+    def fail_over(self, now: MonotonicTime) -> None:
         self.token += 1
         self.late_writes.clear()  # they also required the old leader's key
         self.jobs, self.job = registry_with_job(self.tasks, self.chunk_size)
@@ -1021,49 +1021,52 @@
 
 def test_placement_records_fit_the_value_limit_despite_long_machine_names() -> None:
     """The size estimate of a part is wrong if machine names are longer than usual."""
-    w = World(41, platform=platform(ANNOUNCED_LIMITS))
-    w.store.value_bytes, w.store.txn_ops = 2048, 6
-    assert w.scheduler is not None
-    w.subchunks_supported = True
-    placement_records = w.scheduler.transaction_writer.placement_records
-    jobs = w.scheduler.jobs
+    world = World(41, platform=platform(ANNOUNCED_LIMITS))
+    world.store.value_bytes, world.store.txn_ops = 2048, 6
+    assert world.scheduler is not None
+    world.subchunks_supported = True
+    placement_records = world.scheduler.transaction_writer.placement_records
+    jobs = world.scheduler.jobs
     rng = random.Random(3)
     for n in range(40):
         spec = users.parse_submission(submission(f"wk-{n:06d}", parcels=rng.randrange(1, 90)))
         record = encode_job_record(spec, 34, 0.0)
-        job = jobs.add(*decode_job_record(spec.id, record)[:2], MonotonicTime(w.now))
+        job = jobs.add(*decode_job_record(spec.id, record)[:2], MonotonicTime(world.now))
         for index in jobs.take_unplaced_tasks(job, 90):
             jobs.add_placement(
-                job, index, MachineId(f"n-{'long' * rng.randrange(9)}{index}"), MonotonicTime(w.now)
+                job,
+                index,
+                MachineId(f"n-{'long' * rng.randrange(9)}{index}"),
+                MonotonicTime(world.now),
             )
-        w.scheduler.cluster_state.dirty_jobs[job.id] = job
+        world.scheduler.cluster_state.dirty_jobs[job.id] = job
     for _ in range(400):
-        pending = w.scheduler.next_transaction(MonotonicTime(w.now), 20)
+        pending = world.scheduler.next_transaction(MonotonicTime(world.now), 20)
         if pending is None:
             break
-        assert w.store.txn(pending.transaction.body())[0] == 200
-        w.scheduler.on_transaction_result(
+        assert world.store.txn(pending.transaction.body())[0] == 200
+        world.scheduler.on_transaction_result(
             pending,
             TransactionOutcome.COMMITTED,
-            Revision(w.store.revision),
+            Revision(world.store.revision),
             (),
-            MonotonicTime(w.now),
+            MonotonicTime(world.now),
         )
-    assert not w.scheduler.cluster_state.dirty_jobs and not w.store.too_large_count
-    w.check_placements_are_stored()
+    assert not world.scheduler.cluster_state.dirty_jobs and not world.store.too_large_count
+    world.check_placements_are_stored()
     assert {s.key for s in placement_records.by_key.values() if s.version} >= {
-        i["path"] for i in w.store.range("place/")
+        i["path"] for i in world.store.range("place/")
     }
 
 
 def test_learned_state_records_fit_and_are_written_in_turn() -> None:
-    w = World(42, platform=platform(ANNOUNCED_LIMITS), tuning={"memo_s": 1.0})
-    scheduler = w.scheduler
+    world = World(42, platform=platform(ANNOUNCED_LIMITS), tuning={"memo_s": 1.0})
+    scheduler = world.scheduler
     assert scheduler is not None
     rng = random.Random(5)
     type_ = cloud.parse_catalog(CATALOG)["small"]
     for n in range(700):
-        m = scheduler.inventory.add(
+        machine = scheduler.inventory.add(
             MachineId(f"n-{n:06d}"),
             type_,
             "a",
@@ -1072,8 +1075,10 @@
             MonotonicTime(0),
             MonotonicTime(0),
         )
-        m.cached_images = {f"img-{rng.randrange(40):02d}": 1.5 for _ in range(rng.randrange(1, 7))}
-    m.cached_images = {
+        machine.cached_images = {
+            f"img-{rng.randrange(40):02d}": 1.5 for _ in range(rng.randrange(1, 7))
+        }
+    machine.cached_images = {
         f"an-image-with-a-long-name-{i}": 2.5 for i in range(300)
     }  # more than fit into one value
     for n in range(200):
@@ -1085,7 +1090,7 @@
     assert len(records) > 6
     seen: dict[str, Any] = {}
     for turn in range(len(records) // 6 + 1):
-        txn = scheduler.next_learned_state_transaction(MonotonicTime(w.now + 2 + 2 * turn))
+        txn = scheduler.next_learned_state_transaction(MonotonicTime(world.now + 2 + 2 * turn))
         assert txn is not None and len(txn.operations) <= 6
         seen |= {put.key: put.value for put in txn.operations if isinstance(put, Put)}
     assert seen == records, "every record has been written"
@@ -1101,10 +1106,10 @@
         restored.cluster_state.predictor.run_time_sums()
         == scheduler.cluster_state.predictor.run_time_sums()
     )
-    known = [len(m.cached_images) for m in restored.inventory.machines.values()]
+    known = [len(machine.cached_images) for machine in restored.inventory.machines.values()]
     assert sum(k > 0 for k in known) == 700
-    for m in list(scheduler.inventory.machines.values())[:-1]:
-        assert restored.inventory.machines[m.id].cached_images == m.cached_images
+    for machine in list(scheduler.inventory.machines.values())[:-1]:
+        assert restored.inventory.machines[machine.id].cached_images == machine.cached_images
 
 
 @pytest.mark.parametrize(
@@ -1117,12 +1122,12 @@
     rejected each time, so nothing would be stored. More writes than tokens would exceed this
     node's share."""
     root = platform(None, value_kb=value_kb, txn_ops=ops)
-    w = World(44, platform=root, tuning={"memo_s": 1.0})
-    scheduler = w.scheduler
+    world = World(44, platform=root, tuning={"memo_s": 1.0})
+    scheduler = world.scheduler
     assert scheduler is not None
     type_ = cloud.parse_catalog(CATALOG)["small"]
     for n in range(900):
-        m = scheduler.inventory.add(
+        machine = scheduler.inventory.add(
             MachineId(f"n-{n:06d}"),
             type_,
             "a",
@@ -1131,12 +1136,14 @@
             MonotonicTime(0),
             MonotonicTime(0),
         )
-        m.cached_images = {f"registry/{'long-' * 20}{n}-{i}": 1.5 for i in range(3)}
+        machine.cached_images = {f"registry/{'long-' * 20}{n}-{i}": 1.5 for i in range(3)}
     records = learned_state.learned_state_records(scheduler.cluster_state)
     assert sum(len(orjson.dumps(v)) for v in records.values()) > 64 * 1024
     seen: dict[str, Any] = {}
     for turn in range(len(records)):
-        txn = scheduler.next_learned_state_transaction(MonotonicTime(w.now + 2 + 2 * turn), spare)
+        txn = scheduler.next_learned_state_transaction(
+            MonotonicTime(world.now + 2 + 2 * turn), spare
+        )
         assert txn is not None and 1 <= len(txn.operations) <= min(ops, spare or ops)
         assert len(txn.body()) <= 64 * 1024
         seen |= {put.key: put.value for put in txn.operations if isinstance(put, Put)}
@@ -1255,7 +1262,7 @@
     scheduler = node.leader_service.scheduler
     assert scheduler is not None
     for n in range(900):
-        m = scheduler.inventory.add(
+        machine = scheduler.inventory.add(
             MachineId(f"n-{n:06d}"),
             types["small"],
             "a",
@@ -1264,13 +1271,16 @@
             MonotonicTime(0),
             MonotonicTime(0),
         )
-        m.cached_images = {f"registry/{'long-' * 5}{n}-{i}": 1.5 for i in range(3)}
+        machine.cached_images = {f"registry/{'long-' * 5}{n}-{i}": 1.5 for i in range(3)}
     for _ in range(1000):
         clock.now += 0.02
         node.leader_service.process_events()
         assert node.store.writes.available(clock()) >= 0
     learned_state_puts = [
-        w for writes in sent for w in writes if w.get("put", "").startswith(LEARNED_STATE_PREFIX)
+        write
+        for writes in sent
+        for write in writes
+        if write.get("put", "").startswith(LEARNED_STATE_PREFIX)
     ]
     assert len(learned_state_puts) > 3 and max(len(writes) for writes in sent) < 18
 
@@ -1283,7 +1293,7 @@
     assert scheduler is not None
     scheduler.cloud_requests.catalog_changed = True
     node.leader_service.process_events()
-    puts = [w for writes in sent for w in writes if w.get("put") == "catalog"]
+    puts = [world for writes in sent for world in writes if world.get("put") == "catalog"]
     assert len(orjson.dumps(cloud.catalog_record(types))) > 2048
     assert len(puts) == 1 and len(orjson.dumps(puts[0]["v"])) <= 2048
 
@@ -1318,38 +1328,38 @@
 # -- runs
 
 
-def submit_small_job(w: World, job: str, tasks: int, run_s: float) -> None:
-    w.submit(job, parcels=tasks, cpus=0.2, memGb=0.1, run_s=run_s, haulS=run_s)
+def submit_small_job(world: World, job: str, tasks: int, run_s: float) -> None:
+    world.submit(job, parcels=tasks, cpus=0.2, memGb=0.1, run_s=run_s, haulS=run_s)
 
 
 def run_at_old_limits(seed: int, **faults: Any) -> World:
     """Run a world at the old limits, with chunks and placement records as large as those allow."""
-    w = World(seed, platform=platform(), **faults)
-    w.store.value_bytes, w.store.txn_ops = 32 * 1024, 20
+    world = World(seed, platform=platform(), **faults)
+    world.store.value_bytes, world.store.txn_ops = 32 * 1024, 20
     for n, tasks in enumerate([640, 90, 30, 6, 3]):
-        submit_small_job(w, f"wk-00000{n}", tasks, 25.0 + 5 * n)
-    w.run(18)
-    assert max(len(orjson.dumps(i["v"])) for i in w.store.range("place/")) > 6000
-    assert w.store.item("job/wk-000000")["v"]["n"] == 500  # type: ignore[index]
-    return w
+        submit_small_job(world, f"wk-00000{n}", tasks, 25.0 + 5 * n)
+    world.run(18)
+    assert max(len(orjson.dumps(i["v"])) for i in world.store.range("place/")) > 6000
+    assert world.store.item("job/wk-000000")["v"]["n"] == 500  # type: ignore[index]
+    return world
 
 
-def upgrade(w: World) -> None:
-    w.settings = parse_platform(platform(ANNOUNCED_LIMITS))
-    w.elect()
+def upgrade(world: World) -> None:
+    world.settings = parse_platform(platform(ANNOUNCED_LIMITS))
+    world.elect()
 
 
-def reduce_store_limits(w: World) -> None:
-    w.store.value_bytes, w.store.txn_ops = 2048, 6
+def reduce_store_limits(world: World) -> None:
+    world.store.value_bytes, world.store.txn_ops = 2048, 6
 
 
-def run_until_all_ended(w: World, seconds: float = 500.0) -> None:
+def run_until_all_ended(world: World, seconds: float = 500.0) -> None:
     for _ in range(int(seconds)):
-        w.run(1)
-        w.check_placements_are_stored()
-        if w.all_ended():
+        world.run(1)
+        world.check_placements_are_stored()
+        if world.all_ended():
             return
-    raise AssertionError([j for j in w.jobs if f"end/{j}" not in w.store.keys])
+    raise AssertionError([j for j in world.jobs if f"end/{j}" not in world.store.keys])
 
 
 FAULTS: list[dict[str, float]] = [
@@ -1365,25 +1375,27 @@
 ) -> None:
     """All nodes are upgraded before the announced reduction, so no write is ever rejected for its
     size. Leaders change before, at and after the reduction."""
-    w = run_at_old_limits(seed, **faults)
-    upgrade(w)
-    w.run(3)
-    before = sum("n" in p[2] for i in w.store.range("place/") for p in i["v"]["p"])
+    world = run_at_old_limits(seed, **faults)
+    upgrade(world)
+    world.run(3)
+    before = sum("n" in p[2] for i in world.store.range("place/") for p in i["v"]["p"])
     assert not before, "a node of the previous version may still become leader"
-    w.subchunks_supported = True
-    submit_small_job(w, "wk-000100", 60, 12.0)
-    w.run(w.rng.uniform(0, 6))
-    reduce_store_limits(w)
+    world.subchunks_supported = True
+    submit_small_job(world, "wk-000100", 60, 12.0)
+    world.run(world.rng.uniform(0, 6))
+    reduce_store_limits(world)
     for n in range(4):
-        submit_small_job(w, f"wk-00020{n}", w.rng.randrange(1, 120), w.rng.uniform(5, 20))
-        w.run(w.rng.uniform(0, 8))
-        w.elect()
-        w.check_placements_are_stored()
-    if w.rng.random() < 0.5:
-        w.cancel("wk-000200")
-    run_until_all_ended(w)
-    assert not w.too_large_count
-    puts = [e for _, e in w.store.log if e.get("put", "").startswith("place/")]
+        submit_small_job(
+            world, f"wk-00020{n}", world.rng.randrange(1, 120), world.rng.uniform(5, 20)
+        )
+        world.run(world.rng.uniform(0, 8))
+        world.elect()
+        world.check_placements_are_stored()
+    if world.rng.random() < 0.5:
+        world.cancel("wk-000200")
+    run_until_all_ended(world)
+    assert not world.too_large_count
+    puts = [e for _, e in world.store.log if e.get("put", "").startswith("place/")]
     assert any("n" in p[2] for e in puts for p in e["v"]["p"]), "chunks were subdivided"
 
 
@@ -1394,75 +1406,75 @@
 ) -> None:
     """While one node does not announce support, large chunks can't be subdivided and their records
     are rejected. Other jobs continue, and the large ones finish once all nodes support it."""
-    w = run_at_old_limits(seed, **faults)
-    upgrade(w)
-    reduce_store_limits(w)
-    submit_small_job(w, "wk-000100", 20, 5.0)
-    w.run(60)
-    assert "end/wk-000100" in w.store.keys and w.too_large_count
-    assert "end/wk-000000" not in w.store.keys
-    w.subchunks_supported = True
-    run_until_all_ended(w)
+    world = run_at_old_limits(seed, **faults)
+    upgrade(world)
+    reduce_store_limits(world)
+    submit_small_job(world, "wk-000100", 20, 5.0)
+    world.run(60)
+    assert "end/wk-000100" in world.store.keys and world.too_large_count
+    assert "end/wk-000000" not in world.store.keys
+    world.subchunks_supported = True
+    run_until_all_ended(world)
 
 
 def test_rejected_placement_record_is_retried_rarely() -> None:
     """A record is rejected whenever it is sent as long as its chunk can't be subdivided. Without a
     delay between retries it would use up all writes of the leader."""
-    w = run_at_old_limits(0)
-    upgrade(w)
-    reduce_store_limits(w)
-    w.run(20)
-    before = w.too_large_count
+    world = run_at_old_limits(0)
+    upgrade(world)
+    reduce_store_limits(world)
+    world.run(20)
+    before = world.too_large_count
     assert before
-    w.run(60)
-    assert 1 <= w.too_large_count - before <= 4, "one chunk is retried once in twenty seconds"
+    world.run(60)
+    assert 1 <= world.too_large_count - before <= 4, "one chunk is retried once in twenty seconds"
 
 
 def test_chunk_is_subdivided_until_its_record_is_accepted() -> None:
     """The service may accept less than the settings say; even then every record is written."""
-    w = World(51, platform=platform(ANNOUNCED_LIMITS))
-    w.subchunks_supported = True
-    submit_small_job(w, "wk-000001", 60, 30.0)
-    submit_small_job(w, "wk-000002", 3, 5.0)
-    w.run(1)
-    w.store.value_bytes = 400
-    w.run(40)
-    assert w.store.too_large_count
-    run_until_all_ended(w, 200)
-    puts = [e for _, e in w.store.log if e.get("put", "").startswith("place/")]
+    world = World(51, platform=platform(ANNOUNCED_LIMITS))
+    world.subchunks_supported = True
+    submit_small_job(world, "wk-000001", 60, 30.0)
+    submit_small_job(world, "wk-000002", 3, 5.0)
+    world.run(1)
+    world.store.value_bytes = 400
+    world.run(40)
+    assert world.store.too_large_count
+    run_until_all_ended(world, 200)
+    puts = [e for _, e in world.store.log if e.get("put", "").startswith("place/")]
     subchunk_sizes = {p[2]["n"] for e in puts for p in e["v"]["p"] if "n" in p[2]}
     assert subchunk_sizes and max(subchunk_sizes) < 34
 
 
 def test_closed_placement_record_is_kept_until_its_jobs_end() -> None:
     """A closed record may be the only stored copy of tasks that have not changed since."""
-    w = run_at_old_limits(52)
+    world = run_at_old_limits(52)
     large = {
         i["path"]: {p[0] for p in i["v"]["p"]}
-        for i in w.store.range("place/")
+        for i in world.store.range("place/")
         if len(orjson.dumps(i["v"])) > 2048
     }
     assert large
-    upgrade(w)
-    w.subchunks_supported = True
+    upgrade(world)
+    world.subchunks_supported = True
     for _ in range(800):
-        w.run(0.5)
+        world.run(0.5)
         for key, names in large.items():
-            if w.store.item(key) is None:
-                assert not [j for j in names if w.store.item(f"job/{j}")], key
-        w.check_placements_are_stored()
-        if w.all_ended():
+            if world.store.item(key) is None:
+                assert not [j for j in names if world.store.item(f"job/{j}")], key
+        world.check_placements_are_stored()
+        if world.all_ended():
             break
-    w.run(5)
-    assert not [k for k in large if w.store.item(k)], "records of finished jobs are deleted"
+    world.run(5)
+    assert not [k for k in large if world.store.item(k)], "records of finished jobs are deleted"
 
 
 def test_large_placement_records_are_closed_at_failover() -> None:
     """Changed chunks move to other records at once, not only when their record is too large."""
-    w = run_at_old_limits(52)
-    large = {i["path"] for i in w.store.range("place/") if len(orjson.dumps(i["v"])) > 2048}
-    upgrade(w)
-    scheduler = w.scheduler
+    world = run_at_old_limits(52)
+    large = {i["path"] for i in world.store.range("place/") if len(orjson.dumps(i["v"])) > 2048}
+    upgrade(world)
+    scheduler = world.scheduler
     assert scheduler is not None
     records, moved = scheduler.transaction_writer.placement_records, 0
     for job in scheduler.jobs.jobs.values():
--- a/tests/test_user_requests.py
+++ b/tests/test_user_requests.py
@@ -1,4 +1,4 @@
-"""Tests of jobs with dependencies: submission, storage, polls and the leader's job records."""
+"""Tests of users' requests, mostly for jobs with dependencies: submission, storage and polls."""
 
 import dataclasses
 from collections import Counter, deque
