--- a/tests/named_lease_cluster.py
+++ b/tests/named_lease_cluster.py
@@ -127,7 +127,7 @@
         if status == 200 and writes:
             self._record_change(node_id, writes)
         elif status == 409:
-            keys = [w.get("put") or w["delete"] for w in writes]
+            keys = [write.get("put") or write["delete"] for write in writes]
             replaced = [k for k in value["failed"] if k == "lead" or k.startswith("duty/holder/")]
             own_keys = [k for k in keys if not k.startswith(("duty/", "lead", "job/"))]
             self.history.rejected += bool(replaced and own_keys)
@@ -320,8 +320,8 @@
         os.kill(self.processes[node_id].pid, signal.SIGCONT)
 
     def stall_at(self, point: StallPoint) -> str:
-        """Stop the leader when it reaches the point. Continue it once another node leads and holds
-        its named leases, and return its name."""
+        """Stop the leader when it reaches the point, and return its name. It continues once another
+        node leads and holds the named leases `rental` and `return`."""
         stopped: list[str] = []
         is_over = threading.Event()
 
--- a/tests/relay_world.py
+++ b/tests/relay_world.py
@@ -101,7 +101,7 @@
     def crash(self, i: int) -> None:
         """Restart the node at once, with an empty relay."""
         self.relays[i] = self.new_relay(i)
-        for name in [worker for worker, at in self.node_by_worker.items() if at == i]:
+        for name in [worker for worker, node in self.node_by_worker.items() if node == i]:
             self.heartbeats_in_flight.pop(name, None)
         if i == self.leader:
             self.elect()
@@ -218,26 +218,26 @@
         self.heartbeats_in_flight[worker.id] = heartbeat
         if self.chance("report_lost") or worker.id in self.disconnected_machines:
             return
-        at = self.node_by_worker.setdefault(worker.id, self.rng.randrange(self.nodes))
+        node = self.node_by_worker.setdefault(worker.id, self.rng.randrange(self.nodes))
         if self.chance("report_twice"):
-            node = self.rng.randrange(self.nodes)
+            copy_node = self.rng.randrange(self.nodes)
             self.delayed_copies += 1
             delay = self.rng.uniform(0.5, 2.5 * self.settings.lease_s)
-            self.after(delay, lambda: self.receive_heartbeat(worker, heartbeat, node))
-        self.receive_heartbeat(worker, heartbeat, at)
+            self.after(delay, lambda: self.receive_heartbeat(worker, heartbeat, copy_node))
+        self.receive_heartbeat(worker, heartbeat, node)
 
     def move_worker(self, worker: WorkerSim, target: int | None) -> None:
-        at = self.node_by_worker.get(worker.id, 0)
-        self.node_by_worker[worker.id] = (at + 1) % self.nodes if target is None else target
+        node = self.node_by_worker.get(worker.id, 0)
+        self.node_by_worker[worker.id] = (node + 1) % self.nodes if target is None else target
         self.next_heartbeat_at[worker.id] = self.now + (1.0 if target is None else 0.3)
 
-    def receive_heartbeat(self, worker: WorkerSim, heartbeat: HeartbeatInFlight, at: int) -> None:
-        """Handle a heartbeat, or a delayed copy of it, at node `at`."""
-        if at == self.stalled_node or at in self.unreachable_nodes:
+    def receive_heartbeat(self, worker: WorkerSim, heartbeat: HeartbeatInFlight, node: int) -> None:
+        """Handle a heartbeat, or a delayed copy of it, at this node."""
+        if node == self.stalled_node or node in self.unreachable_nodes:
             return
-        if worker.zone == self.cut_zone and at not in self.cut_off_nodes:
+        if worker.zone == self.cut_zone and node not in self.cut_off_nodes:
             return
-        relay, now = self.relays[at], MonotonicTime(self.now)
+        relay, now = self.relays[node], MonotonicTime(self.now)
         if worker.id in self.machines_with_stale_leader:
             if heartbeat.token > self.stale_leader_token:
                 # The heartbeat shows the node a newer token.
@@ -249,8 +249,8 @@
                     workers.heartbeat_response_body(FencingToken(self.stale_leader_token), []),
                 )
                 return
-        leader_reachable = at == self.leader or (
-            at not in self.cut_off_nodes and self.leader not in self.cut_off_nodes
+        leader_reachable = node == self.leader or (
+            node not in self.cut_off_nodes and self.leader not in self.cut_off_nodes
         )
         decision = relay.handle_heartbeat(
             MachineId(worker.id),
@@ -275,7 +275,7 @@
                 if not self.chance("mesh_lost"):
                     self.after(
                         delay,
-                        lambda: self.handle_forwarded(worker, heartbeat, at, relay, relay_token),
+                        lambda: self.handle_forwarded(worker, heartbeat, node, relay, relay_token),
                     )
             case _:
                 if self.heartbeats_in_flight.get(worker.id) is heartbeat:
@@ -285,9 +285,9 @@
     def on_reply_timeout(
         self, worker: WorkerSim, heartbeat: HeartbeatInFlight, relay: HeartbeatRelay
     ) -> None:
-        asleep = self.stalled_node is not None and relay is self.relays[self.stalled_node]
+        is_stalled = self.stalled_node is not None and relay is self.relays[self.stalled_node]
         if (
-            not asleep
+            not is_stalled
             and self.heartbeats_in_flight.get(worker.id) is heartbeat
             and relay.holds_lease(MonotonicTime(self.now))
         ):
@@ -298,13 +298,13 @@
         self,
         worker: WorkerSim,
         heartbeat: HeartbeatInFlight,
-        at: int,
+        node: int,
         relay: HeartbeatRelay,
         relay_token: FencingToken,
     ) -> None:
         leader_scheduler, now = self.scheduler, MonotonicTime(self.now)
         assert leader_scheduler is not None
-        if self.stalled_node in (at, self.leader):
+        if self.stalled_node in (node, self.leader):
             return
         if relay_token != leader_scheduler.token:
             return  # the leader has changed
@@ -323,7 +323,7 @@
         delay = self.rng.uniform(0.0, self.faults.get("mesh_delay_s", 0.05))
 
         def deliver_reply() -> None:
-            if self.relays[at] is relay and at != self.stalled_node:
+            if self.relays[node] is relay and node != self.stalled_node:
                 relay.on_leader_response(
                     machine, heartbeat.sequence, heartbeat.has_notice, heartbeat.tasks, wants_next
                 )
@@ -346,7 +346,7 @@
 
     def answer(self, worker: WorkerSim, heartbeat: HeartbeatInFlight, body: bytes) -> None:
         if self.heartbeats_in_flight.get(worker.id) is not heartbeat:
-            return  # for a copy, or too late: the worker no longer waits for it
+            return  # The worker waits for no answer to this one: it is a copy, or it has timed out.
         if self.chance("answer_lost") or worker.id in self.machines_without_inbound_messages:
             return
         if "answer_slow" in self.faults and self.chance("answer_slow"):
--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -30,6 +30,6 @@
     ).stdout.splitlines()
     names = [Path(path).name.partition(".")[0] for path in found]
     assert {"argparse", "defer", "controller_node"} <= set(names), (
-        "standard library, libraries, sources"
+        "a module of the standard library, of the libraries and of the sources is missing"
     )
     assert [path for path in found if not Path(path).exists()] == []
--- a/tests/test_components.py
+++ b/tests/test_components.py
@@ -103,8 +103,9 @@
 def test_malformed_next_limits_end_with_status_2_and_one_line(
     command: str, later: Any, line: str, tmp_path: Any, capsys: Any
 ) -> None:
-    """The limits of the state store fall without notice, so the next limits must be known before.
-    A wrong guess would show only as refused writes in the middle of the day."""
+    """The limits of the state store fall without notice, so the next limits are set in advance.
+    Without this check, an error there would show only later, as writes that are rejected in the
+    middle of the day."""
     root = copy.deepcopy(PLATFORM)
     root["settings"]["state"]["next"] = later
     path = tmp_path / "node.json"
@@ -243,10 +244,14 @@
     election.on_lease_revoked(MonotonicTime(1.1))
     assert isinstance(election.next_action(MonotonicTime(1.1)), ReadLeaderKey)
     election.on_leader_key_read(None, MonotonicTime(1.2))
-    assert election.next_action(MonotonicTime(1.3)) is None, "somebody else first"
+    assert election.next_action(MonotonicTime(1.3)) is None, (
+        "the other nodes must have time to campaign first"
+    )
     assert isinstance(election.next_action(MonotonicTime(3.0)), ReadLeaderKey)
     election.on_leader_key_read(None, MonotonicTime(3.0))
-    assert isinstance(election.next_action(MonotonicTime(11.0)), GrantLease), "nobody else came"
+    assert isinstance(election.next_action(MonotonicTime(11.0)), GrantLease), (
+        "no other node has become the leader"
+    )
 
 
 def test_campaign_with_lost_response_is_found_by_reading_the_leader_key() -> None:
@@ -338,7 +343,7 @@
     predictor = Predictor(load_tuning(values={"path_length": 1}))
     jobs = train(predictor, "ababab", "ddddd")
     predictor.reserve_for_stream(jobs[5], 30.0, ReservationContext(10.0, 0.0, MonotonicTime(10.0)))
-    assert not predictor.soft_reservations, "more than a boot ahead"
+    assert not predictor.soft_reservations, "the job ends more than one boot time later"
     predictor.reserve_for_stream(jobs[5], 5.0, ReservationContext(10.0, 0.0, MonotonicTime(10.0)))
     assert [reservation.image for reservation in predictor.soft_reservations] == ["a"]
     assert predictor.reserved_cpus() == pytest.approx((0.0, 12.0))
@@ -503,7 +508,7 @@
 
 
 def test_demand_forecast_lasts_until_submissions_stop() -> None:
-    """Demand within the window is expected again, until submissions have stopped for twelve usual
+    """Demand within the window is expected again, until submissions have stopped for twelve mean
     gaps; then the forecast falls to zero."""
     autoscaler = Autoscaler(
         load_tuning(
@@ -519,7 +524,7 @@
     autoscaler.update_demand([], (0.0, 0.0), MonotonicTime(30.0))
     assert 90.0 < autoscaler.total_forecast.expected_cpus < 150.0
     autoscaler.update_demand([], (0.0, 0.0), MonotonicTime(43.0))
-    assert autoscaler.total_forecast.expected_cpus > 70.0, "twelve usual gaps have not passed"
+    assert autoscaler.total_forecast.expected_cpus > 70.0, "fewer than twelve mean gaps have passed"
     autoscaler.update_demand([], (0.0, 0.0), MonotonicTime(46.0))
     assert autoscaler.total_forecast.expected_cpus == 0.0
 
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -50,19 +50,19 @@
     }
 
 
-def read_list(controller: Scheduler, size: int, now: MonotonicTime) -> int:
+def read_list(scheduler: Scheduler, size: int, now: MonotonicTime) -> int:
     """Answer the leader's cloud requests until it has read the list; return the page count."""
     pages = 0
     for _ in range(100):
-        call = controller.next_cloud_request(now)
+        call = scheduler.next_cloud_request(now)
         if isinstance(call, ListMachines):
             begin = 0 if call.after is None else int(call.after[2:]) + 1
             page = [list_entry(number) for number in range(begin, min(size, begin + 500))]
             body = {"wagons": page, "more": begin + 500 < size}
-            controller.on_cloud_response(call, 200, orjson.dumps(body), now)
+            scheduler.on_cloud_response(call, 200, orjson.dumps(body), now)
             pages += 1
         elif isinstance(call, GetCatalog):
-            controller.on_cloud_response(call, 200, orjson.dumps(CATALOG), now)
+            scheduler.on_cloud_response(call, 200, orjson.dumps(CATALOG), now)
     return pages
 
 
@@ -85,44 +85,44 @@
 
 def leader(size: int) -> tuple[Scheduler, MonotonicTime]:
     """Return a leader that has read the machine list and received a heartbeat of each machine."""
-    controller = World(1).scheduler
-    assert controller is not None
+    scheduler = World(1).scheduler
+    assert scheduler is not None
     now = MonotonicTime(100.0)
-    assert read_list(controller, size, now) == size // 500
+    assert read_list(scheduler, size, now) == size // 500
     for number in range(size):
-        assert controller.on_heartbeat(heartbeat_of(number, controller.token, 1), now) == []
-    return controller, now
+        assert scheduler.on_heartbeat(heartbeat_of(number, scheduler.token, 1), now) == []
+    return scheduler, now
 
 
 @pytest.mark.parametrize("size", SIZES)
 def test_machine_list_is_read_to_its_last_page(size: int) -> None:
-    controller, _ = leader(size)
-    up = [m for m in controller.inventory.machines.values() if m.state is MachineState.UP]
+    scheduler, _ = leader(size)
+    up = [m for m in scheduler.inventory.machines.values() if m.state is MachineState.UP]
     assert len(up) == size and all(m.is_schedulable and m.type.name == "small" for m in up)
 
 
 @pytest.mark.parametrize("size", SIZES)
 def test_late_heartbeats_of_a_deleted_fleet_add_no_machines(size: int) -> None:
-    controller, now = leader(size)
-    for machine in list(controller.inventory.machines.values()):
-        controller.inventory.mark_deleted(machine)
+    scheduler, now = leader(size)
+    for machine in list(scheduler.inventory.machines.values()):
+        scheduler.inventory.mark_deleted(machine)
     for number in range(size):
-        assert controller.on_heartbeat(heartbeat_of(number, controller.token, 2), now) is None
-    assert not controller.inventory.machines
+        assert scheduler.on_heartbeat(heartbeat_of(number, scheduler.token, 2), now) is None
+    assert not scheduler.inventory.machines
 
 
 @pytest.mark.parametrize("size", SIZES)
 def test_silent_fleet_is_deleted_in_full_requests(size: int) -> None:
     """Each machine is deleted once, and each request names as many as the cloud accepts."""
-    controller, now = leader(size)
+    scheduler, now = leader(size)
     later = MonotonicTime(now + 300.0)
-    controller.tick(later)
+    scheduler.tick(later)
     requests = []
-    while isinstance(call := controller.next_cloud_request(later), DeleteMachines):
+    while isinstance(call := scheduler.next_cloud_request(later), DeleteMachines):
         requests.append(call.machines)
-        controller.on_cloud_response(call, 200, b"{}", later)
+        scheduler.on_cloud_response(call, 200, b"{}", later)
     assert sum(map(len, requests)) == size and len(requests) == size // 100
-    assert not controller.inventory.machines
+    assert not scheduler.inventory.machines
 
 
 @pytest.mark.parametrize("size", SIZES)
@@ -211,19 +211,19 @@
     world = World(1, capacity=4000)
     for i in range(10):
         world.submit(f"wk-{i:06d}", parcels=4000, cpus=8.0)
-    controller = world.scheduler
-    assert controller is not None
+    scheduler = world.scheduler
+    assert scheduler is not None
     machine_counts = []
     for tick in range(200):
         now = MonotonicTime(world.now + tick / 10)
-        controller.tick(now)
-        call = controller.next_cloud_request(now)
+        scheduler.tick(now)
+        call = scheduler.next_cloud_request(now)
         if isinstance(call, ScaleOut):
             machine_counts.append(call.request.machine_count)
             created = [f"m-{len(machine_counts)}-{i}" for i in range(call.request.machine_count)]
-            controller.on_cloud_response(call, 200, orjson.dumps({"wagons": created}), now)
+            scheduler.on_cloud_response(call, 200, orjson.dumps({"wagons": created}), now)
         elif isinstance(call, ListMachines):
-            controller.on_cloud_response(call, 200, b'{"wagons":[],"more":false}', now)
+            scheduler.on_cloud_response(call, 200, b'{"wagons":[],"more":false}', now)
         elif isinstance(call, GetCatalog):
-            controller.on_cloud_response(call, 200, orjson.dumps(CATALOG), now)
+            scheduler.on_cloud_response(call, 200, orjson.dumps(CATALOG), now)
     assert sum(machine_counts) >= 4000 and sum(machine_counts) / len(machine_counts) > 40
--- a/tests/test_job_dependencies.py
+++ b/tests/test_job_dependencies.py
@@ -98,7 +98,7 @@
         "c",
     ),
     (
-        "done before it was cancelled",
+        "both done",
         [("add", "a"), ("add", "b", "a"), ("done", "a"), ("done", "b")],
         "a b",
         "",
@@ -110,7 +110,7 @@
         "b",
     ),
     (
-        "awaits one that is orphaned",
+        "awaits a job that is cancelled upstream",
         [("add", "a"), ("add", "b", "a"), ("aborted", "a"), ("add", "c", "b")],
         "a",
         "b c",
@@ -122,7 +122,12 @@
         "",
         "b c",
     ),
-    ("told twice", [("add", "a"), ("add", "b", "a"), ("done", "a"), ("done", "a")], "a b", ""),
+    (
+        "end reported twice",
+        [("add", "a"), ("add", "b", "a"), ("done", "a"), ("done", "a")],
+        "a b",
+        "",
+    ),
 ]
 
 
@@ -133,11 +138,11 @@
     name: str, steps: list[tuple[str, ...]], ready: str, upstream_cancelled: str
 ) -> None:
     harness = GraphHarness()
-    for what, job, *awaits in steps:
-        if what == "add":
+    for action, job, *awaits in steps:
+        if action == "add":
             harness.add(job, *awaits)
         else:
-            harness.end(job, what)
+            harness.end(job, action)
     assert (
         harness.ready == ready.split()
         and sorted(harness.upstream_cancelled) == upstream_cancelled.split()
@@ -282,11 +287,11 @@
     name: str, steps: list[tuple[str, ...]], expected: bool
 ) -> None:
     harness = GraphHarness()
-    for what, job, *awaits in steps:
-        if what == "add":
+    for action, job, *awaits in steps:
+        if action == "add":
             last_job = harness.add(job, *awaits)
         else:
-            harness.end(job, what)
+            harness.end(job, action)
     assert harness.graph.may_be_cancelled_upstream(last_job) is expected, name
 
 
@@ -777,7 +782,7 @@
 
 
 def test_deadline_counts_from_submission_and_other_objectives_from_readiness() -> None:
-    """`ServiceLevelObjectives.latest_start_times` and `preemption_allowed_at`, and
+    """Covers `ServiceLevelObjectives.latest_start_times` and `preemption_allowed_at`, and
     `ClusterState._deadline_at`."""
     harness = GraphHarness()
     harness.add("a")
--- a/tests/test_leader_store_outage.py
+++ b/tests/test_leader_store_outage.py
@@ -1,7 +1,8 @@
 """Relay leases and direct kills after the leader alone has lost the state service.
 
-Another leader confirms cancellations. Then the store is unavailable to all nodes for longer than
-the time within which cancelled tasks must end, while workers may still report to the old leader.
+Meanwhile another leader is elected and confirms cancellations. Then the store is unavailable to all
+nodes for longer than the time within which cancelled tasks must end, while workers may still report
+to the old leader.
 """
 
 from types import SimpleNamespace
@@ -61,8 +62,8 @@
     """Checks the worst case step by step.
 
     The cancellation is confirmed as the leader lease ends. The old leader's last contact is at the
-    end of the extension, a relay renews its lease as the old leader's own relay lease ends, and a
-    worker is answered as that lease ends.
+    end of the extension, another relay renews its lease as the old leader's own relay lease ends,
+    and a worker is answered as the lease of that other relay ends.
     """
     cancel_s, drift, relay_lease_s = 34.0, 0.02, share * lease_s
     extension_s = lease_extension_s(cancel_s, lease_s, relay_lease_s, drift)
@@ -480,7 +481,8 @@
         self.relay_service.heartbeat_forwarding._flush()
 
 
-LEASE_RENEWED, RETRY_LATER = (200, None), (503, 1)  # to a worker, with and without a relay lease
+# The answers to a worker while the node holds a relay lease, and while it holds none.
+LEASE_RENEWED, RETRY_LATER = (200, None), (503, 1)
 
 
 @pytest.mark.parametrize(
@@ -515,7 +517,8 @@
     if "breaks" in event:
         fixture.link._on_connection_lost(fixture.channel)
     elif "no link" in event:
-        # Another node leads now, to which this node has no connection. The old link is connected.
+        # Another node leads now, to which this node has no connection. The old link is still
+        # connected.
         fixture.node.election.leader = fixture.relay_service.relay.leader = NodeId("drover-2")
         fixture.flush()
     else:
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -76,7 +76,7 @@
             "2026-12-08T02:00",
         ),
         (
-            "the start does not exist: it opens when the clock is put forward",
+            "the start does not exist: it is moved forward by the gap",
             "Europe/Berlin",
             ("su", "02:30", "05:00"),
             "2026-03-29T00:00",
@@ -84,7 +84,7 @@
             "2026-03-29T03:00",
         ),
         (
-            "the end does not exist",
+            "the end does not exist: it is moved forward by the gap",
             "Europe/Berlin",
             ("su", "01:00", "02:30"),
             "2026-03-29T00:30",
@@ -92,7 +92,7 @@
             "2026-03-29T01:30",
         ),
         (
-            "the start comes twice: the first time",
+            "the start occurs twice: the first one counts",
             "Europe/Berlin",
             ("su", "02:30", "05:00"),
             "2026-10-25T00:00",
@@ -100,7 +100,7 @@
             "2026-10-25T04:00",
         ),
         (
-            "the end comes twice: the second time",
+            "the end occurs twice: the second one counts",
             "Europe/Berlin",
             ("su", "01:00", "02:30"),
             "2026-10-25T01:15",
--- a/tests/test_named_lease_fault_schedules.py
+++ b/tests/test_named_lease_fault_schedules.py
@@ -47,7 +47,9 @@
         rejected_writes += world.history.rejected
         rented += sum(effect.kind == "rent" for effect in world.history.effects)
         deleted += sum(effect.kind == "delete" for effect in world.history.effects)
-    assert rejected_writes and rented and deleted, "the schedules try something"
+    assert rejected_writes and rented and deleted, (
+        "the schedules must cause rejected writes, created machines and deleted machines"
+    )
 
 
 def without_guards(*names: str) -> Callable[[pytest.MonkeyPatch], None]:
@@ -91,7 +93,7 @@
         transaction.conditions.pop(
             holder_key(LeaseName.CATALOG), None
         ) if transaction.conditions.get(holder_key(LeaseName.CATALOG), ABSENT_REVISION) and not any(
-            w.key.startswith("duty/") for w in transaction.operations
+            operation.key.startswith("duty/") for operation in transaction.operations
         ) else None
         original_commit(world, node, transaction, on_answer)
 
@@ -121,14 +123,14 @@
             check_final_state(world)
         except AssertionError:
             return
-    pytest.fail("no schedule showed it")
+    pytest.fail("no schedule violates a rule although the guard is removed")
 
 
 @pytest.mark.parametrize("guarded", [True, False])
 def test_delayed_intent_write_is_rejected_after_its_lease_was_paused(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A pause is the only way in which the leader loses a leader's lease but stays the leader.
+    """Only a pause makes the leader lose one of the leader's named leases while it still leads.
 
     The write has timed out, the leader has read that it was not applied, and has released the
     lease. Only the condition on the lease's token then prevents the delayed write from being
@@ -160,9 +162,9 @@
         unmarked_send = world.send
         if records:
 
-            def send_marked(n: Any, serve: Any, a: Any) -> None:
+            def send_marked(sender: Any, serve: Any, on_sent_answer: Any) -> None:
                 serve.records = True
-                delay_first_record_write(n, serve, a)
+                delay_first_record_write(sender, serve, on_sent_answer)
 
             world.send = send_marked  # type: ignore[method-assign]
         original_commit(node, transaction, on_answer)
@@ -172,7 +174,7 @@
     offer = MachineOffering("small", "a", False)
     leader.pending_calls.append(ScaleOut(ScaleOutRequest("r-late", offer, 2)))
     world.run(0.5)
-    assert delayed_writes, "the write is under way"
+    assert delayed_writes, "no write of intents was delayed"
     pause = Put(pause_key(LeaseName.SCALE_OUT), pause_value(PauseRecord(WallTime(1.0), "")))
     world.store.txn(Transaction({}, [pause]).body())
     world.run(6.0)
--- a/tests/test_named_lease_service.py
+++ b/tests/test_named_lease_service.py
@@ -191,7 +191,10 @@
     world.state_service.operations.clear()
     world.run(0.5)
     recorded = [
-        w for ws in world.state_service.operations for w in ws if w.get("put") == "intent/return"
+        write
+        for writes in world.state_service.operations
+        for write in writes
+        if write.get("put") == "intent/return"
     ]
     assert [obj["n"] for obj in recorded[0]["v"]["i"]] == ["n-000007"]
     assert world.deleted_machines() == ["n-000007"]
@@ -225,8 +228,8 @@
     writes = world.node.store.writes
     original_process_events = world.node.leader_service._store_requests.process_events
 
-    def process_events_and_use_up_writes(controller: Any, now: MonotonicTime) -> None:
-        original_process_events(controller, now)
+    def process_events_and_use_up_writes(scheduler: Any, now: MonotonicTime) -> None:
+        original_process_events(scheduler, now)
         writes.force_take(now, max(0, writes.available(now, RESERVE_PLACEMENTS)))
 
     world.node.leader_service._store_requests.process_events = process_events_and_use_up_writes  # type: ignore[method-assign]
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -65,7 +65,8 @@
 
 
 def test_costly_autoscaling_runs_are_spaced_out() -> None:
-    """The adapter reports the duration of each run; otherwise runs would use up a small core."""
+    """A run inspects every machine, and there may be thousands. The adapter reports how long each
+    run took; otherwise the runs would use up a small core."""
     world = World(1)
     leader = world.scheduler
     assert leader is not None
--- a/tests/test_prediction.py
+++ b/tests/test_prediction.py
@@ -281,7 +281,8 @@
 
 
 def test_wide_fan_in_is_not_kept_in_the_statistics() -> None:
-    """One job depends on thousands of jobs with different paths; no fan-in is kept for them."""
+    """One job depends on thousands of jobs with different paths. The statistics have one entry for
+    each path and no fan-in, so their size stays bounded."""
     chains = Chains()
     names = [f"b-{i}" for i in range(3000)]
     for i, name in enumerate(names):
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -80,7 +80,7 @@
         ("an additional task", False, {"tasks": [1]}, Forward()),
         ("a preemption notice", False, {"has_notice": True}, Forward()),
         ("a new agent epoch", False, {"agent_epoch": 2}, Forward()),
-        ("only the leader can check the effect of its commands", True, {}, Forward()),
+        ("commands were sent, and only the leader can check their effect", True, {}, Forward()),
         ("a token newer than the relay's", False, {"token": 6}, Redirect(None)),
         ("the relay lease has ended", False, {"at": 4.1}, Redirect(LEADER)),
         ("a copy of the same heartbeat", False, {"number": 1}, Stale()),
@@ -123,7 +123,7 @@
     relay.on_leader_response(MACHINE, sequence(2), False, [1], False)
     assert handle_heartbeat(relay, 4, tasks=[1]) == Forward()
     assert handle_heartbeat(relay, 5) == Forward(), (
-        "the tasks are as at first, but the leader may have handled the others"
+        "unchanged since the first, but the leader may have handled a later one"
     )
 
 
@@ -141,7 +141,9 @@
     assert handle_heartbeat(relay, 2, 1.0, token=5) == Acknowledge(FencingToken(9)), (
         "the relay first sends the new token"
     )
-    assert handle_heartbeat(relay, 3, 1.5, token=5) == Forward(), "the worker still shows the old"
+    assert handle_heartbeat(relay, 3, 1.5, token=5) == Forward(), (
+        "the worker still sends the old token"
+    )
     assert handle_heartbeat(relay, 4, 2.0, token=9) == Forward()
     # A delayed message of the old leader changes nothing.
     relay.renew_lease(FencingToken(5), LEADER, MonotonicTime(3.0), MonotonicTime(3.0))
@@ -154,9 +156,8 @@
     assert relay.holds_lease(MonotonicTime(4.9)) and not relay.holds_lease(MonotonicTime(5.0))
     relay.confirm_token(FencingToken(4), MonotonicTime(9.0))  # a token that is out of date
     assert not relay.holds_lease(MonotonicTime(9.0))
-    relay.confirm_token(
-        FencingToken(5), MonotonicTime(9.0)
-    )  # the store shows that the leader still leads
+    # The store shows that the leader of this token still leads.
+    relay.confirm_token(FencingToken(5), MonotonicTime(9.0))
     assert relay.holds_lease(MonotonicTime(12.9))
 
 
@@ -310,7 +311,8 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_machine_that_ignores_responses_is_deleted(seed: int) -> None:
-    """Its heartbeats arrive, so it is never silent; it is detected by commands without effect."""
+    """No response reaches the machine, but its heartbeats arrive, so it is never silent. The leader
+    detects it because its commands have no effect."""
     world = RelayWorld(seed, capacity=4)
     world.submit("wk-000001", run_s=30.0, parcels=16)
     world.run(14)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -137,7 +137,7 @@
         self.submit(f"wk-{name}d", parcels=2, cpus=1.0, run_s=3.0, awaits=[c], dueS=due)
 
     def cancel_some(self) -> None:
-        """Cancel a first job of the latest pipeline and the latest job outside a pipeline."""
+        """Cancel one of the two first jobs of the latest pipeline, and the latest plain job."""
         n = self.submission_count - 1
         if self.supports_chains or self.world.all_replaced:
             self.world.cancel(f"wk-{n}b")
@@ -191,7 +191,7 @@
     def store_outage(self, batch: list[int]) -> None:
         """Make the state service unavailable for more than two leases.
 
-        No leader can be elected meanwhile, so only the other nodes of the batch are replaced."""
+        No leader can be elected meanwhile, so the leader is replaced only after the outage."""
         world = self.world
         world.outage_until = world.now + 2.2 * world.settings.lease_s
         world.watch(3)
@@ -283,7 +283,8 @@
         return sorted(self.world.replaced)
 
     def submit_chain(self, name: str) -> None:
-        """Submit two more jobs; the dependency list of the second is apart from its job record."""
+        """Submit the chain and two more jobs. The dependency list of the last one is stored outside
+        its job record."""
         super().submit_chain(name)
         awaits = [f"wk-{name}{i}" for i in "abcd"]
         self.submit(f"wk-{name}e", parcels=2, cpus=1.0, run_s=2.0, awaits=awaits)
@@ -354,7 +355,7 @@
                         entry for chunk in self.world.stored_chunks(job) for entry in chunk["r"]
                     ]
                     kept = [int(index), task.attempt, machine.id] in stored
-                    assert kept, f"not kept: {key}"
+                    assert kept, f"not stored: {key}"
 
     def check_leader_versions(self) -> None:
         assert (
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -538,8 +538,8 @@
 def decision_on_unchanged_heartbeat(relay: HeartbeatRelay | EarlierRelay, number: int) -> Decision:
     """Return the relay's decision on an unchanged second heartbeat of machine `number`.
 
-    The first is reported as accepted by the leader. If the relay does not forward the first, the
-    decision on the first is returned.
+    The leader accepts the first heartbeat. If the relay does not forward that one, its decision on
+    it is returned instead.
     """
     machine, epoch, now = MachineId(f"n-{number}"), FencingToken(9), MonotonicTime(101.0)
     order = HeartbeatSequence(AgentEpoch(1), 1)
@@ -686,7 +686,8 @@
 def test_jobs_finish_while_nodes_are_upgraded_in_random_order(short: str, seed: int) -> None:
     """Jobs must finish when nodes are upgraded two at a time in random order.
 
-    Meanwhile other nodes crash and restart or stall for a while, and machines hang.
+    Meanwhile random nodes crash and restart with the version that they have, or stall for a while,
+    and machines hang.
     """
     version = history.earlier(short)
     rng = random.Random(seed)
--- a/tests/world.py
+++ b/tests/world.py
@@ -221,9 +221,11 @@
         self.now += dt
         leader, now = self.scheduler, MonotonicTime(self.now)
         assert leader is not None
-        for body in [b for t, b in self.delayed_transactions if t <= self.now]:
+        for body in [data for due_at, data in self.delayed_transactions if due_at <= self.now]:
             self.store.txn(body)  # long after its sender timed out
-        self.delayed_transactions = [(t, b) for t, b in self.delayed_transactions if t > self.now]
+        self.delayed_transactions = [
+            (due_at, data) for due_at, data in self.delayed_transactions if due_at > self.now
+        ]
         if self.leader_runs():
             leader.transaction_writer.subchunks_supported = self.subchunks_supported
             self.run_leader_tick(leader, now)
