--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -92,8 +92,7 @@
 def test_deeply_nested_heartbeat_is_not_forwarded(levels: int, is_valid: bool) -> None:
     """The parser allows 1,024 levels. A heartbeat with as many would exceed that inside a frame.
 
-    The leader would then drop the whole frame, with the heartbeats of other workers, and the
-    connection to the node that sent it.
+    The leader would then drop the whole frame, with the heartbeats of other workers.
     """
     body = b'{"x":' + b"[" * levels + b"]" * levels + b"}"
     load_object(body)
